--- a/src/app/AnswerJson.cpp
+++ b/src/app/AnswerJson.cpp
@@ -31,7 +31,7 @@
 
 unsigned statusOf(const FinalAnswer &Given) {
   return match(
-      Given, [](const WholeAnswer &) { return 200U; },
+      Given, [](const CompleteAnswer &) { return 200U; },
       [](const NotRun &Refusal) { return statusOf(Refusal.Reason); },
       [](const FailedAnswer &) { return 502U; },
       [](const OutcomeUnknown &) { return 504U; },
@@ -40,8 +40,8 @@
 
 Duration comeBackAfter(const FinalAnswer &Given) {
   return match(
-      Given, [](const WholeAnswer &) { return Duration(0); },
-      [](const auto &Other) { return Other.ComeBackAfter; });
+      Given, [](const CompleteAnswer &) { return Duration(0); },
+      [](const auto &Other) { return Other.RetryAfter; });
 }
 
 json withComeBack(std::string_view Kind, Duration After) {
@@ -53,33 +53,33 @@
 json toJson(const FinalAnswer &Given) {
   return match(
       Given,
-      [](const WholeAnswer &Whole) {
+      [](const CompleteAnswer &Whole) {
         return json{{"answer", "whole"}, {"count", Whole.Count}};
       },
       [](const NotRun &Refusal) {
-        json Result = withComeBack("not-run", Refusal.ComeBackAfter);
+        json Result = withComeBack("not-run", Refusal.RetryAfter);
         Result["reason"] = name(Refusal.Reason);
         Result["message"] = Refusal.Message;
         return Result;
       },
       [](const FailedAnswer &Failed) {
-        json Result = withComeBack("failed", Failed.ComeBackAfter);
+        json Result = withComeBack("failed", Failed.RetryAfter);
         Result["message"] = Failed.Message;
         return Result;
       },
       [](const OutcomeUnknown &Unknown) {
-        json Result = withComeBack("outcome-unknown", Unknown.ComeBackAfter);
+        json Result = withComeBack("outcome-unknown", Unknown.RetryAfter);
         Result["message"] = Unknown.Message;
         return Result;
       },
       [](const InProgress &Running) {
-        return withComeBack("in-progress", Running.ComeBackAfter);
+        return withComeBack("in-progress", Running.RetryAfter);
       });
 }
 
 HttpAnswer answerTo(const FinalAnswer &Given, const std::string *Text) {
   json Body = toJson(Given);
-  const auto *Whole = std::get_if<WholeAnswer>(&Given);
+  const auto *Whole = std::get_if<CompleteAnswer>(&Given);
   if (Whole && Text)
     Body["text"] = *Text;
   if (Whole && !Whole->Result.empty())
--- a/src/app/CallerService.cpp
+++ b/src/app/CallerService.cpp
@@ -58,9 +58,9 @@
                      "the resume token is unknown here; send the request anew");
 }
 
-ResolveAsked resolveQuestion(const HttpExchange &Each, std::uint64_t Id) {
-  ResolveAsked Result;
-  Result.Id = ResolveQuestionId(Id);
+ResolveRequest resolveQuestion(const HttpExchange &Each, std::uint64_t Id) {
+  ResolveRequest Result;
+  Result.Id = ResolveRequestId(Id);
   Result.Team.Value = Each.target().value("team").value_or("");
   Result.Zone.Value = Each.target().value("zone").value_or("");
   return Result;
@@ -114,7 +114,7 @@
 
 Task<void> CallerService::serveWhole(HttpExchange &Each, Entry Asked) {
   Each.onHangUp(
-      [this, Id = Asked->id()] { this->Events.send(CallerGone{Id}); });
+      [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
   const FinalAnswer Answer = co_await Asked->finalAnswer();
   const bool IsCompletion =
       Asked->content().What == RequestContent::Kind::Completion;
@@ -125,7 +125,7 @@
 
 Task<void> CallerService::serveStreamed(HttpExchange &Each, Entry Asked) {
   Each.onHangUp(
-      [this, Id = Asked->id()] { this->Events.send(CallerGone{Id}); });
+      [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
   const RelayEntry::Opening Begins = co_await Asked->opening();
   if (Begins.Answer && !Begins.Accepted) {
     HttpAnswer Given = answerTo(*Begins.Answer, nullptr);
@@ -133,10 +133,10 @@
     co_return;
   }
   if (!co_await Each.beginEvents())
-    co_return this->Events.send(CallerGone{Asked->id()});
+    co_return this->Events.send(CallerDisconnected{Asked->id()});
   const std::string Accepted = acceptedEvent(Asked->id(), Begins.ResumeToken);
   if (!co_await Each.sendEvents(Accepted))
-    co_return this->Events.send(CallerGone{Asked->id()});
+    co_return this->Events.send(CallerDisconnected{Asked->id()});
   co_await this->sendStream(Each, Asked, 0);
 }
 
@@ -159,9 +159,9 @@
   const Entry Stream = Begins.Joined;
   const std::string Accepted = acceptedEvent(Stream->id(), Token);
   if (!co_await Each.beginEvents())
-    co_return this->Events.send(CallerGone{Stream->id()});
+    co_return this->Events.send(CallerDisconnected{Stream->id()});
   if (!co_await Each.sendEvents(Accepted))
-    co_return this->Events.send(CallerGone{Stream->id()});
+    co_return this->Events.send(CallerDisconnected{Stream->id()});
   co_await this->sendStream(Each, Stream, Begins.JoinedIndex);
 }
 
@@ -192,7 +192,7 @@
 void CallerService::detach(const Entry &Stream, std::uint64_t Writer) {
   net::post(Stream->executor(), [this, Stream, Writer] {
     if (Stream->detach(Writer))
-      this->Events.send(CallerGone{Stream->id()});
+      this->Events.send(CallerDisconnected{Stream->id()});
   });
 }
 
--- a/src/app/Daemon.h
+++ b/src/app/Daemon.h
@@ -29,7 +29,7 @@
   std::uint16_t peersPort() const { return this->Peers->port(); }
 
   /// Starts the graceful stop, as SIGTERM does.
-  void askToStop() { this->Events.send(StopAsked{}); }
+  void askToStop() { this->Events.send(StopRequest{}); }
 
 private:
   void waitForSignals();
--- a/src/app/GatewayDaemon.cpp
+++ b/src/app/GatewayDaemon.cpp
@@ -77,7 +77,7 @@
         this->takeSettings(std::move(Changed));
       });
   this->Events.start(
-      std::make_unique<Kernel>(Self, Values, Seed, Serving::Gateway),
+      std::make_unique<Kernel>(Self, Values, Seed, ServingMode::Gateway),
       *this->Router, this->State);
   this->waitForSignals();
   this->Traffic.start(*this->Callers);
--- a/src/app/GatewayDaemon.h
+++ b/src/app/GatewayDaemon.h
@@ -57,7 +57,7 @@
   std::uint16_t callersPort() const { return this->Callers->port(); }
 
   /// Starts the graceful stop, as SIGTERM does.
-  void askToStop() { this->Events.send(StopAsked{}); }
+  void askToStop() { this->Events.send(StopRequest{}); }
 
 private:
   void openPorts(const Settings &Values);
--- a/src/app/GatewaySettings.cpp
+++ b/src/app/GatewaySettings.cpp
@@ -83,9 +83,9 @@
   };
 }
 
-Serving servingFrom(const Settings &Values) {
-  return Values.text("host", "serving") == "gateway" ? Serving::Gateway
-                                                     : Serving::Catalogue;
+ServingMode servingFrom(const Settings &Values) {
+  return Values.text("host", "serving") == "gateway" ? ServingMode::Gateway
+                                                     : ServingMode::Catalogue;
 }
 
 GatewaySettings gatewaySettings(const Settings &Values) {
--- a/src/app/GatewaySettings.h
+++ b/src/app/GatewaySettings.h
@@ -32,7 +32,7 @@
 std::vector<SettingDeclaration> gatewaySettingDeclarations();
 
 /// How the host serves, by [host] serving.
-Serving servingFrom(const Settings &Values);
+ServingMode servingFrom(const Settings &Values);
 
 /// Throws Error(BadInput) when an address is missing or malformed.
 GatewaySettings gatewaySettings(const Settings &Values);
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -123,7 +123,7 @@
   const auto Side = std::make_shared<CallerSide>(Each, Id);
   this->Callers[Id] = Side;
   Each.onHangUp([this, Id] {
-    this->Uses.Events.send(CallerGone{Id});
+    this->Uses.Events.send(CallerDisconnected{Id});
     if (const auto Gone = this->caller(Id))
       Gone->hungUp();
   });
@@ -134,8 +134,8 @@
 }
 
 Task<void> GatewayTraffic::resolve(HttpExchange &Each) {
-  ResolveAsked Asked = this->Uses.Protocol.callers().readQuestion(Each);
-  Asked.Id = ResolveQuestionId(++this->LastId);
+  ResolveRequest Asked = this->Uses.Protocol.callers().readQuestion(Each);
+  Asked.Id = ResolveRequestId(++this->LastId);
   const std::uint64_t Id = Asked.Id.Value;
   this->Uses.Events.send(std::move(Asked));
   const auto Answer = co_await this->Resolves.wait(Id, ResolveTimeout);
--- a/src/app/Main.cpp
+++ b/src/app/Main.cpp
@@ -31,7 +31,7 @@
 
 int runDaemon(const Settings &Values) {
   configureLog(Values);
-  if (servingFrom(Values) == Serving::Gateway) {
+  if (servingFrom(Values) == ServingMode::Gateway) {
     GatewayDaemon Host(Values, FLAGS_settings, Incarnation(randomNumber()),
                        randomNumber());
     Host.run();
--- a/src/app/OperatorService.cpp
+++ b/src/app/OperatorService.cpp
@@ -41,7 +41,7 @@
     return ShowStatus{};
   constexpr std::string_view Changes = "changes/";
   if (IsGet && Name.starts_with(Changes))
-    return AskVerdict{ChangeId(Name.substr(Changes.size()))};
+    return QueryVerdict{ChangeId(Name.substr(Changes.size()))};
   constexpr std::string_view Quarantine = "quarantine/";
   if (Each.method() == http::verb::delete_ && Name.starts_with(Quarantine))
     return ReleaseQuarantine{fingerprintFrom(Name.substr(Quarantine.size()))};
@@ -49,9 +49,9 @@
 }
 
 Task<void> OperatorService::serve(HttpExchange &Each, TrafficThread &Thread) {
-  OperatorAsked Asked;
+  OperatorRequest Asked;
   const std::uint64_t Id = Thread.relays().takeId();
-  Asked.Id = OperatorQuestionId(Id);
+  Asked.Id = OperatorRequestId(Id);
   Asked.OperatorKey = bearerKey(Each);
   Asked.Question = operatorQuestionFrom(Each);
   const bool IsChange = std::holds_alternative<ApplyChanges>(Asked.Question);
--- a/src/app/RelayTable.cpp
+++ b/src/app/RelayTable.cpp
@@ -24,7 +24,7 @@
   const RequestId Id(this->takeId());
   auto Result = this->add(Id, true, {}, NextIndex);
   this->Events.send(
-      ResumeAsked{Id, std::move(TeamKey), std::move(ResumeToken), NextIndex});
+      ResumeRequest{Id, std::move(TeamKey), std::move(ResumeToken), NextIndex});
   return Result;
 }
 
--- a/src/app/SettingsFile.cpp
+++ b/src/app/SettingsFile.cpp
@@ -53,7 +53,7 @@
   check([&] { identityFrom(Result, Incarnation(1)); }, Problems);
   check([&] { platformSettings(Result); }, Problems);
   check([&] { peerSettings(Result); }, Problems);
-  if (servingFrom(Result) == Serving::Gateway)
+  if (servingFrom(Result) == ServingMode::Gateway)
     check([&] { gatewaySettings(Result); }, Problems);
   check([&] { makeTlsContext(httpSettings(Result)); }, Problems);
   if (!Problems.empty())
--- a/src/libs/base/StrongId.h
+++ b/src/libs/base/StrongId.h
@@ -50,22 +50,22 @@
 
 /// A number unique over all hosts and their lives: who made it, and the how
 /// manieth of its maker it is.
-template <class Tag> struct MadeId {
+template <class Tag> struct SequencedId {
   Incarnation Maker;
   std::uint64_t Sequence = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): clang 14 misreads defaults.
-  auto operator<=>(const MadeId &) const = default;
+  auto operator<=>(const SequencedId &) const = default;
 };
 
 /// One try of a request on one upstream; echoed in each chunk of its answer.
-using AttemptId = MadeId<struct AttemptTag>;
+using AttemptId = SequencedId<struct AttemptTag>;
 /// One record appended to the log; found again by it when an answer is lost.
-using RecordId = MadeId<struct RecordTag>;
+using RecordId = SequencedId<struct RecordTag>;
 /// Memory held on one engine for a group of engines.
-using HoldId = MadeId<struct HoldTag>;
+using HoldId = SequencedId<struct HoldTag>;
 /// One order to an engine.
-using OrderId = MadeId<struct OrderTag>;
+using OrderId = SequencedId<struct OrderTag>;
 /// One change set of an operator; made by the command line.
 using ChangeId = StrongId<struct ChangeTag, std::string>;
 
@@ -83,8 +83,8 @@
   }
 };
 
-template <class Tag> struct std::hash<banyanpick::MadeId<Tag>> {
-  std::size_t operator()(const banyanpick::MadeId<Tag> &Id) const {
+template <class Tag> struct std::hash<banyanpick::SequencedId<Tag>> {
+  std::size_t operator()(const banyanpick::SequencedId<Tag> &Id) const {
     return banyanpick::combineHashes(
         std::hash<banyanpick::Incarnation>()(Id.Maker),
         std::hash<std::uint64_t>()(Id.Sequence));
--- a/src/libs/kernel/Action.h
+++ b/src/libs/kernel/Action.h
@@ -45,7 +45,7 @@
   bool operator==(const JoinStream &) const = default;
 };
 struct AnswerResolve {
-  ResolveQuestionId Id;
+  ResolveRequestId Id;
   std::vector<Address> Hosts; ///< Best first.
   Duration TimeToLive{};
 
@@ -174,7 +174,7 @@
   bool operator==(const ConnectPeers &) const = default;
 };
 struct AnswerOperator {
-  OperatorQuestionId Id;
+  OperatorRequestId Id;
   OperatorAnswer Answer;
 };
 struct WriteLogLine {
--- a/src/libs/kernel/Answer.h
+++ b/src/libs/kernel/Answer.h
@@ -29,18 +29,18 @@
 std::string_view name(RefusalReason Reason);
 
 /// The whole answer was delivered: Count chunks, or one result.
-struct WholeAnswer {
+struct CompleteAnswer {
   std::uint64_t Count = 0;
   std::string Result; ///< An application call's result; empty for streams.
 
-  bool operator==(const WholeAnswer &) const = default;
+  bool operator==(const CompleteAnswer &) const = default;
 };
 
 /// The request did not run and will not.
 struct NotRun {
   RefusalReason Reason = RefusalReason::NotReady;
-  Duration ComeBackAfter{}; ///< Zero: asking again changes nothing.
-  std::string Message;      ///< Names the remedy.
+  Duration RetryAfter{}; ///< Zero: asking again changes nothing.
+  std::string Message;   ///< Names the remedy.
 
   bool operator==(const NotRun &) const = default;
 };
@@ -48,7 +48,7 @@
 /// The request started and did not succeed.
 struct FailedAnswer {
   std::string Message;
-  Duration ComeBackAfter{};
+  Duration RetryAfter{};
 
   bool operator==(const FailedAnswer &) const = default;
 };
@@ -56,19 +56,19 @@
 /// A non-idempotent call may or may not have run; it is never run again.
 struct OutcomeUnknown {
   std::string Message;
-  Duration ComeBackAfter{}; ///< When asking again may know more.
+  Duration RetryAfter{}; ///< When asking again may know more.
 
   bool operator==(const OutcomeUnknown &) const = default;
 };
 
 /// A non-idempotent call with this key is running on some host.
 struct InProgress {
-  Duration ComeBackAfter{};
+  Duration RetryAfter{};
 
   bool operator==(const InProgress &) const = default;
 };
 
-using FinalAnswer =
-    std::variant<WholeAnswer, NotRun, FailedAnswer, OutcomeUnknown, InProgress>;
+using FinalAnswer = std::variant<CompleteAnswer, NotRun, FailedAnswer,
+                                 OutcomeUnknown, InProgress>;
 
 } // namespace banyanpick
--- a/src/libs/kernel/Event.h
+++ b/src/libs/kernel/Event.h
@@ -17,7 +17,7 @@
 
 namespace banyanpick {
 
-using ResolveQuestionId = StrongId<struct ResolveQuestionTag, std::uint64_t>;
+using ResolveRequestId = StrongId<struct ResolveQuestionTag, std::uint64_t>;
 using AppendId = StrongId<struct AppendTag, std::uint64_t>;
 
 // --- callers
@@ -26,20 +26,20 @@
   RequestHead Head;
 };
 /// The caller hung up; nobody waits for the answer.
-struct CallerGone {
+struct CallerDisconnected {
   RequestId Request;
 };
 /// A caller came back with a resume token for a stream of this host, or one
 /// handed over to it.
-struct ResumeAsked {
+struct ResumeRequest {
   RequestId Request; ///< The new connection's id.
   std::string TeamKey;
   std::string ResumeToken;
   std::uint64_t NextIndex = 0;
 };
 /// A caller asks which entry hosts to use.
-struct ResolveAsked {
-  ResolveQuestionId Id;
+struct ResolveRequest {
+  ResolveRequestId Id;
   TeamId Team; ///< May be empty.
   ZoneId Zone; ///< Nearest to the caller; may be empty.
 };
@@ -104,7 +104,7 @@
   LogOffset EndOffset = 0;
 };
 struct LogReadFailed {};
-enum class AppendResult { Taken, Refused, Unknown };
+enum class AppendResult { Appended, Refused, Unknown };
 struct AppendAnswered {
   AppendId Append;
   AppendResult Result = AppendResult::Unknown;
@@ -116,22 +116,21 @@
 struct PeerMessageReceived {
   PeerMessage Message;
 };
-struct OperatorAsked {
-  OperatorQuestionId Id;
+struct OperatorRequest {
+  OperatorRequestId Id;
   std::string OperatorKey; ///< `owner.secret`; never logged.
   OperatorQuestion Question;
 };
 /// The process was told to stop gracefully.
-struct StopAsked {};
+struct StopRequest {};
 /// Time has passed; sent when the kernel's nextWake() is reached.
 struct Tick {};
 
-using Event =
-    std::variant<Tick, RequestArrived, CallerGone, ResumeAsked, ResolveAsked,
-                 AttemptProgressed, AttemptEnded, CancelAnswered, LoadReported,
-                 LoadPollFailed, CacheEventsReported, HoldAnswered,
-                 OrderAnswered, HostListRead, HostListReadFailed, LogRead,
-                 LogReadFailed, AppendAnswered, PeerMessageReceived,
-                 OperatorAsked, StopAsked, GatewayEvent>;
+using Event = std::variant<
+    Tick, RequestArrived, CallerDisconnected, ResumeRequest, ResolveRequest,
+    AttemptProgressed, AttemptEnded, CancelAnswered, LoadReported,
+    LoadPollFailed, CacheEventsReported, HoldAnswered, OrderAnswered,
+    HostListRead, HostListReadFailed, LogRead, LogReadFailed, AppendAnswered,
+    PeerMessageReceived, OperatorRequest, StopRequest, GatewayEvent>;
 
 } // namespace banyanpick
--- a/src/libs/kernel/Kernel.cpp
+++ b/src/libs/kernel/Kernel.cpp
@@ -8,11 +8,11 @@
 namespace banyanpick {
 
 Kernel::Kernel(Identity SelfGiven, Settings ValuesGiven, std::uint64_t Seed,
-               Serving How)
+               ServingMode Mode)
     : Self(std::move(SelfGiven)), Values(std::move(ValuesGiven)),
       Numbers(Seed) {
   PluginContext Context(this->Self, this->Values, this->Offered, this->Numbers);
-  for (const PluginDescription &Each : pluginsFor(How)) {
+  for (const PluginDescription &Each : pluginsFor(Mode)) {
     this->Plugins.push_back(Each.Make());
     this->Plugins.back()->initialize(Context);
   }
--- a/src/libs/kernel/Kernel.h
+++ b/src/libs/kernel/Kernel.h
@@ -17,7 +17,7 @@
 public:
   /// Makes and initializes all registered plug-ins that serve so.
   Kernel(Identity Self, Settings Values, std::uint64_t Seed,
-         Serving How = Serving::Catalogue);
+         ServingMode Mode = ServingMode::Catalogue);
   ~Kernel();
   Kernel(const Kernel &) = delete;
   Kernel &operator=(const Kernel &) = delete;
--- a/src/libs/kernel/Operator.h
+++ b/src/libs/kernel/Operator.h
@@ -13,14 +13,14 @@
 
 namespace banyanpick {
 
-using OperatorQuestionId = StrongId<struct OperatorQuestionTag, std::uint64_t>;
+using OperatorRequestId = StrongId<struct OperatorQuestionTag, std::uint64_t>;
 
 /// Apply a change set; the author is proved by the key given with it.
 struct ApplyChanges {
   ChangeSet Set;
 };
 /// The verdict on an earlier change set, by its id.
-struct AskVerdict {
+struct QueryVerdict {
   ChangeId Id;
 };
 struct ShowCatalogue {};
@@ -34,7 +34,7 @@
 };
 
 using OperatorQuestion =
-    std::variant<ApplyChanges, AskVerdict, ShowCatalogue, ShowHistory,
+    std::variant<ApplyChanges, QueryVerdict, ShowCatalogue, ShowHistory,
                  ShowStatus, ReleaseQuarantine>;
 
 /// One entry host as another one sees it.
@@ -99,7 +99,7 @@
 struct ChangesRejected {
   std::string Message;
 };
-/// Not known yet; ask with AskVerdict.
+/// Not known yet; ask with QueryVerdict.
 struct VerdictPending {
   std::string Message;
 };
--- a/src/libs/kernel/Plugin.h
+++ b/src/libs/kernel/Plugin.h
@@ -71,7 +71,7 @@
 /// The protocols that a kernel can serve: the product's own, with a catalogue
 /// kept in a log, or as a gateway that relays requests whole by declared
 /// routes.
-enum class Serving { Catalogue, Gateway };
+enum class ServingMode { Catalogue, Gateway };
 
 /// Which kernels a plug-in is a part of.
 enum class PluginUse { Catalogue, Gateway, Both };
--- a/src/libs/kernel/PluginRegistry.cpp
+++ b/src/libs/kernel/PluginRegistry.cpp
@@ -57,10 +57,10 @@
   std::vector<PluginDescription> Result;
 };
 
-bool isUsed(const PluginDescription &Each, Serving How) {
+bool isUsed(const PluginDescription &Each, ServingMode Mode) {
   if (Each.Use == PluginUse::Both)
     return true;
-  return (Each.Use == PluginUse::Gateway) == (How == Serving::Gateway);
+  return (Each.Use == PluginUse::Gateway) == (Mode == ServingMode::Gateway);
 }
 
 } // namespace
@@ -73,10 +73,10 @@
   return DependencyOrder(registrations()).ordered();
 }
 
-std::vector<PluginDescription> pluginsFor(Serving How) {
+std::vector<PluginDescription> pluginsFor(ServingMode Mode) {
   std::vector<PluginDescription> Used;
   for (const PluginDescription &Each : registrations())
-    if (isUsed(Each, How))
+    if (isUsed(Each, Mode))
       Used.push_back(Each);
   return DependencyOrder(Used).ordered();
 }
--- a/src/libs/kernel/PluginRegistry.h
+++ b/src/libs/kernel/PluginRegistry.h
@@ -20,7 +20,7 @@
 std::vector<PluginDescription> registeredPlugins();
 
 /// Those that a kernel serving so is made of, in that order.
-std::vector<PluginDescription> pluginsFor(Serving How);
+std::vector<PluginDescription> pluginsFor(ServingMode Mode);
 
 /// The settings of all plug-ins, in that order.
 std::vector<SettingDeclaration> pluginSettings();
--- a/src/libs/kernel/Request.h
+++ b/src/libs/kernel/Request.h
@@ -132,8 +132,8 @@
 
 /// Nothing can take it now; it waits, or is refused.
 struct NothingFits {
-  bool Ever = false;     ///< true: nothing that lives could ever take it.
-  Duration RetryAfter{}; ///< When to look again.
+  bool Permanent = false; ///< true: nothing that lives could ever take it.
+  Duration RetryAfter{};  ///< When to look again.
 };
 
 using Selection = std::variant<Selected, NothingFits>;
--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -236,7 +236,7 @@
 public:
   virtual ~RetryPolicy() = default;
   /// Takes one from the budget when it says yes.
-  virtual bool mayRetry(const Request &Asked, std::uint32_t TriesMade,
+  virtual bool mayRetry(const Request &Asked, std::uint32_t AttemptsMade,
                         Time Now) = 0;
 };
 
--- a/src/libs/kernel/TeamHosts.cpp
+++ b/src/libs/kernel/TeamHosts.cpp
@@ -49,7 +49,7 @@
        Limits.Concurrent / ConcurrentPerTeamHost});
   const double Bounded = std::min(std::ceil(Wanted), 1e6);
   return std::min(Hosts,
-                  std::max(FewestTeamHosts, static_cast<std::size_t>(Bounded)));
+                  std::max(MinTeamHosts, static_cast<std::size_t>(Bounded)));
 }
 
 std::vector<HostId> teamHosts(const TeamId &Team, const TeamEntry &Limits,
--- a/src/libs/kernel/TeamHosts.h
+++ b/src/libs/kernel/TeamHosts.h
@@ -19,7 +19,7 @@
 };
 
 /// Hosts that serve even the smallest team, so that two may fail at once.
-inline constexpr std::size_t FewestTeamHosts = 3;
+inline constexpr std::size_t MinTeamHosts = 3;
 
 /// What one host should carry of a team's declared limits before the team is
 /// given another host.
--- a/src/libs/native/IdText.h
+++ b/src/libs/native/IdText.h
@@ -17,7 +17,7 @@
 std::optional<std::uint64_t> fromHex(std::string_view Text);
 
 /// `LIFE-SEQUENCE`, two hexadecimal numbers.
-template <class Tag> std::string idText(const MadeId<Tag> &Id) {
+template <class Tag> std::string idText(const SequencedId<Tag> &Id) {
   return toHex(Id.Maker.Value) + "-" + toHex(Id.Sequence);
 }
 
--- a/src/libs/native/LogClient.cpp
+++ b/src/libs/native/LogClient.cpp
@@ -56,7 +56,7 @@
     return readingJson([&] {
       const auto Offset =
           parseBoundedJson(Answer.Body).at("offset").get<LogOffset>();
-      return AppendAnswered{Append, AppendResult::Taken, Offset};
+      return AppendAnswered{Append, AppendResult::Appended, Offset};
     });
   } catch (const Error &) {
     return Unknown;
--- a/src/libs/relay/GatewayProtocol.h
+++ b/src/libs/relay/GatewayProtocol.h
@@ -29,7 +29,7 @@
 
   /// A question for hosts to connect to. Throws Error(BadInput) when it is
   /// none.
-  virtual ResolveAsked readQuestion(const HttpExchange &Each) const = 0;
+  virtual ResolveRequest readQuestion(const HttpExchange &Each) const = 0;
   virtual HttpAnswer answerTo(const AnswerResolve &Given) const = 0;
   /// Whether the target asks if this host takes requests.
   virtual bool asksReadiness(const HttpTarget &Target) const = 0;
--- a/src/plugins/admission/AdmissionPlugin.cpp
+++ b/src/plugins/admission/AdmissionPlugin.cpp
@@ -66,9 +66,10 @@
   if (!Expected)
     return std::nullopt;
   const Duration FirstToken = scaled(WaitHere + Expected->FirstToken, Factor);
-  const Duration WholeAnswer = scaled(WaitHere + Expected->WholeAnswer, Factor);
+  const Duration CompleteAnswer =
+      scaled(WaitHere + Expected->CompleteAnswer, Factor);
   const Duration Excess = std::max(Now + FirstToken - Asked.FirstTokenBy,
-                                   Now + WholeAnswer - Asked.Deadline);
+                                   Now + CompleteAnswer - Asked.Deadline);
   if (Excess <= Duration(0))
     return std::nullopt;
   return NotRun{RefusalReason::Overloaded, this->comeBackAfter(Excess),
--- a/src/plugins/claims/ClaimsPlugin.cpp
+++ b/src/plugins/claims/ClaimsPlugin.cpp
@@ -57,7 +57,7 @@
 FinalAnswer answerFor(const ClaimOutcome &Outcome, Duration ComeBack) {
   switch (Outcome.Ended) {
   case OutcomeRecord::Kind::Done:
-    return WholeAnswer{0, Outcome.Result};
+    return CompleteAnswer{0, Outcome.Result};
   case OutcomeRecord::Kind::Failed:
     return FailedAnswer{Outcome.Result, Duration(0)};
   default:
--- a/src/plugins/departure/DeparturePlugin.cpp
+++ b/src/plugins/departure/DeparturePlugin.cpp
@@ -23,7 +23,7 @@
 void DeparturePlugin::handle(const Event &What, Time Now, Actions &Out) {
   match(
       What,
-      [&](const StopAsked &) {
+      [&](const StopRequest &) {
         if (!this->isLeaving())
           this->leave(Now, Out);
       },
--- a/src/plugins/drain/DrainPlugin.cpp
+++ b/src/plugins/drain/DrainPlugin.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration LookInterval = milliseconds(100);
 /// Another host can be asked at once; this only spreads the callers.
-constexpr Duration ComeBackAfter = milliseconds(100);
+constexpr Duration RetryAfter = milliseconds(100);
 
 } // namespace
 
@@ -37,7 +37,7 @@
 
 void DrainPlugin::handle(const Event &What, Time Now, Actions &Out) {
   match(
-      What, [&](const StopAsked &) { this->beginStop(Now, Out); },
+      What, [&](const StopRequest &) { this->beginStop(Now, Out); },
       [&](const PeerMessageReceived &Is) {
         this->takePeerMessage(Is.Message, Now, Out);
       },
@@ -55,7 +55,7 @@
 std::optional<NotRun> DrainPlugin::check(const Request &, Time Now) {
   if (Now < this->RefuseFrom)
     return std::nullopt;
-  return NotRun{RefusalReason::Leaving, ComeBackAfter,
+  return NotRun{RefusalReason::Leaving, RetryAfter,
                 "this host is stopping; ask resolve for another"};
 }
 
--- a/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
@@ -25,7 +25,7 @@
 void HostDirectoryPlugin::handle(const Event &What, Time, Actions &Out) {
   match(
       What,
-      [&](const ResolveAsked &Asked) {
+      [&](const ResolveRequest &Asked) {
         std::vector<Address> Hosts = this->draw();
         Out.count("resolves_answered", Hosts.empty() ? "empty" : "named");
         Out.add(AnswerResolve{Asked.Id, std::move(Hosts), this->TimeToLive});
--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -37,7 +37,7 @@
   const auto Bound = static_cast<double>(Asked.OutputTokens);
   return match(
       Answer,
-      [&](const WholeAnswer &Whole) {
+      [&](const CompleteAnswer &Whole) {
         return std::max(0.0, Bound - static_cast<double>(Whole.Count));
       },
       [&](const NotRun &) { return Charged; },
--- a/src/plugins/log/AppendQueue.cpp
+++ b/src/plugins/log/AppendQueue.cpp
@@ -91,7 +91,7 @@
   std::vector<Item> Items = std::move(this->InFlight->Items);
   this->InFlight.reset();
   switch (Answer.Result) {
-  case AppendResult::Taken:
+  case AppendResult::Appended:
     return this->landed(Items);
   case AppendResult::Refused:
     return this->refused(std::move(Items), Now);
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -108,7 +108,7 @@
         if (const auto *Beat = std::get_if<Heartbeat>(&Is.Message.Body))
           this->takeHeartbeat(Is.Message, *Beat, Now, Out);
       },
-      [&](const StopAsked &) { this->leave(Now, Out); },
+      [&](const StopRequest &) { this->leave(Now, Out); },
       [&](const GatewayEvent &Is) {
         if (const auto *Reload = std::get_if<SettingsReloaded>(&Is))
           this->Seeds = SeedContacts(
--- a/src/plugins/operators/OperatorsPlugin.cpp
+++ b/src/plugins/operators/OperatorsPlugin.cpp
@@ -58,7 +58,7 @@
 }
 
 void OperatorsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Asked = std::get_if<OperatorAsked>(&What))
+  if (const auto *Asked = std::get_if<OperatorRequest>(&What))
     this->take(*Asked, Now, Out);
   this->answerPending(Now, Out);
 }
@@ -97,7 +97,8 @@
   this->Waiting.erase(Found);
 }
 
-void OperatorsPlugin::take(const OperatorAsked &Asked, Time Now, Actions &Out) {
+void OperatorsPlugin::take(const OperatorRequest &Asked, Time Now,
+                           Actions &Out) {
   const auto Owner = authenticatedOwner(this->InForce->catalogue(),
                                         Asked.OperatorKey, this->RootKey);
   if (!Owner) {
@@ -118,7 +119,7 @@
                                        Time Now, Actions &Out) {
   return match(
       Question, [&](const ApplyChanges &) -> OperatorAnswer { return Done{}; },
-      [&](const AskVerdict &Asked) { return this->verdict(Asked.Id, Now); },
+      [&](const QueryVerdict &Asked) { return this->verdict(Asked.Id, Now); },
       [&](const ShowCatalogue &) -> OperatorAnswer {
         const Catalogue &Shown = this->InForce->catalogue();
         return CatalogueShown{Shown.offset(), Shown.entries()};
@@ -136,7 +137,7 @@
       });
 }
 
-void OperatorsPlugin::apply(const OperatorQuestionId &Question, ChangeSet Set,
+void OperatorsPlugin::apply(const OperatorRequestId &Question, ChangeSet Set,
                             Time Now, Actions &Out) {
   const auto Underway = this->Waiting.find(Set.Id);
   if (Underway != this->Waiting.end() && Underway->second.Set == Set) {
@@ -243,7 +244,7 @@
 
 void OperatorsPlugin::answerAll(const Pending &Of, const OperatorAnswer &Answer,
                                 Actions &Out) {
-  for (const OperatorQuestionId &Each : Of.Questions)
+  for (const OperatorRequestId &Each : Of.Questions)
     Out.add(AnswerOperator{Each, Answer});
 }
 
--- a/src/plugins/operators/OperatorsPlugin.h
+++ b/src/plugins/operators/OperatorsPlugin.h
@@ -29,7 +29,7 @@
   struct Pending {
     RecordId Record;
     ChangeSet Set;
-    std::vector<OperatorQuestionId> Questions;
+    std::vector<OperatorRequestId> Questions;
     Time AnswerBy{};
   };
   struct HistoryEntry {
@@ -37,10 +37,10 @@
     ChangeSet Set;
   };
 
-  void take(const OperatorAsked &Asked, Time Now, Actions &Out);
+  void take(const OperatorRequest &Asked, Time Now, Actions &Out);
   OperatorAnswer answer(const OperatorQuestion &Question, Time Now,
                         Actions &Out);
-  void apply(const OperatorQuestionId &Question, ChangeSet Set, Time Now,
+  void apply(const OperatorRequestId &Question, ChangeSet Set, Time Now,
              Actions &Out);
   std::string problemWithState(const ChangeSet &Set, Time Now) const;
   bool isIdOfAnother(const ChangeSet &Set) const;
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -85,8 +85,10 @@
             },
             [](const auto &) {});
       },
-      [&](const CallerGone &Is) { this->callerGone(Is.Request, Now, Out); },
-      [&](const StopAsked &) {
+      [&](const CallerDisconnected &Is) {
+        this->callerGone(Is.Request, Now, Out);
+      },
+      [&](const StopRequest &) {
         this->LeavingSince = std::min(this->LeavingSince, Now);
       },
       [](const auto &) {});
--- a/src/plugins/requests/AttemptEnding.cpp
+++ b/src/plugins/requests/AttemptEnding.cpp
@@ -115,8 +115,8 @@
   if (!Of.Asked.Class.Idempotent)
     this->Uses.Claims.finish(Of.Asked, OutcomeRecord::Kind::Done, End.Result,
                              Now, Out);
-  this->Ending.conclude(Of.Asked.id(), WholeAnswer{End.Count, End.Result}, Now,
-                        Out);
+  this->Ending.conclude(Of.Asked.id(), CompleteAnswer{End.Count, End.Result},
+                        Now, Out);
 }
 
 void AttemptEnding::notStarted(RunningRequest &Of, bool FirstTry, Time Now,
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -66,7 +66,7 @@
     Of.Excluded.clear();
     return;
   }
-  if (Reason.Ever) {
+  if (Reason.Permanent) {
     this->Ending.giveUp(Of.Asked.id(), "no upstream that lives can take it",
                         Now, Out, RefusalReason::NoUpstream);
     return;
--- a/src/plugins/requests/Reception.cpp
+++ b/src/plugins/requests/Reception.cpp
@@ -93,7 +93,8 @@
   this->Uses.Claims.claim(Claimed, Now, Out);
 }
 
-void Reception::callerGone(const CallerGone &Gone, Time Now, Actions &Out) {
+void Reception::callerGone(const CallerDisconnected &Gone, Time Now,
+                           Actions &Out) {
   RunningRequest *Found = this->Table.find(Gone.Request);
   if (!Found)
     return;
@@ -106,7 +107,7 @@
   this->Table.setAbandonedAt(*Found, Now + this->Uses.Values.ResumeWindow);
 }
 
-void Reception::resumeAsked(const ResumeAsked &Asked, Time, Actions &Out) {
+void Reception::resumeAsked(const ResumeRequest &Asked, Time, Actions &Out) {
   RunningRequest *Found = this->Table.findByToken(Asked.ResumeToken);
   const auto Team =
       authenticatedTeam(this->Uses.CatalogueInForce.catalogue(), Asked.TeamKey);
--- a/src/plugins/requests/Reception.h
+++ b/src/plugins/requests/Reception.h
@@ -15,8 +15,8 @@
   void arrived(const RequestArrived &Arrival, Time Now, Actions &Out);
   /// A stream waits for its caller for a while; everything else is given up,
   /// but for a non-idempotent call that may have started.
-  void callerGone(const CallerGone &Gone, Time Now, Actions &Out);
-  void resumeAsked(const ResumeAsked &Asked, Time Now, Actions &Out);
+  void callerGone(const CallerDisconnected &Gone, Time Now, Actions &Out);
+  void resumeAsked(const ResumeRequest &Asked, Time Now, Actions &Out);
   /// Serves a peer's stream from its running attempt.
   void adopt(const StreamHandover &Stream, Time Now, Actions &Out);
 
--- a/src/plugins/requests/RequestEnding.cpp
+++ b/src/plugins/requests/RequestEnding.cpp
@@ -13,22 +13,22 @@
 /// The answer to a request that is given up now: as much as is known of
 /// whether it ran.
 FinalAnswer answerWhenGivenUp(const RunningRequest &Of, std::string_view Why,
-                              RefusalReason Reason, Duration ComeBackAfter) {
+                              RefusalReason Reason, Duration RetryAfter) {
   if (!Of.MayHaveRun)
-    return NotRun{Reason, ComeBackAfter,
+    return NotRun{Reason, RetryAfter,
                   std::string(Why) + "; ask again after the time given"};
   if (Of.Asked.Class.Idempotent)
     return FailedAnswer{std::string(Why) + "; ask again after the time given",
-                        ComeBackAfter};
+                        RetryAfter};
   return OutcomeUnknown{std::string(Why) + "; " + std::string(ReadTheOutcome),
-                        ComeBackAfter};
+                        RetryAfter};
 }
 
 } // namespace
 
 std::string_view kindName(const FinalAnswer &Answer) {
   return match(
-      Answer, [](const WholeAnswer &) { return "whole"; },
+      Answer, [](const CompleteAnswer &) { return "whole"; },
       [](const NotRun &) { return "not-run"; },
       [](const FailedAnswer &) { return "failed"; },
       [](const OutcomeUnknown &) { return "outcome-unknown"; },
@@ -43,7 +43,7 @@
               .with("request", Id.Value)
               .with("class", Class.Value)
               .with("reason", name(Refusal.Reason))
-              .with("come_back_after_us", Refusal.ComeBackAfter.count())
+              .with("come_back_after_us", Refusal.RetryAfter.count())
               .build());
 }
 
--- a/src/plugins/requests/RequestServices.h
+++ b/src/plugins/requests/RequestServices.h
@@ -10,7 +10,7 @@
 struct RequestsSettings {
   Duration ResumeWindow{};  ///< How long a cut stream waits for its caller.
   Duration SweepInterval{}; ///< How often waiting requests are judged again.
-  Duration ComeBackAfter{}; ///< Hint when nothing better is known.
+  Duration RetryAfter{};    ///< Hint when nothing better is known.
   std::uint64_t CandidatesPerSweep = 0; ///< Waiting requests tried at once.
   std::uint32_t MostTries = 0;
 
@@ -53,7 +53,7 @@
 
   /// The come-back hint, spread so that callers do not return in step.
   Duration comeBackAfter() {
-    const auto Base = this->Values.ComeBackAfter;
+    const auto Base = this->Values.RetryAfter;
     return Base + fromSeconds(inSeconds(Base) * this->Numbers.fraction());
   }
 };
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -39,8 +39,10 @@
   match(
       What,
       [&](const RequestArrived &Is) { this->Receiving->arrived(Is, Now, Out); },
-      [&](const CallerGone &Is) { this->Receiving->callerGone(Is, Now, Out); },
-      [&](const ResumeAsked &Is) {
+      [&](const CallerDisconnected &Is) {
+        this->Receiving->callerGone(Is, Now, Out);
+      },
+      [&](const ResumeRequest &Is) {
         this->Receiving->resumeAsked(Is, Now, Out);
       },
       [&](const AttemptProgressed &Is) {
--- a/src/plugins/requests/RequestsSettings.cpp
+++ b/src/plugins/requests/RequestsSettings.cpp
@@ -33,7 +33,7 @@
   RequestsSettings Result;
   Result.ResumeWindow = Values.span(Section, "resume_window");
   Result.SweepInterval = Values.span(Section, "sweep_interval");
-  Result.ComeBackAfter = Values.span(Section, "come_back_after");
+  Result.RetryAfter = Values.span(Section, "come_back_after");
   Result.CandidatesPerSweep = Values.whole(Section, "candidates_per_sweep");
   Result.MostTries =
       static_cast<std::uint32_t>(Values.whole(Section, "most_tries"));
--- a/src/plugins/resolve/ResolvePlugin.cpp
+++ b/src/plugins/resolve/ResolvePlugin.cpp
@@ -22,11 +22,11 @@
 
 void ResolvePlugin::handle(const Event &What, Time, Actions &Out) {
   match(
-      What, [&](const ResolveAsked &Asked) { this->answer(Asked, Out); },
+      What, [&](const ResolveRequest &Asked) { this->answer(Asked, Out); },
       [](const auto &) {});
 }
 
-void ResolvePlugin::answer(const ResolveAsked &Asked, Actions &Out) const {
+void ResolvePlugin::answer(const ResolveRequest &Asked, Actions &Out) const {
   const std::vector<CallerHost> Ready = this->readyHosts();
   const std::vector<HostId> OfTeam = this->hostsOf(Asked.Team);
   std::vector<CallerHost> Offer;
--- a/src/plugins/resolve/ResolvePlugin.h
+++ b/src/plugins/resolve/ResolvePlugin.h
@@ -19,7 +19,7 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void answer(const ResolveAsked &Asked, Actions &Out) const;
+  void answer(const ResolveRequest &Asked, Actions &Out) const;
   std::vector<CallerHost> readyHosts() const;
   std::vector<HostId> hostsOf(const TeamId &Team) const;
 
--- a/src/plugins/retry/RetryPlugin.h
+++ b/src/plugins/retry/RetryPlugin.h
@@ -22,7 +22,7 @@
   void handle(const Event &, Time, Actions &) override {}
 
   // RetryPolicy
-  bool mayRetry(const Request &Asked, std::uint32_t TriesMade,
+  bool mayRetry(const Request &Asked, std::uint32_t AttemptsMade,
                 Time Now) override;
 
   // RequestObserver
--- a/src/plugins/routing/CostModel.h
+++ b/src/plugins/routing/CostModel.h
@@ -10,8 +10,8 @@
 
 /// How long a request would take if it were sent to an engine now.
 struct Prediction {
-  Duration FirstToken{};  ///< Until the first token.
-  Duration WholeAnswer{}; ///< Until the whole answer.
+  Duration FirstToken{};     ///< Until the first token.
+  Duration CompleteAnswer{}; ///< Until the whole answer.
 };
 
 /// Predicts from load reports and the work sent since.
--- a/src/plugins/routing/EngineCost.cpp
+++ b/src/plugins/routing/EngineCost.cpp
@@ -51,7 +51,7 @@
     Result.FirstToken += this->Values.CrossZoneDelay;
   Result.Score = Result.FirstToken + Caused;
   Result.HasMemory = Demand.MemoryTokens <= this->freeMemory(Engine);
-  Result.WholeAnswer =
+  Result.CompleteAnswer =
       Result.FirstToken +
       fromSeconds(static_cast<double>(Demand.OutputTokens) / Decode);
   return Result;
--- a/src/plugins/routing/EngineCost.h
+++ b/src/plugins/routing/EngineCost.h
@@ -19,11 +19,11 @@
 
 /// What the request can expect there.
 struct EngineEstimate {
-  Duration Wait{};        ///< Until its prefill begins.
-  Duration FirstToken{};  ///< From now, with delays between zones.
-  Duration WholeAnswer{}; ///< From now.
-  bool HasMemory = false; ///< Its memory is believed to be free now.
-  Duration Score{};       ///< What is compared; less is better.
+  Duration Wait{};           ///< Until its prefill begins.
+  Duration FirstToken{};     ///< From now, with delays between zones.
+  Duration CompleteAnswer{}; ///< From now.
+  bool HasMemory = false;    ///< Its memory is believed to be free now.
+  Duration Score{};          ///< What is compared; less is better.
 };
 
 /// Joins the lagged report with the work sent since: first token = work ahead
--- a/src/plugins/routing/RoutingPlugin.cpp
+++ b/src/plugins/routing/RoutingPlugin.cpp
@@ -65,7 +65,7 @@
   if (Compared.empty())
     return std::nullopt;
   const EngineEstimate &Best = Compared.front().Estimate;
-  return Prediction{Best.FirstToken, Best.WholeAnswer};
+  return Prediction{Best.FirstToken, Best.CompleteAnswer};
 }
 
 double RoutingPlugin::partLeft(const Request &Asked, Time Now) {
--- a/tests/auto/claims/ClaimsProperty.cpp
+++ b/tests/auto/claims/ClaimsProperty.cpp
@@ -109,7 +109,7 @@
     const auto *Denied =
         Verdict ? std::get_if<ClaimDenied>(&*Verdict) : nullptr;
     const auto *Whole =
-        Denied ? std::get_if<WholeAnswer>(&Denied->Answer) : nullptr;
+        Denied ? std::get_if<CompleteAnswer>(&Denied->Answer) : nullptr;
     if (Whole)
       RC_ASSERT(Whole->Result == this->Results[Of.Key]);
   }
--- a/tests/auto/claims/ClaimsTest.cpp
+++ b/tests/auto/claims/ClaimsTest.cpp
@@ -46,7 +46,7 @@
   this->B.settle();
   const Request Third = requestFor(this->Key, 3);
   claim(this->B, Third);
-  EXPECT_EQ(std::get<WholeAnswer>(denialOf(B, Third)).Result, "chair 7");
+  EXPECT_EQ(std::get<CompleteAnswer>(denialOf(B, Third)).Result, "chair 7");
 }
 
 TEST_F(ClaimsTest, OfTwoClaimsAtOnceTheFirstInTheLogOwns) {
--- a/tests/auto/drain/DrainTest.cpp
+++ b/tests/auto/drain/DrainTest.cpp
@@ -85,7 +85,7 @@
 };
 
 TEST_F(DrainTest, ServesUntilTheLastResolveAnswerHasRunOut) {
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   EXPECT_TRUE(this->Bench.Tested.isLeaving());
   this->pass(milliseconds(5900));
   EXPECT_FALSE(this->refuses());
@@ -98,7 +98,7 @@
 
 TEST_F(DrainTest, WaitsForItsOwnRecordsToReachTheLog) {
   this->Log.Open = 1;
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->pass(seconds(20));
   EXPECT_FALSE(this->Stopped);
   this->Log.Open = 0;
@@ -109,7 +109,7 @@
 TEST_F(DrainTest, RunningWorkIsNotCutOff) {
   const Request Asked = RequestMaker(1);
   this->Table.add(Asked, attemptOf(Asked, 1, "e1"));
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->pass(seconds(120));
   EXPECT_FALSE(this->Stopped);
   EXPECT_TRUE(this->Offered.empty()) << "whole answers can't move";
@@ -120,7 +120,7 @@
 
 TEST_F(DrainTest, LongStreamGoesToOnePeerAndItsCallerAfterIt) {
   this->addStream();
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->pass(milliseconds(29'800));
   EXPECT_TRUE(this->Offered.empty());
   this->pass(seconds(5));
@@ -140,7 +140,7 @@
 
 TEST_F(DrainTest, DeadPeerIsReplaced) {
   this->addStream();
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->pass(seconds(31));
   ASSERT_FALSE(this->Offered.empty());
   const HostId First = this->Offered[0];
@@ -155,7 +155,7 @@
   this->addStream();
   this->Bench.Members.setState(HostId("host-b"), MemberState::Dead);
   this->Bench.Members.setState(HostId("host-c"), MemberState::Dead);
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->pass(seconds(599));
   EXPECT_FALSE(this->Stopped);
   this->pass(seconds(2));
@@ -181,7 +181,7 @@
   Stream.Upstream = UpstreamId("unknown");
   this->feed(PeerMessageReceived{{HostId("host-b"), Incarnation(1), Stream}});
   Stream.Upstream = UpstreamId("e1");
-  this->feed(StopAsked{});
+  this->feed(StopRequest{});
   this->feed(PeerMessageReceived{{HostId("host-b"), Incarnation(1), Stream}});
   EXPECT_TRUE(this->Table.Adopted.empty());
 }
--- a/tests/auto/gateway/GatewayBeliefsTest.cpp
+++ b/tests/auto/gateway/GatewayBeliefsTest.cpp
@@ -140,23 +140,23 @@
   GatewayBench Bench;
   Bench.configure(1);
   Bench.receive("h2", beatOf("h2", 10));
-  Bench.send(Event(ResolveAsked{ResolveQuestionId(1), TeamId(), ZoneId("z")}));
+  Bench.send(Event(ResolveRequest{ResolveRequestId(1), TeamId(), ZoneId("z")}));
   EXPECT_EQ(Bench.resolved().size(), 2U);
   Heartbeat Leaving = beatOf("h2", 10);
   Leaving.Leaving = true;
   Leaving.Ready = false;
   Leaving.Version = 1;
   Bench.receive("h2", Leaving);
-  Bench.send(Event(ResolveAsked{ResolveQuestionId(2), TeamId(), ZoneId("z")}));
+  Bench.send(Event(ResolveRequest{ResolveRequestId(2), TeamId(), ZoneId("z")}));
   EXPECT_EQ(Bench.resolved().size(), 1U);
-  Bench.send(Event(StopAsked{}));
-  Bench.send(Event(ResolveAsked{ResolveQuestionId(3), TeamId(), ZoneId("z")}));
+  Bench.send(Event(StopRequest{}));
+  Bench.send(Event(ResolveRequest{ResolveRequestId(3), TeamId(), ZoneId("z")}));
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
 TEST(Beliefs, AHostWithoutAConfigurationIsNotNamed) {
   GatewayBench Bench;
-  Bench.send(Event(ResolveAsked{ResolveQuestionId(1), TeamId(), ZoneId("z")}));
+  Bench.send(Event(ResolveRequest{ResolveRequestId(1), TeamId(), ZoneId("z")}));
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
--- a/tests/auto/gateway/GatewayBench.cpp
+++ b/tests/auto/gateway/GatewayBench.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 GatewayBench::GatewayBench()
-    : Decider(identity(), gatewaySettingsForTests(), 7, Serving::Gateway) {
+    : Decider(identity(), gatewaySettingsForTests(), 7, ServingMode::Gateway) {
   this->Decider.checkEveryEvent();
   this->send(Tick{});
 }
--- a/tests/auto/gateway/GatewayMemoryTest.cpp
+++ b/tests/auto/gateway/GatewayMemoryTest.cpp
@@ -83,13 +83,13 @@
 
 TEST_F(EngineMemory, IsLetGoWhenTheCallerLeaves) {
   this->answerAll(ReservationResult::Held);
-  this->Bench.send(Event(CallerGone{this->Request}));
+  this->Bench.send(Event(CallerDisconnected{this->Request}));
   EXPECT_EQ(this->released(), this->asked());
 }
 
 TEST_F(EngineMemory, AnOrderThatMayBeCarriedOutLateIsTakenBackAgain) {
   this->answerAll(ReservationResult::Unknown);
-  this->Bench.send(Event(CallerGone{this->Request}));
+  this->Bench.send(Event(CallerDisconnected{this->Request}));
   const std::size_t Before = this->Bench.all<ReleaseMemory>().size();
   this->Bench.pass(seconds(13));
   EXPECT_GE(this->Bench.all<ReleaseMemory>().size(), Before + 20);
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -178,7 +178,7 @@
 
 TEST_F(Relays, TheCallersCloseCancelsTheTry) {
   const RequestId Id = this->Bench.arrive("/safe/1");
-  this->Bench.send(Event(CallerGone{Id}));
+  this->Bench.send(Event(CallerDisconnected{Id}));
   EXPECT_EQ(this->Bench.last<CancelRelay>().Attempt, this->sent().Attempt);
   this->Bench.end(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 1U);
@@ -243,7 +243,7 @@
 }
 
 TEST_F(Relays, AStoppingHostServesOnRefusesLateAndEndsWhenIdle) {
-  this->Bench.send(Event(StopAsked{}));
+  this->Bench.send(Event(StopRequest{}));
   EXPECT_EQ(this->Bench.all<CloseCallers>().size(), 1U);
   this->Bench.pass(seconds(2));
   this->Bench.arrive("/once/1");
@@ -405,7 +405,7 @@
   this->Bench.arrive("/stream/1", 150'000);
   const RequestId Left = this->Bench.arrive("/stream/2", 60'000);
   const RequestId Stays = this->Bench.arrive("/stream/3", 200'000);
-  this->Bench.send(Event(CallerGone{Left}));
+  this->Bench.send(Event(CallerDisconnected{Left}));
   this->beginLast();
   this->Bench.pass(milliseconds(50));
   ASSERT_EQ(this->sent().size(), 2U);
--- a/tests/auto/gatewayrandom/GatewayWorld.cpp
+++ b/tests/auto/gatewayrandom/GatewayWorld.cpp
@@ -86,8 +86,9 @@
   Host &Each = this->Hosts[At];
   Each.Life = ++this->Lives;
   Each.Self.Life = Incarnation(1000 + Each.Life);
-  Each.Decider = std::make_unique<Kernel>(
-      Each.Self, settings(), this->Numbers.below(1U << 30), Serving::Gateway);
+  Each.Decider = std::make_unique<Kernel>(Each.Self, settings(),
+                                          this->Numbers.below(1U << 30),
+                                          ServingMode::Gateway);
   Each.Decider->checkEveryEvent();
   Each.WakeAt = Never;
   Each.Follows = true;
--- a/tests/auto/harness/ServingTest.cpp
+++ b/tests/auto/harness/ServingTest.cpp
@@ -31,7 +31,7 @@
   World.runFor(seconds(60));
   for (const CallerRecord &Each : World.callers()) {
     ASSERT_TRUE(Each.Answer);
-    EXPECT_TRUE(std::holds_alternative<WholeAnswer>(*Each.Answer))
+    EXPECT_TRUE(std::holds_alternative<CompleteAnswer>(*Each.Answer))
         << Each.Head.Class.Value << Each.Answer->index();
   }
   EXPECT_EQ(World.applications().at("p1").Runs.size(), 1u);
--- a/tests/auto/kernel/PluginListTest.cpp
+++ b/tests/auto/kernel/PluginListTest.cpp
@@ -42,14 +42,14 @@
 
 TEST(PluginListTest, AGatewayIsMadeOfItsOwnPlugInsAndSharedOnes) {
   std::set<std::string> Used;
-  for (const PluginDescription &Each : pluginsFor(Serving::Gateway))
+  for (const PluginDescription &Each : pluginsFor(ServingMode::Gateway))
     Used.emplace(Each.Name);
   EXPECT_EQ(Used, (std::set<std::string>{
                       "active_hosts", "crashes", "departure", "engine_limits",
                       "engine_load", "engine_memory", "engine_signals",
                       "engine_trust", "engines", "host_directory", "membership",
                       "relays", "routes", "store_readers"}));
-  EXPECT_EQ(pluginsFor(Serving::Catalogue).size(), 19U);
+  EXPECT_EQ(pluginsFor(ServingMode::Catalogue).size(), 19U);
 }
 
 TEST(PluginListTest, EverySettingHasAValidDefault) {
--- a/tests/auto/limits/LimitsDeployment.h
+++ b/tests/auto/limits/LimitsDeployment.h
@@ -50,7 +50,7 @@
   void endAll() {
     Actions Out;
     for (const auto &[Host, Asked] : this->Running)
-      this->Hosts[Host]->Tested.ended(Asked, WholeAnswer{100, ""}, this->Now,
+      this->Hosts[Host]->Tested.ended(Asked, CompleteAnswer{100, ""}, this->Now,
                                       Out);
     this->Running.clear();
   }
--- a/tests/auto/limits/LimitsTest.cpp
+++ b/tests/auto/limits/LimitsTest.cpp
@@ -111,7 +111,7 @@
   for (int Index = 0; Index < 20; ++Index) {
     EXPECT_FALSE(All.ask(0));
     EXPECT_EQ(All.LastRefusal.Reason, RefusalReason::OverLimit);
-    Hints.push_back(All.LastRefusal.ComeBackAfter);
+    Hints.push_back(All.LastRefusal.RetryAfter);
   }
   std::sort(Hints.begin(), Hints.end());
   EXPECT_GE(Hints.front(), milliseconds(500));
@@ -142,7 +142,7 @@
   while (All.hasBase(Guest))
     ++Guest;
   EXPECT_FALSE(All.ask(Guest));
-  EXPECT_LE(All.LastRefusal.ComeBackAfter, seconds(3));
+  EXPECT_LE(All.LastRefusal.RetryAfter, seconds(3));
   offer(All, Guest, 20, 20);
   EXPECT_GT(All.fraction(Guest), 0.8);
   // What its life was given is taken back from it, and is not the next one's.
--- a/tests/auto/log/GatherTest.cpp
+++ b/tests/auto/log/GatherTest.cpp
@@ -52,7 +52,7 @@
   std::size_t whole() {
     std::size_t Count = 0;
     for (const CallerRecord &Each : this->World.callers())
-      if (Each.Answer && std::holds_alternative<WholeAnswer>(*Each.Answer))
+      if (Each.Answer && std::holds_alternative<CompleteAnswer>(*Each.Answer))
         ++Count;
     return Count;
   }
--- a/tests/auto/log/LogBench.cpp
+++ b/tests/auto/log/LogBench.cpp
@@ -116,7 +116,7 @@
   this->Appends.pop_front();
   AppendAnswered Answer{Append.Append, AppendResult::Unknown, 0};
   if (Fate == AppendFate::Taken)
-    Answer = {Append.Append, AppendResult::Taken,
+    Answer = {Append.Append, AppendResult::Appended,
               this->Log.append(Append.Records)};
   else if (Fate == AppendFate::Refused)
     Answer.Result = AppendResult::Refused;
--- a/tests/auto/manyhosts/HostCrowd.cpp
+++ b/tests/auto/manyhosts/HostCrowd.cpp
@@ -219,7 +219,7 @@
       return;
     ++this->Done.Lost[Host];
     this->Callers.erase(Found);
-    this->send(Host, this->Hosts[Host].Life, CallerGone{Id});
+    this->send(Host, this->Hosts[Host].Life, CallerDisconnected{Id});
   });
   this->send(Host, this->Hosts[Host].Life,
              GatewayEvent(RelayArrived{std::move(Head)}));
@@ -281,8 +281,8 @@
   if (this->Queue.now() < this->Hosts[By].PausedUntil)
     return {};
   this->Answer.clear();
-  ResolveAsked Asked;
-  Asked.Id = ResolveQuestionId(++this->Requests);
+  ResolveRequest Asked;
+  Asked.Id = ResolveRequestId(++this->Requests);
   this->handle(By, std::move(Asked));
   std::vector<std::size_t> Result;
   for (std::size_t At = 0; At < this->Hosts.size(); ++At)
@@ -319,7 +319,7 @@
   Each.Life = ++this->Lives;
   Each.Self.Life = Incarnation(1000 + Each.Life);
   Each.Decider = std::make_unique<Kernel>(Each.Self, settingsOfCrowd(),
-                                          Each.Life, Serving::Gateway);
+                                          Each.Life, ServingMode::Gateway);
   Each.WakeAt = Never;
   Each.Follows = true;
   Each.Listed = false;
--- a/tests/auto/membership/MembershipTest.cpp
+++ b/tests/auto/membership/MembershipTest.cpp
@@ -97,7 +97,7 @@
 TEST(MembershipTest, LeavingIsToldAtOnceAndNeverTakenBack) {
   HostGroup Group(4);
   Group.run(3);
-  Group.feed(1, StopAsked{});
+  Group.feed(1, StopRequest{});
   Group.run(3.1);
   EXPECT_EQ(Group.seen(0, 1).State, MemberState::Leaving);
   EXPECT_TRUE(Group.at(0).hasLeft(HostGroup::name(1), Incarnation(2)));
--- a/tests/auto/operators/OperatorsTest.cpp
+++ b/tests/auto/operators/OperatorsTest.cpp
@@ -56,8 +56,8 @@
   }
 
   void ask(const std::string &Key, OperatorQuestion Question) {
-    this->Host.handle(OperatorAsked{OperatorQuestionId(++this->Questions), Key,
-                                    std::move(Question)});
+    this->Host.handle(OperatorRequest{OperatorRequestId(++this->Questions), Key,
+                                      std::move(Question)});
   }
 
   void apply(const std::string &Key, std::string Id,
@@ -91,7 +91,7 @@
   EXPECT_TRUE(this->Host.take<AnswerOperator>().empty());
   this->Host.settle();
   EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
-  this->ask(Ring, AskVerdict{ChangeId("c1")});
+  this->ask(Ring, QueryVerdict{ChangeId("c1")});
   EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
 }
 
@@ -100,8 +100,8 @@
   Other.catchUp();
   this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
   this->Host.answerAppend(AppendFate::Taken);
-  Other.handle(OperatorAsked{
-      OperatorQuestionId(1), Ring,
+  Other.handle(OperatorRequest{
+      OperatorRequestId(1), Ring,
       ApplyChanges{
           setOf("c2", {changeOf(EntryKind::Model, "m", someModel())})}});
   Other.settle();
@@ -129,7 +129,7 @@
   this->Host.answerAppend(AppendFate::Refused);
   this->Host.settle();
   this->Host.settle();
-  this->ask(Ring, AskVerdict{ChangeId("c1")});
+  this->ask(Ring, QueryVerdict{ChangeId("c1")});
   EXPECT_TRUE(this->answered<ChangesAccepted>());
 }
 
@@ -142,7 +142,7 @@
     this->Host.settle();
   EXPECT_TRUE(this->answered<VerdictPending>());
   this->Host.probe().Members[0].LastHeard = this->Host.Now;
-  this->ask(Ring, AskVerdict{ChangeId("c1")});
+  this->ask(Ring, QueryVerdict{ChangeId("c1")});
   EXPECT_TRUE(this->answered<ChangesAccepted>());
 }
 
@@ -166,7 +166,7 @@
 TEST_F(OperatorsTest, WithoutARootKeyNobodyIsRoot) {
   BenchHost Plain(this->Log, "h2", 0xb1);
   Plain.catchUp();
-  Plain.handle(OperatorAsked{OperatorQuestionId(1), "root.", ShowStatus{}});
+  Plain.handle(OperatorRequest{OperatorRequestId(1), "root.", ShowStatus{}});
   EXPECT_TRUE(std::holds_alternative<OperatorRefused>(
       Plain.take<AnswerOperator>().at(0).Answer));
 }
--- a/tests/auto/quarantine/QuarantineTest.cpp
+++ b/tests/auto/quarantine/QuarantineTest.cpp
@@ -98,7 +98,7 @@
                                        Start + seconds(1));
   ASSERT_TRUE(Refusal);
   EXPECT_EQ(Refusal->Reason, RefusalReason::Quarantined);
-  EXPECT_GT(Refusal->ComeBackAfter, seconds(60));
+  EXPECT_GT(Refusal->RetryAfter, seconds(60));
 }
 
 TEST(QuarantineTest, ResendToAnotherHostIsTheSecondDeath) {
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -128,7 +128,7 @@
   const AttemptId Try = this->dispatched();
   EXPECT_EQ(Try.Maker, Incarnation(11));
   this->handle(AttemptEnded{Try, AttemptComplete{5, ""}});
-  EXPECT_TRUE(this->answeredWith<WholeAnswer>());
+  EXPECT_TRUE(this->answeredWith<CompleteAnswer>());
   EXPECT_EQ(this->Tested.running(), 0u);
 }
 
@@ -159,7 +159,7 @@
   this->handle(AttemptEnded{First, AttemptComplete{5, ""}});
   EXPECT_TRUE(this->actions<AnswerRequest>().empty());
   this->handle(AttemptEnded{Second, AttemptComplete{5, ""}});
-  EXPECT_TRUE(this->answeredWith<WholeAnswer>());
+  EXPECT_TRUE(this->answeredWith<CompleteAnswer>());
 }
 
 TEST_F(RequestsTest, BeginsAnewWhenEveryUpstreamWasTried) {
@@ -230,7 +230,7 @@
   this->handle(RequestArrived{this->head(1, "confirm")});
   this->grantClaim(1);
   const AttemptId Try = this->dispatched();
-  this->handle(CallerGone{RequestId(1)});
+  this->handle(CallerDisconnected{RequestId(1)});
   EXPECT_TRUE(this->Canceller.Cancelled.empty());
   this->handle(AttemptEnded{Try, AttemptComplete{1, "done"}});
   EXPECT_EQ(this->Claims.Said.back(),
@@ -242,11 +242,11 @@
   this->handle(RequestArrived{this->head(1)});
   const auto Accepted = this->actions<AcceptRequest>();
   ASSERT_EQ(Accepted.size(), 1u);
-  this->handle(CallerGone{RequestId(1)});
+  this->handle(CallerDisconnected{RequestId(1)});
   const std::string Token = Accepted[0].ResumeToken;
-  this->handle(ResumeAsked{RequestId(2), "other.secret", Token, 0});
+  this->handle(ResumeRequest{RequestId(2), "other.secret", Token, 0});
   EXPECT_TRUE(this->answeredWith<NotRun>());
-  this->handle(ResumeAsked{RequestId(3), "house.secret", Token, 4});
+  this->handle(ResumeRequest{RequestId(3), "house.secret", Token, 4});
   const auto Joined = this->actions<JoinStream>();
   ASSERT_EQ(Joined.size(), 1u);
   EXPECT_EQ(Joined[0].Stream, RequestId(1));
@@ -254,7 +254,7 @@
 
 TEST_F(RequestsTest, GivesAnAbandonedStreamUpAfterTheWindow) {
   this->handle(RequestArrived{this->head(1)});
-  this->handle(CallerGone{RequestId(1)});
+  this->handle(CallerDisconnected{RequestId(1)});
   EXPECT_EQ(this->Tested.nextWake(), Start + milliseconds(500));
   this->handle(Tick{}, milliseconds(499));
   EXPECT_EQ(this->Tested.running(), 1u);
--- a/tests/auto/resolve/ResolveTest.cpp
+++ b/tests/auto/resolve/ResolveTest.cpp
@@ -43,7 +43,7 @@
                                std::uint64_t Question = 1) {
     Actions Out;
     this->Bench.Tested.handle(
-        ResolveAsked{ResolveQuestionId(Question), TeamId(Team), ZoneId(Zone)},
+        ResolveRequest{ResolveRequestId(Question), TeamId(Team), ZoneId(Zone)},
         Time(seconds(1)), Out);
     std::vector<std::string> Result;
     for (const Action &Each : Out.items())
@@ -87,7 +87,7 @@
   for (std::uint64_t Question = 0; Question < 50; ++Question)
     for (const std::string &Each : Of.ask("z", "house", Question))
       Named.insert(Each);
-  EXPECT_EQ(Named.size(), FewestTeamHosts);
+  EXPECT_EQ(Named.size(), MinTeamHosts);
 }
 
 TEST(ResolveTest, CallersSpreadOverTheHostsOfTheZone) {
--- a/tests/bench/RoutingCell.cpp
+++ b/tests/bench/RoutingCell.cpp
@@ -192,7 +192,7 @@
     if (Seen.AcceptedAt && Waited)
       Result.FirstToken[Bucket].push_back(inSeconds(*Waited - Seen.SentAt));
     const bool Whole =
-        Seen.Answer && std::holds_alternative<WholeAnswer>(*Seen.Answer);
+        Seen.Answer && std::holds_alternative<CompleteAnswer>(*Seen.Answer);
     const bool NotRunAtAll =
         Seen.Answer && std::holds_alternative<NotRun>(*Seen.Answer);
     if (Seen.ConnectionLost) {
--- a/tests/harness/PromiseChecker.cpp
+++ b/tests/harness/PromiseChecker.cpp
@@ -49,7 +49,7 @@
   if (Of.Answer) {
     if (std::holds_alternative<NotRun>(*Of.Answer) && Of.Started > 0)
       this->report(label(Of) + " was told \"not run\" and ran");
-    if (const auto *Whole = std::get_if<WholeAnswer>(&*Of.Answer))
+    if (const auto *Whole = std::get_if<CompleteAnswer>(&*Of.Answer))
       this->checkWhole(Of, *Whole);
   }
   if (!Of.AcceptedAt || Of.ConnectionLost)
@@ -64,7 +64,7 @@
 }
 
 void PromiseChecker::checkWhole(const CallerRecord &Of,
-                                const WholeAnswer &Answer) {
+                                const CompleteAnswer &Answer) {
   if (Of.Head.Operation)
     return;
   if (Answer.Count != Of.Next || Of.Next != Of.Head.MaxOutputTokens)
--- a/tests/harness/PromiseChecker.h
+++ b/tests/harness/PromiseChecker.h
@@ -41,7 +41,7 @@
   };
 
   void checkCaller(CallerRecord &Of);
-  void checkWhole(const CallerRecord &Of, const WholeAnswer &Answer);
+  void checkWhole(const CallerRecord &Of, const CompleteAnswer &Answer);
   void checkRuns();
   void checkCatalogue(VirtualHost &Host);
   void checkOrders();
--- a/tests/harness/ScenarioExpectations.cpp
+++ b/tests/harness/ScenarioExpectations.cpp
@@ -13,7 +13,7 @@
   if (!Of.Answer)
     return Of.ConnectionLost ? "lost" : "open";
   return match(
-      *Of.Answer, [](const WholeAnswer &) { return std::string("whole"); },
+      *Of.Answer, [](const CompleteAnswer &) { return std::string("whole"); },
       [](const NotRun &Is) {
         return "not-run " + std::string(name(Is.Reason));
       },
--- a/tests/harness/VirtualDeployment.cpp
+++ b/tests/harness/VirtualDeployment.cpp
@@ -147,7 +147,7 @@
   const std::uint64_t Id = ++this->QuestionsMade;
   this->Resolves[Id] = std::move(Answered);
   this->Hosts.at(Host)->deliver(
-      ResolveAsked{ResolveQuestionId(Id), TeamId(Team), ZoneId(Zone)});
+      ResolveRequest{ResolveRequestId(Id), TeamId(Team), ZoneId(Zone)});
 }
 
 void VirtualDeployment::askOperator(
@@ -157,7 +157,7 @@
   const std::uint64_t Id = ++this->QuestionsMade;
   this->Questions[Id] = std::move(Answered);
   this->Hosts.at(Host)->deliver(
-      OperatorAsked{OperatorQuestionId(Id), OperatorKey, std::move(Question)});
+      OperatorRequest{OperatorRequestId(Id), OperatorKey, std::move(Question)});
 }
 
 void VirtualDeployment::resolved(const AnswerResolve &Answer) {
@@ -253,7 +253,7 @@
 }
 
 void VirtualDeployment::stopHost(const std::string &Name) {
-  this->Hosts.at(Name)->deliver(StopAsked{});
+  this->Hosts.at(Name)->deliver(StopRequest{});
 }
 
 // --- callers
--- a/tests/harness/VirtualHost.cpp
+++ b/tests/harness/VirtualHost.cpp
@@ -128,7 +128,7 @@
   const RequestId Id(++this->RequestsMade);
   this->Reconnecting[Id] = Caller;
   const std::string Key = this->World.Callers[Caller].Head.TeamKey;
-  this->deliver(ResumeAsked{Id, Key, Token, NextIndex});
+  this->deliver(ResumeRequest{Id, Key, Token, NextIndex});
   return Id;
 }
 
@@ -137,7 +137,7 @@
     if (Each.Caller != Caller)
       continue;
     Each.Caller.reset();
-    return this->deliver(CallerGone{Request});
+    return this->deliver(CallerDisconnected{Request});
   }
 }
 
--- a/tests/harness/VirtualPlatform.cpp
+++ b/tests/harness/VirtualPlatform.cpp
@@ -93,7 +93,7 @@
     if (Fate == AppendFate::Taken && !this->Net.isCut("log", From.name()))
       return this->reply(
           "log", From, Life,
-          AppendAnswered{Wanted.Append, AppendResult::Taken, Offset});
+          AppendAnswered{Wanted.Append, AppendResult::Appended, Offset});
     this->replyAfter(AnswerTimeout, From, Life, NoAnswer);
   };
   this->Queue.after(this->Net.delay(From.name(), "log") + this->Log.ServiceTime,
--- a/tests/standins/WireText.h
+++ b/tests/standins/WireText.h
@@ -39,7 +39,7 @@
 }
 
 /// `LIFE-SEQUENCE` in hexadecimal, as attempts and holds are named.
-template <class Tag> MadeId<Tag> parseMadeId(std::string_view Text) {
+template <class Tag> SequencedId<Tag> parseMadeId(std::string_view Text) {
   const std::size_t Dash = std::min(Text.find('-'), Text.size());
   const std::string_view Rest = Text.substr(std::min(Dash + 1, Text.size()));
   return {Incarnation(fromHex(Text.substr(0, Dash))), fromHex(Rest)};
