--- a/src/libs/gateway/EngineRecord.h
+++ b/src/libs/gateway/EngineRecord.h
@@ -50,7 +50,7 @@
   std::uint32_t Running = 0;
   std::uint64_t MemoryUsed = 0;  ///< Tokens that cannot be evicted.
   std::uint64_t MemoryTotal = 0; ///< Tokens.
-  double Pace = 1; ///< How many times longer than declared its work takes.
+  double Slowdown = 1; ///< How many times longer than declared its work takes.
   std::vector<EngineReservation> Reservations;
 
   bool operator==(const EngineReport &) const = default;
--- a/src/libs/kernel/LogRecord.h
+++ b/src/libs/kernel/LogRecord.h
@@ -65,8 +65,8 @@
 /// the fencing number of the orders given under it.
 struct StewardLease {
   UpstreamId Engine;
-  HostId Steward;
-  Incarnation StewardLife;
+  HostId Leader;
+  Incarnation LeaderLife;
   Duration Length{};
 
   bool operator==(const StewardLease &) const = default;
--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -20,14 +20,14 @@
 
 /// What somebody says of a member; the higher incarnation and the worse state
 /// win.
-struct MemberRumour {
+struct MemberUpdate {
   HostId Host;
   Incarnation Life;
   std::uint64_t Version = 0; ///< Raised by the member to refute a suspicion.
   MemberState State = MemberState::Alive;
   bool Ready = false; ///< It has begun to admit requests in this life.
 
-  bool operator==(const MemberRumour &) const = default;
+  bool operator==(const MemberUpdate &) const = default;
 };
 
 /// "I live, and this is how far I am."
@@ -40,10 +40,10 @@
   bool Ready = false;    ///< The sender admits requests.
   LogOffset InForce = 0; ///< Catalogue offset in force on the sender.
   Time LogConfirmedAt{}; ///< When the sender last knew that it was current.
-  std::vector<MemberRumour> Rumours;
+  std::vector<MemberUpdate> Updates;
   /// Where the sender is, and some others that it knows, for hosts that find
   /// each other without a host list.
-  std::vector<HostListing> Known;
+  std::vector<HostListing> KnownHosts;
   /// Changes of the service registry before this offset are known here.
   LogOffset EnginesKnownTo = 0;
   /// Of the registrations that the sender knows; equal digests: equal ones.
@@ -114,10 +114,10 @@
 };
 
 /// "Send me the records from here on."
-struct RecordsAsked {
+struct RecordsRequest {
   LogOffset FromOffset = 0;
 
-  bool operator==(const RecordsAsked &) const = default;
+  bool operator==(const RecordsRequest &) const = default;
 };
 
 /// The catalogue's whole canonical text, for a host whose log has lost its
@@ -186,20 +186,20 @@
 };
 
 /// "Send me the configuration if yours is newer than this version."
-struct ConfigurationAsked {
+struct ConfigurationRequest {
   std::uint64_t NewerThan = 0;
   /// Of this version the sender has all bytes before From; 0: of none.
   std::uint64_t Version = 0;
   std::uint64_t From = 0;
 
-  bool operator==(const ConfigurationAsked &) const = default;
+  bool operator==(const ConfigurationRequest &) const = default;
 };
 
 /// A piece of a configuration as its operator wrote it, for hosts that don't
 /// have it from the store. The next one is sent when it is asked for.
 struct ConfigurationRelayed {
   std::uint64_t Version = 0;
-  std::string Piece;      ///< Of the packed document (see DocumentPack.h),
+  std::string Chunk;      ///< Of the packed document (see DocumentPack.h),
   std::uint64_t From = 0; ///< which it continues from here,
   std::uint64_t Size = 0; ///< and which has so many bytes.
 
@@ -207,10 +207,10 @@
 };
 
 /// "Send me what changed in the service registry from this offset on."
-struct EnginesAsked {
+struct EnginesRequest {
   LogOffset From = 0;
 
-  bool operator==(const EnginesAsked &) const = default;
+  bool operator==(const EnginesRequest &) const = default;
 };
 
 /// Registrations that changed since the offset asked for.
@@ -230,9 +230,9 @@
     UpstreamId Engine;
     /// Prompts whose first token is awaited take so long to read, each from its
     /// start to its end: nobody but the engine knows how far it is.
-    double ReadMs = 0;
-    std::uint32_t Reading = 0; ///< So many are they.
-    std::uint32_t Writing = 0;
+    double PrefillMs = 0;
+    std::uint32_t Prefilling = 0; ///< So many are they.
+    std::uint32_t Decoding = 0;
     std::uint64_t MemoryTokens = 0; ///< That they take and will take.
     std::uint32_t ShortRunning = 0; ///< With short prompts.
     /// Answers under way that may pause for so long, and what they are worth,
@@ -243,7 +243,7 @@
 
       bool operator==(const Answers &) const = default;
     };
-    std::vector<Answers> Held;
+    std::vector<Answers> ActiveAnswers;
 
     bool operator==(const Item &) const = default;
   };
@@ -252,22 +252,22 @@
   struct Waiting {
     std::uint64_t Request = 0; ///< The sender's number for it.
     std::uint64_t Tokens = 0;  ///< Of the prompt.
-    double ReadMs = 0;         ///< To read it on one engine alone.
+    double PrefillMs = 0;      ///< To read it on one engine alone.
     double NeededMs = 0; ///< From its sending to its first token, at the least.
     double LeftMs = 0;   ///< Until its first token is late.
 
     bool operator==(const Waiting &) const = default;
   };
-  std::vector<Waiting> InLane;
+  std::vector<Waiting> QueuedPrompts;
   /// An engine that works at another pace than declared, as its own report to
   /// the sender says.
-  struct Pace {
+  struct Slowdown {
     UpstreamId Engine;
     double Factor = 1; ///< How many times longer its work takes.
 
-    bool operator==(const Pace &) const = default;
+    bool operator==(const Slowdown &) const = default;
   };
-  std::vector<Pace> Paces;
+  std::vector<Slowdown> Slowdowns;
   /// An engine that the sender avoids, by what it saw itself.
   struct Distrust {
     UpstreamId Engine;
@@ -285,33 +285,33 @@
 /// from all hosts together, and of the room that one host lends to the others.
 struct EngineLimits {
   /// The newest that the sender knows of an engine.
-  struct Word {
+  struct LimitReport {
     UpstreamId Engine;
     std::optional<double> PerSecond; ///< None: it names no limit.
     double AgeMs = 0;                ///< Of what was said; see LimitWord.
 
-    bool operator==(const Word &) const = default;
+    bool operator==(const LimitReport &) const = default;
   };
-  std::vector<Word> Words;
+  std::vector<LimitReport> LimitReports;
   /// "Lend me room for requests there."
-  struct Ask {
+  struct LeaseRequest {
     UpstreamId Engine;
     std::uint64_t Number = 0; ///< Another one for each ask of the sender.
     std::uint32_t Count = 0;  ///< Requests.
 
-    bool operator==(const Ask &) const = default;
+    bool operator==(const LeaseRequest &) const = default;
   };
-  std::vector<Ask> Asks;
+  std::vector<LeaseRequest> LeaseRequests;
   /// The answer to an ask.
-  struct Loan {
+  struct Lease {
     UpstreamId Engine;
     std::uint64_t Number = 0;
     std::uint32_t Count = 0; ///< Zero: there is no room now.
-    double LaterMs = 0;      ///< Until there may be some, then.
+    double RetryAfterMs = 0; ///< Until there may be some, then.
 
-    bool operator==(const Loan &) const = default;
+    bool operator==(const Lease &) const = default;
   };
-  std::vector<Loan> Loans;
+  std::vector<Lease> Leases;
   /// Room that was lent and not used in its time.
   struct Return {
     UpstreamId Engine;
@@ -328,13 +328,13 @@
 /// What engines said of themselves to the sender, which others can't know yet.
 struct EngineSignals {
   /// An engine that turned the sender away and wants rest from it.
-  struct Rest {
+  struct Backoff {
     UpstreamId Engine;
     double LeftMs = 0;
 
-    bool operator==(const Rest &) const = default;
+    bool operator==(const Backoff &) const = default;
   };
-  std::vector<Rest> Rests;
+  std::vector<Backoff> Backoffs;
   std::vector<UpstreamId> Leaving; ///< They said so.
 
   bool operator==(const EngineSignals &) const = default;
@@ -342,10 +342,10 @@
 
 using PeerMessageBody =
     std::variant<Heartbeat, WorkSent, TeamUsage, LimitShare, RecordsRelayed,
-                 RecordsAsked, CatalogueRelayed, QuarantineNotice,
+                 RecordsRequest, CatalogueRelayed, QuarantineNotice,
                  UpstreamNotice, LoadRelayed, StreamHandover, HandoverTaken,
-                 RecordsToAppend, ConfigurationAsked, ConfigurationRelayed,
-                 EnginesAsked, EnginesRelayed, EngineWork, EngineLimits,
+                 RecordsToAppend, ConfigurationRequest, ConfigurationRelayed,
+                 EnginesRequest, EnginesRelayed, EngineWork, EngineLimits,
                  EngineSignals>;
 
 /// A message with its sender.
--- a/src/libs/wire/LogCodec.cpp
+++ b/src/libs/wire/LogCodec.cpp
@@ -37,8 +37,8 @@
 
 void write(const banyanpick::StewardLease &Record, StewardLease &Out) {
   Out.set_engine(Record.Engine.Value);
-  Out.set_steward(Record.Steward.Value);
-  Out.set_steward_life(Record.StewardLife.Value);
+  Out.set_steward(Record.Leader.Value);
+  Out.set_steward_life(Record.LeaderLife.Value);
   Out.set_length_us(Record.Length.count());
 }
 
--- a/src/libs/wire/PeerCodec.cpp
+++ b/src/libs/wire/PeerCodec.cpp
@@ -54,7 +54,7 @@
   Out.set_ready(Body.Ready);
   Out.set_in_force(Body.InForce);
   Out.set_log_confirmed_at_us(toWire(Body.LogConfirmedAt));
-  for (const MemberRumour &Each : Body.Rumours) {
+  for (const MemberUpdate &Each : Body.Updates) {
     Rumour &Item = *Out.add_rumours();
     Item.set_host(Each.Host.Value);
     Item.set_life(Each.Life.Value);
@@ -62,7 +62,7 @@
     Item.set_state(static_cast<std::uint32_t>(Each.State));
     Item.set_ready(Each.Ready);
   }
-  for (const HostListing &Each : Body.Known)
+  for (const HostListing &Each : Body.KnownHosts)
     write(Each, *Out.add_known());
   Out.set_engines_known_to(Body.EnginesKnownTo);
   Out.set_engines_digest(Body.EnginesDigest);
@@ -112,7 +112,7 @@
   Out.set_next_offset(Body.NextOffset);
 }
 
-void write(const banyanpick::RecordsAsked &Body, Envelope &Envelope) {
+void write(const banyanpick::RecordsRequest &Body, Envelope &Envelope) {
   Envelope.mutable_records_asked()->set_from_offset(Body.FromOffset);
 }
 
@@ -162,7 +162,7 @@
   Envelope.set_records_to_append(encodeLogBatch(Body.Records));
 }
 
-void write(const banyanpick::ConfigurationAsked &Body, Envelope &Envelope) {
+void write(const banyanpick::ConfigurationRequest &Body, Envelope &Envelope) {
   ConfigurationAsked &Out = *Envelope.mutable_configuration_asked();
   Out.set_newer_than(Body.NewerThan);
   Out.set_version(Body.Version);
@@ -172,12 +172,12 @@
 void write(const banyanpick::ConfigurationRelayed &Body, Envelope &Envelope) {
   ConfigurationRelayed &Out = *Envelope.mutable_configuration_relayed();
   Out.set_version(Body.Version);
-  Out.set_piece(Body.Piece);
+  Out.set_piece(Body.Chunk);
   Out.set_from(Body.From);
   Out.set_size(Body.Size);
 }
 
-void write(const banyanpick::EnginesAsked &Body, Envelope &Envelope) {
+void write(const banyanpick::EnginesRequest &Body, Envelope &Envelope) {
   Envelope.mutable_engines_asked()->set_from_offset(Body.From);
 }
 
@@ -203,26 +203,26 @@
   for (const auto &Each : Body.Items) {
     EngineWork::Item &Item = *Out.add_items();
     Item.set_engine(Each.Engine.Value);
-    Item.set_read_ms(static_cast<float>(Each.ReadMs));
-    Item.set_reading(Each.Reading);
-    Item.set_writing(Each.Writing);
+    Item.set_read_ms(static_cast<float>(Each.PrefillMs));
+    Item.set_reading(Each.Prefilling);
+    Item.set_writing(Each.Decoding);
     Item.set_memory_tokens(Each.MemoryTokens);
     Item.set_short_running(Each.ShortRunning);
-    for (const auto &One : Each.Held) {
+    for (const auto &One : Each.ActiveAnswers) {
       EngineWork::Answers &Held = *Item.add_held();
       Held.set_pause_ms(static_cast<float>(One.PauseMs));
       Held.set_value_ms(static_cast<float>(One.ValueMs));
     }
   }
-  for (const auto &Each : Body.InLane) {
+  for (const auto &Each : Body.QueuedPrompts) {
     EngineWork::Waiting &Waiting = *Out.add_in_lane();
     Waiting.set_request(Each.Request);
     Waiting.set_tokens(Each.Tokens);
-    Waiting.set_read_ms(static_cast<float>(Each.ReadMs));
+    Waiting.set_read_ms(static_cast<float>(Each.PrefillMs));
     Waiting.set_needed_ms(static_cast<float>(Each.NeededMs));
     Waiting.set_left_ms(static_cast<float>(Each.LeftMs));
   }
-  for (const auto &Each : Body.Paces) {
+  for (const auto &Each : Body.Slowdowns) {
     EngineWork::Pace &Pace = *Out.add_paces();
     Pace.set_engine(Each.Engine.Value);
     Pace.set_factor(static_cast<float>(Each.Factor));
@@ -237,25 +237,25 @@
 
 void write(const banyanpick::EngineLimits &Body, Envelope &Envelope) {
   EngineLimits &Out = *Envelope.mutable_engine_limits();
-  for (const auto &Each : Body.Words) {
+  for (const auto &Each : Body.LimitReports) {
     EngineLimits::Word &Word = *Out.add_words();
     Word.set_engine(Each.Engine.Value);
     if (Each.PerSecond)
       Word.set_per_second(*Each.PerSecond);
     Word.set_age_ms(Each.AgeMs);
   }
-  for (const auto &Each : Body.Asks) {
+  for (const auto &Each : Body.LeaseRequests) {
     EngineLimits::Ask &Ask = *Out.add_asks();
     Ask.set_engine(Each.Engine.Value);
     Ask.set_number(Each.Number);
     Ask.set_count(Each.Count);
   }
-  for (const auto &Each : Body.Loans) {
+  for (const auto &Each : Body.Leases) {
     EngineLimits::Loan &Loan = *Out.add_loans();
     Loan.set_engine(Each.Engine.Value);
     Loan.set_number(Each.Number);
     Loan.set_count(Each.Count);
-    Loan.set_later_ms(Each.LaterMs);
+    Loan.set_later_ms(Each.RetryAfterMs);
   }
   for (const auto &Each : Body.Returns) {
     EngineLimits::Return &Return = *Out.add_returns();
@@ -267,7 +267,7 @@
 
 void write(const banyanpick::EngineSignals &Body, Envelope &Envelope) {
   EngineSignals &Out = *Envelope.mutable_engine_signals();
-  for (const auto &Each : Body.Rests) {
+  for (const auto &Each : Body.Backoffs) {
     EngineSignals::Rest &Rest = *Out.add_rests();
     Rest.set_engine(Each.Engine.Value);
     Rest.set_left_ms(Each.LeftMs);
@@ -306,15 +306,15 @@
                             Each.short_running(),
                             {}});
     for (const EngineWork::Answers &One : Each.held())
-      Result.Items.back().Held.push_back(
+      Result.Items.back().ActiveAnswers.push_back(
           {checkedNumber(One.pause_ms()), checkedNumber(One.value_ms())});
   }
   for (const EngineWork::Waiting &Each : In.in_lane())
-    Result.InLane.push_back(
+    Result.QueuedPrompts.push_back(
         {Each.request(), Each.tokens(), checkedNumber(Each.read_ms()),
          checkedNumber(Each.needed_ms()), checkedNumber(Each.left_ms())});
   for (const EngineWork::Pace &Each : In.paces())
-    Result.Paces.push_back(
+    Result.Slowdowns.push_back(
         {UpstreamId(Each.engine()), checkedNumber(Each.factor())});
   for (const EngineWork::Distrust &Each : In.distrusted())
     Result.Distrusted.push_back({UpstreamId(Each.engine()),
@@ -330,15 +330,15 @@
         Each.has_per_second()
             ? std::optional(std::max(checkedNumber(Each.per_second()), 0.0))
             : std::nullopt;
-    Result.Words.push_back(
+    Result.LimitReports.push_back(
         {UpstreamId(Each.engine()), PerSecond, checkedSpan(Each.age_ms())});
   }
   for (const EngineLimits::Ask &Each : In.asks())
-    Result.Asks.push_back(
+    Result.LeaseRequests.push_back(
         {UpstreamId(Each.engine()), Each.number(), Each.count()});
   for (const EngineLimits::Loan &Each : In.loans())
-    Result.Loans.push_back({UpstreamId(Each.engine()), Each.number(),
-                            Each.count(), checkedSpan(Each.later_ms())});
+    Result.Leases.push_back({UpstreamId(Each.engine()), Each.number(),
+                             Each.count(), checkedSpan(Each.later_ms())});
   for (const EngineLimits::Return &Each : In.returns())
     Result.Returns.push_back(
         {UpstreamId(Each.engine()), Each.number(), Each.count()});
@@ -348,7 +348,7 @@
 banyanpick::EngineSignals read(const EngineSignals &In) {
   banyanpick::EngineSignals Result;
   for (const EngineSignals::Rest &Each : In.rests())
-    Result.Rests.push_back(
+    Result.Backoffs.push_back(
         {UpstreamId(Each.engine()), checkedSpan(Each.left_ms())});
   for (const std::string &Each : In.leaving())
     Result.Leaving.emplace_back(Each);
@@ -366,11 +366,11 @@
   Result.InForce = In.in_force();
   Result.LogConfirmedAt = timeFromWire(In.log_confirmed_at_us());
   for (const Rumour &Each : In.rumours())
-    Result.Rumours.push_back(
+    Result.Updates.push_back(
         {HostId(Each.host()), Incarnation(Each.life()), Each.version(),
          checkedEnum(Each.state(), MemberState::Leaving), Each.ready()});
   for (const Listing &Each : In.known())
-    Result.Known.push_back(read(Each));
+    Result.KnownHosts.push_back(read(Each));
   Result.EnginesKnownTo = In.engines_known_to();
   Result.EnginesDigest = In.engines_digest();
   // Older than a day is as good as that, and can't overflow a time.
@@ -450,7 +450,7 @@
   case Envelope::kRecordsRelayed:
     return read(In.records_relayed());
   case Envelope::kRecordsAsked:
-    return banyanpick::RecordsAsked{In.records_asked().from_offset()};
+    return banyanpick::RecordsRequest{In.records_asked().from_offset()};
   case Envelope::kCatalogueRelayed:
     return banyanpick::CatalogueRelayed{In.catalogue_relayed().at_offset(),
                                         In.catalogue_relayed().text()};
@@ -467,16 +467,16 @@
   case Envelope::kRecordsToAppend:
     return banyanpick::RecordsToAppend{decodeLogBatch(In.records_to_append())};
   case Envelope::kConfigurationAsked:
-    return banyanpick::ConfigurationAsked{In.configuration_asked().newer_than(),
-                                          In.configuration_asked().version(),
-                                          In.configuration_asked().from()};
+    return banyanpick::ConfigurationRequest{
+        In.configuration_asked().newer_than(),
+        In.configuration_asked().version(), In.configuration_asked().from()};
   case Envelope::kConfigurationRelayed:
     return banyanpick::ConfigurationRelayed{
         In.configuration_relayed().version(),
         In.configuration_relayed().piece(), In.configuration_relayed().from(),
         In.configuration_relayed().size()};
   case Envelope::kEnginesAsked:
-    return banyanpick::EnginesAsked{In.engines_asked().from_offset()};
+    return banyanpick::EnginesRequest{In.engines_asked().from_offset()};
   case Envelope::kEnginesRelayed:
     return read(In.engines_relayed());
   case Envelope::kEngineWork:
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -162,7 +162,7 @@
       this->Known->hear(*Beat, this->InForce.offset(), Now);
     return;
   }
-  if (const auto *Asked = std::get_if<RecordsAsked>(&Message.Body)) {
+  if (const auto *Asked = std::get_if<RecordsRequest>(&Message.Body)) {
     const LogOffset Kept = this->Tail->firstKept();
     if (this->isReady() && (Kept == 0 || Asked->FromOffset < Kept))
       Out.add(SendToPeer{Message.From,
@@ -263,7 +263,7 @@
     return;
   this->AskPeerAt = Now + this->AskInterval;
   if (const Member *Best = bestPeer(*this->Members))
-    Out.add(SendToPeer{Best->Listing.Id, RecordsAsked{0}});
+    Out.add(SendToPeer{Best->Listing.Id, RecordsRequest{0}});
 }
 
 void CataloguePlugin::noteCurrency(Time Now, Actions &Out) {
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -146,34 +146,35 @@
                               std::span<const HostId> Hosts, Time Now) {
   for (const HostId &Each : Hosts)
     if (Each != this->Self)
-      this->Outbox[Each].Words.push_back(wordFor(Engine, Of, Now));
+      this->Outbox[Each].LimitReports.push_back(wordFor(Engine, Of, Now));
 }
 
-EngineLimits::Word EngineLimitsPlugin::wordFor(const UpstreamId &Engine,
-                                               const Limited &Of, Time Now) {
+EngineLimits::LimitReport EngineLimitsPlugin::wordFor(const UpstreamId &Engine,
+                                                      const Limited &Of,
+                                                      Time Now) {
   const LimitWord &Newest = Of.Belief.word();
   return {Engine, Newest.PerSecond, inMilliseconds(Now - Newest.At)};
 }
 
 void EngineLimitsPlugin::takePeer(const HostId &From, const EngineLimits &Told,
                                   Time Now, Actions &Out) {
-  for (const EngineLimits::Word &Each : Told.Words)
+  for (const EngineLimits::LimitReport &Each : Told.LimitReports)
     this->believe(Each.Engine,
                   {Each.PerSecond, Now - fromMilliseconds(Each.AgeMs)}, From,
                   Now, Out);
-  for (const EngineLimits::Loan &Each : Told.Loans)
+  for (const EngineLimits::Lease &Each : Told.Leases)
     this->takeLoan(From, Each, Now);
   for (const EngineLimits::Return &Each : Told.Returns) {
     const auto Found = this->Engines.find(Each.Engine);
     if (Found != this->Engines.end() && Found->second.Lends)
       Found->second.Lends->giveBack(From, Each.Number, Each.Count, Now);
   }
-  for (const EngineLimits::Ask &Each : Told.Asks)
+  for (const EngineLimits::LeaseRequest &Each : Told.LeaseRequests)
     this->takeAsk(From, Each, Now, Out);
 }
 
 void EngineLimitsPlugin::takeAsk(const HostId &From,
-                                 const EngineLimits::Ask &Is, Time Now,
+                                 const EngineLimits::LeaseRequest &Is, Time Now,
                                  Actions &Out) {
   const auto Found = this->Engines.find(Is.Engine);
   if (Found == this->Engines.end())
@@ -187,7 +188,7 @@
   Of.Lends->ask(From, Is.Number, Is.Count, Now);
   this->lend(Is.Engine, Of, Now, Out);
   if (const auto After = Of.Lends->waitOf(From, Now))
-    this->Outbox[From].Loans.push_back(
+    this->Outbox[From].Leases.push_back(
         {Is.Engine, Is.Number, 0, inMilliseconds(*After)});
 }
 
@@ -305,8 +306,8 @@
   Of.Number = ++this->Asks;
   if (!Of.Lends) {
     EngineLimits &To = this->Outbox[Of.Lender];
-    To.Words.push_back(wordFor(Engine, Of, Now));
-    To.Asks.push_back({Engine, Of.Number, mostHeld(Of)});
+    To.LimitReports.push_back(wordFor(Engine, Of, Now));
+    To.LeaseRequests.push_back({Engine, Of.Number, mostHeld(Of)});
     return;
   }
   Of.Lends->ask(this->Self, Of.Number, mostHeld(Of), Now);
@@ -316,7 +317,7 @@
 }
 
 void EngineLimitsPlugin::takeLoan(const HostId &From,
-                                  const EngineLimits::Loan &Is, Time Now) {
+                                  const EngineLimits::Lease &Is, Time Now) {
   const auto Found = this->Engines.find(Is.Engine);
   // Only an answer to the newest ask counts, and that of the lender: an earlier
   // lender's loan might exceed what its successor lends.
@@ -330,7 +331,7 @@
   }
   Limited &Of = Found->second;
   if (Is.Count == 0) {
-    Of.RoomAt = Now + fromMilliseconds(Is.LaterMs);
+    Of.RoomAt = Now + fromMilliseconds(Is.RetryAfterMs);
     return;
   }
   Of.Number = 0;
@@ -405,11 +406,11 @@
     return;
   for (const RoomLoan &Each : Of.Lends->lend(Now)) {
     Out.count("engine_room_lent", Engine.Value);
-    const EngineLimits::Loan Loan{Engine, Each.Number, Each.Count, 0};
+    const EngineLimits::Lease Lease{Engine, Each.Number, Each.Count, 0};
     if (Each.To == this->Self)
-      this->takeLoan(this->Self, Loan, Now);
+      this->takeLoan(this->Self, Lease, Now);
     else
-      this->Outbox[Each.To].Loans.push_back(Loan);
+      this->Outbox[Each.To].Leases.push_back(Lease);
   }
 }
 
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -62,10 +62,10 @@
   void takePeer(const HostId &From, const EngineLimits &Told, Time Now,
                 Actions &Out);
   void hearUnreadable(const UpstreamId &Engine, Time Now, Actions &Out);
-  void takeLoan(const HostId &From, const EngineLimits::Loan &Is, Time Now);
+  void takeLoan(const HostId &From, const EngineLimits::Lease &Is, Time Now);
   /// A host wants room; it is told when there is none now.
-  void takeAsk(const HostId &From, const EngineLimits::Ask &Is, Time Now,
-               Actions &Out);
+  void takeAsk(const HostId &From, const EngineLimits::LeaseRequest &Is,
+               Time Now, Actions &Out);
   /// Looks who lends where, after the active hosts have changed.
   void reviewLenders(Time Now, Actions &Out);
   void setLender(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
@@ -81,8 +81,8 @@
                        Actions &Out);
   void countUse(const UpstreamId &Engine, Time Now, Actions &Out);
   static std::uint32_t mostHeld(const Limited &Of);
-  static EngineLimits::Word wordFor(const UpstreamId &Engine, const Limited &Of,
-                                    Time Now);
+  static EngineLimits::LimitReport wordFor(const UpstreamId &Engine,
+                                           const Limited &Of, Time Now);
   void tell(const UpstreamId &Engine, const Limited &Of,
             std::span<const HostId> Hosts, Time Now);
   /// Sends what has gathered for each host.
--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -79,7 +79,7 @@
   const bool IsLastChance = inMilliseconds(Times.Left - Times.Objective) <
                             Place.FirstTokenMs * LastChanceReads;
   return HasWaited || IsLastChance ||
-         Place.GainMs > Work.ReadMs * Scarcity * FullEngineWorth;
+         Place.GainMs > Work.PrefillMs * Scarcity * FullEngineWorth;
 }
 
 bool isHopeless(const Placed &Place, const DeferralTimes &Times,
--- a/src/plugins/engineload/EngineLoad.cpp
+++ b/src/plugins/engineload/EngineLoad.cpp
@@ -43,7 +43,7 @@
     return;
   const Reads Before = this->allReads(Now);
   Found->Writes = true;
-  Found->ReadMs = 0;
+  Found->PrefillMs = 0;
   this->noteReads(Before, Now);
 }
 
@@ -78,7 +78,7 @@
   for (const LoadItem &Each : this->Own) {
     if (Each.Writes)
       continue;
-    Result.Ms += Each.ReadMs;
+    Result.Ms += Each.PrefillMs;
     ++Result.Count;
   }
   return Result;
@@ -89,8 +89,8 @@
   for (const auto &[Peer, Each] : this->Peers) {
     if (!isCurrent(Each, Now))
       continue;
-    Result.Ms += Each.Work.ReadMs;
-    Result.Count += Each.Work.Reading;
+    Result.Ms += Each.Work.PrefillMs;
+    Result.Count += Each.Work.Prefilling;
   }
   return Result;
 }
@@ -122,7 +122,7 @@
   for (const LoadItem &Each : this->Own)
     Sum += Each.Writes ? 0 : 1;
   for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.Reading : 0;
+    Sum += isCurrent(Each, Now) ? Each.Work.Prefilling : 0;
   return Sum;
 }
 
@@ -131,7 +131,7 @@
   for (const LoadItem &Each : this->Own)
     Sum += Each.Writes ? 1 : 0;
   for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.Writing : 0;
+    Sum += isCurrent(Each, Now) ? Each.Work.Decoding : 0;
   return Sum;
 }
 
@@ -146,9 +146,9 @@
 
 std::uint64_t EngineLoad::contextTokens(Time Now) const {
   // What is to be read yet has its memory, too; peers tell one sum.
-  const std::uint32_t Writing = this->writing(Now);
-  const std::uint32_t All = this->reading(Now) + Writing;
-  return All == 0 ? 0 : this->memoryTokens(Now) * Writing / All;
+  const std::uint32_t Decoding = this->writing(Now);
+  const std::uint32_t All = this->reading(Now) + Decoding;
+  return All == 0 ? 0 : this->memoryTokens(Now) * Decoding / All;
 }
 
 std::uint32_t EngineLoad::shortRunning(Time Now) const {
@@ -167,7 +167,7 @@
   for (const auto &[Peer, Each] : this->Peers) {
     if (!isCurrent(Each, Now))
       continue;
-    for (const EngineWork::Item::Answers &One : Each.Work.Held)
+    for (const EngineWork::Item::Answers &One : Each.Work.ActiveAnswers)
       addTo(Result, {One.PauseMs, One.ValueMs});
   }
   return Result;
@@ -176,16 +176,16 @@
 EngineWork::Item EngineLoad::ownWork(const UpstreamId &Engine) const {
   EngineWork::Item Result;
   Result.Engine = Engine;
-  Result.ReadMs = this->ownReads().Ms;
+  Result.PrefillMs = this->ownReads().Ms;
   std::vector<PauseGroup> Held;
   for (const LoadItem &Each : this->Own) {
-    ++(Each.Writes ? Result.Writing : Result.Reading);
+    ++(Each.Writes ? Result.Decoding : Result.Prefilling);
     Result.MemoryTokens += Each.MemoryTokens;
     Result.ShortRunning += Each.IsShort ? 1 : 0;
     addTo(Held, Each.Answer);
   }
   for (const PauseGroup &Each : Held)
-    Result.Held.push_back({Each.PauseMs, Each.ValueMs});
+    Result.ActiveAnswers.push_back({Each.PauseMs, Each.ValueMs});
   return Result;
 }
 
--- a/src/plugins/engineload/EngineLoad.h
+++ b/src/plugins/engineload/EngineLoad.h
@@ -13,7 +13,7 @@
 /// The work of one try on one engine.
 struct LoadItem {
   AttemptId Try;
-  double ReadMs = 0; ///< To its first token, alone; 0 once it writes.
+  double PrefillMs = 0; ///< To its first token, alone; 0 once it writes.
   std::uint64_t MemoryTokens = 0;
   bool IsShort = false; ///< One engine reads its prompt beside answers.
   PauseGroup Answer;    ///< Of value 0 where only a part is read.
--- a/src/plugins/engineload/EngineLoadPeers.cpp
+++ b/src/plugins/engineload/EngineLoadPeers.cpp
@@ -45,9 +45,9 @@
 
 void EngineLoadPlugin::takePeerWork(const HostId &From, const EngineWork &Work,
                                     Time Now) {
-  this->Lane.takePeer(From, Work.InLane, Now);
-  for (const EngineWork::Pace &Each : Work.Paces)
-    this->Paces.takePeer(Each, Now);
+  this->Lane.takePeer(From, Work.QueuedPrompts, Now);
+  for (const EngineWork::Slowdown &Each : Work.Slowdowns)
+    this->Slowdowns.takePeer(Each, Now);
   std::vector<UpstreamId> Named;
   for (const EngineWork::Item &Each : Work.Items) {
     this->Loads[Each.Engine].takePeer(From, Each, Now);
@@ -69,15 +69,15 @@
 
 void EngineLoadPlugin::tell(Time Now, Actions &Out) {
   EngineWork Work;
-  Work.InLane = this->Lane.own(Now);
-  Work.Paces = this->Paces.own(Now);
+  Work.QueuedPrompts = this->Lane.own(Now);
+  Work.Slowdowns = this->Slowdowns.own(Now);
   Work.Distrusted = this->Trust->distrusted(Now);
   for (const auto &[Id, Load] : this->Loads)
     if (Load.hasOwn())
       Work.Items.push_back(Load.ownWork(Id));
-  this->Tells.noteTold(!Work.InLane.empty()  ? TellBudget::Told::Waiting
-                       : !Work.Items.empty() ? TellBudget::Told::Work
-                                             : TellBudget::Told::Nothing,
+  this->Tells.noteTold(!Work.QueuedPrompts.empty() ? TellBudget::Told::Waiting
+                       : !Work.Items.empty()       ? TellBudget::Told::Work
+                                                   : TellBudget::Told::Nothing,
                        Now);
   for (const HostId &Peer : this->listeners(Now))
     Out.add(SendToPeer{Peer, Work});
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -88,9 +88,9 @@
   this->Tells = TellBudget(Values.span(In, "tell_interval"),
                            static_cast<double>(Values.whole(In, "tell_rate")));
   this->TellSoonMs = Values.fraction(In, "tell_soon_ms");
-  this->Paces = EnginePaces({Values.span(In, "pace_ask_interval"),
-                             Values.span(In, "pace_least_pause"),
-                             Values.span(In, "pace_keep")});
+  this->Slowdowns = EnginePaces({Values.span(In, "pace_ask_interval"),
+                                 Values.span(In, "pace_least_pause"),
+                                 Values.span(In, "pace_keep")});
   this->LateShare = Values.fraction(In, "late_share");
   this->LateBy = Values.span(In, "late_by");
   this->JitterMs = Values.fraction(In, "jitter_ms");
@@ -118,14 +118,14 @@
           this->takeReport(Reported->Report, Now, Out);
       },
       [](const auto &) {});
-  for (const UpstreamId &Engine : this->Paces.due(Now))
+  for (const UpstreamId &Engine : this->Slowdowns.due(Now))
     this->askReport(Engine, Now, Out);
   if (Now >= this->Tells.next())
     this->tell(Now, Out);
 }
 
 Time EngineLoadPlugin::nextWake() const {
-  return std::min(this->Tells.next(), this->Paces.nextDue());
+  return std::min(this->Tells.next(), this->Slowdowns.nextDue());
 }
 
 void EngineLoadPlugin::askReport(const UpstreamId &Engine, Time Now,
@@ -141,11 +141,11 @@
 
 void EngineLoadPlugin::takeReport(const EngineReport &Report, Time Now,
                                   Actions &Out) {
-  if (!this->Paces.takeReport(Report, Now))
+  if (!this->Slowdowns.takeReport(Report, Now))
     return;
   Out.log(logEvent(events::EnginePaceChanged)
               .with("engine", Report.Engine.Value)
-              .with("pace", Report.Pace)
+              .with("pace", Report.Slowdown)
               .with("waiting", Report.Waiting)
               .with("running", Report.Running)
               .build());
@@ -160,7 +160,7 @@
       inSeconds(Took) > inSeconds(Each.Predicted) * this->LateShare;
   if (!Late)
     return;
-  if (this->Paces.noteLate(Each.Engine, Now))
+  if (this->Slowdowns.noteLate(Each.Engine, Now))
     this->askReport(Each.Engine, Now, Out);
 }
 
@@ -211,7 +211,8 @@
   PromptWork Result;
   Result.PromptTokens = Wanted.PromptTokens;
   Result.Tokens = Wanted.PromptTokens + Wanted.OutputTokens;
-  Result.ReadMs = Model ? readMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
+  Result.PrefillMs =
+      Model ? readMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
   Result.PauseMs = boundMs(Wanted.LongestPause);
   Result.ValueMs =
       Model ? valueMs(*Model, Wanted.PromptTokens, Wanted.OutputTokens)
@@ -226,7 +227,7 @@
   if (States.empty())
     return NoEngine{};
   const PromptWork Work = workOf(Wanted, Model);
-  if (Model && !this->isShort(*Model, Wanted.Service, Work.ReadMs))
+  if (Model && !this->isShort(*Model, Wanted.Service, Work.PrefillMs))
     return this->chooseShared(States, Wanted, Work, *Model, Now);
   const std::uint32_t Slots =
       Model ? Model->Slots : States.front().Engine->Record.Slots;
@@ -270,7 +271,7 @@
   EngineWork::Waiting Own;
   Own.Request = Wanted.Request.Value;
   Own.Tokens = Wanted.PromptTokens;
-  Own.ReadMs = Work.ReadMs;
+  Own.PrefillMs = Work.PrefillMs;
   Own.NeededMs = Place->FirstTokenMs - Place->StartMs;
   Own.LeftMs = Times.ObjectiveMs;
   const bool Ready = Place->AheadMs <= this->Weights.AheadMs;
@@ -325,12 +326,12 @@
 }
 
 bool EngineLoadPlugin::isShort(const EngineParameters &Model,
-                               const ServiceId &Service, double ReadMs) {
+                               const ServiceId &Service, double PrefillMs) {
   const RouteTable *Routes = this->Declared->routes();
   const double PauseMs =
       Routes ? this->Pauses.shortestMs(Service, *Routes) : UnboundedMs;
   const double Room = roomMs(Model, PauseMs);
-  return ReadMs <= std::max(Room, PauseMs * LeastRoomShare) * ShortShare;
+  return PrefillMs <= std::max(Room, PauseMs * LeastRoomShare) * ShortShare;
 }
 
 EngineChosen EngineLoadPlugin::chosen(std::span<const EngineState> States,
@@ -397,12 +398,12 @@
   for (PauseGroup &Group : Result.Answers)
     Group.PauseMs *= this->Weights.PauseShare;
   if (Model) {
-    Result.Pace = this->Paces.of(Each.Record.Id, Now);
-    Result.BacklogMs = Load.backlogMs(Now) * Result.Pace;
+    Result.Slowdown = this->Slowdowns.of(Each.Record.Id, Now);
+    Result.BacklogMs = Load.backlogMs(Now) * Result.Slowdown;
     Result.Overdue = Load.isOverdue(Now);
     Result.PassMs =
         writePassMs(*Model, Load.writing(Now), Load.contextTokens(Now)) *
-        Result.Pace;
+        Result.Slowdown;
     const std::uint64_t Used = Load.memoryTokens(Now);
     const bool HasMemory = Used < Model->MemoryTokens &&
                            !this->isShortOfMemory(Each.Record.Id, Now);
@@ -455,7 +456,7 @@
       static_cast<double>(Each.Helpers.size() + (ListsItself ? 0 : 1));
   LoadItem Item;
   Item.Try = Each.Id;
-  Item.ReadMs = Model ? readMs(*Model, Each.PromptTokens) / Parts : 0;
+  Item.PrefillMs = Model ? readMs(*Model, Each.PromptTokens) / Parts : 0;
   LoadItem Part = Item;
   Item.IsShort = Model && this->isShort(*Model, Each.Service,
                                         readMs(*Model, Each.PromptTokens));
@@ -511,7 +512,7 @@
 }
 
 void EngineLoadPlugin::engineGone(const UpstreamId &Id, Time, Actions &) {
-  this->Paces.forget(Id);
+  this->Slowdowns.forget(Id);
   this->ShortOfMemory.erase(Id);
   const auto Found = this->Loads.find(Id);
   if (Found != this->Loads.end() && !Found->second.hasOwn())
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -84,7 +84,7 @@
                  const EngineWork::Waiting &Own, Time Now) const;
   /// Whether one engine reads the prompt beside answers of the service.
   bool isShort(const EngineParameters &Model, const ServiceId &Service,
-               double ReadMs);
+               double PrefillMs);
   static PromptWork workOf(const EngineWanted &Wanted,
                            const EngineParameters *Model);
   static EngineChosen chosen(std::span<const EngineState> States,
@@ -126,7 +126,7 @@
   PromptLane Lane;
   PauseBounds Pauses;
   std::map<UpstreamId, EngineLoad> Loads;
-  EnginePaces Paces;
+  EnginePaces Slowdowns;
   /// Engines that refused to set memory aside, until when that counts.
   std::map<UpstreamId, Time> ShortOfMemory;
   TellBudget Tells;
--- a/src/plugins/engineload/EnginePaces.cpp
+++ b/src/plugins/engineload/EnginePaces.cpp
@@ -49,14 +49,14 @@
 bool EnginePaces::takeReport(const EngineReport &Report, Time Now) {
   Seen &Of = this->ById[Report.Engine];
   const double Before = Of.Own ? Of.Factor : 1;
-  Of.Factor = std::max(Report.Pace, Fastest);
+  Of.Factor = std::max(Report.Slowdown, Fastest);
   Of.HeardAt = Now;
   Of.Own = true;
   constexpr double News = 0.1;
   return std::abs(Of.Factor - Before) >= News;
 }
 
-void EnginePaces::takePeer(const EngineWork::Pace &Seen, Time Now) {
+void EnginePaces::takePeer(const EngineWork::Slowdown &Seen, Time Now) {
   EnginePaces::Seen &Of = this->ById[Seen.Engine];
   // What the engine itself told this host lately is at least as new.
   if (Of.Own && Now < Of.HeardAt + this->Limits.AskInterval)
@@ -73,8 +73,8 @@
              : 1;
 }
 
-std::vector<EngineWork::Pace> EnginePaces::own(Time Now) const {
-  std::vector<EngineWork::Pace> Result;
+std::vector<EngineWork::Slowdown> EnginePaces::own(Time Now) const {
+  std::vector<EngineWork::Slowdown> Result;
   for (const auto &[Id, Of] : this->ById)
     if (Of.Own && this->isSlow(Of, Now))
       Result.push_back({Id, Of.Factor});
--- a/src/plugins/engineload/EnginePaces.h
+++ b/src/plugins/engineload/EnginePaces.h
@@ -32,13 +32,13 @@
 
   /// The engine's own report; whether the pace is news.
   bool takeReport(const EngineReport &Report, Time Now);
-  void takePeer(const EngineWork::Pace &Seen, Time Now);
+  void takePeer(const EngineWork::Slowdown &Seen, Time Now);
   void forget(const UpstreamId &Engine) { this->ById.erase(Engine); }
 
   /// How many times longer its work takes; 1 when nothing is known.
   double of(const UpstreamId &Engine, Time Now) const;
   /// Slow engines by their reports to this host, for its peers.
-  std::vector<EngineWork::Pace> own(Time Now) const;
+  std::vector<EngineWork::Slowdown> own(Time Now) const;
 
 private:
   struct Seen {
--- a/src/plugins/engineload/EngineState.h
+++ b/src/plugins/engineload/EngineState.h
@@ -25,7 +25,7 @@
   double BacklogMs = 0;     ///< Reading to be done before anything new.
   bool Overdue = false;     ///< Some of it should have been done by now.
   double PassMs = 0;        ///< One pass over those that write.
-  double Pace = 1;          ///< How many times longer than declared reading
+  double Slowdown = 1;      ///< How many times longer than declared reading
                             ///< takes there; the two above allow for it.
   bool IsLimited = false;   ///< It names how many requests it takes.
   std::uint32_t Running = 0;
@@ -38,7 +38,7 @@
   double startMs() const { return this->BacklogMs + this->PassMs; }
   /// When a part would be read there.
   double endMs(double PartMs) const {
-    return this->startMs() + PartMs * this->Pace;
+    return this->startMs() + PartMs * this->Slowdown;
   }
   /// The value of the answers that a pass with so much more reading would make
   /// pause for too long. One that pauses for several times as long loses its
@@ -93,7 +93,7 @@
 
 /// What a prompt is, to those that place it.
 struct PromptWork {
-  double ReadMs = 0; ///< On one engine alone, at its declared pace.
+  double PrefillMs = 0; ///< On one engine alone, at its declared pace.
   std::uint64_t PromptTokens = 0;
   std::uint64_t Tokens = 0; ///< With its answer; the memory that it takes.
   double ValueMs = 0;       ///< Engine time, as in PauseGroup.
--- a/src/plugins/engineload/PromptLane.cpp
+++ b/src/plugins/engineload/PromptLane.cpp
@@ -9,7 +9,7 @@
                   double LateShare) {
   const double LeftMs = Of.LeftMs - inSeconds(Since) * 1e3;
   const double Worth =
-      static_cast<double>(Of.Tokens) / std::max(Of.ReadMs, 1.0);
+      static_cast<double>(Of.Tokens) / std::max(Of.PrefillMs, 1.0);
   return LeftMs >= Of.NeededMs ? Worth : Worth * LateShare;
 }
 
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -59,7 +59,7 @@
 Sharing sharingAmong(std::span<const EngineState> States,
                      std::span<const std::size_t> Among, const PromptWork &Work,
                      std::size_t Count) {
-  const double PartMs = Work.ReadMs / static_cast<double>(Count);
+  const double PartMs = Work.PrefillMs / static_cast<double>(Count);
   Sharing Result;
   Result.Taken = bestFor(States, Among, PartMs, Count);
   for (const std::size_t At : Result.Taken) {
--- a/src/plugins/engineload/ShortPlacement.cpp
+++ b/src/plugins/engineload/ShortPlacement.cpp
@@ -23,7 +23,7 @@
 /// What holding answers up costs, in terms of the one that would do so.
 double heldUpMs(const EngineState &Of, const PromptWork &Work,
                 const PlacementWeights &Weights) {
-  return Of.valueHeldUp(Work.ReadMs) / std::max(Work.ValueMs, 1.0) *
+  return Of.valueHeldUp(Work.PrefillMs) / std::max(Work.ValueMs, 1.0) *
          Weights.PauseCostMs;
 }
 
@@ -44,7 +44,7 @@
   double BestCost = 0;
   for (std::size_t At = 0; At < States.size(); ++At) {
     const EngineState &Each = States[At];
-    const double FirstMs = Each.endMs(Work.ReadMs);
+    const double FirstMs = Each.endMs(Work.PrefillMs);
     const double Memory = Work.Tokens > Each.FreeTokens ? Weights.FullMs : 0;
     const double Cost = FirstMs + Each.ExtraMs + Memory +
                         crowdMs(Each, Slots, Weights) +
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -91,7 +91,7 @@
                                     Actions &Out) {
   match(
       Message.Body,
-      [&](const EnginesAsked &Asked) {
+      [&](const EnginesRequest &Asked) {
         if (this->KnownTo > Asked.From)
           Out.add(SendToPeer{Message.From, this->changesFrom(Asked.From)});
       },
@@ -104,7 +104,7 @@
             Now < this->AskedAt + LeastAskPause)
           return;
         this->AskedAt = Now;
-        Out.add(SendToPeer{Message.From, EnginesAsked{this->KnownTo}});
+        Out.add(SendToPeer{Message.From, EnginesRequest{this->KnownTo}});
       },
       [](const auto &) {});
 }
@@ -216,7 +216,7 @@
         (!Best || Each.EnginesKnownTo > Best->EnginesKnownTo))
       Best = &Each;
   if (Best)
-    Out.add(SendToPeer{Best->Listing.Id, EnginesAsked{this->KnownTo}});
+    Out.add(SendToPeer{Best->Listing.Id, EnginesRequest{this->KnownTo}});
 }
 
 bool EnginesPlugin::isDoubtful(Time Now) const {
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -55,7 +55,7 @@
 
 void EngineSignalsPlugin::hear(const EngineHeard &Is, Time Now, Actions &Out) {
   match(
-      Is.Word.Rest, [](const RestUnasked &) {},
+      Is.Word.Backoff, [](const RestUnasked &) {},
       [&](const RestAsked &Each) { this->rest(Is.Engine, Each.For, Now, Out); },
       [&](const RestUnreadable &Each) {
         Out.log(logEvent(events::EngineRestUnreadable)
@@ -100,7 +100,7 @@
               .with("from", this->Self.Value)
               .build());
   EngineSignals Told;
-  Told.Rests.push_back({Engine, inMilliseconds(For)});
+  Told.Backoffs.push_back({Engine, inMilliseconds(For)});
   this->tell(this->Active->activeHosts(), Told, Out);
 }
 
@@ -108,7 +108,7 @@
                                    const EngineSignals &Told, Time Now,
                                    Actions &Out) {
   this->Peers.age(Now);
-  for (const EngineSignals::Rest &Each : Told.Rests) {
+  for (const EngineSignals::Backoff &Each : Told.Backoffs) {
     const Duration Left = fromMilliseconds(Each.LeftMs);
     if (this->Peers.take(Each.Engine, Now + Left, Now))
       Out.log(logEvent(events::EngineRests)
@@ -132,7 +132,7 @@
   EngineSignals Told;
   for (const auto &[Engine, Until] : this->Own.ends())
     if (Until > Now)
-      Told.Rests.push_back({Engine, inMilliseconds(Until - Now)});
+      Told.Backoffs.push_back({Engine, inMilliseconds(Until - Now)});
   Told.Leaving.assign(this->Leaving.begin(), this->Leaving.end());
   if (Told != EngineSignals())
     this->tell(Newcomers, Told, Out);
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -186,7 +186,7 @@
 
 void LogPlugin::takePeerMessage(const PeerMessage &Message, Time Now,
                                 Actions &Out) {
-  if (const auto *Asked = std::get_if<RecordsAsked>(&Message.Body)) {
+  if (const auto *Asked = std::get_if<RecordsRequest>(&Message.Body)) {
     const LogOffset Kept = this->Tail->first();
     if (Kept > 0 && Asked->FromOffset >= Kept)
       Out.add(SendToPeer{Message.From, this->Tail->from(Asked->FromOffset,
@@ -247,8 +247,8 @@
   if (this->Reader->nextOffset() == 0)
     return;
   if (const Member *Best = bestPeer(*this->Members))
-    Out.add(
-        SendToPeer{Best->Listing.Id, RecordsAsked{this->Reader->nextOffset()}});
+    Out.add(SendToPeer{Best->Listing.Id,
+                       RecordsRequest{this->Reader->nextOffset()}});
 }
 
 void LogPlugin::sendRecords(Time Now, Actions &Out) {
--- a/src/plugins/membership/LifeBelief.cpp
+++ b/src/plugins/membership/LifeBelief.cpp
@@ -23,7 +23,7 @@
   return MemberState::Alive;
 }
 
-LifeBelief beliefOf(const MemberRumour &Rumour) {
+LifeBelief beliefOf(const MemberUpdate &Rumour) {
   LifeBelief Result{Rumour.Version, LifeBelief::Standing::Alive, false,
                     Rumour.Ready};
   switch (Rumour.State) {
--- a/src/plugins/membership/LifeBelief.h
+++ b/src/plugins/membership/LifeBelief.h
@@ -29,6 +29,6 @@
 MemberState stateOf(const LifeBelief &Belief);
 
 /// What a rumour says.
-LifeBelief beliefOf(const MemberRumour &Rumour);
+LifeBelief beliefOf(const MemberUpdate &Rumour);
 
 } // namespace banyanpick
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -208,7 +208,7 @@
   this->NextBeat = Now;
 }
 
-void MembershipPlugin::learn(std::span<const HostListing> Known, Time Now,
+void MembershipPlugin::learn(std::span<const HostListing> KnownHosts, Time Now,
                              Actions &Out) {
   bool Changed = false;
   for (const HostListing &Each : Known) {
@@ -277,20 +277,20 @@
     return;
   }
   bool Newcomer = false;
-  if (this->Gossips && !Beat.Known.empty()) {
-    const HostListing &Sender = Beat.Known.front();
+  if (this->Gossips && !Beat.KnownHosts.empty()) {
+    const HostListing &Sender = Beat.KnownHosts.front();
     if (Sender.Id == Message.From && this->Peers.learn(Sender, Now)) {
       Newcomer = true;
       this->connect(Out);
     }
-    this->learn(std::span(Beat.Known).subspan(1), Now, Out);
+    this->learn(std::span(Beat.KnownHosts).subspan(1), Now, Out);
   }
   const auto From = this->Peers.position(Message.From);
   if (!From)
     return; // Not in the host list yet; it will ask again.
   Newcomer = Newcomer || this->Peers.member(*From).Life != Message.FromLife;
   this->Peers.takeHeartbeat(*From, Message.FromLife, Beat, Now);
-  for (const MemberRumour &Each : Beat.Rumours)
+  for (const MemberUpdate &Each : Beat.Updates)
     this->takeRumour(Each, Now);
   if (!Beat.Acknowledges) {
     this->send(*From, Beat.Sequence, Newcomer, Now, Out);
@@ -301,14 +301,14 @@
     this->Peers.noteSample(Now);
 }
 
-void MembershipPlugin::takeRumour(const MemberRumour &Rumour, Time Now) {
+void MembershipPlugin::takeRumour(const MemberUpdate &Rumour, Time Now) {
   if (Rumour.Host == this->Own.Host)
     this->refute(Rumour, Now);
   else if (const auto About = this->Peers.position(Rumour.Host))
     this->Peers.takeRumour(*About, Rumour, this->Gossips, Now);
 }
 
-void MembershipPlugin::refute(const MemberRumour &Rumour, Time Now) {
+void MembershipPlugin::refute(const MemberUpdate &Rumour, Time Now) {
   const bool Accused = Rumour.Life == this->Own.Life &&
                        beliefOf(Rumour).Stands != LifeBelief::Standing::Alive &&
                        Rumour.Version >= this->OwnVersion;
@@ -379,7 +379,7 @@
   for (const HostListing &Each : this->Seeds.unknown(this->Peers.members())) {
     Heartbeat Beat = this->makeBeat(Now);
     Beat.Sequence = ++this->Sequence;
-    Beat.Known = this->listingsFor(false);
+    Beat.KnownHosts = this->listingsFor(false);
     Out.add(SendToPeer{Each.Id, std::move(Beat)});
   }
 }
@@ -413,26 +413,26 @@
   Heartbeat Beat = this->makeBeat(Now);
   Beat.Acknowledges = Answered.has_value();
   Beat.Sequence = Answered ? *Answered : ++this->Sequence;
-  Beat.Known = this->listingsFor(Newcomer);
-  Beat.Rumours = this->rumoursFor(To);
+  Beat.KnownHosts = this->listingsFor(Newcomer);
+  Beat.Updates = this->rumoursFor(To);
   // A rumour of a host that was not known yet was lost on whoever heard it, so
   // what is believed of a host goes along with its listing.
-  for (const HostListing &Each : Beat.Known)
+  for (const HostListing &Each : Beat.KnownHosts)
     if (const auto At = this->Peers.position(Each.Id))
-      Beat.Rumours.push_back(this->rumourOf(*At));
+      Beat.Updates.push_back(this->rumourOf(*At));
   if (!Answered)
     this->Peers.noteProbe(To, Beat.Sequence, Now);
   Out.add(SendToPeer{this->Peers.member(To).Listing.Id, std::move(Beat)});
 }
 
-std::vector<MemberRumour> MembershipPlugin::rumoursFor(std::size_t To) {
+std::vector<MemberUpdate> MembershipPlugin::rumoursFor(std::size_t To) {
   const auto Hosts = static_cast<unsigned>(this->Peers.members().size() + 1);
   const std::uint32_t Times = TimesToldPerDoubling * std::bit_width(Hosts);
   // When hundreds of hosts start or return together, each is news; a fixed
   // number a heartbeat would take longer than callers wait for them.
   const std::size_t Most =
       std::max(this->RumoursEach, this->News.size() / HeartbeatsForAllNews);
-  std::vector<MemberRumour> Result = this->News.take(Most, Times);
+  std::vector<MemberUpdate> Result = this->News.take(Most, Times);
   if (this->Gossips && this->Probes.isSampling(this->Peers))
     for (const std::size_t Each : this->someOthers(BeliefsNamed))
       Result.push_back(this->rumourOf(Each));
@@ -444,14 +444,14 @@
   return Result;
 }
 
-MemberRumour MembershipPlugin::rumourOf(std::size_t At) const {
+MemberUpdate MembershipPlugin::rumourOf(std::size_t At) const {
   const Member &Of = this->Peers.member(At);
   const LifeBelief &Belief = this->Peers.record(At).Belief;
   return {Of.Listing.Id, Of.Life, Belief.Version, stateOf(Belief),
           Belief.Ready};
 }
 
-MemberRumour MembershipPlugin::ownRumour() const {
+MemberUpdate MembershipPlugin::ownRumour() const {
   return {this->Own.Host, this->Own.Life, this->OwnVersion,
           this->Leaving ? MemberState::Leaving : MemberState::Alive,
           this->InForce && this->InForce->isReady()};
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -42,7 +42,7 @@
 private:
   void takeList(const HostListRead &List, Time Now, Actions &Out);
   /// Takes in hosts that are only heard of; reconnects when any is new.
-  void learn(std::span<const HostListing> Known, Time Now, Actions &Out);
+  void learn(std::span<const HostListing> KnownHosts, Time Now, Actions &Out);
   void connect(Actions &Out) const;
   HostListing ownListing() const;
   /// The own listing, and some of others; all of them for \p Newcomer.
@@ -62,15 +62,15 @@
   Time newsDue() const;
   void takeHeartbeat(const PeerMessage &Message, const Heartbeat &Beat,
                      Time Now, Actions &Out);
-  void takeRumour(const MemberRumour &Rumour, Time Now);
-  void refute(const MemberRumour &Rumour, Time Now);
+  void takeRumour(const MemberUpdate &Rumour, Time Now);
+  void refute(const MemberUpdate &Rumour, Time Now);
   void leave(Time Now, Actions &Out);
   void beat(Time Now, Actions &Out);
   void send(std::size_t To, std::optional<std::uint64_t> Answered,
             bool Newcomer, Time Now, Actions &Out);
-  std::vector<MemberRumour> rumoursFor(std::size_t To);
-  MemberRumour rumourOf(std::size_t At) const;
-  MemberRumour ownRumour() const;
+  std::vector<MemberUpdate> rumoursFor(std::size_t To);
+  MemberUpdate rumourOf(std::size_t At) const;
+  MemberUpdate ownRumour() const;
   void announceChanges(Time Now, Actions &Out);
 
   Identity Own;
--- a/src/plugins/membership/PeerTable.cpp
+++ b/src/plugins/membership/PeerTable.cpp
@@ -141,7 +141,7 @@
       Now);
 }
 
-void PeerTable::takeRumour(std::size_t At, const MemberRumour &Rumour,
+void PeerTable::takeRumour(std::size_t At, const MemberUpdate &Rumour,
                            bool Trusting, Time Now) {
   const bool NeverHeard = this->Members[At].Life == Incarnation();
   const bool MayFollow =
--- a/src/plugins/membership/PeerTable.h
+++ b/src/plugins/membership/PeerTable.h
@@ -77,7 +77,7 @@
   /// Takes in what somebody else says of the peer.
   /// \p Trusting: a life that is told of follows one that does not answer.
   /// Else a new life counts only once the host itself has answered with it.
-  void takeRumour(std::size_t At, const MemberRumour &Rumour, bool Trusting,
+  void takeRumour(std::size_t At, const MemberUpdate &Rumour, bool Trusting,
                   Time Now);
   /// Notes a heartbeat sent to the peer; it should be answered.
   void noteProbe(std::size_t At, std::uint64_t Sequence, Time Now);
--- a/src/plugins/membership/RumourQueue.cpp
+++ b/src/plugins/membership/RumourQueue.cpp
@@ -4,16 +4,16 @@
 
 namespace banyanpick {
 
-void RumourQueue::add(const MemberRumour &News) {
+void RumourQueue::add(const MemberUpdate &News) {
   std::erase_if(this->Waiting,
                 [&](const Item &Each) { return Each.News.Host == News.Host; });
   this->Waiting.push_back({News, 0});
 }
 
-std::vector<MemberRumour> RumourQueue::take(std::size_t Most,
+std::vector<MemberUpdate> RumourQueue::take(std::size_t Most,
                                             std::uint32_t Times) {
   std::ranges::stable_sort(this->Waiting, {}, &Item::Told);
-  std::vector<MemberRumour> Result;
+  std::vector<MemberUpdate> Result;
   for (Item &Each : this->Waiting) {
     if (Result.size() == Most)
       break;
--- a/src/plugins/membership/RumourQueue.h
+++ b/src/plugins/membership/RumourQueue.h
@@ -13,17 +13,17 @@
 class RumourQueue {
 public:
   /// Queues the rumour in place of an older one on the same host.
-  void add(const MemberRumour &News);
+  void add(const MemberUpdate &News);
 
   /// At most \p Most rumours for one heartbeat; each is given out \p Times
   /// times in all.
-  std::vector<MemberRumour> take(std::size_t Most, std::uint32_t Times);
+  std::vector<MemberUpdate> take(std::size_t Most, std::uint32_t Times);
 
   std::size_t size() const { return this->Waiting.size(); }
 
 private:
   struct Item {
-    MemberRumour News;
+    MemberUpdate News;
     std::uint32_t Told = 0;
   };
 
--- a/src/plugins/orders/StewardLeases.cpp
+++ b/src/plugins/orders/StewardLeases.cpp
@@ -30,7 +30,7 @@
   if (!Lease)
     return;
   EngineLease &Of = this->Engines[Lease->Engine];
-  const bool IsOwn = Lease->StewardLife == this->Self;
+  const bool IsOwn = Lease->LeaderLife == this->Self;
   if (!IsOwn)
     Of.OthersUntil = std::max(Of.OthersUntil, Now + Lease->Length +
                                                   this->Terms.LongestDelivery);
--- a/src/plugins/routes/ConfigurationFetch.cpp
+++ b/src/plugins/routes/ConfigurationFetch.cpp
@@ -20,7 +20,8 @@
          Now >= this->AskedAt + Duration(PieceComesWithin);
 }
 
-ConfigurationAsked ConfigurationFetch::ask(std::uint64_t NewerThan, Time Now) {
+ConfigurationRequest ConfigurationFetch::ask(std::uint64_t NewerThan,
+                                             Time Now) {
   this->AskedAt = Now;
   if (this->Version <= NewerThan) {
     this->Version = 0;
@@ -30,21 +31,21 @@
 }
 
 ConfigurationFetch::Progress
-ConfigurationFetch::take(const ConfigurationRelayed &Piece, Time Now) {
-  if (Piece.Size > LargestPacked || Piece.Version < this->Version)
+ConfigurationFetch::take(const ConfigurationRelayed &Chunk, Time Now) {
+  if (Chunk.Size > LargestPacked || Chunk.Version < this->Version)
     return {};
-  if (Piece.Version > this->Version && Piece.From == 0) {
-    this->Version = Piece.Version;
+  if (Chunk.Version > this->Version && Chunk.From == 0) {
+    this->Version = Chunk.Version;
     this->Bytes.clear();
   }
   const bool IsNext =
-      Piece.Version == this->Version && Piece.From == this->Bytes.size();
+      Chunk.Version == this->Version && Chunk.From == this->Bytes.size();
   if (!IsNext)
     return {};
-  this->Bytes += Piece.Piece;
+  this->Bytes += Chunk.Chunk;
   this->AskedAt = Now;
-  if (this->Bytes.size() < Piece.Size)
-    return {!Piece.Piece.empty(), std::nullopt};
+  if (this->Bytes.size() < Chunk.Size)
+    return {!Chunk.Chunk.empty(), std::nullopt};
   this->AskedAt = Never;
   this->Version = 0;
   return {false, std::exchange(this->Bytes, {})};
--- a/src/plugins/routes/ConfigurationFetch.h
+++ b/src/plugins/routes/ConfigurationFetch.h
@@ -18,14 +18,14 @@
   /// come in a while.
   bool mayAsk(Time Now) const;
   /// What to ask a peer for next.
-  ConfigurationAsked ask(std::uint64_t NewerThan, Time Now);
+  ConfigurationRequest ask(std::uint64_t NewerThan, Time Now);
 
   /// How far a piece has brought it.
   struct Progress {
     bool WantsMore = false; ///< Ask the same peer for the next one.
     std::optional<std::string> Document; ///< Packed, when it is whole.
   };
-  Progress take(const ConfigurationRelayed &Piece, Time Now);
+  Progress take(const ConfigurationRelayed &Chunk, Time Now);
 
 private:
   std::uint64_t Version = 0; ///< 0: no piece has come yet.
--- a/src/plugins/routes/PieceQueue.cpp
+++ b/src/plugins/routes/PieceQueue.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void PieceQueue::add(const HostId &By, const ConfigurationAsked &What,
+void PieceQueue::add(const HostId &By, const ConfigurationRequest &What,
                      Time Now) {
   const auto Found = std::ranges::find(this->Waiting, By, &Wanted::By);
   if (Found == this->Waiting.end())
--- a/src/plugins/routes/PieceQueue.h
+++ b/src/plugins/routes/PieceQueue.h
@@ -20,11 +20,11 @@
 
   struct Wanted {
     HostId By;
-    ConfigurationAsked What;
+    ConfigurationRequest What;
     Time AskedAt{};
   };
   /// Replaces what the peer asked before.
-  void add(const HostId &By, const ConfigurationAsked &What, Time Now);
+  void add(const HostId &By, const ConfigurationRequest &What, Time Now);
   /// Who gets a piece now, if one may be sent.
   std::optional<Wanted> next(Time Now);
   /// A piece of so many bytes was sent.
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -104,7 +104,7 @@
                                    Actions &Out) {
   match(
       Message.Body,
-      [&](const ConfigurationAsked &Asked) {
+      [&](const ConfigurationRequest &Asked) {
         if (this->version() > Asked.NewerThan)
           this->Wanted.add(Message.From, Asked, Now);
       },
@@ -132,11 +132,11 @@
 }
 
 void RoutesPlugin::takePiece(const HostId &From,
-                             const ConfigurationRelayed &Piece, Time Now,
+                             const ConfigurationRelayed &Chunk, Time Now,
                              Actions &Out) {
-  if (!this->isNewer(Piece.Version))
+  if (!this->isNewer(Chunk.Version))
     return;
-  ConfigurationFetch::Progress Done = this->Fetch.take(Piece, Now);
+  ConfigurationFetch::Progress Done = this->Fetch.take(Chunk, Now);
   if (Done.WantsMore)
     Out.add(SendToPeer{From, this->Fetch.ask(this->version(), Now)});
   if (!Done.Document)
@@ -146,25 +146,25 @@
     Out.count("configurations_malformed", From.Value);
     return;
   }
-  this->DecodingVersion = Piece.Version;
+  this->DecodingVersion = Chunk.Version;
   this->Packed = std::move(*Done.Document);
-  this->PackedVersion = Piece.Version;
+  this->PackedVersion = Chunk.Version;
   Out.add(GatewayAction(DecodeConfiguration{std::move(*Document)}));
 }
 
 void RoutesPlugin::sendPieces(Time Now, Actions &Out) {
   while (const auto Next = this->Wanted.next(Now)) {
     const std::string &Document = this->packed();
-    const ConfigurationAsked &Asked = Next->What;
+    const ConfigurationRequest &Asked = Next->What;
     const bool GoesOn =
         Asked.Version == this->version() && Asked.From < Document.size();
     const std::uint64_t From = GoesOn ? Asked.From : 0;
-    ConfigurationRelayed Piece{this->version(),
+    ConfigurationRelayed Chunk{this->version(),
                                Document.substr(From, PieceBytes), From,
                                Document.size()};
-    this->Wanted.noteSent(Piece.Piece.size(), Now);
+    this->Wanted.noteSent(Chunk.Chunk.size(), Now);
     Out.count("configuration_pieces_sent");
-    Out.add(SendToPeer{Next->By, std::move(Piece)});
+    Out.add(SendToPeer{Next->By, std::move(Chunk)});
   }
 }
 
--- a/src/plugins/routes/RoutesPlugin.h
+++ b/src/plugins/routes/RoutesPlugin.h
@@ -36,7 +36,7 @@
   void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
   void takeHeartbeat(const HostId &From, std::uint64_t InForce, Time Now,
                      Actions &Out);
-  void takePiece(const HostId &From, const ConfigurationRelayed &Piece,
+  void takePiece(const HostId &From, const ConfigurationRelayed &Chunk,
                  Time Now, Actions &Out);
   /// Sends pieces to those that wait, as the rate allows.
   void sendPieces(Time Now, Actions &Out);
--- a/tests/auto/daemon/PeerNetworkTest.cpp
+++ b/tests/auto/daemon/PeerNetworkTest.cpp
@@ -73,7 +73,7 @@
              std::chrono::milliseconds Most) {
   const auto Until = std::chrono::steady_clock::now() + Most;
   while (std::chrono::steady_clock::now() < Until) {
-    From.send(HostId(To), RecordsAsked{7});
+    From.send(HostId(To), RecordsRequest{7});
     if (At.waitForMessage(std::chrono::milliseconds(20)))
       return true;
   }
@@ -91,7 +91,7 @@
   ASSERT_TRUE(reaches(A, "b", InboxOfB, Long));
   const std::lock_guard Lock(InboxOfB.Guard);
   EXPECT_EQ(InboxOfB.Received.front(),
-            (PeerMessage{HostId("a"), Incarnation(1), RecordsAsked{7}}));
+            (PeerMessage{HostId("a"), Incarnation(1), RecordsRequest{7}}));
 }
 
 TEST(PeerNetwork, HostsWithoutEncryptionTalk) {
@@ -111,10 +111,10 @@
   PeerNetwork B(HostId("b"), Incarnation(2), AnyPort, Plain,
                 InboxOfB.listener());
   A.connect({listingOf("b", B)});
-  A.send(HostId("b"), RecordsAsked{7});
+  A.send(HostId("b"), RecordsRequest{7});
   ASSERT_TRUE(InboxOfB.waitForMessage(Long)) << "sent once, and kept for it";
   const std::lock_guard Lock(InboxOfB.Guard);
-  EXPECT_EQ(InboxOfB.Received.front().Body, PeerMessageBody(RecordsAsked{7}));
+  EXPECT_EQ(InboxOfB.Received.front().Body, PeerMessageBody(RecordsRequest{7}));
 }
 
 TEST(PeerNetwork, AnUnknownKeyGetsNothing) {
@@ -141,7 +141,7 @@
                 settingsWith(KeysOfA, "b " + KeysOfB.PublicKey), deaf());
   A.connect({listingOf("b", B)});
   while (!InboxOfB.waitForMalformed(std::chrono::milliseconds(20)))
-    A.send(HostId("b"), RecordsAsked{7});
+    A.send(HostId("b"), RecordsRequest{7});
   EXPECT_FALSE(InboxOfB.waitForMessage(std::chrono::milliseconds(0)));
 }
 
@@ -154,7 +154,7 @@
   Wrong.Peers = {"not an address", 1};
   A.connect({Wrong});
   // A peer is connected to when there is something to tell it.
-  A.send(HostId("b"), RecordsAsked{7});
+  A.send(HostId("b"), RecordsRequest{7});
   EXPECT_TRUE(InboxOfA.waitForMalformed(Long));
 }
 
--- a/tests/auto/gateway/DeferralTest.cpp
+++ b/tests/auto/gateway/DeferralTest.cpp
@@ -70,7 +70,7 @@
   Placed Place;
   Place.GainMs = 500;
   PromptWork Work;
-  Work.ReadMs = 4000;
+  Work.PrefillMs = 4000;
   const DeferralTimes Fresh = times(seconds(3), seconds(0));
   EXPECT_TRUE(paysNow(Place, Work, Fresh, 0));
   EXPECT_FALSE(paysNow(Place, Work, Fresh, 1));
@@ -82,7 +82,7 @@
   Place.GainMs = -1;
   Place.FirstTokenMs = 3000;
   PromptWork Work;
-  Work.ReadMs = 9000;
+  Work.PrefillMs = 9000;
   DeferralTimes Times = times(seconds(3), seconds(1));
   EXPECT_FALSE(paysNow(Place, Work, Times, 1));
   Times.Left = seconds(7);
--- a/tests/auto/gateway/EngineLoadTest.cpp
+++ b/tests/auto/gateway/EngineLoadTest.cpp
@@ -28,8 +28,8 @@
   EngineLoad Load;
   const Time Start(seconds(5));
   EngineWork::Item Work;
-  Work.ReadMs = 300;
-  Work.Reading = 1;
+  Work.PrefillMs = 300;
+  Work.Prefilling = 1;
   for (const char *Peer : {"h2", "h3", "h4", "h5"})
     Load.takePeer(HostId(Peer), Work, Start);
   EXPECT_NEAR(Load.backlogMs(Start), 1200, 0.1);
@@ -44,8 +44,8 @@
   EngineLoad Load;
   const Time Start(seconds(5));
   EngineWork::Item Work;
-  Work.ReadMs = 500;
-  Work.Reading = 1;
+  Work.PrefillMs = 500;
+  Work.Prefilling = 1;
   Load.takePeer(HostId("h2"), Work, Start);
   EXPECT_NEAR(Load.backlogMs(Start + milliseconds(100)), 400, 0.1);
   EXPECT_EQ(Load.reading(Start + milliseconds(100)), 1U);
--- a/tests/auto/gateway/EnginePacesTest.cpp
+++ b/tests/auto/gateway/EnginePacesTest.cpp
@@ -15,10 +15,10 @@
   return EnginePaces({seconds(2), milliseconds(250), seconds(5)});
 }
 
-EngineReport report(const UpstreamId &Engine, double Pace) {
+EngineReport report(const UpstreamId &Engine, double Slowdown) {
   EngineReport Result;
   Result.Engine = Engine;
-  Result.Pace = Pace;
+  Result.Slowdown = Slowdown;
   return Result;
 }
 
--- a/tests/auto/gateway/GatewayBeliefsTest.cpp
+++ b/tests/auto/gateway/GatewayBeliefsTest.cpp
@@ -18,7 +18,7 @@
   Listing.Zone = ZoneId("z");
   Listing.Callers = {"127.0.0.1", Port};
   Listing.Peers = {"127.0.0.1", static_cast<std::uint16_t>(Port + 1)};
-  Result.Known.push_back(Listing);
+  Result.KnownHosts.push_back(Listing);
   return Result;
 }
 
@@ -43,8 +43,8 @@
   Heartbeat Beat = beatOf("h2", 10);
   Beat.InForce = 6;
   Bench.receive("h2", Beat);
-  ASSERT_EQ(Bench.sent<ConfigurationAsked>().size(), 1U);
-  EXPECT_EQ(Bench.sent<ConfigurationAsked>().front().NewerThan, 5U);
+  ASSERT_EQ(Bench.sent<ConfigurationRequest>().size(), 1U);
+  EXPECT_EQ(Bench.sent<ConfigurationRequest>().front().NewerThan, 5U);
   Bench.receive("h2", ConfigurationRelayed{6, packDocument("version 6"), 0,
                                            packDocument("version 6").size()});
   EXPECT_EQ(Bench.last<DecodeConfiguration>().Document, "version 6");
@@ -54,12 +54,12 @@
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
-  Bench.receive("h2", ConfigurationAsked{4});
+  Bench.receive("h2", ConfigurationRequest{4});
   ASSERT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
   EXPECT_EQ(
-      unpackDocument(Bench.sent<ConfigurationRelayed>().front().Piece, 100),
+      unpackDocument(Bench.sent<ConfigurationRelayed>().front().Chunk, 100),
       "version 5");
-  Bench.receive("h2", ConfigurationAsked{5});
+  Bench.receive("h2", ConfigurationRequest{5});
   EXPECT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
 }
 
@@ -84,7 +84,7 @@
   Beat.StoreAge = Duration(0);
   Bench.receive("h2", Beat);
   Bench.pass(milliseconds(500));
-  ASSERT_FALSE(Bench.sent<EnginesAsked>().empty());
+  ASSERT_FALSE(Bench.sent<EnginesRequest>().empty());
   EnginesRelayed Relayed;
   EngineChange Change;
   Change.Engine.Id = UpstreamId("e1");
@@ -113,13 +113,13 @@
     Listing.Changes.push_back(Known);
   }
   Bench.send(GatewayEvent(Listing));
-  Bench.receive("h2", EnginesAsked{1});
+  Bench.receive("h2", EnginesRequest{1});
   ASSERT_EQ(Bench.sent<EnginesRelayed>().size(), 1U);
   EXPECT_TRUE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 2U);
   // Two are only renewed; the third is new, and all that there is to tell.
   Bench.enlist("desk", 3, 6);
-  Bench.receive("h2", EnginesAsked{5});
+  Bench.receive("h2", EnginesRequest{5});
   EXPECT_FALSE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 1U);
 }
--- a/tests/auto/gateway/PromptLaneTest.cpp
+++ b/tests/auto/gateway/PromptLaneTest.cpp
@@ -13,8 +13,8 @@
 PromptLane lane() { return PromptLane(milliseconds(300), 0.25); }
 
 PromptLane::Waiting prompt(std::uint64_t Request, std::uint64_t Tokens,
-                           double ReadMs, double LeftMs = 3000) {
-  return {Request, Tokens, ReadMs, ReadMs / 10, LeftMs};
+                           double PrefillMs, double LeftMs = 3000) {
+  return {Request, Tokens, PrefillMs, PrefillMs / 10, LeftMs};
 }
 
 TEST(PromptLane, WhatBringsMostForItsTimeGoesFirst) {
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -166,7 +166,7 @@
        GoToAnEngineThatAnotherHostWasAskedToLeaveAloneWhenNoOtherIsThere) {
   EngineSignals Told;
   for (const char *Engine : {"e1", "e2"})
-    Told.Rests.push_back({UpstreamId(Engine), 5000});
+    Told.Backoffs.push_back({UpstreamId(Engine), 5000});
   this->Bench.receive("h2", Told);
   this->Bench.arrive("/safe/1");
   EXPECT_EQ(this->sent().Engine, UpstreamId("e3")) << "better elsewhere";
@@ -416,7 +416,7 @@
   this->Bench.arrive("/stream/1", 150'000);
   this->Bench.arrive("/review/2", 300'000, seconds(30));
   EngineWork Theirs;
-  Theirs.InLane = {{7, 60'000, 680, 120, 250}};
+  Theirs.QueuedPrompts = {{7, 60'000, 680, 120, 250}};
   this->Bench.receive("h2", Theirs);
   this->beginLast();
   this->Bench.pass(milliseconds(100));
--- a/tests/auto/gateway/SharedPlacementTest.cpp
+++ b/tests/auto/gateway/SharedPlacementTest.cpp
@@ -46,7 +46,7 @@
     Each.Answers = {{250, 500}};
   }
   PromptWork Dossier = Review;
-  Dossier.ReadMs = 600;
+  Dossier.PrefillMs = 600;
   const Placed Where = placeShared(States, Dossier, Reviews, weights());
   EXPECT_EQ(Where.Helpers.size(), 7U);
   EXPECT_NEAR(Where.FirstTokenMs, 135, 1);
@@ -57,7 +57,7 @@
   for (EngineState &Each : States)
     Each.Answers = {{250, 300}};
   PromptWork Long = Review;
-  Long.ReadMs = 9000;
+  Long.PrefillMs = 9000;
   Long.ValueMs = 9100;
   // With one engine it would be late; some are held up for the rest.
   EXPECT_GE(placeShared(States, Long, Reviews, weights()).Helpers.size(), 2U);
--- a/tests/auto/gateway/StoreReadersTest.cpp
+++ b/tests/auto/gateway/StoreReadersTest.cpp
@@ -19,7 +19,7 @@
   Self.Zone = ZoneId(fmt::format("z{}", Number % 3));
   Self.Callers = {"127.0.0.1", static_cast<std::uint16_t>(1000 + Number)};
   Self.Peers = {"127.0.0.1", static_cast<std::uint16_t>(2000 + Number)};
-  Beat.Known = {Self};
+  Beat.KnownHosts = {Self};
   return Beat;
 }
 
@@ -65,7 +65,7 @@
     for (int Round = 0; Round < Rounds; ++Round) {
       for (std::size_t Each = 0; Each < Peers; ++Each) {
         Heartbeat Beat = beatOf(Each, StoreAge);
-        Beat.Known.front().Zone = ZoneId("z");
+        Beat.KnownHosts.front().Zone = ZoneId("z");
         this->Bench.receive(fmt::format("p{}", Each).c_str(), Beat);
       }
       this->Bench.pass(milliseconds(200));
@@ -106,8 +106,8 @@
   Heartbeat Beat = beatOf(1, Duration(0));
   Beat.EnginesKnownTo = 50;
   this->Bench.receive("p1", Beat);
-  ASSERT_EQ(this->Bench.sent<EnginesAsked>().size(), 1U);
-  EXPECT_EQ(this->Bench.sent<EnginesAsked>().front().From, 1U);
+  ASSERT_EQ(this->Bench.sent<EnginesRequest>().size(), 1U);
+  EXPECT_EQ(this->Bench.sent<EnginesRequest>().front().From, 1U);
 }
 
 } // namespace
--- a/tests/auto/manyhosts/HostCrowd.cpp
+++ b/tests/auto/manyhosts/HostCrowd.cpp
@@ -53,9 +53,9 @@
       [](const EngineWork &) { return "work"; },
       [](const EngineLimits &) { return "limits"; },
       [](const EngineSignals &) { return "signals"; },
-      [](const EnginesAsked &) { return "engines asked"; },
+      [](const EnginesRequest &) { return "engines asked"; },
       [](const EnginesRelayed &) { return "engines"; },
-      [](const ConfigurationAsked &) { return "configuration asked"; },
+      [](const ConfigurationRequest &) { return "configuration asked"; },
       [](const ConfigurationRelayed &) { return "configuration"; },
       [](const auto &) { return "other"; });
 }
--- a/tests/auto/membership/HostGroup.h
+++ b/tests/auto/membership/HostGroup.h
@@ -113,7 +113,7 @@
       return;
     const std::size_t To = std::stoul(Sent->To.Value.substr(5)) - 1000;
     ++this->MessagesSent[From];
-    this->RumoursSent[From] += std::get<Heartbeat>(Sent->Body).Rumours.size();
+    this->RumoursSent[From] += std::get<Heartbeat>(Sent->Body).Updates.size();
     if (!this->Cuts.contains(std::minmax(From, To)))
       this->Wire.push_back(
           {this->Now + Delay,
--- a/tests/auto/membership/LifeBeliefTest.cpp
+++ b/tests/auto/membership/LifeBeliefTest.cpp
@@ -13,7 +13,7 @@
 LifeBelief anyBelief() {
   const auto State = *rc::gen::element(MemberState::Alive, MemberState::Suspect,
                                        MemberState::Dead, MemberState::Leaving);
-  MemberRumour Rumour;
+  MemberUpdate Rumour;
   Rumour.Version = *rc::gen::inRange<std::uint64_t>(0, 4);
   Rumour.State = State;
   return beliefOf(Rumour);
--- a/tests/auto/platformadapter/ConfigurationJsonTest.cpp
+++ b/tests/auto/platformadapter/ConfigurationJsonTest.cpp
@@ -134,7 +134,7 @@
       "Tickets":[{"Id":"t81","Tokens":60000,"State":"used","AgeMs":120}]})");
   EXPECT_EQ(Read.Running, 12U);
   EXPECT_EQ(Read.MemoryTotal, 90'000U);
-  EXPECT_EQ(Read.Pace, 1.5);
+  EXPECT_EQ(Read.Slowdown, 1.5);
   ASSERT_EQ(Read.Reservations.size(), 1U);
   EXPECT_TRUE(Read.Reservations[0].Used);
   EXPECT_EQ(Read.Reservations[0].Age, milliseconds(120));
--- a/tests/auto/wire/WireTest.cpp
+++ b/tests/auto/wire/WireTest.cpp
@@ -120,10 +120,10 @@
                    number(),
                    moment(),
                    several([] {
-                     return MemberRumour{id<HostId>(), life(), number(),
+                     return MemberUpdate{id<HostId>(), life(), number(),
                                          oneOf(MemberState::Leaving), flag()};
                    })};
-  Result.Known = several([] {
+  Result.KnownHosts = several([] {
     HostListing Each;
     Each.Id = id<HostId>();
     Each.Zone = id<ZoneId>();
@@ -140,18 +140,18 @@
 
 EngineLimits engineLimits() {
   EngineLimits Result;
-  Result.Words = several([] {
+  Result.LimitReports = several([] {
     const std::optional<double> PerSecond =
         flag() ? std::optional(millisecondsUpToADay()) : std::nullopt;
-    return EngineLimits::Word{id<UpstreamId>(), PerSecond,
-                              millisecondsUpToADay()};
+    return EngineLimits::LimitReport{id<UpstreamId>(), PerSecond,
+                                     millisecondsUpToADay()};
   });
-  Result.Asks = several([] {
-    return EngineLimits::Ask{id<UpstreamId>(), number(), small()};
+  Result.LeaseRequests = several([] {
+    return EngineLimits::LeaseRequest{id<UpstreamId>(), number(), small()};
   });
-  Result.Loans = several([] {
-    return EngineLimits::Loan{id<UpstreamId>(), number(), small(),
-                              millisecondsUpToADay()};
+  Result.Leases = several([] {
+    return EngineLimits::Lease{id<UpstreamId>(), number(), small(),
+                               millisecondsUpToADay()};
   });
   Result.Returns = several([] {
     return EngineLimits::Return{id<UpstreamId>(), number(), small()};
@@ -161,8 +161,8 @@
 
 EngineSignals engineSignals() {
   EngineSignals Result;
-  Result.Rests = several([] {
-    return EngineSignals::Rest{id<UpstreamId>(), millisecondsUpToADay()};
+  Result.Backoffs = several([] {
+    return EngineSignals::Backoff{id<UpstreamId>(), millisecondsUpToADay()};
   });
   Result.Leaving = several([] { return id<UpstreamId>(); });
   return Result;
@@ -189,7 +189,7 @@
                           }),
                           number(), number()};
   case 5:
-    return RecordsAsked{number()};
+    return RecordsRequest{number()};
   case 6:
     return CatalogueRelayed{number(), text()};
   case 7:
