--- a/src/libs/gateway/Configuration.h
+++ b/src/libs/gateway/Configuration.h
@@ -45,7 +45,7 @@
   std::uint32_t Rank = 0;     ///< 0 is the most urgent.
   Duration TimeLimit{};       ///< Callers are kept waiting no longer.
   Duration Objective{};       ///< To the whole answer or the first event.
-  Duration LongestPause{};    ///< Between events; zero: not declared.
+  Duration MaxEventGap{};     ///< Between events; zero: not declared.
   std::vector<WeightedService> Split;
 
   bool operator==(const RouteEntry &) const = default;
--- a/src/libs/gateway/RelayedRequest.h
+++ b/src/libs/gateway/RelayedRequest.h
@@ -129,7 +129,7 @@
 /// The upstream's whole answer went to the caller.
 struct RelayDelivered {
   std::uint32_t Status = 200;
-  Duration LongestPause{}; ///< Between two reads of a stream's events.
+  Duration MaxEventGap{}; ///< Between two reads of a stream's events.
 
   bool operator==(const RelayDelivered &) const = default;
 };
--- a/src/libs/kernel/GatewayServices.h
+++ b/src/libs/kernel/GatewayServices.h
@@ -32,14 +32,14 @@
 std::string_view name(EngineStanding Standing);
 
 /// One upstream that is registered, or was until lately.
-struct KnownEngine {
+struct RegisteredEngine {
   EngineRecord Record;
   EngineStanding Standing = EngineStanding::Usable;
-  LogOffset Offset = 0;     ///< Of the last record taken in,
-  LogOffset ChangedAt = 0;  ///< and of the last that said anything new.
-  Time Since{};             ///< When the standing last changed.
-  std::uint64_t Spread = 0; ///< Hash of its name, all of its lives alike;
-                            ///< divides engines among hosts.
+  LogOffset Offset = 0;       ///< Of the last record taken in,
+  LogOffset ChangedAt = 0;    ///< and of the last that said anything new.
+  Time Since{};               ///< When the standing last changed.
+  std::uint64_t NameHash = 0; ///< Hash of its name, all of its lives alike;
+                              ///< divides engines among hosts.
 };
 
 /// Who the upstreams are.
@@ -47,9 +47,9 @@
 public:
   virtual ~EngineDirectory() = default;
   /// The upstream, or null when it is gone.
-  virtual const KnownEngine *find(const UpstreamId &Id) const = 0;
+  virtual const RegisteredEngine *find(const UpstreamId &Id) const = 0;
   /// All of the service that are not gone, ordered by id.
-  virtual std::span<const KnownEngine *const>
+  virtual std::span<const RegisteredEngine *const>
   ofService(const ServiceId &Service) const = 0;
   /// The upstream refused a request that named it: another has its address.
   virtual void addressTaken(const UpstreamId &Id, Time Now, Actions &Out) = 0;
@@ -63,15 +63,15 @@
 class EngineObserver {
 public:
   virtual ~EngineObserver() = default;
-  virtual void engineChanged(const KnownEngine &, Time, Actions &) {}
-  virtual void engineGone(const UpstreamId &, Time, Actions &) {}
+  virtual void engineChanged(const RegisteredEngine &, Time, Actions &) {}
+  virtual void engineRemoved(const UpstreamId &, Time, Actions &) {}
   /// The engine started anew: whatever this earlier life of it was working on
-  /// or kept in memory is lost. engineGone() follows.
-  virtual void engineReborn(const UpstreamId &, Time, Actions &) {}
+  /// or kept in memory is lost. engineRemoved() follows.
+  virtual void engineRestarted(const UpstreamId &, Time, Actions &) {}
 };
 
 /// One try of a relayed request on one upstream.
-struct RelayTry {
+struct RelayAttempt {
   AttemptId Id;
   RequestId Request;
   UpstreamId Engine;
@@ -81,21 +81,21 @@
   std::uint64_t OutputTokens = 0; ///< At most.
   Fingerprint Content;
   Time SentAt{};
-  Duration Predicted{};    ///< From sending to the first event; zero: unknown.
-  Duration LongestPause{}; ///< Between its events; zero: not declared.
-  bool Began = false;      ///< The first event went to the caller.
+  Duration Predicted{};   ///< From sending to the first event; zero: unknown.
+  Duration MaxEventGap{}; ///< Between its events; zero: not declared.
+  bool Began = false;     ///< The first event went to the caller.
 };
 
 /// Told of each step of each try.
 class RelayObserver {
 public:
   virtual ~RelayObserver() = default;
-  virtual void trySent(const RelayTry &, Time, Actions &) {}
-  virtual void tryBegan(const RelayTry &, Time, Actions &) {}
-  virtual void tryEnded(const RelayTry &, const RelayOutcome &, Time,
-                        Actions &) {}
+  virtual void attemptSent(const RelayAttempt &, Time, Actions &) {}
+  virtual void attemptBegan(const RelayAttempt &, Time, Actions &) {}
+  virtual void attemptEnded(const RelayAttempt &, const RelayOutcome &, Time,
+                            Actions &) {}
   /// Given up here; its connection is closed.
-  virtual void tryCancelled(const RelayTry &, Time, Actions &) {}
+  virtual void attemptCancelled(const RelayAttempt &, Time, Actions &) {}
 };
 
 /// Which upstreams fail what they are given.
@@ -109,28 +109,28 @@
 };
 
 /// How much more engines take that name how many requests they take.
-class EngineRoom {
+class EngineQuota {
 public:
-  virtual ~EngineRoom() = default;
+  virtual ~EngineQuota() = default;
   virtual bool isLimited(const UpstreamId &Engine) const = 0;
   /// Whether one more request may be sent there now; always, where the engine
   /// names no limit.
-  virtual bool hasRoom(const UpstreamId &Engine, Time Now) const = 0;
+  virtual bool hasQuota(const UpstreamId &Engine, Time Now) const = 0;
   /// A request would have gone there if there were room.
-  virtual void want(const UpstreamId &Engine, Time Now) = 0;
+  virtual void requestQuota(const UpstreamId &Engine, Time Now) = 0;
   /// Until there may be room; unknown while nobody has told.
-  virtual std::optional<Duration> roomAfter(const UpstreamId &Engine,
-                                            Time Now) const = 0;
+  virtual std::optional<Duration> quotaAvailableAfter(const UpstreamId &Engine,
+                                                      Time Now) const = 0;
 };
 
 /// That an upstream takes no request of this host now.
-struct EngineClosed {
+struct EngineBlocked {
   enum class Why {
-    Leaving, ///< Or gone.
-    Resting, ///< It asked this host for rest.
-    AtLimit, ///< The hosts together have sent what it takes.
+    Leaving,    ///< Or gone.
+    BackingOff, ///< It asked this host for rest.
+    AtLimit,    ///< The hosts together have sent what it takes.
   } Is = Why::Leaving;
-  std::optional<Duration> OpensAfter; ///< Unknown, or never, when absent.
+  std::optional<Duration> AvailableAfter; ///< Unknown, or never, when absent.
 };
 
 /// May this host send the upstream a request now?
@@ -138,8 +138,8 @@
 public:
   virtual ~EngineGate() = default;
   /// Why not, and until when; nothing when it may.
-  virtual std::optional<EngineClosed> closed(const UpstreamId &Engine,
-                                             Time Now) const = 0;
+  virtual std::optional<EngineBlocked> blocked(const UpstreamId &Engine,
+                                               Time Now) const = 0;
   /// Whether it had better go elsewhere: the upstream asked another host for
   /// rest.
   virtual bool isDiscouraged(const UpstreamId &Engine, Time Now) const = 0;
@@ -153,42 +153,42 @@
 };
 
 /// What is wanted of an upstream for one try.
-struct EngineWanted {
+struct EngineRequirements {
   RequestId Request;
   ServiceId Service;
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
   Duration Objective{};
-  Duration LongestPause{};  ///< Between events; zero: undeclared.
-  Duration Waited{};        ///< Since it arrived.
-  Duration Left{};          ///< Until its time is over.
-  bool MayComeBack = false; ///< Its caller has not tried before, and may be
-                            ///< told to come back.
+  Duration MaxEventGap{};     ///< Between events; zero: undeclared.
+  Duration Waited{};          ///< Since it arrived.
+  Duration Left{};            ///< Until its time is over.
+  bool MayRetryLater = false; ///< Its caller has not tried before, and may be
+                              ///< told to come back.
   std::span<const UpstreamId> Excluded; ///< Not on these.
 };
 
 /// The upstream for one try.
-struct EngineChosen {
+struct SelectedEngine {
   UpstreamId Engine;
   /// Those with Tokens must set so much memory aside before the try is sent;
   /// the upstream itself is then the first of them.
   std::vector<JointEngine> Helpers;
   std::optional<std::uint32_t> Urgency;
-  Duration Predicted{};    ///< To the first event; zero: unknown.
-  std::size_t AtLimit = 0; ///< Engines passed over, as they take no more,
-  std::size_t Resting = 0; ///< and as they asked for rest.
+  Duration Predicted{};       ///< To the first event; zero: unknown.
+  std::size_t AtLimit = 0;    ///< Engines passed over, as they take no more,
+  std::size_t BackingOff = 0; ///< and as they asked for rest.
 };
 
 /// Prompts that go before it are to be read first.
 struct AwaitTurn {
-  Duration LookAgain{}; ///< When it may be its turn, from now.
+  Duration CheckAfter{}; ///< When it may be its turn, from now.
 };
 
 /// No upstream can begin it in time now; one can when it comes back.
-struct ComeBack {
+struct RetryLater {
   enum class Why {
     TooLate, ///< What is ahead of it takes too long.
-    Closed,  ///< All engines are at their limits or at rest.
+    Blocked, ///< All engines are at their limits or at rest.
   } Is = Why::TooLate;
   Duration After{};
 };
@@ -196,22 +196,23 @@
 /// No upstream can take it now.
 struct NoEngine {};
 
-using EngineChoice = std::variant<EngineChosen, AwaitTurn, ComeBack, NoEngine>;
+using EngineChoice =
+    std::variant<SelectedEngine, AwaitTurn, RetryLater, NoEngine>;
 
 /// Chooses upstreams.
 class EngineSelector {
 public:
   virtual ~EngineSelector() = default;
   /// A request that awaits its turn asks again, or loses its place.
-  virtual EngineChoice choose(const EngineWanted &Wanted, Time Now) = 0;
+  virtual EngineChoice choose(const EngineRequirements &Wanted, Time Now) = 0;
   /// The request awaits its turn no longer: it is over.
   virtual void forget(const RequestId &Request, Time Now) = 0;
 };
 
 /// Sets memory aside on engines for a prompt that one engine can't hold.
-class MemoryKeeper {
+class MemoryReserver {
 public:
-  virtual ~MemoryKeeper() = default;
+  virtual ~MemoryReserver() = default;
   /// Asks for the memory of all \p Shares that name Tokens. Answered by
   /// MemoryObserver::memoryDecided(), not before it returns.
   virtual void acquire(const RequestId &Id, std::span<const JointEngine> Shares,
--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -58,9 +58,9 @@
   /// are not divided.
   std::vector<bool> Parts;
 
-  /// \p Spread: a hash of the engine's name, see KnownEngine.
-  bool takes(std::uint64_t Spread) const {
-    return this->Parts.empty() || this->Parts[Spread % this->Parts.size()];
+  /// \p Spread: a hash of the engine's name, see RegisteredEngine.
+  bool takes(std::uint64_t NameHash) const {
+    return this->Parts.empty() || this->Parts[NameHash % this->Parts.size()];
   }
 };
 
--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -256,14 +256,14 @@
   if (!this->Caller->hasBegun() && !co_await this->Caller->begin(Head))
     co_return this->broken(RelayBroken::Why::Reset);
   co_await this->Caller->end();
-  co_return RelayDelivered{From.get().result_int(), this->LongestPause};
+  co_return RelayDelivered{From.get().result_int(), this->MaxEventGap};
 }
 
 void EngineRun::notePause() {
   const auto Now = std::chrono::steady_clock::now();
   if (this->Began)
-    this->LongestPause = std::max(
-        this->LongestPause,
+    this->MaxEventGap = std::max(
+        this->MaxEventGap,
         std::chrono::duration_cast<Duration>(Now - this->LastEventsAt));
   this->LastEventsAt = Now;
 }
--- a/src/libs/relay/EngineRun.h
+++ b/src/libs/relay/EngineRun.h
@@ -81,7 +81,7 @@
   ErrorCode ReadFailure;
   std::vector<std::string> Unknown;
   std::chrono::steady_clock::time_point LastEventsAt{};
-  Duration LongestPause{};
+  Duration MaxEventGap{};
   bool Sent = false; ///< The whole request was written.
   bool AnyByteSent = false;
   bool Cancelled = false;
--- a/src/plugins/activehosts/ActiveHostsPlugin.cpp
+++ b/src/plugins/activehosts/ActiveHostsPlugin.cpp
@@ -119,7 +119,7 @@
   for (const auto &[Id, Entry] : Routes->configuration().Services) {
     const auto Engines = this->Directory->ofService(Id);
     Result.Counts[Id] = Engines.size();
-    for (const KnownEngine *Each : Engines)
+    for (const RegisteredEngine *Each : Engines)
       Result.Places += Each->Record.Slots;
   }
   return Result;
--- a/src/plugins/activehosts/ActiveHostsPlugin.h
+++ b/src/plugins/activehosts/ActiveHostsPlugin.h
@@ -33,10 +33,10 @@
   void memberChanged(const Member &, Time, Actions &) override {
     this->Stale = true;
   }
-  void engineChanged(const KnownEngine &, Time, Actions &) override {
+  void engineChanged(const RegisteredEngine &, Time, Actions &) override {
     this->Stale = true;
   }
-  void engineGone(const UpstreamId &, Time, Actions &) override {
+  void engineRemoved(const UpstreamId &, Time, Actions &) override {
     this->Stale = true;
   }
 
--- a/src/plugins/claims/ClaimsPlugin.h
+++ b/src/plugins/claims/ClaimsPlugin.h
@@ -93,7 +93,7 @@
   Duration Window{};
   Duration Skew{};
   Duration GiveUpAfter{};
-  Duration ComeBack{};
+  Duration RetryLater{};
   std::size_t MostResult = 0;
   bool CaughtUp = false;
   Time StartedAt{};
--- a/src/plugins/crashes/CrashesPlugin.cpp
+++ b/src/plugins/crashes/CrashesPlugin.cpp
@@ -50,8 +50,9 @@
   return this->Book.isQuarantined(Content);
 }
 
-void CrashesPlugin::tryEnded(const RelayTry &Each, const RelayOutcome &Outcome,
-                             Time Now, Actions &Out) {
+void CrashesPlugin::attemptEnded(const RelayAttempt &Each,
+                                 const RelayOutcome &Outcome, Time Now,
+                                 Actions &Out) {
   match(
       Outcome,
       [&](const RelayBroken &Is) {
@@ -64,7 +65,8 @@
       [](const auto &) {});
 }
 
-void CrashesPlugin::engineGone(const UpstreamId &Id, Time Now, Actions &Out) {
+void CrashesPlugin::engineRemoved(const UpstreamId &Id, Time Now,
+                                  Actions &Out) {
   this->confirm(Id, Now, Out);
   this->Book.age(Now);
 }
--- a/src/plugins/crashes/CrashesPlugin.h
+++ b/src/plugins/crashes/CrashesPlugin.h
@@ -20,9 +20,9 @@
   Time nextWake() const override { return Never; }
 
   bool isQuarantined(Fingerprint Content, Time Now) const override;
-  void tryEnded(const RelayTry &Each, const RelayOutcome &Outcome, Time Now,
-                Actions &Out) override;
-  void engineGone(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+                    Time Now, Actions &Out) override;
+  void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -34,7 +34,7 @@
   this->Active = &Context.services().get<ActiveHostsView>();
   this->Self = Context.self().Host;
   this->Settle = Values.span("engine_limits", "settle");
-  Context.services().provide<EngineRoom>(*this);
+  Context.services().provide<EngineQuota>(*this);
   Context.services().list<RelayObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
 }
@@ -199,13 +199,13 @@
   return Found != this->Engines.end() && Found->second.Belief.isLimited();
 }
 
-bool EngineLimitsPlugin::hasRoom(const UpstreamId &Engine, Time Now) const {
+bool EngineLimitsPlugin::hasQuota(const UpstreamId &Engine, Time Now) const {
   const auto Found = this->Engines.find(Engine);
   return Found == this->Engines.end() || !Found->second.Belief.isLimited() ||
          Found->second.Held.count(Now) > 0;
 }
 
-void EngineLimitsPlugin::want(const UpstreamId &Engine, Time Now) {
+void EngineLimitsPlugin::requestQuota(const UpstreamId &Engine, Time Now) {
   const auto Found = this->Engines.find(Engine);
   if (Found == this->Engines.end())
     return;
@@ -214,15 +214,17 @@
     Found->second.NextAsk = Now;
 }
 
-std::optional<Duration> EngineLimitsPlugin::roomAfter(const UpstreamId &Engine,
-                                                      Time Now) const {
+std::optional<Duration>
+EngineLimitsPlugin::quotaAvailableAfter(const UpstreamId &Engine,
+                                        Time Now) const {
   const auto Found = this->Engines.find(Engine);
   if (Found == this->Engines.end() || Found->second.RoomAt == Never)
     return std::nullopt;
   return std::max(Duration(0), Found->second.RoomAt - Now);
 }
 
-void EngineLimitsPlugin::trySent(const RelayTry &Each, Time Now, Actions &Out) {
+void EngineLimitsPlugin::attemptSent(const RelayAttempt &Each, Time Now,
+                                     Actions &Out) {
   if (this->Engines.empty())
     return;
   this->countUse(Each.Engine, Now, Out);
@@ -241,11 +243,11 @@
                                         : "engine_room_exceeded",
             Engine.Value);
   // Whoever has used room is likely to want more.
-  this->want(Engine, Now);
+  this->requestQuota(Engine, Now);
 }
 
-void EngineLimitsPlugin::engineGone(const UpstreamId &Id, Time Now,
-                                    Actions &Out) {
+void EngineLimitsPlugin::engineRemoved(const UpstreamId &Id, Time Now,
+                                       Actions &Out) {
   const auto Found = this->Engines.find(Id);
   if (Found == this->Engines.end())
     return;
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -18,7 +18,7 @@
 /// there only against room, which one of the active hosts, the same for all,
 /// lends to those that want it.
 class EngineLimitsPlugin : public Plugin,
-                           public EngineRoom,
+                           public EngineQuota,
                            public RelayObserver,
                            public EngineObserver {
 public:
@@ -28,13 +28,13 @@
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   bool isLimited(const UpstreamId &Engine) const override;
-  bool hasRoom(const UpstreamId &Engine, Time Now) const override;
-  void want(const UpstreamId &Engine, Time Now) override;
-  std::optional<Duration> roomAfter(const UpstreamId &Engine,
-                                    Time Now) const override;
+  bool hasQuota(const UpstreamId &Engine, Time Now) const override;
+  void requestQuota(const UpstreamId &Engine, Time Now) override;
+  std::optional<Duration> quotaAvailableAfter(const UpstreamId &Engine,
+                                              Time Now) const override;
 
-  void trySent(const RelayTry &Each, Time Now, Actions &Out) override;
-  void engineGone(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void attemptSent(const RelayAttempt &Each, Time Now, Actions &Out) override;
+  void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -90,7 +90,7 @@
 
 bool shouldComeBack(const DeferralTimes &Times, double Scarcity) {
   const bool HasWaited = Times.Waited > Times.Objective / ShortestWaitDivisor;
-  return Times.MayComeBack && HasWaited && Scarcity > ScarceForLong;
+  return Times.MayRetryLater && HasWaited && Scarcity > ScarceForLong;
 }
 
 Duration returnAfter(const DeferralTimes &Times, double Draw,
--- a/src/plugins/engineload/Deferral.h
+++ b/src/plugins/engineload/Deferral.h
@@ -14,9 +14,9 @@
 /// What is known of the caller of a prompt that may give way.
 struct DeferralTimes {
   Duration Objective{};
-  Duration Waited{};        ///< Since it arrived here.
-  Duration Left{};          ///< Until its time is over.
-  bool MayComeBack = false; ///< It has not tried before.
+  Duration Waited{};          ///< Since it arrived here.
+  Duration Left{};            ///< Until its time is over.
+  bool MayRetryLater = false; ///< It has not tried before.
 };
 
 /// Share of the time left that a prompt which is late may be read in; its
--- a/src/plugins/engineload/EngineLoadPeers.cpp
+++ b/src/plugins/engineload/EngineLoadPeers.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-bool EngineLoadPlugin::isToldSoon(const RelayTry &Each) const {
+bool EngineLoadPlugin::isToldSoon(const RelayAttempt &Each) const {
   const EngineParameters *Model = this->parametersOf(Each.Service);
   return Model && readMs(*Model, Each.PromptTokens) >= this->TellSoonMs;
 }
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -53,21 +53,21 @@
 
 /// When the first of the engines opens; the greatest duration when that is
 /// known of none.
-Duration opensAfter(std::span<const EngineClosed> Closed) {
+Duration opensAfter(std::span<const EngineBlocked> Closed) {
   Duration Result = Duration::max();
-  for (const EngineClosed &Each : Closed)
-    Result = std::min(Result, Each.OpensAfter.value_or(Duration::max()));
+  for (const EngineBlocked &Each : Closed)
+    Result = std::min(Result, Each.AvailableAfter.value_or(Duration::max()));
   return Result;
 }
 
-std::size_t countOf(std::span<const EngineClosed> Closed,
-                    EngineClosed::Why Wanted) {
+std::size_t countOf(std::span<const EngineBlocked> Closed,
+                    EngineBlocked::Why Wanted) {
   return static_cast<std::size_t>(
-      std::ranges::count(Closed, Wanted, &EngineClosed::Is));
+      std::ranges::count(Closed, Wanted, &EngineBlocked::Is));
 }
 
-DeferralTimes deferralTimes(const EngineWanted &Wanted) {
-  return {Wanted.Objective, Wanted.Waited, Wanted.Left, Wanted.MayComeBack};
+DeferralTimes deferralTimes(const EngineRequirements &Wanted) {
+  return {Wanted.Objective, Wanted.Waited, Wanted.Left, Wanted.MayRetryLater};
 }
 
 } // namespace
@@ -81,7 +81,7 @@
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Declared = &Context.services().get<RouteView>();
   this->Trust = &Context.services().get<EngineTrustView>();
-  this->Room = &Context.services().get<EngineRoom>();
+  this->Room = &Context.services().get<EngineQuota>();
   this->Gate = &Context.services().get<EngineGate>();
   this->Numbers = &Context.random();
   this->OwnZone = Context.self().Zone;
@@ -132,10 +132,10 @@
                                  Actions &Out) const {
   // A question is a request, too, and an engine in need takes few or none.
   const bool Takes =
-      !this->Room->isLimited(Engine) && !this->Gate->closed(Engine, Now);
+      !this->Room->isLimited(Engine) && !this->Gate->blocked(Engine, Now);
   if (!Takes)
     return;
-  if (const KnownEngine *Known = this->Directory->find(Engine))
+  if (const RegisteredEngine *Known = this->Directory->find(Engine))
     Out.add(GatewayAction(AskReport{Engine, Known->Record.At}));
 }
 
@@ -152,7 +152,7 @@
   this->noteChange(true, Now);
 }
 
-void EngineLoadPlugin::noteFirstToken(const RelayTry &Each, Time Now,
+void EngineLoadPlugin::noteFirstToken(const RelayAttempt &Each, Time Now,
                                       Actions &Out) {
   const Duration Took = Now - Each.SentAt;
   const bool Late =
@@ -164,7 +164,8 @@
     this->askReport(Each.Engine, Now, Out);
 }
 
-EngineChoice EngineLoadPlugin::choose(const EngineWanted &Wanted, Time Now) {
+EngineChoice EngineLoadPlugin::choose(const EngineRequirements &Wanted,
+                                      Time Now) {
   const EngineParameters *Model = this->parametersOf(Wanted.Service);
   const EngineShare Share = this->Active->shareOf(Wanted.Service);
   Candidates Found = this->candidates(Wanted, Model, Share, false, Now);
@@ -176,29 +177,30 @@
   if (Found.States.empty() && !Found.Closed.empty())
     return this->chooseClosed(Found.Closed, Wanted);
   EngineChoice Result = this->chooseAmong(Found.States, Wanted, Model, Now);
-  if (auto *Chosen = std::get_if<EngineChosen>(&Result)) {
-    Chosen->AtLimit = countOf(Found.Closed, EngineClosed::Why::AtLimit);
-    Chosen->Resting = countOf(Found.Closed, EngineClosed::Why::Resting);
+  if (auto *Chosen = std::get_if<SelectedEngine>(&Result)) {
+    Chosen->AtLimit = countOf(Found.Closed, EngineBlocked::Why::AtLimit);
+    Chosen->BackingOff = countOf(Found.Closed, EngineBlocked::Why::BackingOff);
   }
   return Result;
 }
 
 EngineChoice
-EngineLoadPlugin::chooseClosed(std::span<const EngineClosed> Closed,
-                               const EngineWanted &Wanted) {
+EngineLoadPlugin::chooseClosed(std::span<const EngineBlocked> Closed,
+                               const EngineRequirements &Wanted) {
   const Duration Soonest = opensAfter(Closed);
   const bool OutlastsIt = Soonest >= Wanted.Left;
   // One that opens in a moment is waited for. Callers who have come back once
   // wait, too, as they can't do so again.
   if (Soonest == Duration::max() || Soonest <= WorthWaiting ||
-      (!Wanted.MayComeBack && !OutlastsIt))
+      (!Wanted.MayRetryLater && !OutlastsIt))
     return NoEngine{};
   const double Draw = this->Numbers->fraction();
   if (OutlastsIt)
-    return ComeBack{ComeBack::Why::Closed,
-                    fromSeconds(inSeconds(Soonest) * (1 + Draw * OpenSpread))};
-  return ComeBack{ComeBack::Why::Closed,
-                  returnAfter(deferralTimes(Wanted), Draw, Soonest)};
+    return RetryLater{
+        RetryLater::Why::Blocked,
+        fromSeconds(inSeconds(Soonest) * (1 + Draw * OpenSpread))};
+  return RetryLater{RetryLater::Why::Blocked,
+                    returnAfter(deferralTimes(Wanted), Draw, Soonest)};
 }
 
 void EngineLoadPlugin::forget(const RequestId &Request, Time Now) {
@@ -206,14 +208,14 @@
     this->Tells.noteUrgent(Now);
 }
 
-PromptWork EngineLoadPlugin::workOf(const EngineWanted &Wanted,
+PromptWork EngineLoadPlugin::workOf(const EngineRequirements &Wanted,
                                     const EngineParameters *Model) {
   PromptWork Result;
   Result.PromptTokens = Wanted.PromptTokens;
   Result.Tokens = Wanted.PromptTokens + Wanted.OutputTokens;
   Result.PrefillMs =
       Model ? readMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
-  Result.PauseMs = boundMs(Wanted.LongestPause);
+  Result.PauseMs = boundMs(Wanted.MaxEventGap);
   Result.ValueMs =
       Model ? valueMs(*Model, Wanted.PromptTokens, Wanted.OutputTokens)
             : UnknownWorkMs;
@@ -221,7 +223,7 @@
 }
 
 EngineChoice EngineLoadPlugin::chooseAmong(std::span<const EngineState> States,
-                                           const EngineWanted &Wanted,
+                                           const EngineRequirements &Wanted,
                                            const EngineParameters *Model,
                                            Time Now) {
   if (States.empty())
@@ -240,18 +242,18 @@
             : States.size();
   const Placed Place = placeShort(States, Front, Slots, Work, this->Weights);
   const DeferralTimes Times = deferralTimes(Wanted);
-  if (Model && Wanted.MayComeBack &&
+  if (Model && Wanted.MayRetryLater &&
       isTooFull(States[Place.At], Place, *Model, Times, this->Weights))
-    return ComeBack{ComeBack::Why::TooLate,
-                    returnAfter(Times, this->Numbers->fraction())};
-  EngineChosen Result = chosen(States, Place, Model, true);
-  if (Model && !Wanted.MayComeBack)
+    return RetryLater{RetryLater::Why::TooLate,
+                      returnAfter(Times, this->Numbers->fraction())};
+  SelectedEngine Result = chosen(States, Place, Model, true);
+  if (Model && !Wanted.MayRetryLater)
     Result.Urgency = ReturnedUrgency;
   return Result;
 }
 
 EngineChoice EngineLoadPlugin::chooseShared(std::span<const EngineState> States,
-                                            const EngineWanted &Wanted,
+                                            const EngineRequirements &Wanted,
                                             const PromptWork &Work,
                                             const EngineParameters &Model,
                                             Time Now) {
@@ -263,8 +265,8 @@
   const double Scarcity = scarcityOf(States);
   if (Place && isHopeless(*Place, deferralTimes(Wanted), Scarcity)) {
     this->forget(Wanted.Request, Now);
-    return ComeBack{ComeBack::Why::TooLate,
-                    returnAfter(deferralTimes(Wanted), 0)};
+    return RetryLater{RetryLater::Why::TooLate,
+                      returnAfter(deferralTimes(Wanted), 0)};
   }
   if (!Place || !paysNow(*Place, Work, deferralTimes(Wanted), Scarcity))
     return this->deferLong(Wanted, Scarcity, Now);
@@ -286,14 +288,14 @@
       fromMilliseconds(std::clamp(UntilMs, ShortestLookMs, LongestLookMs))};
 }
 
-EngineChoice EngineLoadPlugin::deferLong(const EngineWanted &Wanted,
+EngineChoice EngineLoadPlugin::deferLong(const EngineRequirements &Wanted,
                                          double Scarcity, Time Now) {
   // It takes no turn from others that can be sent.
   this->forget(Wanted.Request, Now);
   const DeferralTimes Times = deferralTimes(Wanted);
   if (shouldComeBack(Times, Scarcity))
-    return ComeBack{ComeBack::Why::TooLate,
-                    returnAfter(Times, this->Numbers->fraction())};
+    return RetryLater{RetryLater::Why::TooLate,
+                      returnAfter(Times, this->Numbers->fraction())};
   return AwaitTurn{fromMilliseconds(LongestLookMs)};
 }
 
@@ -334,11 +336,11 @@
   return PrefillMs <= std::max(Room, PauseMs * LeastRoomShare) * ShortShare;
 }
 
-EngineChosen EngineLoadPlugin::chosen(std::span<const EngineState> States,
-                                      const Placed &Place,
-                                      const EngineParameters *Model,
-                                      bool IsShort) {
-  EngineChosen Result;
+SelectedEngine EngineLoadPlugin::chosen(std::span<const EngineState> States,
+                                        const Placed &Place,
+                                        const EngineParameters *Model,
+                                        bool IsShort) {
+  SelectedEngine Result;
   Result.Engine = States[Place.At].Engine->Record.Id;
   for (const std::size_t At : Place.Helpers) {
     const EngineRecord &Helper = States[At].Engine->Record;
@@ -354,13 +356,14 @@
 }
 
 EngineLoadPlugin::Candidates
-EngineLoadPlugin::candidates(const EngineWanted &Wanted,
+EngineLoadPlugin::candidates(const EngineRequirements &Wanted,
                              const EngineParameters *Model,
                              const EngineShare &Share, bool Avoided, Time Now) {
   Candidates Found;
   std::vector<EngineState> &Result = Found.States;
-  for (const KnownEngine *Each : this->Directory->ofService(Wanted.Service)) {
-    if (!Share.takes(Each->Spread))
+  for (const RegisteredEngine *Each :
+       this->Directory->ofService(Wanted.Service)) {
+    if (!Share.takes(Each->NameHash))
       continue;
     const bool Missing = Each->Standing == EngineStanding::Missing ||
                          this->Trust->isAvoided(Each->Record.Id, Now) ||
@@ -370,9 +373,9 @@
                      std::ranges::count(Wanted.Excluded, Each->Record.Id) != 0;
     if (Out)
       continue;
-    if (const auto Closed = this->Gate->closed(Each->Record.Id, Now)) {
-      if (Closed->Is == EngineClosed::Why::AtLimit)
-        this->Room->want(Each->Record.Id, Now);
+    if (const auto Closed = this->Gate->blocked(Each->Record.Id, Now)) {
+      if (Closed->Is == EngineBlocked::Why::AtLimit)
+        this->Room->requestQuota(Each->Record.Id, Now);
       Found.Closed.push_back(*Closed);
       continue;
     }
@@ -383,7 +386,7 @@
   return Found;
 }
 
-EngineState EngineLoadPlugin::stateOf(const KnownEngine &Each,
+EngineState EngineLoadPlugin::stateOf(const RegisteredEngine &Each,
                                       const EngineParameters *Model, Time Now) {
   EngineState Result;
   Result.Engine = &Each;
@@ -439,7 +442,8 @@
   return Entry && Entry->Engine ? &*Entry->Engine : nullptr;
 }
 
-void EngineLoadPlugin::trySent(const RelayTry &Each, Time Now, Actions &) {
+void EngineLoadPlugin::attemptSent(const RelayAttempt &Each, Time Now,
+                                   Actions &) {
   this->add(Each, Now);
   this->Lane.drop(Each.Request.Value);
   if (Each.Helpers.empty())
@@ -448,7 +452,7 @@
     this->Tells.noteUrgent(Now);
 }
 
-void EngineLoadPlugin::add(const RelayTry &Each, Time Now) {
+void EngineLoadPlugin::add(const RelayAttempt &Each, Time Now) {
   const EngineParameters *Model = this->parametersOf(Each.Service);
   const bool ListsItself =
       !Each.Helpers.empty() && Each.Helpers.front().Engine == Each.Engine;
@@ -461,7 +465,7 @@
   Item.IsShort = Model && this->isShort(*Model, Each.Service,
                                         readMs(*Model, Each.PromptTokens));
   if (Model)
-    Item.Answer = {boundMs(Each.LongestPause),
+    Item.Answer = {boundMs(Each.MaxEventGap),
                    valueMs(*Model, Each.PromptTokens, Each.OutputTokens)};
   Item.MemoryTokens = ListsItself ? Each.Helpers.front().Tokens
                                   : Each.PromptTokens + Each.OutputTokens;
@@ -473,7 +477,8 @@
   }
 }
 
-void EngineLoadPlugin::tryBegan(const RelayTry &Each, Time Now, Actions &Out) {
+void EngineLoadPlugin::attemptBegan(const RelayAttempt &Each, Time Now,
+                                    Actions &Out) {
   this->noteFirstToken(Each, Now, Out);
   this->Loads[Each.Engine].began(Each.Id, Now);
   for (const JointEngine &Helper : Each.Helpers) {
@@ -488,9 +493,9 @@
   this->noteChange(this->isToldSoon(Each), Now);
 }
 
-void EngineLoadPlugin::tryEnded(const RelayTry &Each,
-                                const RelayOutcome &Outcome, Time Now,
-                                Actions &) {
+void EngineLoadPlugin::attemptEnded(const RelayAttempt &Each,
+                                    const RelayOutcome &Outcome, Time Now,
+                                    Actions &) {
   this->remove(Each, Now);
   // What comes of it for the engine, peers should know before their next
   // request.
@@ -499,11 +504,12 @@
     this->Tells.noteUrgent(Now);
 }
 
-void EngineLoadPlugin::tryCancelled(const RelayTry &Each, Time Now, Actions &) {
+void EngineLoadPlugin::attemptCancelled(const RelayAttempt &Each, Time Now,
+                                        Actions &) {
   this->remove(Each, Now);
 }
 
-void EngineLoadPlugin::remove(const RelayTry &Each, Time Now) {
+void EngineLoadPlugin::remove(const RelayAttempt &Each, Time Now) {
   this->Loads[Each.Engine].remove(Each.Id, Now);
   for (const JointEngine &Helper : Each.Helpers)
     this->Loads[Helper.Engine].remove(Each.Id, Now);
@@ -511,7 +517,7 @@
   this->noteChange(this->isToldSoon(Each), Now);
 }
 
-void EngineLoadPlugin::engineGone(const UpstreamId &Id, Time, Actions &) {
+void EngineLoadPlugin::engineRemoved(const UpstreamId &Id, Time, Actions &) {
   this->Slowdowns.forget(Id);
   this->ShortOfMemory.erase(Id);
   const auto Found = this->Loads.find(Id);
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -26,15 +26,16 @@
   void handle(const Event &What, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
-  EngineChoice choose(const EngineWanted &Wanted, Time Now) override;
+  EngineChoice choose(const EngineRequirements &Wanted, Time Now) override;
   void forget(const RequestId &Request, Time Now) override;
 
-  void trySent(const RelayTry &Each, Time Now, Actions &Out) override;
-  void tryBegan(const RelayTry &Each, Time Now, Actions &Out) override;
-  void tryEnded(const RelayTry &Each, const RelayOutcome &Outcome, Time Now,
-                Actions &Out) override;
-  void tryCancelled(const RelayTry &Each, Time Now, Actions &Out) override;
-  void engineGone(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void attemptSent(const RelayAttempt &Each, Time Now, Actions &Out) override;
+  void attemptBegan(const RelayAttempt &Each, Time Now, Actions &Out) override;
+  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+                    Time Now, Actions &Out) override;
+  void attemptCancelled(const RelayAttempt &Each, Time Now,
+                        Actions &Out) override;
+  void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
 
   void memoryRefused(const UpstreamId &Engine, Time Now) override;
@@ -52,28 +53,30 @@
   /// Engines that may get a request.
   struct Candidates {
     std::vector<EngineState> States;
-    std::vector<EngineClosed> Closed; ///< Of those that would, but take no
-                                      ///< more now.
+    std::vector<EngineBlocked> Closed; ///< Of those that would, but take no
+                                       ///< more now.
   };
 
   /// The engines of the share that may get the request; \p Avoided: also those
   /// that failed lately, or that asked other hosts for rest.
-  Candidates candidates(const EngineWanted &Wanted,
+  Candidates candidates(const EngineRequirements &Wanted,
                         const EngineParameters *Model, const EngineShare &Share,
                         bool Avoided, Time Now);
-  EngineState stateOf(const KnownEngine &Each, const EngineParameters *Model,
-                      Time Now);
+  EngineState stateOf(const RegisteredEngine &Each,
+                      const EngineParameters *Model, Time Now);
   EngineChoice chooseAmong(std::span<const EngineState> States,
-                           const EngineWanted &Wanted,
+                           const EngineRequirements &Wanted,
                            const EngineParameters *Model, Time Now);
   /// No engine takes one more now.
-  EngineChoice chooseClosed(std::span<const EngineClosed> Closed,
-                            const EngineWanted &Wanted);
+  EngineChoice chooseClosed(std::span<const EngineBlocked> Closed,
+                            const EngineRequirements &Wanted);
   EngineChoice chooseShared(std::span<const EngineState> States,
-                            const EngineWanted &Wanted, const PromptWork &Work,
+                            const EngineRequirements &Wanted,
+                            const PromptWork &Work,
                             const EngineParameters &Model, Time Now);
   /// The prompt is not to be read now: it waits, or its caller comes back.
-  EngineChoice deferLong(const EngineWanted &Wanted, double Scarcity, Time Now);
+  EngineChoice deferLong(const EngineRequirements &Wanted, double Scarcity,
+                         Time Now);
   /// Where the prompt is read; it is kept by one engine if one has the memory.
   std::optional<Placed> placeLong(std::span<const EngineState> States,
                                   const PromptWork &Work,
@@ -85,19 +88,19 @@
   /// Whether one engine reads the prompt beside answers of the service.
   bool isShort(const EngineParameters &Model, const ServiceId &Service,
                double PrefillMs);
-  static PromptWork workOf(const EngineWanted &Wanted,
+  static PromptWork workOf(const EngineRequirements &Wanted,
                            const EngineParameters *Model);
-  static EngineChosen chosen(std::span<const EngineState> States,
-                             const Placed &Place, const EngineParameters *Model,
-                             bool IsShort);
+  static SelectedEngine chosen(std::span<const EngineState> States,
+                               const Placed &Place,
+                               const EngineParameters *Model, bool IsShort);
   /// Adds the try's work to its engine and its helpers.
-  void add(const RelayTry &Each, Time Now);
-  void remove(const RelayTry &Each, Time Now);
+  void add(const RelayAttempt &Each, Time Now);
+  void remove(const RelayAttempt &Each, Time Now);
   void takePeerWork(const HostId &From, const EngineWork &Work, Time Now);
   void tell(Time Now, Actions &Out);
   /// \p Soon: peers should know at once.
   void noteChange(bool Soon, Time Now);
-  bool isToldSoon(const RelayTry &Each) const;
+  bool isToldSoon(const RelayAttempt &Each) const;
   /// The peers that decide, too, and so must know what this host does.
   std::vector<HostId> listeners(Time Now) const;
   /// The peer has nothing on the engine any more.
@@ -105,7 +108,7 @@
   void askReport(const UpstreamId &Engine, Time Now, Actions &Out) const;
   void takeReport(const EngineReport &Report, Time Now, Actions &Out);
   /// Asks the engine for its pace when the first token came late.
-  void noteFirstToken(const RelayTry &Each, Time Now, Actions &Out);
+  void noteFirstToken(const RelayAttempt &Each, Time Now, Actions &Out);
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
@@ -113,7 +116,7 @@
   const RouteView *Declared = nullptr;
   const EngineDirectory *Directory = nullptr;
   const EngineTrustView *Trust = nullptr;
-  EngineRoom *Room = nullptr;
+  EngineQuota *Room = nullptr;
   const EngineGate *Gate = nullptr;
   Random *Numbers = nullptr;
   ZoneId OwnZone;
--- a/src/plugins/engineload/EngineState.h
+++ b/src/plugins/engineload/EngineState.h
@@ -20,7 +20,7 @@
 
 /// What decides of one engine that may get the work.
 struct EngineState {
-  const KnownEngine *Engine = nullptr;
+  const RegisteredEngine *Engine = nullptr;
   std::size_t Position = 0; ///< In the order that all hosts share.
   double BacklogMs = 0;     ///< Reading to be done before anything new.
   bool Overdue = false;     ///< Some of it should have been done by now.
--- a/src/plugins/engineload/PauseBounds.cpp
+++ b/src/plugins/engineload/PauseBounds.cpp
@@ -16,7 +16,7 @@
     this->Version = Routes.version();
     this->ById.clear();
     for (const RouteEntry &Each : Routes.configuration().Routes) {
-      const double Pause = boundMs(Each.LongestPause);
+      const double Pause = boundMs(Each.MaxEventGap);
       const double Bound =
           Pause < UnboundedMs ? Pause : boundMs(Each.Objective);
       for (const WeightedService &To : Each.Split) {
--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -20,7 +20,7 @@
   this->LateFor = Values.span(In, "late_for");
   this->LateInterval = Values.span(In, "late_interval");
   this->Gate = &Context.services().get<EngineGate>();
-  Context.services().provide<MemoryKeeper>(*this);
+  Context.services().provide<MemoryReserver>(*this);
   Context.services().list<EngineObserver>().add(*this);
 }
 
@@ -80,7 +80,7 @@
 void EngineMemoryPlugin::askAgain(Share &Each, Time Now, Actions &Out) {
   // What is held would be lost without a renewal; more is not asked for where
   // nothing may be sent.
-  if (Each.Is == Stage::Held || !this->Gate->closed(Each.Where.Engine, Now)) {
+  if (Each.Is == Stage::Held || !this->Gate->blocked(Each.Where.Engine, Now)) {
     this->ask(Each, Now, Out);
     return;
   }
@@ -159,8 +159,8 @@
   Out.log(logEvent(events::MemoryReleased).with("request", Id.Value).build());
 }
 
-void EngineMemoryPlugin::engineReborn(const UpstreamId &Id, Time Now,
-                                      Actions &Out) {
+void EngineMemoryPlugin::engineRestarted(const UpstreamId &Id, Time Now,
+                                         Actions &Out) {
   std::erase_if(this->Late, [&](const LateRelease &Each) {
     return Each.Where.Engine == Id;
   });
--- a/src/plugins/enginememory/EngineMemoryPlugin.h
+++ b/src/plugins/enginememory/EngineMemoryPlugin.h
@@ -16,7 +16,7 @@
 /// short and renewed while they are used: when their owner dies, engines free
 /// them by themselves, sooner than anybody else could notice.
 class EngineMemoryPlugin : public Plugin,
-                           public MemoryKeeper,
+                           public MemoryReserver,
                            public EngineObserver {
 public:
   void initialize(PluginContext &Context) override;
@@ -30,7 +30,7 @@
 
   /// What was set aside there is gone with the engine's earlier life. It is
   /// neither renewed nor let go on the new one.
-  void engineReborn(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void engineRestarted(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -21,7 +21,7 @@
   return rendezvousWeight(Of.Id.Value, Rest);
 }
 
-const UpstreamId &idOf(const KnownEngine *Of) { return Of->Record.Id; }
+const UpstreamId &idOf(const RegisteredEngine *Of) { return Of->Record.Id; }
 
 } // namespace
 
@@ -53,7 +53,7 @@
   const auto Found = this->Engines.find(Of);
   if (Found == this->Engines.end())
     return IsOver ? Applied{} : this->add(Change, Now);
-  KnownEngine &Known = Found->second;
+  RegisteredEngine &Known = Found->second;
   const std::uint64_t KnownMs = engineBornMs(Known.Record.Id);
   if (BornMs < KnownMs || (BornMs == KnownMs && Known.Offset >= Change.Offset))
     return {};
@@ -69,18 +69,18 @@
 
 EngineTable::Applied EngineTable::add(const EngineChange &Change, Time Now) {
   const Name Of(engineName(Change.Engine.Id));
-  KnownEngine &Added = this->Engines[Of];
+  RegisteredEngine &Added = this->Engines[Of];
   Added.Record = Change.Engine;
   Added.Offset = Change.Offset;
   Added.ChangedAt = Change.Offset;
   Added.Standing = this->registeredStanding(Change.Engine);
   Added.Since = Now;
-  Added.Spread = rendezvousWeight("part", Of);
+  Added.NameHash = rendezvousWeight("part", Of);
   this->include(Added);
   return {Effect::Changed, std::nullopt};
 }
 
-EngineTable::Applied EngineTable::change(KnownEngine &Of,
+EngineTable::Applied EngineTable::change(RegisteredEngine &Of,
                                          const EngineChange &Change, Time Now) {
   Of.Offset = Change.Offset;
   // A life that is known to leave does not come back.
@@ -104,7 +104,7 @@
   Removal &Over = this->noteRemoval(Of, Change.Offset, Now);
   if (Found == this->Engines.end() || Found->second.Offset >= Change.Offset)
     return {};
-  KnownEngine &Known = Found->second;
+  RegisteredEngine &Known = Found->second;
   if (Doubtful && Known.Standing == EngineStanding::Usable) {
     Known.Offset = Change.Offset;
     Known.ChangedAt = Change.Offset;
@@ -242,14 +242,14 @@
   return Over;
 }
 
-const KnownEngine *EngineTable::find(const UpstreamId &Id) const {
+const RegisteredEngine *EngineTable::find(const UpstreamId &Id) const {
   const auto Found = this->Engines.find(engineName(Id));
   const bool Known =
       Found != this->Engines.end() && Found->second.Record.Id == Id;
   return Known ? &Found->second : nullptr;
 }
 
-std::span<const KnownEngine *const>
+std::span<const RegisteredEngine *const>
 EngineTable::ofService(const ServiceId &Service) const {
   const auto Found = this->ByService.find(Service);
   if (Found == this->ByService.end())
@@ -275,7 +275,7 @@
   return Result;
 }
 
-void EngineTable::stand(KnownEngine &Of, EngineStanding Next, Time Now) {
+void EngineTable::stand(RegisteredEngine &Of, EngineStanding Next, Time Now) {
   if (Of.Standing == Next)
     return;
   Of.Standing = Next;
@@ -284,17 +284,18 @@
     this->NextAge = std::min(this->NextAge, Now + this->Times.MissingFor);
 }
 
-void EngineTable::include(const KnownEngine &Of) {
-  std::vector<const KnownEngine *> &All = this->ByService[Of.Record.Service];
+void EngineTable::include(const RegisteredEngine &Of) {
+  std::vector<const RegisteredEngine *> &All =
+      this->ByService[Of.Record.Service];
   All.insert(std::ranges::lower_bound(All, Of.Record.Id, {}, idOf), &Of);
   // The order of the sum does not matter, so no host has to sort.
   if (Of.Standing != EngineStanding::Missing)
     this->Digest += digestOf(Of.Record);
 }
 
-void EngineTable::exclude(const KnownEngine &Of) {
+void EngineTable::exclude(const RegisteredEngine &Of) {
   const auto Found = this->ByService.find(Of.Record.Service);
-  std::vector<const KnownEngine *> &All = Found->second;
+  std::vector<const RegisteredEngine *> &All = Found->second;
   All.erase(std::ranges::lower_bound(All, Of.Record.Id, {}, idOf));
   if (All.empty())
     this->ByService.erase(Found);
--- a/src/plugins/engines/EngineTable.h
+++ b/src/plugins/engines/EngineTable.h
@@ -65,8 +65,9 @@
   /// When age() has something to do.
   Time nextAge() const { return this->NextAge; }
 
-  const KnownEngine *find(const UpstreamId &Id) const;
-  std::span<const KnownEngine *const> ofService(const ServiceId &Service) const;
+  const RegisteredEngine *find(const UpstreamId &Id) const;
+  std::span<const RegisteredEngine *const>
+  ofService(const ServiceId &Service) const;
   std::size_t size() const { return this->Engines.size(); }
 
   /// Removals before this offset may be forgotten.
@@ -89,21 +90,21 @@
     std::uint64_t BornMs = 0; ///< No earlier life comes back.
   };
 
-  using ByName = std::map<Name, KnownEngine, std::less<>>;
+  using ByName = std::map<Name, RegisteredEngine, std::less<>>;
 
   /// Takes the engine into what is derived of all, or out of it while it is
   /// changed: thousands of engines register at once when hosts start, so one
   /// registration must not cost a look at all others.
-  void include(const KnownEngine &Of);
-  void exclude(const KnownEngine &Of);
+  void include(const RegisteredEngine &Of);
+  void exclude(const RegisteredEngine &Of);
   void erase(ByName::const_iterator At);
-  void stand(KnownEngine &Of, EngineStanding Next, Time Now);
+  void stand(RegisteredEngine &Of, EngineStanding Next, Time Now);
   EngineStanding registeredStanding(const EngineRecord &Of) const;
   std::vector<UpstreamId> endMissing(Time Now);
   void forgetRemovals(Time Now);
   Removal &noteRemoval(const Name &Of, LogOffset Offset, Time Now);
   Applied add(const EngineChange &Change, Time Now);
-  Applied change(KnownEngine &Of, const EngineChange &Change, Time Now);
+  Applied change(RegisteredEngine &Of, const EngineChange &Change, Time Now);
   Applied remove(const EngineChange &Change, bool Doubtful, Time Now);
 
   EngineTimes Times;
@@ -113,7 +114,7 @@
   /// which may vanish and come back while they still serve.
   std::map<UpstreamId, Time> SaidLeaving;
   LogOffset ForgottenTo = 0;
-  std::map<ServiceId, std::vector<const KnownEngine *>> ByService;
+  std::map<ServiceId, std::vector<const RegisteredEngine *>> ByService;
   std::uint64_t Digest = 0;
   Time NextAge = Never;
   Time NextForgetting = Never; ///< Of a removal.
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -158,7 +158,7 @@
 
 void EnginesPlugin::tell(const UpstreamId &Id, std::string_view From, Time Now,
                          Actions &Out) {
-  const KnownEngine *Changed = this->Table.find(Id);
+  const RegisteredEngine *Changed = this->Table.find(Id);
   if (!Changed)
     return;
   Out.log(logEvent(events::EngineChanged)
@@ -181,7 +181,7 @@
               .with("offset", this->KnownTo)
               .build());
   for (EngineObserver *Each : this->Offered->list<EngineObserver>().all())
-    Each->engineGone(Id, Now, Out);
+    Each->engineRemoved(Id, Now, Out);
 }
 
 void EnginesPlugin::noteLife(const UpstreamId &Life, Time Now, Actions &Out) {
@@ -192,7 +192,7 @@
 void EnginesPlugin::tellReborn(const UpstreamId &Ended, std::string_view From,
                                Time Now, Actions &Out) {
   for (EngineObserver *Each : this->Offered->list<EngineObserver>().all())
-    Each->engineReborn(Ended, Now, Out);
+    Each->engineRestarted(Ended, Now, Out);
   this->tellGone(Ended, From, Now, Out);
 }
 
--- a/src/plugins/engines/EnginesPlugin.h
+++ b/src/plugins/engines/EnginesPlugin.h
@@ -19,10 +19,10 @@
   void handle(const Event &What, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
-  const KnownEngine *find(const UpstreamId &Id) const override {
+  const RegisteredEngine *find(const UpstreamId &Id) const override {
     return this->Table.find(Id);
   }
-  std::span<const KnownEngine *const>
+  std::span<const RegisteredEngine *const>
   ofService(const ServiceId &Service) const override {
     return this->Table.ofService(Service);
   }
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -13,7 +13,7 @@
 void EngineSignalsPlugin::initialize(PluginContext &Context) {
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Active = &Context.services().get<ActiveHostsView>();
-  this->Room = &Context.services().get<EngineRoom>();
+  this->Room = &Context.services().get<EngineQuota>();
   this->Self = Context.self().Host;
   Context.services().provide<EngineGate>(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -34,17 +34,17 @@
       [](const auto &) {});
 }
 
-std::optional<EngineClosed>
-EngineSignalsPlugin::closed(const UpstreamId &Engine, Time Now) const {
-  const KnownEngine *Known = this->Directory->find(Engine);
+std::optional<EngineBlocked>
+EngineSignalsPlugin::blocked(const UpstreamId &Engine, Time Now) const {
+  const RegisteredEngine *Known = this->Directory->find(Engine);
   if (!Known || Known->Standing == EngineStanding::Leaving)
-    return EngineClosed{EngineClosed::Why::Leaving, std::nullopt};
+    return EngineBlocked{EngineBlocked::Why::Leaving, std::nullopt};
   if (this->Own.isResting(Engine, Now))
-    return EngineClosed{EngineClosed::Why::Resting,
-                        this->Own.until(Engine) - Now};
-  if (!this->Room->hasRoom(Engine, Now))
-    return EngineClosed{EngineClosed::Why::AtLimit,
-                        this->Room->roomAfter(Engine, Now)};
+    return EngineBlocked{EngineBlocked::Why::BackingOff,
+                         this->Own.until(Engine) - Now};
+  if (!this->Room->hasQuota(Engine, Now))
+    return EngineBlocked{EngineBlocked::Why::AtLimit,
+                         this->Room->quotaAvailableAfter(Engine, Now)};
   return std::nullopt;
 }
 
@@ -138,7 +138,7 @@
     this->tell(Newcomers, Told, Out);
 }
 
-void EngineSignalsPlugin::engineGone(const UpstreamId &Id, Time, Actions &) {
+void EngineSignalsPlugin::engineRemoved(const UpstreamId &Id, Time, Actions &) {
   this->Leaving.erase(Id);
 }
 
--- a/src/plugins/enginesignals/EngineSignalsPlugin.h
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.h
@@ -23,11 +23,11 @@
   void initialize(PluginContext &Context) override;
   void handle(const Event &What, Time Now, Actions &Out) override;
 
-  std::optional<EngineClosed> closed(const UpstreamId &Engine,
-                                     Time Now) const override;
+  std::optional<EngineBlocked> blocked(const UpstreamId &Engine,
+                                       Time Now) const override;
   bool isDiscouraged(const UpstreamId &Engine, Time Now) const override;
 
-  void engineGone(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
@@ -45,7 +45,7 @@
 
   EngineDirectory *Directory = nullptr;
   const ActiveHostsView *Active = nullptr;
-  const EngineRoom *Room = nullptr;
+  const EngineQuota *Room = nullptr;
   HostId Self;
   RestBook Own;                 ///< Asked of this host.
   RestBook Peers;               ///< Asked of others, as they told.
--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -69,7 +69,7 @@
   // A peer may be right of one service and at fault for another.
   std::map<ServiceId, std::vector<EngineWork::Distrust>> ByService;
   for (const EngineWork::Distrust &Each : Work->Distrusted)
-    if (const KnownEngine *Known = this->Directory->find(Each.Engine))
+    if (const RegisteredEngine *Known = this->Directory->find(Each.Engine))
       ByService[Known->Record.Service].push_back(Each);
   for (const auto &[Service, Told] : ByService) {
     const std::size_t New =
@@ -87,19 +87,20 @@
   }
 }
 
-void EngineTrustPlugin::tryBegan(const RelayTry &Each, Time, Actions &) {
+void EngineTrustPlugin::attemptBegan(const RelayAttempt &Each, Time,
+                                     Actions &) {
   this->noteSound(Each);
 }
 
-void EngineTrustPlugin::noteSound(const RelayTry &Each) {
+void EngineTrustPlugin::noteSound(const RelayAttempt &Each) {
   // The last answers of an engine may come after it is gone.
   if (this->Directory->find(Each.Engine))
     this->Peers.noteSound(Each.Engine, Each.SentAt);
 }
 
-void EngineTrustPlugin::tryEnded(const RelayTry &Each,
-                                 const RelayOutcome &Outcome, Time Now,
-                                 Actions &Out) {
+void EngineTrustPlugin::attemptEnded(const RelayAttempt &Each,
+                                     const RelayOutcome &Outcome, Time Now,
+                                     Actions &Out) {
   if (const auto *NotRun = std::get_if<RelayNotRun>(&Outcome)) {
     const UpstreamId At = culpritOf(*NotRun, Each.Engine, Each.Helpers);
     if (At != Each.Engine)
@@ -144,7 +145,7 @@
   }
 }
 
-void EngineTrustPlugin::engineGone(const UpstreamId &Id, Time, Actions &) {
+void EngineTrustPlugin::engineRemoved(const UpstreamId &Id, Time, Actions &) {
   this->Records.erase(Id);
   this->Peers.forget(Id);
 }
--- a/src/plugins/enginetrust/EngineTrustPlugin.h
+++ b/src/plugins/enginetrust/EngineTrustPlugin.h
@@ -24,15 +24,15 @@
 
   bool isAvoided(const UpstreamId &Id, Time Now) const override;
   std::vector<EngineWork::Distrust> distrusted(Time Now) const override;
-  void tryBegan(const RelayTry &Each, Time Now, Actions &Out) override;
-  void tryEnded(const RelayTry &Each, const RelayOutcome &Outcome, Time Now,
-                Actions &Out) override;
-  void engineGone(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void attemptBegan(const RelayAttempt &Each, Time Now, Actions &Out) override;
+  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+                    Time Now, Actions &Out) override;
+  void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void noteSound(const RelayTry &Each);
+  void noteSound(const RelayAttempt &Each);
   void judge(const UpstreamId &Engine, const ServiceId &Service,
              TrustRecord::Verdict What, Time Now, Actions &Out);
 
--- a/src/plugins/relays/RelayLines.cpp
+++ b/src/plugins/relays/RelayLines.cpp
@@ -59,8 +59,8 @@
               .build());
 }
 
-void logSent(const RunningRelay &Of, const RelayTry &Try,
-             const KnownEngine &Engine, const EngineChosen &Chosen,
+void logSent(const RunningRelay &Of, const RelayAttempt &Try,
+             const RegisteredEngine &Engine, const SelectedEngine &Chosen,
              Actions &Out) {
   Out.log(logEvent(events::RelaySent)
               .with("request", Of.Head.Id.Value)
@@ -72,7 +72,7 @@
               .with("standing", name(Engine.Standing))
               .with("offset", Engine.Offset)
               .with("at_limit", Chosen.AtLimit)
-              .with("resting", Chosen.Resting)
+              .with("resting", Chosen.BackingOff)
               .with("predicted_us", Try.Predicted.count())
               .build());
 }
@@ -96,7 +96,7 @@
               .build());
 }
 
-void logTryEnded(const RunningRelay &Of, const RelayTry &Ended,
+void logTryEnded(const RunningRelay &Of, const RelayAttempt &Ended,
                  const RelayOutcome &Outcome, Time Now, Actions &Out) {
   Out.count("tries_ended", outcomeName(Outcome));
   Out.log(logEvent(events::RelayTryEnded)
@@ -125,7 +125,7 @@
               .with("ran_on", Of.RanOn.size())
               .with("prompt_tokens", Of.Head.PromptTokens)
               .with("first_event_us", Of.FirstEvent.count())
-              .with("longest_pause_us", Of.LongestPause.count())
+              .with("longest_pause_us", Of.MaxEventGap.count())
               .with("after_us", (Now - Of.ArrivedAt).count())
               .build());
 }
--- a/src/plugins/relays/RelayLines.h
+++ b/src/plugins/relays/RelayLines.h
@@ -15,13 +15,13 @@
 void logRefused(const RelayHead &Head, RefusalKind Kind, std::string_view Why,
                 std::uint64_t Version, Actions &Out);
 /// \p AtLimit engines were passed over, as they take no more now.
-void logSent(const RunningRelay &Of, const RelayTry &Try,
-             const KnownEngine &Engine, const EngineChosen &Chosen,
+void logSent(const RunningRelay &Of, const RelayAttempt &Try,
+             const RegisteredEngine &Engine, const SelectedEngine &Chosen,
              Actions &Out);
 void logWaits(const RunningRelay &Of, Actions &Out);
 void logAwaitsTurn(const RunningRelay &Of, Actions &Out);
 
-void logTryEnded(const RunningRelay &Of, const RelayTry &Ended,
+void logTryEnded(const RunningRelay &Of, const RelayAttempt &Ended,
                  const RelayOutcome &Outcome, Time Now, Actions &Out);
 void logEnd(const RunningRelay &Of, std::string_view How, std::string_view Why,
             Time Now, Actions &Out);
--- a/src/plugins/relays/RelayOrders.cpp
+++ b/src/plugins/relays/RelayOrders.cpp
@@ -2,25 +2,25 @@
 
 namespace banyanpick {
 
-EngineWanted wantedFor(const RunningRelay &Of,
-                       std::span<const UpstreamId> Excluded, Time Now) {
-  EngineWanted Result;
+EngineRequirements wantedFor(const RunningRelay &Of,
+                             std::span<const UpstreamId> Excluded, Time Now) {
+  EngineRequirements Result;
   Result.Request = Of.Head.Id;
   Result.Service = Of.Service;
   Result.PromptTokens = Of.Head.PromptTokens;
   Result.OutputTokens = Of.Head.MaxOutputTokens;
   Result.Objective = Of.Terms.Objective;
-  Result.LongestPause = Of.Terms.LongestPause;
+  Result.MaxEventGap = Of.Terms.MaxEventGap;
   Result.Waited = Now - Of.ArrivedAt;
   Result.Left = Of.Deadline - Now;
-  Result.MayComeBack = Of.IsFirstTry && Of.Sends == 0;
+  Result.MayRetryLater = Of.IsFirstTry && Of.Sends == 0;
   Result.Excluded = Excluded;
   return Result;
 }
 
-RelayTry makeTry(const RunningRelay &Of, const EngineChosen &Chosen,
-                 const AttemptId &Id, Time Now) {
-  RelayTry Result;
+RelayAttempt makeTry(const RunningRelay &Of, const SelectedEngine &Chosen,
+                     const AttemptId &Id, Time Now) {
+  RelayAttempt Result;
   Result.Id = Id;
   Result.Request = Of.Head.Id;
   Result.Engine = Chosen.Engine;
@@ -31,12 +31,12 @@
   Result.Content = Of.Head.Content;
   Result.SentAt = Now;
   Result.Predicted = Chosen.Predicted;
-  Result.LongestPause = Of.Terms.LongestPause;
+  Result.MaxEventGap = Of.Terms.MaxEventGap;
   return Result;
 }
 
-DispatchRelay makeOrder(const RunningRelay &Of, const RelayTry &Try,
-                        const EngineChosen &Chosen, const Address &At,
+DispatchRelay makeOrder(const RunningRelay &Of, const RelayAttempt &Try,
+                        const SelectedEngine &Chosen, const Address &At,
                         const StreamSilence &Most) {
   DispatchRelay Result;
   Result.Attempt = Try.Id;
--- a/src/plugins/relays/RelayOrders.h
+++ b/src/plugins/relays/RelayOrders.h
@@ -16,15 +16,15 @@
 };
 
 /// The upstream that the request wants now. \p Excluded must outlive it.
-EngineWanted wantedFor(const RunningRelay &Of,
-                       std::span<const UpstreamId> Excluded, Time Now);
+EngineRequirements wantedFor(const RunningRelay &Of,
+                             std::span<const UpstreamId> Excluded, Time Now);
 
-RelayTry makeTry(const RunningRelay &Of, const EngineChosen &Chosen,
-                 const AttemptId &Id, Time Now);
+RelayAttempt makeTry(const RunningRelay &Of, const SelectedEngine &Chosen,
+                     const AttemptId &Id, Time Now);
 
 /// The order to send the try to the upstream at \p At.
-DispatchRelay makeOrder(const RunningRelay &Of, const RelayTry &Try,
-                        const EngineChosen &Chosen, const Address &At,
+DispatchRelay makeOrder(const RunningRelay &Of, const RelayAttempt &Try,
+                        const SelectedEngine &Chosen, const Address &At,
                         const StreamSilence &Most);
 
 } // namespace banyanpick
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -25,7 +25,7 @@
 
 /// Whether the try is lost with the engine: it runs there, or parts of its
 /// prompt are read or kept there.
-bool dependsOn(const RelayTry &Try, const UpstreamId &Engine) {
+bool dependsOn(const RelayAttempt &Try, const UpstreamId &Engine) {
   if (Try.Engine == Engine)
     return true;
   return std::ranges::any_of(Try.Helpers, [&](const JointEngine &Each) {
@@ -35,7 +35,7 @@
 
 /// Whether the request will be sent, now or in its turn.
 bool leadsToAnother(const EngineChoice &Choice) {
-  return std::holds_alternative<EngineChosen>(Choice) ||
+  return std::holds_alternative<SelectedEngine>(Choice) ||
          std::holds_alternative<AwaitTurn>(Choice);
 }
 
@@ -55,7 +55,7 @@
   this->Declared = &Context.services().get<RouteView>();
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Selector = &Context.services().get<EngineSelector>();
-  this->Memory = &Context.services().get<MemoryKeeper>();
+  this->Memory = &Context.services().get<MemoryReserver>();
   this->Gate = &Context.services().get<EngineGate>();
   Context.services().list<MemoryObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -134,7 +134,7 @@
   RunningRelay Each;
   Each.Head = Head;
   Each.Terms = {Route.Kind, Route.Resumable, Route.Attempts, Route.Objective,
-                Route.LongestPause};
+                Route.MaxEventGap};
   Each.Service = this->serviceFor(Route);
   Each.Rank = Owner && Owner->Rank ? *Owner->Rank : Route.Rank;
   if (Owner)
@@ -174,13 +174,13 @@
   Excluded.insert(Excluded.end(), Each.NotRunOn.begin(), Each.NotRunOn.end());
   match(
       this->Selector->choose(wantedFor(Each, Excluded, Now), Now),
-      [&](const EngineChosen &Chosen) { this->take(Each, Chosen, Now, Out); },
+      [&](const SelectedEngine &Chosen) { this->take(Each, Chosen, Now, Out); },
       [&](const AwaitTurn &Turn) {
-        this->awaitTurn(Each, Turn.LookAgain, Now, Out);
+        this->awaitTurn(Each, Turn.CheckAfter, Now, Out);
       },
-      [&](const ComeBack &Is) {
+      [&](const RetryLater &Is) {
         this->finish(Each, Each.refusal(),
-                     Is.Is == ComeBack::Why::Closed
+                     Is.Is == RetryLater::Why::Blocked
                          ? "all engines are at rest or at limits; come back"
                          : "no engine can begin it in time; come back",
                      Now, Out, Is.After);
@@ -188,7 +188,7 @@
       [&](const NoEngine &) { this->wait(Each, Now, Out); });
 }
 
-void RelaysPlugin::take(RunningRelay &Each, const EngineChosen &Chosen,
+void RelaysPlugin::take(RunningRelay &Each, const SelectedEngine &Chosen,
                         Time Now, Actions &Out) {
   Each.AwaitsTurn = false;
   const bool NeedsMemory = std::ranges::any_of(
@@ -202,12 +202,12 @@
   this->noteWake(Each, Now);
 }
 
-void RelaysPlugin::awaitTurn(RunningRelay &Each, Duration LookAgain, Time Now,
+void RelaysPlugin::awaitTurn(RunningRelay &Each, Duration CheckAfter, Time Now,
                              Actions &Out) {
   if (!Each.AwaitsTurn)
     logAwaitsTurn(Each, Out);
   Each.AwaitsTurn = true;
-  Each.NextTry = Now + LookAgain;
+  Each.NextTry = Now + CheckAfter;
   // Those that refused may take it at the next look.
   Each.NotRunOn.clear();
   this->noteWake(Each, Now);
@@ -221,12 +221,12 @@
     this->Memory->release(Id, Now, Out);
     return;
   }
-  EngineChosen Chosen = *Each->Reserving;
+  SelectedEngine Chosen = *Each->Reserving;
   Each->Reserving.reset();
   // The choice is a moment old: engines may have gone, or want no more.
   const bool Gone =
       std::ranges::any_of(Chosen.Helpers, [&](const JointEngine &One) {
-        return this->Gate->closed(One.Engine, Now).has_value();
+        return this->Gate->blocked(One.Engine, Now).has_value();
       });
   if (Shares.empty() || Gone) {
     this->Memory->release(Id, Now, Out);
@@ -238,12 +238,12 @@
   this->dispatch(*Each, Chosen, Now, Out);
 }
 
-void RelaysPlugin::dispatch(RunningRelay &Each, const EngineChosen &Chosen,
+void RelaysPlugin::dispatch(RunningRelay &Each, const SelectedEngine &Chosen,
                             Time Now, Actions &Out) {
-  const KnownEngine *Engine = this->Directory->find(Chosen.Engine);
+  const RegisteredEngine *Engine = this->Directory->find(Chosen.Engine);
   Each.WaitingSince = Never;
   ++Each.Sends;
-  const RelayTry Try =
+  const RelayAttempt Try =
       makeTry(Each, Chosen, {this->Own.Life, ++this->Tries}, Now);
   Each.PatienceUntil =
       Each.isIdempotent() ? Now + this->patience(Each, Chosen) : Never;
@@ -253,7 +253,7 @@
   Each.Live = Try;
   this->Running.link(Try.Id, Each.Head.Id);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->trySent(Try, Now, Out);
+    Observer->attemptSent(Try, Now, Out);
   this->noteWake(Each, Now);
 }
 
@@ -292,7 +292,7 @@
   Each->Live->Began = true;
   Each->PatienceUntil = Never;
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->tryBegan(*Each->Live, Now, Out);
+    Observer->attemptBegan(*Each->Live, Now, Out);
 }
 
 void RelaysPlugin::ended(const RelayEnded &Is, Time Now, Actions &Out) {
@@ -305,24 +305,26 @@
     if (Other->OtherEngine)
       this->Directory->addressTaken(
           culpritOf(*Other, Each->Live->Engine, Each->Live->Helpers), Now, Out);
-  const RelayTry Ended = this->endTry(*Each, Is.Outcome, Now, Out);
+  const RelayAttempt Ended = this->endTry(*Each, Is.Outcome, Now, Out);
   this->follow(*Each, Ended, Is.Outcome, Now, Out);
 }
 
-RelayTry RelaysPlugin::endTry(RunningRelay &Each, const RelayOutcome &Outcome,
-                              Time Now, Actions &Out) {
-  RelayTry Ended = *Each.Live;
+RelayAttempt RelaysPlugin::endTry(RunningRelay &Each,
+                                  const RelayOutcome &Outcome, Time Now,
+                                  Actions &Out) {
+  RelayAttempt Ended = *Each.Live;
   this->Running.unlink(Ended.Id);
   Each.Live.reset();
   Each.PatienceUntil = Never;
   this->Memory->release(Each.Head.Id, Now, Out);
   logTryEnded(Each, Ended, Outcome, Now, Out);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->tryEnded(Ended, Outcome, Now, Out);
+    Observer->attemptEnded(Ended, Outcome, Now, Out);
   return Ended;
 }
 
-void RelaysPlugin::engineReborn(const UpstreamId &Id, Time Now, Actions &Out) {
+void RelaysPlugin::engineRestarted(const UpstreamId &Id, Time Now,
+                                   Actions &Out) {
   for (const RequestId &Request : this->Running.ids()) {
     RunningRelay *Each = this->Running.find(Request);
     if (!Each || !Each->Live || !dependsOn(*Each->Live, Id))
@@ -330,12 +332,12 @@
     Out.add(GatewayAction(CancelRelay{Each->Live->Id}));
     const RelayOutcome Lost =
         RelayBroken{RelayBroken::Why::Reset, Each->Began, std::nullopt};
-    const RelayTry Ended = this->endTry(*Each, Lost, Now, Out);
+    const RelayAttempt Ended = this->endTry(*Each, Lost, Now, Out);
     this->follow(*Each, Ended, Lost, Now, Out);
   }
 }
 
-void RelaysPlugin::follow(RunningRelay &Each, const RelayTry &Ended,
+void RelaysPlugin::follow(RunningRelay &Each, const RelayAttempt &Ended,
                           const RelayOutcome &Outcome, Time Now, Actions &Out) {
   match(
       verdictOn(Each, Ended, Outcome),
@@ -397,7 +399,7 @@
 void RelaysPlugin::cancelTry(RunningRelay &Each, Time Now, Actions &Out) {
   Out.add(GatewayAction(CancelRelay{Each.Live->Id}));
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->tryCancelled(*Each.Live, Now, Out);
+    Observer->attemptCancelled(*Each.Live, Now, Out);
   this->Running.unlink(Each.Live->Id);
   Each.Live.reset();
   Each.PatienceUntil = Never;
@@ -460,7 +462,7 @@
     return;
   }
   Out.add(GatewayAction(CancelRelay{Each.Live->Id}));
-  const RelayTry Lost = this->endTry(
+  const RelayAttempt Lost = this->endTry(
       Each, RelayBroken{RelayBroken::Why::Silent, false, std::nullopt}, Now,
       Out);
   Each.RanOn.push_back(Lost.Engine);
@@ -484,7 +486,7 @@
 }
 
 Duration RelaysPlugin::patience(const RunningRelay &Each,
-                                const EngineChosen &Chosen) const {
+                                const SelectedEngine &Chosen) const {
   const double Expected =
       std::max(inSeconds(Chosen.Predicted), inSeconds(Each.Terms.Objective));
   return fromSeconds(Expected * this->Times.PatienceFactor) +
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -18,7 +18,7 @@
   double HoldShare = 0;
   Duration WaitPause{};
   Duration MemoryPause{};
-  Duration ComeBack{};
+  Duration RetryLater{};
   Duration GiveUpSlack{};
   Duration PatienceMargin{};
   Duration SignOfLife{};
@@ -47,12 +47,12 @@
   void memoryDecided(const RequestId &Id, std::span<const JointEngine> Shares,
                      Time Now, Actions &Out) override;
 
-  void engineGone(const UpstreamId &Id, Time, Actions &) override {
+  void engineRemoved(const UpstreamId &Id, Time, Actions &) override {
     this->Signs.erase(Id);
   }
   /// Tries that the earlier life was reading or writing are over at once,
   /// instead of when their silence shows.
-  void engineReborn(const UpstreamId &Id, Time Now, Actions &Out) override;
+  void engineRestarted(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
@@ -63,19 +63,19 @@
   /// Sends it to an upstream, or lets it wait for one.
   void send(RunningRelay &Each, Time Now, Actions &Out);
   /// Sets memory aside where the choice needs it, and sends it.
-  void take(RunningRelay &Each, const EngineChosen &Chosen, Time Now,
+  void take(RunningRelay &Each, const SelectedEngine &Chosen, Time Now,
             Actions &Out);
-  void awaitTurn(RunningRelay &Each, Duration LookAgain, Time Now,
+  void awaitTurn(RunningRelay &Each, Duration CheckAfter, Time Now,
                  Actions &Out);
-  void dispatch(RunningRelay &Each, const EngineChosen &Chosen, Time Now,
+  void dispatch(RunningRelay &Each, const SelectedEngine &Chosen, Time Now,
                 Actions &Out);
   void wait(RunningRelay &Each, Time Now, Actions &Out);
   void began(const RelayBegan &Is, Time Now, Actions &Out);
   void ended(const RelayEnded &Is, Time Now, Actions &Out);
   /// The live try is over; everybody is told how it ended.
-  RelayTry endTry(RunningRelay &Each, const RelayOutcome &Outcome, Time Now,
-                  Actions &Out);
-  void follow(RunningRelay &Each, const RelayTry &Ended,
+  RelayAttempt endTry(RunningRelay &Each, const RelayOutcome &Outcome, Time Now,
+                      Actions &Out);
+  void follow(RunningRelay &Each, const RelayAttempt &Ended,
               const RelayOutcome &Outcome, Time Now, Actions &Out);
   /// Ends it without another try; \p RetryAfter: when to come back where it did
   /// not run, if that is known.
@@ -94,7 +94,8 @@
   bool isOnlySlow(const RunningRelay &Each, Time Now) const;
   Time wakeOf(const RunningRelay &Each) const;
   void noteWake(const RunningRelay &Each, Time Now);
-  Duration patience(const RunningRelay &Each, const EngineChosen &Chosen) const;
+  Duration patience(const RunningRelay &Each,
+                    const SelectedEngine &Chosen) const;
   bool isLeavingLate(Time Now) const;
   /// This host's part of the repeats that all hosts together may send.
   double budgetShare() const;
@@ -107,7 +108,7 @@
   const RouteView *Declared = nullptr;
   EngineDirectory *Directory = nullptr;
   EngineSelector *Selector = nullptr;
-  MemoryKeeper *Memory = nullptr;
+  MemoryReserver *Memory = nullptr;
   const EngineGate *Gate = nullptr;
   const CrashView *Crashes = nullptr;
   Random *Numbers = nullptr;
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -15,7 +15,7 @@
   bool Resumable = false;     ///< A stream may go on at another upstream.
   std::uint32_t Attempts = 1; ///< Upstreams that it may run on.
   Duration Objective{};       ///< To the whole answer or the first event.
-  Duration LongestPause{};    ///< Between events; zero: not declared.
+  Duration MaxEventGap{};     ///< Between events; zero: not declared.
 };
 
 /// A request with what is known of its tries.
@@ -32,18 +32,19 @@
   Time Deadline{};        ///< Of the caller or the route, whichever is first.
   bool RouteEnds = false; ///< The route's time limit is first.
 
-  std::optional<RelayTry> Live;
+  std::optional<RelayAttempt> Live;
   Time PatienceUntil = Never;       ///< The live try is given up then.
   std::vector<UpstreamId> RanOn;    ///< Where it ran or may have run.
   std::vector<UpstreamId> NotRunOn; ///< Where it surely did not, of late.
   std::uint32_t Sends = 0;
-  std::optional<EngineChosen> Reserving; ///< Memory is being set aside for it.
+  std::optional<SelectedEngine>
+      Reserving;      ///< Memory is being set aside for it.
   bool Began = false; ///< A part of the answer went to the caller.
   std::optional<std::uint64_t> LastEvent; ///< The last event passed on.
   std::optional<AttemptId> KeptFailure;   ///< An upstream's failure to deliver
                                           ///< if nothing better comes.
   Duration FirstEvent{};                  ///< From arrival; zero: not yet.
-  Duration LongestPause{};                ///< Between events.
+  Duration MaxEventGap{};                 ///< Between events.
   Time NextTry{};                         ///< Not sooner.
   bool AwaitsTurn = false;                ///< Other prompts go before it.
   Time WaitingSince = Never;              ///< No upstream could take it since.
--- a/src/plugins/relays/TryVerdict.cpp
+++ b/src/plugins/relays/TryVerdict.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TryVerdict verdictOn(RunningRelay &Of, const RelayTry &Ended,
+TryVerdict verdictOn(RunningRelay &Of, const RelayAttempt &Ended,
                      const RelayOutcome &Outcome) {
   return match(
       Outcome,
@@ -25,7 +25,7 @@
         return TryAgain{true};
       },
       [&](const RelayDelivered &Is) -> TryVerdict {
-        Of.LongestPause = Is.LongestPause;
+        Of.MaxEventGap = Is.MaxEventGap;
         return RelayIsDone{};
       },
       [&](const RelayFailed &Is) -> TryVerdict {
--- a/src/plugins/relays/TryVerdict.h
+++ b/src/plugins/relays/TryVerdict.h
@@ -22,7 +22,7 @@
 
 /// Judges by what the request's kind allows. Notes in \p Of where it ran or
 /// did not.
-TryVerdict verdictOn(RunningRelay &Of, const RelayTry &Ended,
+TryVerdict verdictOn(RunningRelay &Of, const RelayAttempt &Ended,
                      const RelayOutcome &Outcome);
 
 } // namespace banyanpick
--- a/tests/auto/gateway/DeferralTest.cpp
+++ b/tests/auto/gateway/DeferralTest.cpp
@@ -120,7 +120,7 @@
   EXPECT_FALSE(shouldComeBack(Waited, 0));
   EXPECT_FALSE(shouldComeBack(times(seconds(3), milliseconds(100)), 1));
   DeferralTimes Returned = Waited;
-  Returned.MayComeBack = false;
+  Returned.MayRetryLater = false;
   EXPECT_FALSE(shouldComeBack(Returned, 1));
 }
 
--- a/tests/auto/gateway/EngineTableTest.cpp
+++ b/tests/auto/gateway/EngineTableTest.cpp
@@ -171,7 +171,7 @@
     for (const EngineChange &Each : Given)
       Table.apply(Each, false, at(0));
     std::vector<std::pair<UpstreamId, LogOffset>> Result;
-    for (const KnownEngine *Each : Table.ofService(Ring))
+    for (const RegisteredEngine *Each : Table.ofService(Ring))
       Result.emplace_back(Each->Record.Id, Each->Offset);
     return Result;
   };
@@ -250,7 +250,7 @@
     for (const EngineChange &Each : Given)
       Table.apply(Each, false, at(0));
     std::vector<std::pair<UpstreamId, LogOffset>> Result;
-    for (const KnownEngine *Each : Table.ofService(Ring))
+    for (const RegisteredEngine *Each : Table.ofService(Ring))
       Result.emplace_back(Each->Record.Id, Each->Offset);
     return Result;
   };
--- a/tests/auto/gatewayrandom/GatewayWorld.cpp
+++ b/tests/auto/gatewayrandom/GatewayWorld.cpp
@@ -448,7 +448,8 @@
       this->Hosts[At].Decider->services().get<EngineDirectory>();
   std::size_t Known = 0;
   for (const char *Service : {"ring", "desk"})
-    for (const KnownEngine *Each : Directory.ofService(ServiceId(Service))) {
+    for (const RegisteredEngine *Each :
+         Directory.ofService(ServiceId(Service))) {
       ++Known;
       if (!this->Store.engines().contains(Each->Record.Id))
         this->breakPromise(fmt::format(
--- a/tests/auto/manyhosts/HostCrowd.cpp
+++ b/tests/auto/manyhosts/HostCrowd.cpp
@@ -298,7 +298,7 @@
 bool HostCrowd::knowsLeaving(std::size_t Host, std::size_t Engine) const {
   const auto &Known =
       this->Hosts[Host].Decider->services().get<EngineDirectory>();
-  const KnownEngine *Of = Known.find(this->Engines[Engine].Id);
+  const RegisteredEngine *Of = Known.find(this->Engines[Engine].Id);
   return !Of || Of->Standing == EngineStanding::Leaving;
 }
 
--- a/tests/auto/platformadapter/ConfigurationJsonTest.cpp
+++ b/tests/auto/platformadapter/ConfigurationJsonTest.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(Stream.Kind, RequestKind::Stream);
   EXPECT_TRUE(Stream.Resumable);
   EXPECT_EQ(Stream.TimeLimit, seconds(10));
-  EXPECT_EQ(Stream.LongestPause, milliseconds(250));
+  EXPECT_EQ(Stream.MaxEventGap, milliseconds(250));
   ASSERT_EQ(Stream.Split.size(), 2U);
   EXPECT_EQ(Stream.Split[1].Weight, 10);
   EXPECT_EQ(Read->Routes[1].Kind, RequestKind::AtMostOnce);
