--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -19,7 +19,8 @@
 /// Names of unknown headers that are told of; others are only counted.
 constexpr std::size_t MostUnknownHeaders = 32;
 
-StoreSeen seen(StoreSeen::Part Of, bool Reachable, std::string_view Why) {
+StoreObserved seen(StoreObserved::Part Of, bool Reachable,
+                   std::string_view Why) {
   return {Of, Reachable, std::string(Why)};
 }
 
@@ -89,7 +90,7 @@
           Side->breakOff();
       },
       [&](const DecodeConfiguration &Is) {
-        this->decode(Is.Document, BeliefSource::Peer);
+        this->decode(Is.Document, ConfigurationSource::Peer);
       },
       [&](const LimitCallers &Is) { this->Server->setLimits(Is.Limits); },
       [&](const AskReport &Is) {
@@ -103,8 +104,8 @@
       },
       [&](const CloseCallers &) { this->Server->closeAfterAnswers(); },
       [&](const FollowStore &Is) {
-        this->Declarations->follow(Is.On);
-        this->Engines->follow(Is.On);
+        this->Declarations->follow(Is.Enabled);
+        this->Engines->follow(Is.Enabled);
       },
       [&](const AnnounceHost &Is) {
         net::co_spawn(this->Io, this->announce(Is.Present), net::detached);
@@ -165,14 +166,15 @@
                                   DispatchRelay Order) {
   const Time SentAt = this->Uses.Clock.now();
   EngineRunListener Tell;
-  Tell.OnWord = [this, Engine = Order.Engine, SentAt](const EngineWord &Word) {
-    this->hear(Engine, SentAt, Word);
+  Tell.OnWord = [this, Engine = Order.Engine,
+                 SentAt](const AnswerSignals &Signals) {
+    this->hear(Engine, SentAt, Signals);
   };
   Tell.OnBegan = [this, Id = Order.Attempt] {
     this->Uses.Events.send(GatewayEvent(RelayBegan{Id}));
   };
   Tell.MaySend = [this, Engine = Order.Engine] {
-    return !this->Rests.isResting(Engine, this->Uses.Clock.now());
+    return !this->Rests.isBackingOff(Engine, this->Uses.Clock.now());
   };
   RelayOutcome Outcome =
       co_await Run->run(Order.Deadline - SentAt, std::move(Tell));
@@ -184,13 +186,14 @@
 }
 
 void GatewayTraffic::hear(const UpstreamId &Engine, Time SentAt,
-                          const EngineWord &Word) {
-  if (Word == EngineWord())
+                          const AnswerSignals &Signals) {
+  if (Signals == AnswerSignals())
     return;
   const Time Now = this->Uses.Clock.now();
   this->Rests.age(Now);
-  this->Rests.take(Engine, Now + lengthOf(Word.Rest), Now);
-  this->Uses.Events.send(GatewayEvent(EngineHeard{Engine, SentAt, Word}));
+  this->Rests.take(Engine, Now + backoffLength(Signals.Backoff), Now);
+  this->Uses.Events.send(
+      GatewayEvent(EngineSignalsReceived{Engine, SentAt, Signals}));
 }
 
 void GatewayTraffic::hear(const UpstreamId &Engine, Time SentAt,
@@ -215,7 +218,8 @@
   }
 }
 
-void GatewayTraffic::decode(const std::string &Document, BeliefSource From) {
+void GatewayTraffic::decode(const std::string &Document,
+                            ConfigurationSource From) {
   try {
     this->Uses.Events.send(GatewayEvent(ConfigurationRead{
         this->Uses.Protocol.documents().readConfiguration(Document), From}));
@@ -232,11 +236,11 @@
     for (const KeyedRecord &Each : Records)
       if (Each.Value &&
           this->Uses.Protocol.documents().isConfiguration(Each.Key))
-        this->decode(*Each.Value, BeliefSource::Store);
+        this->decode(*Each.Value, ConfigurationSource::Store);
   };
   Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
     this->Uses.Events.send(
-        GatewayEvent(seen(StoreSeen::Part::Configuration, Reachable, Why)));
+        GatewayEvent(seen(StoreObserved::Part::Configuration, Reachable, Why)));
   };
   this->Declarations = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Declarations,
@@ -252,7 +256,7 @@
   };
   Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
     this->Uses.Events.send(
-        GatewayEvent(seen(StoreSeen::Part::Engines, Reachable, Why)));
+        GatewayEvent(seen(StoreObserved::Part::Engines, Reachable, Why)));
   };
   this->Engines = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Engines,
--- a/src/app/GatewayTraffic.h
+++ b/src/app/GatewayTraffic.h
@@ -6,7 +6,7 @@
 #include "app/GatewaySettings.h"
 #include "app/ProcessClock.h"
 #include "app/QuestionTable.h"
-#include "gateway/RestBook.h"
+#include "gateway/EngineBackoffs.h"
 #include "http/HttpClient.h"
 #include "http/HttpServer.h"
 #include "metrics/Metrics.h"
@@ -65,9 +65,10 @@
   /// Tells of headers that the protocol does not know, of each name once.
   void noteUnknownHeaders(const EngineRun &Of, const UpstreamId &Engine);
   /// Passes on what an answer said of its upstream, if anything.
-  void hear(const UpstreamId &Engine, Time SentAt, const EngineWord &Word);
+  void hear(const UpstreamId &Engine, Time SentAt,
+            const AnswerSignals &Signals);
   void hear(const UpstreamId &Engine, Time SentAt, const ClientResult &Result);
-  void decode(const std::string &Document, BeliefSource From);
+  void decode(const std::string &Document, ConfigurationSource From);
   Task<void> askReport(AskReport Wanted);
   Task<void> reserve(ReserveMemory Wanted);
   Task<void> release(ReleaseMemory Wanted);
@@ -90,7 +91,7 @@
   HttpClient Client;
   EngineLinkPool Links;
   /// What was chosen before an upstream asked for rest is not sent after it.
-  RestBook Rests;
+  EngineBackoffs Rests;
   QuestionTable<AnswerResolve> Resolves;
   std::map<RequestId, std::shared_ptr<CallerSide>> Callers;
   std::map<AttemptId, std::shared_ptr<EngineRun>> Runs;
--- a/src/libs/gateway/EngineWord.h
+++ b/src/libs/gateway/AnswerSignals.h
@@ -10,49 +10,50 @@
 namespace banyanpick {
 
 /// It asks for no rest.
-struct RestUnasked {
-  bool operator==(const RestUnasked &) const = default;
+struct NoBackoff {
+  bool operator==(const NoBackoff &) const = default;
 };
 /// It wants no request of this host for so long.
-struct RestAsked {
-  Duration For{}; ///< Not negative, at most LongestRest.
+struct BackoffRequested {
+  Duration For{}; ///< Not negative, at most MaxBackoff.
 
-  bool operator==(const RestAsked &) const = default;
+  bool operator==(const BackoffRequested &) const = default;
 };
 /// It asks for a rest whose length can't be read, or is out of bounds.
-struct RestUnreadable {
+struct BackoffUnreadable {
   std::string Text;   ///< The beginning of what it said.
   Duration TakenAs{}; ///< The rest that is given all the same.
 
-  bool operator==(const RestUnreadable &) const = default;
+  bool operator==(const BackoffUnreadable &) const = default;
 };
 
-using RestSaid = std::variant<RestUnasked, RestAsked, RestUnreadable>;
+using BackoffSignal =
+    std::variant<NoBackoff, BackoffRequested, BackoffUnreadable>;
 
 /// How long it lasts, whether it could be read or not.
-Duration lengthOf(const RestSaid &Of);
+Duration backoffLength(const BackoffSignal &Of);
 
 /// A longer rest is taken for this one: nobody asks for a day in earnest.
-inline constexpr hours LongestRest(1);
+inline constexpr hours MaxBackoff(1);
 
 /// The rest that is given where its length can't be read: long enough for the
 /// upstream to work off what it has.
-inline constexpr seconds CautiousRest(1);
+inline constexpr seconds DefaultBackoff(1);
 
 /// Whether it says that it leaves: it takes nothing new and ends soon.
-enum class LeavingSaid {
-  Unsaid,
-  Said,
+enum class LeavingSignal {
+  Absent,
+  Present,
   Unreadable, ///< It says something of it; taken as said.
 };
 
 /// All of it.
-struct EngineWord {
-  LimitSaid Limit;
-  RestSaid Rest;
-  LeavingSaid Leaving = LeavingSaid::Unsaid;
+struct AnswerSignals {
+  LimitSignal Limit;
+  BackoffSignal Backoff;
+  LeavingSignal Leaving = LeavingSignal::Absent;
 
-  bool operator==(const EngineWord &) const = default;
+  bool operator==(const AnswerSignals &) const = default;
 };
 
 } // namespace banyanpick
--- a/src/libs/gateway/Configuration.h
+++ b/src/libs/gateway/Configuration.h
@@ -58,16 +58,16 @@
   std::uint32_t StepsPerPass = 1;   ///< Token steps of a pass with writers.
   std::uint64_t ChunkTokens = 2048; ///< Most prompt tokens read in a step.
   double StepMs = 0;                ///< A token step without any request.
-  double StepMsPerWriter = 0;       ///< More for each request that writes,
+  double StepMsPerDecode = 0;       ///< More for each request that writes,
   double StepMsPerKiloContext = 0;  ///< and for 1,000 tokens of its context.
-  double ReadTokensPerMs = 1;       ///< Prompt tokens read in a millisecond.
+  double PrefillTokensPerMs = 1;    ///< Prompt tokens read in a millisecond.
   double MsPerMillionPairs = 0;     ///< More, for pairs of a token and any
                                     ///< earlier one.
   double JointStepMs = 0; ///< More for each step of a prompt that lies on
                           ///< several engines.
-  std::uint64_t UsualPromptTokens = 0; ///< The mean over all requests.
-  std::uint64_t UsualAnswerTokens = 0; ///< Likewise; zero: not declared.
-  Duration ReportLag{}; ///< How old the engine's own figures are.
+  std::uint64_t MeanPromptTokens = 0; ///< The mean over all requests.
+  std::uint64_t MeanAnswerTokens = 0; ///< Likewise; zero: not declared.
+  Duration ReportLag{};               ///< How old the engine's own figures are.
 
   bool operator==(const EngineParameters &) const = default;
 };
--- a/src/libs/gateway/RestBook.cpp
+++ b/src/libs/gateway/EngineBackoffs.cpp
@@ -1,4 +1,4 @@
-#include "gateway/RestBook.h"
+#include "gateway/EngineBackoffs.h"
 
 #include <algorithm>
 
@@ -8,25 +8,25 @@
 
 /// Requests that were on their way when a rest began are refused within so
 /// long, each with a rest of its own.
-constexpr milliseconds SameRest(500);
+constexpr milliseconds SameBackoff(500);
 
 } // namespace
 
-bool RestBook::take(const UpstreamId &Engine, Time Until, Time Now) {
+bool EngineBackoffs::take(const UpstreamId &Engine, Time Until, Time Now) {
   if (Until <= Now)
     return false;
   Time &End = this->Ends[Engine];
   const Time Before = End;
   End = std::max(End, Until);
-  return Before <= Now || End > Before + Duration(SameRest);
+  return Before <= Now || End > Before + Duration(SameBackoff);
 }
 
-Time RestBook::until(const UpstreamId &Engine) const {
+Time EngineBackoffs::until(const UpstreamId &Engine) const {
   const auto Found = this->Ends.find(Engine);
   return Found == this->Ends.end() ? Time{} : Found->second;
 }
 
-void RestBook::age(Time Now) {
+void EngineBackoffs::age(Time Now) {
   std::erase_if(this->Ends,
                 [&](const auto &Each) { return Now >= Each.second; });
 }
--- a/src/libs/gateway/RestBook.h
+++ b/src/libs/gateway/EngineBackoffs.h
@@ -11,14 +11,14 @@
 
 /// When each engine's rest ends. Of several rests the latest end counts: a
 /// later answer that asks for less does not end one.
-class RestBook {
+class EngineBackoffs {
 public:
   /// Whether that is news worth telling: a rest that begins, or becomes longer
   /// by more than a few requests that were on their way make it.
   bool take(const UpstreamId &Engine, Time Until, Time Now);
   /// When the engine's rest is over; not after \p Now when it has none.
   Time until(const UpstreamId &Engine) const;
-  bool isResting(const UpstreamId &Engine, Time Now) const {
+  bool isBackingOff(const UpstreamId &Engine, Time Now) const {
     return Now < this->until(Engine);
   }
   /// All rests, also some that are over.
--- a/src/libs/gateway/EngineLife.cpp
+++ b/src/libs/gateway/EngineIncarnation.cpp
@@ -1,4 +1,4 @@
-#include "gateway/EngineLife.h"
+#include "gateway/EngineIncarnation.h"
 
 #include <charconv>
 #include <string>
@@ -12,20 +12,20 @@
 constexpr char Separator = '@';
 
 /// A life's id in its two parts.
-struct LifeParts {
+struct IncarnationParts {
   std::string_view Name;
-  std::uint64_t BornMs = 0;
+  std::uint64_t StartMs = 0;
 };
 
-LifeParts partsOf(std::string_view Text) {
+IncarnationParts partsOf(std::string_view Text) {
   const std::size_t At = Text.rfind(Separator);
   if (At == std::string_view::npos)
     return {Text, 0};
   const std::string_view Birth = Text.substr(At + 1);
-  LifeParts Result{Text.substr(0, At), 0};
+  IncarnationParts Result{Text.substr(0, At), 0};
   const char *End = Birth.data() + Birth.size();
   const auto [Stop, Failure] =
-      std::from_chars(Birth.data(), End, Result.BornMs);
+      std::from_chars(Birth.data(), End, Result.StartMs);
   if (Failure != std::errc() || Stop != End)
     return {Text, 0};
   return Result;
@@ -33,10 +33,10 @@
 
 } // namespace
 
-UpstreamId engineLife(std::string_view Name, std::uint64_t BornMs) {
+UpstreamId engineIncarnation(std::string_view Name, std::uint64_t StartMs) {
   std::string Text(Name);
-  if (BornMs != 0)
-    Text += Separator + std::to_string(BornMs);
+  if (StartMs != 0)
+    Text += Separator + std::to_string(StartMs);
   return UpstreamId(std::move(Text));
 }
 
@@ -44,8 +44,8 @@
   return partsOf(Life.Value).Name;
 }
 
-std::uint64_t engineBornMs(const UpstreamId &Life) {
-  return partsOf(Life.Value).BornMs;
+std::uint64_t engineStartMs(const UpstreamId &Life) {
+  return partsOf(Life.Value).StartMs;
 }
 
 } // namespace banyanpick
--- a/src/libs/gateway/EngineLife.h
+++ b/src/libs/gateway/EngineIncarnation.h
@@ -13,12 +13,12 @@
 /// one, the Unix millisecond of its start. An engine that starts again under
 /// its name remembers nothing, so everything believed of it must end; as its
 /// new life has another id, no belief is carried over by mistake.
-UpstreamId engineLife(std::string_view Name, std::uint64_t BornMs);
+UpstreamId engineIncarnation(std::string_view Name, std::uint64_t StartMs);
 
 /// The name that the engine registered under; all its lives share it.
 std::string_view engineName(const UpstreamId &Life);
 
 /// The Unix millisecond of the life's start; 0 when the engine tells none.
-std::uint64_t engineBornMs(const UpstreamId &Life);
+std::uint64_t engineStartMs(const UpstreamId &Life);
 
 } // namespace banyanpick
--- a/src/libs/gateway/GatewayEvent.h
+++ b/src/libs/gateway/GatewayEvent.h
@@ -3,7 +3,7 @@
 /// for, beside the events and actions that it shares with others.
 #pragma once
 
-#include "gateway/EngineWord.h"
+#include "gateway/AnswerSignals.h"
 #include "gateway/RelayedRequest.h"
 
 #include <memory>
@@ -28,18 +28,18 @@
 };
 /// The header of an upstream's answer came, to a try (also one that was given
 /// up), a question or an order. Told before what the answer means for those.
-struct EngineHeard {
+struct EngineSignalsReceived {
   UpstreamId Engine;
   Time SentAt{}; ///< The request that it answers.
-  EngineWord Word;
+  AnswerSignals Signals;
 };
 
 /// Where a belief comes from.
-enum class BeliefSource { Store, Peer };
+enum class ConfigurationSource { Store, Peer };
 
 struct ConfigurationRead {
   std::shared_ptr<const GatewayConfiguration> Declared;
-  BeliefSource From = BeliefSource::Store;
+  ConfigurationSource From = ConfigurationSource::Store;
 };
 /// A document that is no configuration; the one in force stays.
 struct ConfigurationUnreadable {
@@ -53,7 +53,7 @@
   LogOffset UpTo = 0; ///< All changes before it are known now.
 };
 /// A part of the store that is followed answers, or does not.
-struct StoreSeen {
+struct StoreObserved {
   enum class Part { Configuration, Engines, Hosts } Of = Part::Configuration;
   bool Reachable = false;
   std::string Why; ///< When it is not reachable.
@@ -81,9 +81,9 @@
 };
 
 using GatewayEvent =
-    std::variant<RelayArrived, RelayBegan, RelayEnded, EngineHeard,
+    std::variant<RelayArrived, RelayBegan, RelayEnded, EngineSignalsReceived,
                  ConfigurationRead, ConfigurationUnreadable, EnginesRead,
-                 StoreSeen, EngineReported, EngineReportFailed,
+                 StoreObserved, EngineReported, EngineReportFailed,
                  ReservationAnswered, SettingsReloaded>;
 
 // --- actions
@@ -132,7 +132,7 @@
 };
 /// Whether this host follows the store, or leaves that to others.
 struct FollowStore {
-  bool On = true;
+  bool Enabled = true;
 
   bool operator==(const FollowStore &) const = default;
 };
--- a/src/libs/gateway/RequestClass.cpp
+++ b/src/libs/gateway/PromptSize.cpp
@@ -1,4 +1,4 @@
-#include "gateway/RequestClass.h"
+#include "gateway/PromptSize.h"
 
 namespace banyanpick {
 
--- a/src/libs/gateway/RelayedRequest.cpp
+++ b/src/libs/gateway/RelayedRequest.cpp
@@ -28,15 +28,15 @@
     return "malformed";
   case RelayBroken::Why::Foreign:
     return "foreign";
-  case RelayBroken::Why::Spoilt:
+  case RelayBroken::Why::Corrupt:
     return "spoilt";
   }
   return "unknown";
 }
 
-UpstreamId culpritOf(const RelayNotRun &Is, const UpstreamId &Engine,
-                     std::span<const JointEngine> Helpers) {
-  for (const JointEngine &Each : Helpers)
+UpstreamId faultyEngine(const RelayNotRun &Is, const UpstreamId &Engine,
+                        std::span<const HelperEngine> Helpers) {
+  for (const HelperEngine &Each : Helpers)
     if (Is.FailedAt == Each.At)
       return Each.Engine;
   return Engine;
--- a/src/libs/gateway/RelayedRequest.h
+++ b/src/libs/gateway/RelayedRequest.h
@@ -31,13 +31,13 @@
 };
 
 /// Memory of another engine that a prompt is read on, too.
-struct JointEngine {
+struct HelperEngine {
   UpstreamId Engine;
   Address At;
   std::string Reservation;  ///< Empty: it reads a part and keeps nothing.
   std::uint64_t Tokens = 0; ///< Memory set aside under the reservation.
 
-  bool operator==(const JointEngine &) const = default;
+  bool operator==(const HelperEngine &) const = default;
 };
 
 /// Send the request to the upstream.
@@ -51,12 +51,12 @@
   Time Deadline{};      ///< The upstream is told what is left until then.
   std::optional<std::uint32_t> Urgency;   ///< 0 is the most urgent.
   std::optional<std::uint64_t> LastEvent; ///< Resume after this event.
-  std::vector<JointEngine> Helpers;
+  std::vector<HelperEngine> Helpers;
   bool Fresh = false;  ///< Not over a kept connection.
   bool Stream = false; ///< The answer is a series of events.
   /// A stream that gives nothing for so long after its first event is given up
   /// as silent; zero: never.
-  Duration MostSilence{};
+  Duration MaxSilence{};
 
   bool operator==(const DispatchRelay &) const = default;
 };
@@ -108,7 +108,7 @@
 /// No byte of the request was handed to a transport.
 struct RelayNeverSent {
   /// Taken back here, as the upstream asked for rest meanwhile.
-  bool TakenBack = false;
+  bool Withdrawn = false;
 
   bool operator==(const RelayNeverSent &) const = default;
 };
@@ -123,8 +123,8 @@
 };
 
 /// The engine at fault: a helper, or else \p Engine itself.
-UpstreamId culpritOf(const RelayNotRun &Is, const UpstreamId &Engine,
-                     std::span<const JointEngine> Helpers);
+UpstreamId faultyEngine(const RelayNotRun &Is, const UpstreamId &Engine,
+                        std::span<const HelperEngine> Helpers);
 
 /// The upstream's whole answer went to the caller.
 struct RelayDelivered {
@@ -148,7 +148,7 @@
     Silent,    ///< Nothing came; the transport gave up.
     Malformed, ///< What came is no answer in the protocol.
     Foreign,   ///< What came answers another request.
-    Spoilt,    ///< The body is cut or altered.
+    Corrupt,   ///< The body is cut or altered.
   } Reason = Why::Reset;
   bool Began = false; ///< The caller has got a part of the answer.
   std::optional<std::uint64_t> LastEvent; ///< The last whole event passed on.
--- a/src/libs/kernel/GatewayServices.h
+++ b/src/libs/kernel/GatewayServices.h
@@ -76,7 +76,7 @@
   RequestId Request;
   UpstreamId Engine;
   ServiceId Service;
-  std::vector<JointEngine> Helpers; ///< That read a part of its prompt.
+  std::vector<HelperEngine> Helpers; ///< That read a part of its prompt.
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0; ///< At most.
   Fingerprint Content;
@@ -172,7 +172,7 @@
   UpstreamId Engine;
   /// Those with Tokens must set so much memory aside before the try is sent;
   /// the upstream itself is then the first of them.
-  std::vector<JointEngine> Helpers;
+  std::vector<HelperEngine> Helpers;
   std::optional<std::uint32_t> Urgency;
   Duration Predicted{};       ///< To the first event; zero: unknown.
   std::size_t AtLimit = 0;    ///< Engines passed over, as they take no more,
@@ -215,8 +215,9 @@
   virtual ~MemoryReserver() = default;
   /// Asks for the memory of all \p Shares that name Tokens. Answered by
   /// MemoryObserver::memoryDecided(), not before it returns.
-  virtual void acquire(const RequestId &Id, std::span<const JointEngine> Shares,
-                       Time Now, Actions &Out) = 0;
+  virtual void acquire(const RequestId &Id,
+                       std::span<const HelperEngine> Shares, Time Now,
+                       Actions &Out) = 0;
   /// Lets go what is held or asked for; idempotent.
   virtual void release(const RequestId &Id, Time Now, Actions &Out) = 0;
 };
@@ -229,7 +230,7 @@
   virtual void memoryRefused(const UpstreamId &, Time) {}
   /// \p Shares have their reservations; empty when they could not all be had,
   /// and nothing is held then.
-  virtual void memoryDecided(const RequestId &, std::span<const JointEngine>,
+  virtual void memoryDecided(const RequestId &, std::span<const HelperEngine>,
                              Time, Actions &) {}
 };
 
--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -203,14 +203,14 @@
     if (this->ReadFailure)
       co_return this->brokenBy(this->ReadFailure);
     if (Given.Body.size() > this->Limits.WholeAnswerBytes)
-      co_return this->broken(RelayBroken::Why::Spoilt);
+      co_return this->broken(RelayBroken::Why::Corrupt);
   }
   if (this->Cancelled)
     co_return this->broken(RelayBroken::Why::Reset);
   this->keepLink(From);
   const std::uint32_t Status = Given.Head.result_int();
   if (this->Caller->hasBegun())
-    co_return this->broken(RelayBroken::Why::Spoilt);
+    co_return this->broken(RelayBroken::Why::Corrupt);
   if (IsFailure) {
     this->Caller->keepFailure(this->Order.Attempt, std::move(Given));
     co_return RelayFailed{Status};
@@ -226,8 +226,8 @@
   removeHopHeaders(Head);
   Head.erase(http::field::content_length);
   while (!From.is_done()) {
-    if (this->Began && this->Order.MostSilence > Duration(0))
-      this->armSilence(this->Order.MostSilence);
+    if (this->Began && this->Order.MaxSilence > Duration(0))
+      this->armSilence(this->Order.MaxSilence);
     const std::string Events =
         this->Borders.feed(co_await this->readPiece(From));
     this->Watch.cancel();
@@ -235,7 +235,7 @@
       co_return this->broken(RelayBroken::Why::Reset);
     if (!this->Borders.isInOrder() ||
         this->Borders.unfinished() > this->Limits.EventBytes)
-      co_return this->broken(RelayBroken::Why::Spoilt);
+      co_return this->broken(RelayBroken::Why::Corrupt);
     if (!Events.empty()) {
       this->notePause();
       if (!this->Caller->hasBegun() && !co_await this->Caller->begin(Head))
@@ -251,7 +251,7 @@
       co_return this->brokenBy(this->ReadFailure);
   }
   if (this->Borders.unfinished() > 0)
-    co_return this->broken(RelayBroken::Why::Spoilt);
+    co_return this->broken(RelayBroken::Why::Corrupt);
   this->keepLink(From);
   if (!this->Caller->hasBegun() && !co_await this->Caller->begin(Head))
     co_return this->broken(RelayBroken::Why::Reset);
--- a/src/libs/relay/EngineRun.h
+++ b/src/libs/relay/EngineRun.h
@@ -22,7 +22,7 @@
 /// Told what happens in a run, on its thread.
 struct EngineRunListener {
   /// The header of the upstream's answer came.
-  std::function<void(const EngineWord &)> OnWord;
+  std::function<void(const AnswerSignals &)> OnWord;
   /// The first event went to the caller.
   std::function<void()> OnBegan;
   /// Whether the upstream may still get the request, now that a connection
--- a/src/libs/relay/GatewayProtocol.h
+++ b/src/libs/relay/GatewayProtocol.h
@@ -60,10 +60,10 @@
                                   const HttpExchange::Request &Asked) const = 0;
 
   /// What the answer to a try says of the upstream itself.
-  virtual EngineWord wordOf(const http::response_header<> &Head,
-                            const HttpExchange::Request &Asked) const = 0;
+  virtual AnswerSignals wordOf(const http::response_header<> &Head,
+                               const HttpExchange::Request &Asked) const = 0;
   /// The same of the answer to a question or an order.
-  virtual EngineWord wordOf(const http::response_header<> &Head) const = 0;
+  virtual AnswerSignals wordOf(const http::response_header<> &Head) const = 0;
   /// Headers of an upstream's answer that this protocol does not know: it may
   /// say something that nothing here heeds.
   virtual std::vector<std::string>
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -48,7 +48,7 @@
           this->takePeer(Is.Message.From, *Told, Now, Out);
       },
       [&](const GatewayEvent &Is) {
-        if (const auto *Heard = std::get_if<EngineHeard>(&Is))
+        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Is))
           this->hear(*Heard, Now, Out);
       },
       [](const auto &) {});
@@ -72,16 +72,17 @@
 
 // --- what engines say
 
-void EngineLimitsPlugin::hear(const EngineHeard &Is, Time Now, Actions &Out) {
+void EngineLimitsPlugin::hear(const EngineSignalsReceived &Is, Time Now,
+                              Actions &Out) {
   const UpstreamId &Engine = Is.Engine;
   match(
-      Is.Word.Limit, [](const LimitUnsaid &) {},
+      Is.Signals.Limit, [](const LimitUnknown &) {},
       [&](const LimitNone &) {
         if (this->Engines.contains(Engine))
           this->believe(Engine, {std::nullopt, Is.SentAt}, this->Self, Now,
                         Out);
       },
-      [&](const LimitNamed &Each) {
+      [&](const LimitDeclared &Each) {
         this->believe(Engine, {Each.PerSecond, Now}, this->Self, Now, Out);
         const auto Known = this->Engines.find(Engine);
         if (Known != this->Engines.end())
@@ -229,7 +230,7 @@
     return;
   this->countUse(Each.Engine, Now, Out);
   // A helper reads a part of the prompt, which is a request to it, too.
-  for (const JointEngine &Helper : Each.Helpers)
+  for (const HelperEngine &Helper : Each.Helpers)
     if (Helper.Engine != Each.Engine)
       this->countUse(Helper.Engine, Now, Out);
 }
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -54,7 +54,7 @@
                                ///< read.
     std::optional<RoomLender> Lends; ///< While this host is the lender.
   };
-  void hear(const EngineHeard &Is, Time Now, Actions &Out);
+  void hear(const EngineSignalsReceived &Is, Time Now, Actions &Out);
   /// Takes in a word; tells the others when it changes what is believed here
   /// and comes of an own answer (\p From is this host then).
   void believe(const UpstreamId &Engine, const LimitWord &Word,
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -470,7 +470,7 @@
   Item.MemoryTokens = ListsItself ? Each.Helpers.front().Tokens
                                   : Each.PromptTokens + Each.OutputTokens;
   this->Loads[Each.Engine].add(Item, Now);
-  for (const JointEngine &Helper : Each.Helpers) {
+  for (const HelperEngine &Helper : Each.Helpers) {
     Part.MemoryTokens = Helper.Tokens;
     if (Helper.Engine != Each.Engine)
       this->Loads[Helper.Engine].add(Part, Now);
@@ -481,7 +481,7 @@
                                     Actions &Out) {
   this->noteFirstToken(Each, Now, Out);
   this->Loads[Each.Engine].began(Each.Id, Now);
-  for (const JointEngine &Helper : Each.Helpers) {
+  for (const HelperEngine &Helper : Each.Helpers) {
     if (Helper.Engine == Each.Engine)
       continue;
     // What it keeps stays there while the answer is written.
@@ -511,7 +511,7 @@
 
 void EngineLoadPlugin::remove(const RelayAttempt &Each, Time Now) {
   this->Loads[Each.Engine].remove(Each.Id, Now);
-  for (const JointEngine &Helper : Each.Helpers)
+  for (const HelperEngine &Helper : Each.Helpers)
     this->Loads[Helper.Engine].remove(Each.Id, Now);
   std::erase_if(this->Loads, [](const auto &Of) { return Of.second.isIdle(); });
   this->noteChange(this->isToldSoon(Each), Now);
--- a/src/plugins/engineload/ReadCost.cpp
+++ b/src/plugins/engineload/ReadCost.cpp
@@ -16,7 +16,7 @@
   constexpr double Million = 1e6;
   const auto Count = static_cast<double>(Tokens);
   const double Pairs = Count * (Count + 1) / 2;
-  return Count / std::max(Of.ReadTokensPerMs, 1e-3) +
+  return Count / std::max(Of.PrefillTokensPerMs, 1e-3) +
          Pairs / Million * Of.MsPerMillionPairs;
 }
 
@@ -26,7 +26,7 @@
     return 0;
   constexpr double Thousand = 1e3;
   const double StepMs =
-      Of.StepMs + Writers * Of.StepMsPerWriter +
+      Of.StepMs + Writers * Of.StepMsPerDecode +
       static_cast<double>(ContextTokens) / Thousand * Of.StepMsPerKiloContext;
   return Of.StepsPerPass * StepMs;
 }
@@ -36,20 +36,20 @@
   const double Tokens =
       static_cast<double>(PromptTokens) +
       static_cast<double>(OutputTokens) * PromptTokensPerOutputToken;
-  return Tokens / std::max(Of.ReadTokensPerMs, 1e-3);
+  return Tokens / std::max(Of.PrefillTokensPerMs, 1e-3);
 }
 
 double roomMs(const EngineParameters &Of, double PauseMs) {
-  return PauseMs - writePassMs(Of, Of.Slots, Of.Slots * Of.UsualPromptTokens);
+  return PauseMs - writePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
 }
 
 double placeWaitMs(const EngineParameters &Of, std::uint32_t Running) {
   if (Running < Of.Slots)
     return 0;
   const double Passes =
-      static_cast<double>(Of.UsualAnswerTokens) / std::max(Of.StepsPerPass, 1U);
+      static_cast<double>(Of.MeanAnswerTokens) / std::max(Of.StepsPerPass, 1U);
   const double AnswerMs =
-      Passes * writePassMs(Of, Of.Slots, Of.Slots * Of.UsualPromptTokens);
+      Passes * writePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
   return AnswerMs / std::max(Of.Slots, 1U) * (Running - Of.Slots + 1);
 }
 
--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -51,13 +51,13 @@
 }
 
 void EngineMemoryPlugin::acquire(const RequestId &Id,
-                                 std::span<const JointEngine> Shares, Time Now,
+                                 std::span<const HelperEngine> Shares, Time Now,
                                  Actions &Out) {
   this->release(Id, Now, Out);
   Reservation &Of = this->Reservations[Id];
   Of.AskedAt = Now;
   Of.All.assign(Shares.begin(), Shares.end());
-  for (JointEngine &Each : Of.All) {
+  for (HelperEngine &Each : Of.All) {
     if (Each.Tokens == 0)
       continue;
     // A life's number makes it unlike any name of an earlier life.
@@ -142,8 +142,8 @@
               .with("after_us", (Now - Of.AskedAt).count())
               .build());
   Out.count("memory_reservations", All ? "held" : "refused");
-  const std::vector<JointEngine> Shares =
-      All ? Of.All : std::vector<JointEngine>();
+  const std::vector<HelperEngine> Shares =
+      All ? Of.All : std::vector<HelperEngine>();
   if (!All)
     this->release(Id, Now, Out);
   for (MemoryObserver *Each : this->Offered->list<MemoryObserver>().all())
--- a/src/plugins/enginememory/EngineMemoryPlugin.h
+++ b/src/plugins/enginememory/EngineMemoryPlugin.h
@@ -24,7 +24,7 @@
   void handle(const Event &What, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
-  void acquire(const RequestId &Id, std::span<const JointEngine> Shares,
+  void acquire(const RequestId &Id, std::span<const HelperEngine> Shares,
                Time Now, Actions &Out) override;
   void release(const RequestId &Id, Time Now, Actions &Out) override;
 
@@ -37,20 +37,20 @@
 private:
   enum class Stage { Asked, Waiting, Held, Refused };
   struct Share {
-    JointEngine Where;
+    HelperEngine Where;
     Stage Is = Stage::Asked;
     bool Unanswered = false; ///< An order may be carried out later.
     Time AskAgainAt{};
   };
   struct Reservation {
-    std::vector<JointEngine> All; ///< Those without memory, too.
+    std::vector<HelperEngine> All; ///< Those without memory, too.
     std::vector<Share> Shares;
     Time AskedAt{};
     bool Decided = false;
   };
   /// A release repeated, as an order without an answer may be carried out late.
   struct LateRelease {
-    JointEngine Where;
+    HelperEngine Where;
     Time NextAt{};
     Time Until{};
   };
--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -1,7 +1,7 @@
 #include "plugins/engines/EngineTable.h"
 
 #include "base/RendezvousHash.h"
-#include "gateway/EngineLife.h"
+#include "gateway/EngineIncarnation.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -42,7 +42,7 @@
   if (Change.Removed)
     return this->remove(Change, Doubtful, Now);
   const std::string_view Of = engineName(Change.Engine.Id);
-  const std::uint64_t BornMs = engineBornMs(Change.Engine.Id);
+  const std::uint64_t BornMs = engineStartMs(Change.Engine.Id);
   const auto Over = this->Removed.find(Of);
   const bool WasRemoved = Over != this->Removed.end();
   if (WasRemoved && BornMs < Over->second.BornMs)
@@ -54,7 +54,7 @@
   if (Found == this->Engines.end())
     return IsOver ? Applied{} : this->add(Change, Now);
   RegisteredEngine &Known = Found->second;
-  const std::uint64_t KnownMs = engineBornMs(Known.Record.Id);
+  const std::uint64_t KnownMs = engineStartMs(Known.Record.Id);
   if (BornMs < KnownMs || (BornMs == KnownMs && Known.Offset >= Change.Offset))
     return {};
   if (BornMs == KnownMs)
@@ -118,7 +118,7 @@
     return {};
   }
   const UpstreamId Ended = Known.Record.Id;
-  Over.BornMs = engineBornMs(Ended);
+  Over.BornMs = engineStartMs(Ended);
   this->erase(Found);
   return {Effect::Gone, Ended};
 }
@@ -129,10 +129,10 @@
   if (Found == this->Engines.end())
     return std::nullopt;
   const UpstreamId Known = Found->second.Record.Id;
-  if (engineBornMs(Life) <= engineBornMs(Known))
+  if (engineStartMs(Life) <= engineStartMs(Known))
     return std::nullopt;
   this->noteRemoval(Found->first, Found->second.Offset, Now).BornMs =
-      engineBornMs(Life);
+      engineStartMs(Life);
   this->erase(Found);
   return Known;
 }
@@ -213,7 +213,7 @@
   for (const UpstreamId &Id : Gone) {
     const auto Found = this->Engines.find(engineName(Id));
     this->noteRemoval(Found->first, Found->second.Offset, Now).BornMs =
-        engineBornMs(Id);
+        engineStartMs(Id);
     this->erase(Found);
   }
   return Gone;
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -39,7 +39,7 @@
       [&](const GatewayEvent &Is) {
         if (const auto *Read = std::get_if<EnginesRead>(&Is))
           this->take(*Read, Now, Out);
-        if (const auto *Seen = std::get_if<StoreSeen>(&Is))
+        if (const auto *Seen = std::get_if<StoreObserved>(&Is))
           this->note(*Seen, Now, Out);
         if (const auto *Reported = std::get_if<EngineReported>(&Is))
           this->noteLife(Reported->Report.Engine, Now, Out);
@@ -71,8 +71,8 @@
   this->KnownTo = std::max(this->KnownTo, Read.UpTo);
 }
 
-void EnginesPlugin::note(const StoreSeen &Seen, Time Now, Actions &Out) {
-  if (Seen.Of != StoreSeen::Part::Engines)
+void EnginesPlugin::note(const StoreObserved &Seen, Time Now, Actions &Out) {
+  if (Seen.Of != StoreObserved::Part::Engines)
     return;
   if (!Seen.Reachable)
     this->LastFailed = Now;
--- a/src/plugins/engines/EnginesPlugin.h
+++ b/src/plugins/engines/EnginesPlugin.h
@@ -39,7 +39,7 @@
   void takeRelayed(const EnginesRelayed &Relayed, const HostId &From, Time Now,
                    Actions &Out);
   EnginesRelayed changesFrom(LogOffset From) const;
-  void note(const StoreSeen &Seen, Time Now, Actions &Out);
+  void note(const StoreObserved &Seen, Time Now, Actions &Out);
   void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
   void apply(std::span<const EngineChange> Changes, std::string_view From,
              Time Now, Actions &Out);
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -28,7 +28,7 @@
           this->takePeer(Is.Message.From, *Told, Now, Out);
       },
       [&](const GatewayEvent &Is) {
-        if (const auto *Heard = std::get_if<EngineHeard>(&Is))
+        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Is))
           this->hear(*Heard, Now, Out);
       },
       [](const auto &) {});
@@ -39,7 +39,7 @@
   const RegisteredEngine *Known = this->Directory->find(Engine);
   if (!Known || Known->Standing == EngineStanding::Leaving)
     return EngineBlocked{EngineBlocked::Why::Leaving, std::nullopt};
-  if (this->Own.isResting(Engine, Now))
+  if (this->Own.isBackingOff(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::BackingOff,
                          this->Own.until(Engine) - Now};
   if (!this->Room->hasQuota(Engine, Now))
@@ -50,14 +50,17 @@
 
 bool EngineSignalsPlugin::isDiscouraged(const UpstreamId &Engine,
                                         Time Now) const {
-  return this->Peers.isResting(Engine, Now);
+  return this->Peers.isBackingOff(Engine, Now);
 }
 
-void EngineSignalsPlugin::hear(const EngineHeard &Is, Time Now, Actions &Out) {
+void EngineSignalsPlugin::hear(const EngineSignalsReceived &Is, Time Now,
+                               Actions &Out) {
   match(
-      Is.Word.Backoff, [](const RestUnasked &) {},
-      [&](const RestAsked &Each) { this->rest(Is.Engine, Each.For, Now, Out); },
-      [&](const RestUnreadable &Each) {
+      Is.Signals.Backoff, [](const NoBackoff &) {},
+      [&](const BackoffRequested &Each) {
+        this->rest(Is.Engine, Each.For, Now, Out);
+      },
+      [&](const BackoffUnreadable &Each) {
         Out.log(logEvent(events::EngineRestUnreadable)
                     .with("engine", Is.Engine.Value)
                     .with("said", Each.Text)
@@ -66,10 +69,10 @@
         Out.count("engine_rests_unreadable", Is.Engine.Value);
         this->rest(Is.Engine, Each.TakenAs, Now, Out);
       });
-  if (Is.Word.Leaving == LeavingSaid::Unsaid)
+  if (Is.Signals.Leaving == LeavingSignal::Absent)
     return;
   const bool IsNews = this->leave(Is.Engine, Now, Out);
-  if (IsNews && Is.Word.Leaving == LeavingSaid::Unreadable)
+  if (IsNews && Is.Signals.Leaving == LeavingSignal::Unreadable)
     Out.log(logEvent(events::EngineLeavingUnreadable)
                 .with("engine", Is.Engine.Value)
                 .with("taken_as", "leaving")
--- a/src/plugins/enginesignals/EngineSignalsPlugin.h
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.h
@@ -2,7 +2,7 @@
 /// The plug-in that heeds what engines say of themselves in their answers.
 #pragma once
 
-#include "gateway/RestBook.h"
+#include "gateway/EngineBackoffs.h"
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
 
@@ -32,7 +32,7 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void hear(const EngineHeard &Is, Time Now, Actions &Out);
+  void hear(const EngineSignalsReceived &Is, Time Now, Actions &Out);
   void rest(const UpstreamId &Engine, Duration For, Time Now, Actions &Out);
   void takePeer(const HostId &From, const EngineSignals &Told, Time Now,
                 Actions &Out);
@@ -47,8 +47,8 @@
   const ActiveHostsView *Active = nullptr;
   const EngineQuota *Room = nullptr;
   HostId Self;
-  RestBook Own;                 ///< Asked of this host.
-  RestBook Peers;               ///< Asked of others, as they told.
+  EngineBackoffs Own;           ///< Asked of this host.
+  EngineBackoffs Peers;         ///< Asked of others, as they told.
   std::set<UpstreamId> Leaving; ///< Engines that said so to this host.
   std::vector<HostId> Hosts;    ///< That are active.
 };
--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -102,7 +102,7 @@
                                      const RelayOutcome &Outcome, Time Now,
                                      Actions &Out) {
   if (const auto *NotRun = std::get_if<RelayNotRun>(&Outcome)) {
-    const UpstreamId At = culpritOf(*NotRun, Each.Engine, Each.Helpers);
+    const UpstreamId At = faultyEngine(*NotRun, Each.Engine, Each.Helpers);
     if (At != Each.Engine)
       this->judge(At, Each.Service, TrustRecord::Verdict::Silent, Now, Out);
     return;
--- a/src/plugins/enginetrust/TrustRecord.cpp
+++ b/src/plugins/enginetrust/TrustRecord.cpp
@@ -63,7 +63,7 @@
   return match(
       Outcome,
       [](const RelayNeverSent &Is) {
-        return Is.TakenBack ? Verdict::Neutral : Verdict::Silent;
+        return Is.Withdrawn ? Verdict::Neutral : Verdict::Silent;
       },
       [](const RelayNotRun &) { return Verdict::Neutral; },
       [](const RelayDelivered &) { return Verdict::Sound; },
--- a/src/plugins/relays/RelayLines.cpp
+++ b/src/plugins/relays/RelayLines.cpp
@@ -11,7 +11,7 @@
   return match(
       Outcome,
       [](const RelayNeverSent &Is) {
-        return std::string_view(Is.TakenBack ? "taken_back" : "unsent");
+        return std::string_view(Is.Withdrawn ? "taken_back" : "unsent");
       },
       [](const RelayNotRun &Is) {
         return std::string_view(Is.OtherEngine ? "other_engine" : "not_run");
--- a/src/plugins/relays/RelayOrders.cpp
+++ b/src/plugins/relays/RelayOrders.cpp
@@ -56,7 +56,7 @@
   // Without another try there is nothing to gain by giving up.
   const bool MayGoOn = Of.RanOn.size() + 1 < Of.Terms.Attempts;
   if (Result.Stream && Of.isIdempotent() && MayGoOn)
-    Result.MostSilence = Chosen.Helpers.empty() ? Most.Alone : Most.Shared;
+    Result.MaxSilence = Chosen.Helpers.empty() ? Most.Alone : Most.Shared;
   return Result;
 }
 
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -1,7 +1,7 @@
 #include "plugins/relays/RelaysPlugin.h"
 
 #include "base/Visitor.h"
-#include "gateway/RequestClass.h"
+#include "gateway/PromptSize.h"
 #include "kernel/PluginRegistry.h"
 #include "plugins/relays/RelayLines.h"
 
@@ -28,7 +28,7 @@
 bool dependsOn(const RelayAttempt &Try, const UpstreamId &Engine) {
   if (Try.Engine == Engine)
     return true;
-  return std::ranges::any_of(Try.Helpers, [&](const JointEngine &Each) {
+  return std::ranges::any_of(Try.Helpers, [&](const HelperEngine &Each) {
     return Each.Engine == Engine && (!Try.Began || Each.Tokens > 0);
   });
 }
@@ -192,7 +192,7 @@
                         Time Now, Actions &Out) {
   Each.AwaitsTurn = false;
   const bool NeedsMemory = std::ranges::any_of(
-      Chosen.Helpers, [](const JointEngine &One) { return One.Tokens > 0; });
+      Chosen.Helpers, [](const HelperEngine &One) { return One.Tokens > 0; });
   if (!NeedsMemory) {
     this->dispatch(Each, Chosen, Now, Out);
     return;
@@ -214,7 +214,7 @@
 }
 
 void RelaysPlugin::memoryDecided(const RequestId &Id,
-                                 std::span<const JointEngine> Shares, Time Now,
+                                 std::span<const HelperEngine> Shares, Time Now,
                                  Actions &Out) {
   RunningRelay *Each = this->Running.find(Id);
   if (!Each || !Each->Reserving) {
@@ -225,7 +225,7 @@
   Each->Reserving.reset();
   // The choice is a moment old: engines may have gone, or want no more.
   const bool Gone =
-      std::ranges::any_of(Chosen.Helpers, [&](const JointEngine &One) {
+      std::ranges::any_of(Chosen.Helpers, [&](const HelperEngine &One) {
         return this->Gate->blocked(One.Engine, Now).has_value();
       });
   if (Shares.empty() || Gone) {
@@ -304,7 +304,8 @@
   if (const auto *Other = std::get_if<RelayNotRun>(&Is.Outcome))
     if (Other->OtherEngine)
       this->Directory->addressTaken(
-          culpritOf(*Other, Each->Live->Engine, Each->Live->Helpers), Now, Out);
+          faultyEngine(*Other, Each->Live->Engine, Each->Live->Helpers), Now,
+          Out);
   const RelayAttempt Ended = this->endTry(*Each, Is.Outcome, Now, Out);
   this->follow(*Each, Ended, Is.Outcome, Now, Out);
 }
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -44,7 +44,7 @@
 
   std::size_t running() const override { return this->Running.size(); }
 
-  void memoryDecided(const RequestId &Id, std::span<const JointEngine> Shares,
+  void memoryDecided(const RequestId &Id, std::span<const HelperEngine> Shares,
                      Time Now, Actions &Out) override;
 
   void engineRemoved(const UpstreamId &Id, Time, Actions &) override {
--- a/src/plugins/relays/TryVerdict.cpp
+++ b/src/plugins/relays/TryVerdict.cpp
@@ -21,7 +21,7 @@
         return TryAgain{false};
       },
       [&](const RelayNotRun &Is) -> TryVerdict {
-        Of.NotRunOn.push_back(culpritOf(Is, Ended.Engine, Ended.Helpers));
+        Of.NotRunOn.push_back(faultyEngine(Is, Ended.Engine, Ended.Helpers));
         return TryAgain{true};
       },
       [&](const RelayDelivered &Is) -> TryVerdict {
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -92,12 +92,13 @@
   Out.log(logEvent(events::ConfigurationInForce)
               .with("version", this->version())
               .with("before", Before)
-              .with("from", Read.From == BeliefSource::Store ? "store" : "peer")
+              .with("from",
+                    Read.From == ConfigurationSource::Store ? "store" : "peer")
               .with("routes", Read.Declared->Routes.size())
               .with("keys", Read.Declared->Keys.size())
               .build());
   Out.count("configurations_taken",
-            Read.From == BeliefSource::Store ? "store" : "peer");
+            Read.From == ConfigurationSource::Store ? "store" : "peer");
 }
 
 void RoutesPlugin::takePeerMessage(const PeerMessage &Message, Time Now,
--- a/src/plugins/storereaders/StoreReadersPlugin.cpp
+++ b/src/plugins/storereaders/StoreReadersPlugin.cpp
@@ -45,7 +45,7 @@
   this->Deputies = Values.whole(In, "deputies");
   this->DeputyAge = Values.span(In, "deputy_age");
   this->MostAge = Values.span(In, "most_age");
-  this->MostSilence = Values.span(In, "most_silence");
+  this->MaxSilence = Values.span(In, "most_silence");
   Context.services().provide<StoreFreshness>(*this);
   Context.services().list<MembershipObserver>().add(*this);
 }
@@ -121,7 +121,7 @@
 bool StoreReadersPlugin::hearsPeers(Time Now) const {
   return std::ranges::any_of(this->Members->peers(), [&](const Member &Each) {
     return Each.State == MemberState::Alive &&
-           Now < Each.LastHeard + this->MostSilence;
+           Now < Each.LastHeard + this->MaxSilence;
   });
 }
 
--- a/src/plugins/storereaders/StoreReadersPlugin.h
+++ b/src/plugins/storereaders/StoreReadersPlugin.h
@@ -43,7 +43,7 @@
   Duration LookInterval{};
   Duration DeputyAge{};
   Duration MostAge{};
-  Duration MostSilence{};
+  Duration MaxSilence{};
   Time NextLook{};
   Time Confirmed{}; ///< The newest reading known here, by any host.
   bool Reads = true;
--- a/tests/auto/gateway/DeferralTest.cpp
+++ b/tests/auto/gateway/DeferralTest.cpp
@@ -29,7 +29,7 @@
   Result.Slots = 16;
   Result.StepsPerPass = 50;
   Result.StepMs = 1.25;
-  Result.UsualAnswerTokens = 1600;
+  Result.MeanAnswerTokens = 1600;
   return Result;
 }
 
@@ -61,7 +61,7 @@
       isTooFull(engines(15).front(), Place, model(), Times, weights()));
   EXPECT_TRUE(isTooFull(engines(16).front(), Place, model(), Times, weights()));
   EngineParameters Unknown = model();
-  Unknown.UsualAnswerTokens = 0;
+  Unknown.MeanAnswerTokens = 0;
   EXPECT_FALSE(
       isTooFull(engines(20).front(), Place, Unknown, Times, weights()));
 }
--- a/tests/auto/gateway/EngineTableTest.cpp
+++ b/tests/auto/gateway/EngineTableTest.cpp
@@ -2,7 +2,7 @@
 /// What is known of upstreams does not depend on who told it first.
 #include "plugins/engines/EngineTable.h"
 
-#include "gateway/EngineLife.h"
+#include "gateway/EngineIncarnation.h"
 
 #include <gtest/gtest.h>
 
@@ -74,11 +74,11 @@
 TEST(EngineTable, ANewLifeOfAnEngineThatLeftIsUsed) {
   EngineTable Table = table();
   EngineChange Old = change("e1", 1);
-  Old.Engine.Id = engineLife("e1", 1000);
+  Old.Engine.Id = engineIncarnation("e1", 1000);
   Table.apply(Old, false, at(0));
   Table.noteLeaving(Old.Engine.Id, at(1));
   EngineChange New = change("e1", 2);
-  New.Engine.Id = engineLife("e1", 2000);
+  New.Engine.Id = engineIncarnation("e1", 2000);
   Table.apply(New, false, at(2));
   EXPECT_EQ(Table.find(New.Engine.Id)->Standing, EngineStanding::Usable);
 }
@@ -221,17 +221,17 @@
 }
 
 TEST(EngineLife, IsTheNameWhereNoBirthIsTold) {
-  EXPECT_EQ(engineLife("e1", 0), UpstreamId("e1"));
-  EXPECT_EQ(engineBornMs(UpstreamId("e1")), 0U);
+  EXPECT_EQ(engineIncarnation("e1", 0), UpstreamId("e1"));
+  EXPECT_EQ(engineStartMs(UpstreamId("e1")), 0U);
   EXPECT_EQ(engineName(UpstreamId("a@b")), "a@b");
 }
 
 RC_GTEST_PROP(EngineLifeProperty, NameAndBirthAreReadBack,
               (const std::string &Name, std::uint64_t BornMs)) {
   const std::uint64_t Born = std::max<std::uint64_t>(BornMs, 1);
-  const UpstreamId Life = engineLife(Name, Born);
+  const UpstreamId Life = engineIncarnation(Name, Born);
   RC_ASSERT(engineName(Life) == Name);
-  RC_ASSERT(engineBornMs(Life) == Born);
+  RC_ASSERT(engineStartMs(Life) == Born);
 }
 
 RC_GTEST_PROP(EngineTableProperty, NewsOfTwoLivesEndAlikeInAnyOrder, ()) {
--- a/tests/auto/gateway/GatewayBeliefsTest.cpp
+++ b/tests/auto/gateway/GatewayBeliefsTest.cpp
@@ -31,7 +31,8 @@
 TEST(Beliefs, AConfigurationNeverGoesBack) {
   GatewayBench Bench;
   Bench.configure(5);
-  Bench.send(GatewayEvent(ConfigurationRead{version(4), BeliefSource::Store}));
+  Bench.send(
+      GatewayEvent(ConfigurationRead{version(4), ConfigurationSource::Store}));
   Bench.arrive("/safe/1");
   EXPECT_TRUE(Bench.all<RefuseRelay>().empty())
       << "version 4 has no routes, version 5 has";
--- a/tests/auto/gateway/GatewayBench.cpp
+++ b/tests/auto/gateway/GatewayBench.cpp
@@ -48,8 +48,8 @@
 }
 
 void GatewayBench::configure(std::uint64_t Version) {
-  this->send(GatewayEvent(
-      ConfigurationRead{gatewayDeclarations(Version), BeliefSource::Store}));
+  this->send(GatewayEvent(ConfigurationRead{gatewayDeclarations(Version),
+                                            ConfigurationSource::Store}));
 }
 
 void GatewayBench::enlist(const char *Service, int Count, LogOffset From) {
@@ -65,8 +65,8 @@
     Read.Changes.push_back(std::move(Change));
   }
   Read.UpTo = From;
-  this->send(
-      GatewayEvent(StoreSeen{StoreSeen::Part::Engines, true, std::string()}));
+  this->send(GatewayEvent(
+      StoreObserved{StoreObserved::Part::Engines, true, std::string()}));
   this->send(GatewayEvent(std::move(Read)));
 }
 
@@ -92,9 +92,9 @@
 }
 
 void GatewayBench::rest(const UpstreamId &Engine, Duration For) {
-  EngineWord Word;
-  Word.Rest = RestAsked{For};
-  this->send(GatewayEvent(EngineHeard{Engine, this->Now, Word}));
+  AnswerSignals Signals;
+  Signals.Backoff = BackoffRequested{For};
+  this->send(GatewayEvent(EngineSignalsReceived{Engine, this->Now, Signals}));
 }
 
 void GatewayBench::end(const AttemptId &Try, RelayOutcome Outcome) {
--- a/tests/auto/gateway/GatewayMemoryTest.cpp
+++ b/tests/auto/gateway/GatewayMemoryTest.cpp
@@ -54,7 +54,7 @@
   ASSERT_FALSE(Sent.Helpers.empty());
   EXPECT_EQ(Sent.Helpers.front().Engine, Sent.Engine);
   std::uint64_t Tokens = 0;
-  for (const JointEngine &Each : Sent.Helpers)
+  for (const HelperEngine &Each : Sent.Helpers)
     Tokens += Each.Tokens;
   EXPECT_GE(Tokens, HugePrompt);
 }
@@ -97,7 +97,7 @@
 
 TEST_F(EngineMemory, OfAnEarlierLifeIsNeitherRenewedNorLetGoOnTheNewOne) {
   this->answerAll(ReservationResult::Held);
-  const JointEngine Kept = this->Bench.last<DispatchRelay>().Helpers.front();
+  const HelperEngine Kept = this->Bench.last<DispatchRelay>().Helpers.front();
   const std::size_t Asked = this->askedOf(Kept.Engine);
   this->Bench.report(UpstreamId(Kept.Engine.Value + "@5000"));
   this->Bench.pass(seconds(20));
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -355,7 +355,7 @@
   const UpstreamId Helper = First.Helpers.back().Engine;
   this->Bench.report(UpstreamId(Helper.Value + "@5000"));
   ASSERT_EQ(this->sends(), 2U);
-  for (const JointEngine &Each : this->sent().Helpers)
+  for (const HelperEngine &Each : this->sent().Helpers)
     EXPECT_NE(Each.Engine, Helper);
 }
 
--- a/tests/auto/gateway/ShortPlacementTest.cpp
+++ b/tests/auto/gateway/ShortPlacementTest.cpp
@@ -29,7 +29,7 @@
 
 TEST(ReadCost, FollowsTheDeclaredParameters) {
   EngineParameters Of;
-  Of.ReadTokensPerMs = 154;
+  Of.PrefillTokensPerMs = 154;
   Of.MsPerMillionPairs = 0.162;
   EXPECT_NEAR(readMs(Of, 5000), 32.5 + 2.0, 0.1);
   EXPECT_NEAR(readMs(Of, 182'000), 1181.8 + 2683.1, 1.0);
@@ -40,9 +40,9 @@
   Of.Slots = 16;
   Of.StepsPerPass = 46;
   Of.StepMs = 0.925;
-  Of.StepMsPerWriter = 0.00483;
+  Of.StepMsPerDecode = 0.00483;
   Of.StepMsPerKiloContext = 0.00254;
-  Of.UsualPromptTokens = 6000;
+  Of.MeanPromptTokens = 6000;
   EXPECT_NEAR(roomMs(Of, 200), 200 - 57.3, 0.1);
   EXPECT_LT(roomMs(Of, 50), 0);
 }
@@ -52,11 +52,11 @@
   Of.Slots = 16;
   Of.StepsPerPass = 50;
   Of.StepMs = 1;
-  Of.UsualAnswerTokens = 1600;
+  Of.MeanAnswerTokens = 1600;
   EXPECT_EQ(placeWaitMs(Of, 15), 0);
   EXPECT_NEAR(placeWaitMs(Of, 16), 100, 0.1);
   EXPECT_NEAR(placeWaitMs(Of, 17), 200, 0.1);
-  Of.UsualAnswerTokens = 0;
+  Of.MeanAnswerTokens = 0;
   EXPECT_EQ(placeWaitMs(Of, 20), 0);
 }
 
--- a/tests/auto/gateway/StoreReadersTest.cpp
+++ b/tests/auto/gateway/StoreReadersTest.cpp
@@ -76,18 +76,18 @@
 TEST_F(StoreReadersInOneZone, MostHostsLeaveItToOthersAndTakeItBack) {
   this->hearOneZone(60, milliseconds(100), 5);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 1U);
-  EXPECT_FALSE(this->Bench.last<FollowStore>().On);
+  EXPECT_FALSE(this->Bench.last<FollowStore>().Enabled);
   // Nobody reads any more: the age that peers tell grows.
   this->hearOneZone(60, seconds(6), 25);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 2U);
-  EXPECT_TRUE(this->Bench.last<FollowStore>().On);
+  EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
 TEST_F(StoreReadersInOneZone, AHostThatHearsNobodyReads) {
   this->hearOneZone(60, milliseconds(100), 5);
-  ASSERT_FALSE(this->Bench.last<FollowStore>().On);
+  ASSERT_FALSE(this->Bench.last<FollowStore>().Enabled);
   this->Bench.pass(milliseconds(1400));
-  EXPECT_TRUE(this->Bench.last<FollowStore>().On);
+  EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
 TEST_F(StoreReadersInOneZone, ChangesOfTheRegistryAreToldAtOnce) {
--- a/tests/auto/gatewayrandom/GatewayWorld.cpp
+++ b/tests/auto/gatewayrandom/GatewayWorld.cpp
@@ -175,9 +175,10 @@
       [&](const DecodeConfiguration &Is) {
         const auto Version = std::stoull(Is.Document.substr(8));
         this->after(milliseconds(1), [this, At, Life, Version] {
-          this->send(At, Life,
-                     GatewayEvent(ConfigurationRead{
-                         gatewayDeclarations(Version), BeliefSource::Peer}));
+          this->send(
+              At, Life,
+              GatewayEvent(ConfigurationRead{gatewayDeclarations(Version),
+                                             ConfigurationSource::Peer}));
         });
       },
       [&](const AskReport &Is) {
@@ -186,8 +187,8 @@
         });
       },
       [&](const FollowStore &Is) {
-        const bool Resumes = Is.On && !this->Hosts[At].Follows;
-        this->Hosts[At].Follows = Is.On;
+        const bool Resumes = Is.Enabled && !this->Hosts[At].Follows;
+        this->Hosts[At].Follows = Is.Enabled;
         if (Resumes)
           this->readStore(At, Life);
       },
@@ -326,7 +327,7 @@
     this->send(
         At, Life,
         GatewayEvent(ConfigurationRead{gatewayDeclarations(Each.SeenVersion),
-                                       BeliefSource::Store}));
+                                       ConfigurationSource::Store}));
   }
   this->send(At, Life, GatewayEvent(std::move(Read)));
   Again(ReadPause);
@@ -338,9 +339,10 @@
     return;
   Each.StoreFailed = !Reachable;
   for (const auto Part :
-       {StoreSeen::Part::Configuration, StoreSeen::Part::Engines})
-    this->send(At, Each.Life,
-               GatewayEvent(StoreSeen{Part, Reachable, "as the world says"}));
+       {StoreObserved::Part::Configuration, StoreObserved::Part::Engines})
+    this->send(
+        At, Each.Life,
+        GatewayEvent(StoreObserved{Part, Reachable, "as the world says"}));
 }
 
 void GatewayWorld::arriveNext() {
--- a/tests/auto/manyhosts/HostCrowd.cpp
+++ b/tests/auto/manyhosts/HostCrowd.cpp
@@ -131,20 +131,21 @@
     this->Limits.erase(Id);
 }
 
-void HostCrowd::setShedding(std::size_t Engine, std::optional<Duration> Rest) {
+void HostCrowd::setShedding(std::size_t Engine,
+                            std::optional<Duration> Backoff) {
   const UpstreamId &Id = this->Engines[Engine].Id;
-  if (Rest)
-    this->Shedding[Id] = *Rest;
+  if (Backoff)
+    this->Shedding[Id] = *Backoff;
   else
     this->Shedding.erase(Id);
 }
 
 void HostCrowd::turnAway(const UpstreamId &Engine, const Run &Each,
-                         Duration Rest) {
-  this->Queue.after(RefusesAfter, [this, Engine, Each, Rest] {
-    EngineWord Word = this->saidBy(Engine);
-    Word.Rest = RestAsked{Rest};
-    this->answer(Engine, Each, Word);
+                         Duration Backoff) {
+  this->Queue.after(RefusesAfter, [this, Engine, Each, Backoff] {
+    AnswerSignals Signals = this->saidBy(Engine);
+    Signals.Backoff = BackoffRequested{Backoff};
+    this->answer(Engine, Each, Signals);
     RelayNotRun How;
     How.Status = RefusedStatus;
     this->send(Each.Host, Each.Life, GatewayEvent(RelayEnded{Each.Try, How}));
@@ -152,22 +153,22 @@
 }
 
 void HostCrowd::answer(const UpstreamId &Engine, const Run &Each,
-                       const EngineWord &Word) {
+                       const AnswerSignals &Signals) {
   Arrival &Of = this->Arrived[Engine][Each.Arrived];
   Of.AnsweredAt = this->Queue.now();
-  Of.SaidLeaving = Word.Leaving != LeavingSaid::Unsaid;
+  Of.SaidLeaving = Signals.Leaving != LeavingSignal::Absent;
   this->send(Each.Host, Each.Life,
-             GatewayEvent(EngineHeard{Engine, Each.SentAt, Word}));
+             GatewayEvent(EngineSignalsReceived{Engine, Each.SentAt, Signals}));
 }
 
-EngineWord HostCrowd::saidBy(const UpstreamId &Engine) const {
-  EngineWord Result;
+AnswerSignals HostCrowd::saidBy(const UpstreamId &Engine) const {
+  AnswerSignals Result;
   Result.Limit = LimitNone{};
   const auto Limit = this->Limits.find(Engine);
   if (Limit != this->Limits.end())
-    Result.Limit = LimitNamed{Limit->second};
+    Result.Limit = LimitDeclared{Limit->second};
   if (this->SaysLeaving.contains(Engine))
-    Result.Leaving = LeavingSaid::Said;
+    Result.Leaving = LeavingSignal::Present;
   return Result;
 }
 
@@ -417,9 +418,9 @@
         ++this->Done.Sent[Is.Engine];
         const auto Sheds = this->Shedding.find(Is.Engine);
         const bool TurnedAway = Sheds != this->Shedding.end();
-        const Duration Rest = TurnedAway ? Sheds->second : Duration(0);
+        const Duration Backoff = TurnedAway ? Sheds->second : Duration(0);
         std::vector<Arrival> &Arrivals = this->Arrived[Is.Engine];
-        Arrivals.push_back({this->Queue.now(), At, Rest});
+        Arrivals.push_back({this->Queue.now(), At, Backoff});
         if (this->Failing.contains(Is.Engine) || this->Cut.contains(At)) {
           this->Queue.after(ResetsAfter, [this, At, Life, Id = Is.Attempt] {
             this->send(At, Life, GatewayEvent(RelayEnded{Id, RelayBroken{}}));
@@ -433,7 +434,7 @@
                        this->Queue.now(),
                        Arrivals.size() - 1};
         if (TurnedAway)
-          this->turnAway(Is.Engine, Each, Rest);
+          this->turnAway(Is.Engine, Each, Backoff);
         else
           this->serve(Is.Engine, Each);
       },
@@ -441,8 +442,8 @@
       [&](const BreakRelay &) { ++this->Done.Lost[At]; },
       [&](const DeliverFailure &) { ++this->Done.Lost[At]; },
       [&](const FollowStore &Is) {
-        const bool Before = std::exchange(this->Hosts[At].Follows, Is.On);
-        if (Is.On && !Before)
+        const bool Before = std::exchange(this->Hosts[At].Follows, Is.Enabled);
+        if (Is.Enabled && !Before)
           this->readStore(At, Life);
       },
       [&](const DecodeConfiguration &Is) {
@@ -451,8 +452,8 @@
         this->Queue.after(
             this->readingTime(At, Is.Document.size()), [this, At, Life, Told] {
               this->send(At, Life,
-                         GatewayEvent(ConfigurationRead{this->declared(Told),
-                                                        BeliefSource::Peer}));
+                         GatewayEvent(ConfigurationRead{
+                             this->declared(Told), ConfigurationSource::Peer}));
             });
       },
       [](const auto &) {});
@@ -494,9 +495,9 @@
       return;
     ++this->Done.StoreReads;
     if (this->TurnedAway.contains(At)) {
-      this->send(
-          At, Life,
-          GatewayEvent(StoreSeen{StoreSeen::Part::Engines, false, "refused"}));
+      this->send(At, Life,
+                 GatewayEvent(StoreObserved{StoreObserved::Part::Engines, false,
+                                            "refused"}));
       this->Queue.after(ReadPause,
                         [this, At, Life] { this->readStore(At, Life); });
       return;
@@ -513,9 +514,10 @@
     if (std::exchange(Each.SeenVersion, Newest) != Newest)
       this->send(At, Life,
                  GatewayEvent(ConfigurationRead{this->declared(Newest),
-                                                BeliefSource::Store}));
-    this->send(At, Life,
-               GatewayEvent(StoreSeen{StoreSeen::Part::Engines, true, ""}));
+                                                ConfigurationSource::Store}));
+    this->send(
+        At, Life,
+        GatewayEvent(StoreObserved{StoreObserved::Part::Engines, true, ""}));
     this->send(At, Life, GatewayEvent(std::move(Read)));
     this->Queue.after(ReadPause,
                       [this, At, Life] { this->readStore(At, Life); });
--- a/tests/auto/manyhosts/HostCrowd.h
+++ b/tests/auto/manyhosts/HostCrowd.h
@@ -71,7 +71,7 @@
   void setLimit(std::size_t Engine, std::optional<double> PerSecond);
   /// The engine turns away what it gets and asks each time for so much rest;
   /// nothing: it serves again.
-  void setShedding(std::size_t Engine, std::optional<Duration> Rest);
+  void setShedding(std::size_t Engine, std::optional<Duration> Backoff);
   /// The engine's answers say that it leaves; its registration does not.
   void setSaysLeaving(std::size_t Engine) {
     this->SaysLeaving.insert(this->Engines[Engine].Id);
@@ -84,9 +84,9 @@
   struct Arrival {
     Time At{};
     std::size_t From = 0;
-    Duration RestAsked{};     ///< By the refusal that it got; zero: none.
-    Time AnsweredAt = Never;  ///< Never: its caller left before.
-    bool SaidLeaving = false; ///< By the answer.
+    Duration BackoffRequested{}; ///< By the refusal that it got; zero: none.
+    Time AnsweredAt = Never;     ///< Never: its caller left before.
+    bool SaidLeaving = false;    ///< By the answer.
   };
   const std::vector<Arrival> &arrivals(std::size_t Engine) const;
   Time now() const { return this->Queue.now(); }
@@ -166,12 +166,12 @@
   void ask(std::size_t Host, const Caller &By);
   void refused(std::size_t Host, const RefuseRelay &Is);
   void serve(const UpstreamId &Engine, const Run &Each);
-  void turnAway(const UpstreamId &Engine, const Run &Each, Duration Rest);
+  void turnAway(const UpstreamId &Engine, const Run &Each, Duration Backoff);
   /// What the engine's answers say of it now.
-  EngineWord saidBy(const UpstreamId &Engine) const;
+  AnswerSignals saidBy(const UpstreamId &Engine) const;
   /// The answer's header comes to the host.
   void answer(const UpstreamId &Engine, const Run &Each,
-              const EngineWord &Word);
+              const AnswerSignals &Signals);
   void ended(const UpstreamId &Engine, const Run &Each);
   void start(std::size_t At);
   void send(std::size_t At, std::uint64_t Life, const Event &What,
--- a/tests/auto/manyhosts/HostMeans.cpp
+++ b/tests/auto/manyhosts/HostMeans.cpp
@@ -49,8 +49,8 @@
   for (RouteEntry &Each : Result->Routes)
     Each.TimeLimit = CallersWait;
   EngineParameters &Engine = *Result->Services[ServiceId("ring")].Engine;
-  Engine.UsualPromptTokens = ShortPrompt;
-  Engine.UsualAnswerTokens = 1500;
+  Engine.MeanPromptTokens = ShortPrompt;
+  Engine.MeanAnswerTokens = 1500;
   Result->Document = routesText(this->DocumentSize) + Result->Document;
   Known = std::move(Result);
   return Known;
--- a/tests/auto/platformadapter/ConfigurationJsonTest.cpp
+++ b/tests/auto/platformadapter/ConfigurationJsonTest.cpp
@@ -5,7 +5,7 @@
 
 #include "base/Error.h"
 
-#include "gateway/EngineLife.h"
+#include "gateway/EngineIncarnation.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -50,9 +50,9 @@
   const ServiceEntry &Ring = Read->Services.at(ServiceId("huvo11a"));
   ASSERT_TRUE(Ring.Engine);
   EXPECT_EQ(Ring.Engine->MemoryTokens, 405'000U);
-  EXPECT_EQ(Ring.Engine->ReadTokensPerMs, 154);
-  EXPECT_EQ(Ring.Engine->UsualPromptTokens, 13'227U);
-  EXPECT_EQ(Ring.Engine->UsualAnswerTokens, 1541U);
+  EXPECT_EQ(Ring.Engine->PrefillTokensPerMs, 154);
+  EXPECT_EQ(Ring.Engine->MeanPromptTokens, 13'227U);
+  EXPECT_EQ(Ring.Engine->MeanAnswerTokens, 1541U);
   EXPECT_FALSE(Read->Services.at(ServiceId("wuno96b")).Engine);
   EXPECT_EQ(Read->Limits.IdleTimeout, seconds(15));
   EXPECT_TRUE(Read->NeedsKeys);
@@ -94,12 +94,12 @@
       R"("Service":"s","Address":"10.0.0.1:80","Zone":"z","Slots":16,
       "State":"ready"})";
   EXPECT_EQ(readEngine("i-7", R"({"born":1764720000123,)" + Rest).Id,
-            engineLife("i-7", 1764720000123));
-  EXPECT_EQ(
-      readReport(engineLife("i-7", 5), R"({"Running":0,"born":6})").Engine,
-      engineLife("i-7", 6));
-  EXPECT_EQ(readReport(engineLife("i-7", 5), R"({"Running":0})").Engine,
-            engineLife("i-7", 5));
+            engineIncarnation("i-7", 1764720000123));
+  EXPECT_EQ(readReport(engineIncarnation("i-7", 5), R"({"Running":0,"born":6})")
+                .Engine,
+            engineIncarnation("i-7", 6));
+  EXPECT_EQ(readReport(engineIncarnation("i-7", 5), R"({"Running":0})").Engine,
+            engineIncarnation("i-7", 5));
   for (const char *Born : {"-1", "1.5", "\"1\"", "[]", "true"})
     EXPECT_THROW(
         readEngine("i-7", "{\"born\":" + std::string(Born) + "," + Rest), Error)
--- a/tests/auto/platformadapter/HeadersTest.cpp
+++ b/tests/auto/platformadapter/HeadersTest.cpp
@@ -136,21 +136,22 @@
   EXPECT_TRUE(std::get<AnswerIsNotRun>(Misdirected).How.OtherEngine);
 }
 
-LimitSaid limitOf(const http::response_header<> &Head) {
+LimitSignal limitOf(const http::response_header<> &Head) {
   return PlatformEngines().wordOf(Head, asked()).Limit;
 }
 
 TEST(AnswerHeaders, NameTheLimitOfAnEngine) {
   http::response_header<> Head = answer(200);
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitUnsaid{})) << "without a seal";
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnknown{})) << "without a seal";
   Head.set("X-Server-Seal", "3e1b");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitNone{}));
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitNone{}));
   Head.set("Server-Limit", "1.6");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitNamed{1.6}));
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitDeclared{1.6}));
   Head.insert("Server-Limit", "0.5");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitNamed{0.5})) << "the lower of two";
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitDeclared{0.5}))
+      << "the lower of two";
   Head.set("X-Attempt-Id", "another");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitUnsaid{})) << "another's answer";
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnknown{})) << "another's answer";
 }
 
 TEST(AnswerHeaders, LimitsThatAreNoNumberAreUnreadable) {
@@ -159,41 +160,42 @@
     http::response_header<> Head = answer(500);
     Head.set("X-Server-Seal", "3e1b");
     Head.set("Server-Limit", Text);
-    EXPECT_EQ(limitOf(Head), LimitSaid(LimitUnreadable{})) << Text;
+    EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnreadable{})) << Text;
   }
 }
 
 TEST(AnswerHeaders, ARefusalMayNameALimitButEndsNone) {
   http::response_header<> Head = answer(503);
   Head.set("X-Not-Executed", "1");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitUnsaid{}));
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnknown{}));
   Head.set("Server-Limit", "2");
-  EXPECT_EQ(limitOf(Head), LimitSaid(LimitNamed{2}));
+  EXPECT_EQ(limitOf(Head), LimitSignal(LimitDeclared{2}));
   http::response_header<> Other = answer(421);
   Other.set("Server-Limit", "2");
-  EXPECT_EQ(limitOf(Other), LimitSaid(LimitUnsaid{})) << "another engine's";
+  EXPECT_EQ(limitOf(Other), LimitSignal(LimitUnknown{})) << "another engine's";
 }
 
-RestSaid restOf(const http::response_header<> &Head) {
-  return PlatformEngines().wordOf(Head).Rest;
+BackoffSignal restOf(const http::response_header<> &Head) {
+  return PlatformEngines().wordOf(Head).Backoff;
 }
 
 TEST(AnswerHeaders, OfARefusalAskForRest) {
   http::response_header<> Head = answer(503);
-  EXPECT_EQ(restOf(Head), RestSaid(RestUnasked{}));
+  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{}));
   Head.set("Retry-After", "0.25");
-  EXPECT_EQ(restOf(Head), RestSaid(RestAsked{milliseconds(250)}));
-  EXPECT_EQ(PlatformEngines().wordOf(Head, asked()).Rest, restOf(Head));
+  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{milliseconds(250)}));
+  EXPECT_EQ(PlatformEngines().wordOf(Head, asked()).Backoff, restOf(Head));
   Head.insert("Retry-After", "3");
   Head.insert("Retry-After", "2");
-  EXPECT_EQ(restOf(Head), RestSaid(RestAsked{seconds(3)})) << "the longest";
+  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
+      << "the longest";
   Head.set("X-Attempt-Id", "another");
-  EXPECT_EQ(restOf(Head), RestSaid(RestAsked{seconds(3)}))
+  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
       << "a late answer is the engine's own, too";
   Head.result(200);
-  EXPECT_EQ(restOf(Head), RestSaid(RestUnasked{})) << "no refusal";
+  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{})) << "no refusal";
   Head.result(421);
-  EXPECT_EQ(restOf(Head), RestSaid(RestUnasked{})) << "another engine's";
+  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{})) << "another engine's";
 }
 
 TEST(AnswerHeaders, RestsThatAreNoNumberAreGivenForAShortTime) {
@@ -201,41 +203,41 @@
                            "Fri, 31 Dec 1999 23:59:59 GMT"}) {
     http::response_header<> Head = answer(503);
     Head.set("Retry-After", Text);
-    const RestSaid Said = restOf(Head);
-    const auto *Unreadable = std::get_if<RestUnreadable>(&Said);
+    const BackoffSignal Said = restOf(Head);
+    const auto *Unreadable = std::get_if<BackoffUnreadable>(&Said);
     ASSERT_NE(Unreadable, nullptr) << Text;
-    EXPECT_EQ(Unreadable->TakenAs, Duration(CautiousRest)) << Text;
+    EXPECT_EQ(Unreadable->TakenAs, Duration(DefaultBackoff)) << Text;
   }
 }
 
 TEST(AnswerHeaders, RestsOfMoreThanAnHourAreBounded) {
   http::response_header<> Head = answer(503);
   Head.set("Retry-After", "3600");
-  EXPECT_EQ(restOf(Head), RestSaid(RestAsked{hours(1)}));
+  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{hours(1)}));
   Head.set("Retry-After", "1e9");
-  EXPECT_EQ(restOf(Head), RestSaid(RestUnreadable{"1e9", LongestRest}));
+  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffUnreadable{"1e9", MaxBackoff}));
 }
 
-LeavingSaid leavingOf(const http::response_header<> &Head) {
+LeavingSignal leavingOf(const http::response_header<> &Head) {
   return PlatformEngines().wordOf(Head).Leaving;
 }
 
 TEST(AnswerHeaders, OfAnyKindSayThatAnEngineLeaves) {
   for (const unsigned Status : {200U, 202U, 404U, 429U, 500U, 503U}) {
     http::response_header<> Head = answer(Status);
-    EXPECT_EQ(leavingOf(Head), LeavingSaid::Unsaid);
+    EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
     Head.set("Server-Leaving", "1");
-    EXPECT_EQ(leavingOf(Head), LeavingSaid::Said);
+    EXPECT_EQ(leavingOf(Head), LeavingSignal::Present);
     EXPECT_EQ(PlatformEngines().wordOf(Head, asked()).Leaving,
-              LeavingSaid::Said);
+              LeavingSignal::Present);
     Head.set("Server-Leaving", "0");
-    EXPECT_EQ(leavingOf(Head), LeavingSaid::Unsaid);
+    EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
     Head.set("Server-Leaving", "soon");
-    EXPECT_EQ(leavingOf(Head), LeavingSaid::Unreadable);
+    EXPECT_EQ(leavingOf(Head), LeavingSignal::Unreadable);
   }
   http::response_header<> Other = answer(421);
   Other.set("Server-Leaving", "1");
-  EXPECT_EQ(leavingOf(Other), LeavingSaid::Unsaid) << "another engine's";
+  EXPECT_EQ(leavingOf(Other), LeavingSignal::Absent) << "another engine's";
 }
 
 TEST(AnswerHeaders, ThoseThatNobodyKnowsAreNamed) {
--- a/tests/fakes/GatewayDeclarations.cpp
+++ b/tests/fakes/GatewayDeclarations.cpp
@@ -26,7 +26,7 @@
   Result.MemoryTokens = 400'000;
   Result.StepsPerPass = 34;
   Result.StepMs = 1.31;
-  Result.ReadTokensPerMs = 154;
+  Result.PrefillTokensPerMs = 154;
   Result.MsPerMillionPairs = 0.162;
   return Result;
 }
