--- a/src/app/ControlDelay.cpp
+++ b/src/app/ControlDelay.cpp
@@ -32,7 +32,7 @@
                             "control_most_waiting", "",
                             static_cast<double>(this->Most)});
   if (this->Longest >= Duration(LateFrom))
-    Out.log(logEvent(events::ControlLate)
+    Out.log(logEvent(events::DecisionsLate)
                 .with("late_us", this->Longest.count())
                 .with("most_waiting", this->Most)
                 .build());
--- a/src/libs/base/EventNumbers.h
+++ b/src/libs/base/EventNumbers.h
@@ -61,8 +61,8 @@
                                         "log service reachable"};
 inline constexpr EventKind RecordsMissed{304, LogLevel::Warning,
                                          "log records missed"};
-inline constexpr EventKind LogWentBack{305, LogLevel::Error,
-                                       "log service lost records"};
+inline constexpr EventKind LogRecordsLost{305, LogLevel::Error,
+                                          "log service lost records"};
 inline constexpr EventKind CatalogueRestored{306, LogLevel::Info,
                                              "catalogue restored"};
 inline constexpr EventKind SnapshotWritten{307, LogLevel::Info,
@@ -82,7 +82,7 @@
                                          "claim given back"};
 
 // 5xx: hosts and upstreams
-inline constexpr EventKind CacheIndexUnsure{
+inline constexpr EventKind CacheIndexIncomplete{
     560, LogLevel::Info, "cache events missed; index unsure"};
 inline constexpr EventKind HostChanged{500, LogLevel::Info,
                                        "entry host changed state"};
@@ -92,7 +92,7 @@
                                              "host list reachable"};
 inline constexpr EventKind ProcessWasPaused{503, LogLevel::Warning,
                                             "this process was paused"};
-inline constexpr EventKind HostNameTaken{
+inline constexpr EventKind HostNameInUse{
     504, LogLevel::Error, "another process uses this host's name"};
 inline constexpr EventKind DrainBegun{505, LogLevel::Info,
                                       "planned stop begun"};
@@ -102,8 +102,8 @@
                                             "stream handed to another host"};
 inline constexpr EventKind StreamTakenOver{508, LogLevel::Info,
                                            "stream taken from another host"};
-inline constexpr EventKind ControlLate{509, LogLevel::Warning,
-                                       "decisions come late"};
+inline constexpr EventKind DecisionsLate{509, LogLevel::Warning,
+                                         "decisions come late"};
 inline constexpr EventKind UpstreamChanged{510, LogLevel::Info,
                                            "upstream changed state"};
 
@@ -112,10 +112,10 @@
                                             "engine ordered"};
 inline constexpr EventKind OrderAnswerRead{601, LogLevel::Info,
                                            "order answered"};
-inline constexpr EventKind LeaseAsked{602, LogLevel::Info,
-                                      "steward's lease asked for"};
-inline constexpr EventKind GroupTaken{660, LogLevel::Info,
-                                      "memory of a group of engines taken"};
+inline constexpr EventKind LeaseRequested{602, LogLevel::Info,
+                                          "steward's lease asked for"};
+inline constexpr EventKind GroupAcquired{660, LogLevel::Info,
+                                         "memory of a group of engines taken"};
 inline constexpr EventKind GroupRefused{661, LogLevel::Warning,
                                         "memory of a group of engines not had"};
 
@@ -160,21 +160,21 @@
                                          "engine avoided"};
 inline constexpr EventKind EngineTrusted{812, LogLevel::Info,
                                          "engine trusted again"};
-inline constexpr EventKind EnginePaceChanged{813, LogLevel::Info,
-                                             "engine works at another pace"};
+inline constexpr EventKind EngineSlowdownChanged{
+    813, LogLevel::Info, "engine works at another pace"};
 inline constexpr EventKind PeerDistrustChanged{
     814, LogLevel::Info, "engines held back on a peer's word"};
 inline constexpr EventKind EngineLimitChanged{815, LogLevel::Info,
                                               "engine's limit changed"};
 inline constexpr EventKind EngineLimitUnreadable{816, LogLevel::Warning,
                                                  "engine's limit unreadable"};
-inline constexpr EventKind EngineRoomLent{817, LogLevel::Info,
-                                          "this host lends room at an engine"};
+inline constexpr EventKind EngineQuotaLeased{
+    817, LogLevel::Info, "this host lends room at an engine"};
 inline constexpr EventKind AnswerHeaderUnknown{
     819, LogLevel::Warning, "answer has a header that is not known"};
-inline constexpr EventKind EngineRests{826, LogLevel::Info,
-                                       "engine asked for rest"};
-inline constexpr EventKind EngineRestUnreadable{
+inline constexpr EventKind EngineBackoffRequested{826, LogLevel::Info,
+                                                  "engine asked for rest"};
+inline constexpr EventKind EngineBackoffUnreadable{
     827, LogLevel::Warning, "rest that an engine asks for is unreadable"};
 inline constexpr EventKind EngineLeavingUnreadable{
     828, LogLevel::Warning, "engine says unreadably whether it leaves"};
@@ -182,7 +182,7 @@
                                          "relayed request received"};
 inline constexpr EventKind RelaySent{821, LogLevel::Info,
                                      "relayed request sent"};
-inline constexpr EventKind RelayTryEnded{822, LogLevel::Info, "try ended"};
+inline constexpr EventKind RelayAttemptEnded{822, LogLevel::Info, "try ended"};
 inline constexpr EventKind RelayAnswered{823, LogLevel::Info,
                                          "relayed request ended"};
 inline constexpr EventKind RelayWaits{824, LogLevel::Info,
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -253,7 +253,7 @@
   if (this->Members)
     TooLittle |= std::ranges::any_of(this->Members->peers(), KnowsMore);
   if (TooLittle && !this->LogTooShort)
-    Out.log(logEvent(events::LogWentBack).with("end", EndOffset).build());
+    Out.log(logEvent(events::LogRecordsLost).with("end", EndOffset).build());
   this->LogTooShort = TooLittle;
   return TooLittle;
 }
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -395,7 +395,7 @@
   // two that lend at once would lend too much.
   const Time From = std::max(Now, this->HostsSince + this->Settle);
   Of.Lends.emplace(*Of.Belief.word().PerSecond, From);
-  Out.log(logEvent(events::EngineRoomLent)
+  Out.log(logEvent(events::EngineQuotaLeased)
               .with("engine", Engine.Value)
               .with("limit", *Of.Belief.word().PerSecond)
               .with("after_us", (From - Now).count())
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -143,7 +143,7 @@
                                   Actions &Out) {
   if (!this->Slowdowns.takeReport(Report, Now))
     return;
-  Out.log(logEvent(events::EnginePaceChanged)
+  Out.log(logEvent(events::EngineSlowdownChanged)
               .with("engine", Report.Engine.Value)
               .with("pace", Report.Slowdown)
               .with("waiting", Report.Waiting)
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -61,7 +61,7 @@
         this->rest(Is.Engine, Each.For, Now, Out);
       },
       [&](const BackoffUnreadable &Each) {
-        Out.log(logEvent(events::EngineRestUnreadable)
+        Out.log(logEvent(events::EngineBackoffUnreadable)
                     .with("engine", Is.Engine.Value)
                     .with("said", Each.Text)
                     .with("taken_as_us", Each.TakenAs.count())
@@ -97,7 +97,7 @@
   if (!this->Own.take(Engine, Now + For, Now))
     return;
   Out.count("engine_rests", Engine.Value);
-  Out.log(logEvent(events::EngineRests)
+  Out.log(logEvent(events::EngineBackoffRequested)
               .with("engine", Engine.Value)
               .with("for_us", For.count())
               .with("from", this->Self.Value)
@@ -114,7 +114,7 @@
   for (const EngineSignals::Backoff &Each : Told.Backoffs) {
     const Duration Left = fromMilliseconds(Each.LeftMs);
     if (this->Peers.take(Each.Engine, Now + Left, Now))
-      Out.log(logEvent(events::EngineRests)
+      Out.log(logEvent(events::EngineBackoffRequested)
                   .with("engine", Each.Engine.Value)
                   .with("for_us", Left.count())
                   .with("from", From.Value)
--- a/src/plugins/groups/GroupsPlugin.cpp
+++ b/src/plugins/groups/GroupsPlugin.cpp
@@ -108,7 +108,7 @@
   if (!Next) {
     Group.Is = GroupTaking::State::Taken;
     Out.count("groups_taken");
-    Out.log(logEvent(events::GroupTaken)
+    Out.log(logEvent(events::GroupAcquired)
                 .with("request", Group.Owner.Value)
                 .with("engines", Group.Members.size())
                 .with("tokens_each", Group.TokensEach)
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -161,7 +161,7 @@
   const bool First = this->Reader->nextOffset() == 0;
   const ReadStep Step = this->Reader->take(Answer, Now);
   if (Step.WentBack) {
-    Out.log(logEvent(events::LogWentBack)
+    Out.log(logEvent(events::LogRecordsLost)
                 .with("end", Answer.EndOffset)
                 .with("next", this->Reader->nextOffset())
                 .build());
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -271,7 +271,7 @@
                                      Actions &Out) {
   if (Message.From == this->Own.Host) {
     if (Message.FromLife != this->Own.Life)
-      Out.log(logEvent(events::HostNameTaken)
+      Out.log(logEvent(events::HostNameInUse)
                   .with("host", this->Own.Host.Value)
                   .build());
     return;
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -146,7 +146,8 @@
                            this->Leases.length()};
   const RecordId Record = this->Log->append(Lease, Now, Out);
   this->Leases.noteAsked(Engine, Record, Now);
-  Out.log(logEvent(events::LeaseAsked).with("engine", Engine.Value).build());
+  Out.log(
+      logEvent(events::LeaseRequested).with("engine", Engine.Value).build());
 }
 
 void OrdersPlugin::order(const Wanted &Of, const Upstream &Engine,
--- a/src/plugins/prefixcache/PrefixCachePlugin.cpp
+++ b/src/plugins/prefixcache/PrefixCachePlugin.cpp
@@ -54,7 +54,7 @@
   if (!Index.take(Reported.Life, Reported.Events))
     return;
   Out.count("cache_event_gaps");
-  Out.log(logEvent(events::CacheIndexUnsure)
+  Out.log(logEvent(events::CacheIndexIncomplete)
               .with("upstream", Reported.Upstream.Value)
               .with("blocks", Index.blocks())
               .build());
--- a/src/plugins/relays/RelayLines.cpp
+++ b/src/plugins/relays/RelayLines.cpp
@@ -99,7 +99,7 @@
 void logTryEnded(const RunningRelay &Of, const RelayAttempt &Ended,
                  const RelayOutcome &Outcome, Time Now, Actions &Out) {
   Out.count("tries_ended", outcomeName(Outcome));
-  Out.log(logEvent(events::RelayTryEnded)
+  Out.log(logEvent(events::RelayAttemptEnded)
               .with("request", Of.Head.Id.Value)
               .with("try", Ended.Id.Sequence)
               .with("engine", Ended.Engine.Value)
