--- a/tests/auto/gateway/EnginePacesTest.cpp
+++ b/tests/auto/gateway/EnginePacesTest.cpp
@@ -54,22 +54,22 @@
 TEST(EnginePaces, AnAnswerThatBeginsLateLeadsToAQuestionAndToOtherEngines) {
   GatewayBench Bench;
   Bench.configure(1);
-  Bench.enlist("ring", 2);
+  Bench.registerEngines("ring", 2);
   constexpr std::uint64_t Tokens = 40'000;
   Bench.arrive("/stream/x", Tokens);
   const DispatchRelay Slow = Bench.last<DispatchRelay>();
-  Bench.pass(milliseconds(700));
+  Bench.advance(milliseconds(700));
   Bench.send(GatewayEvent(RelayBegan{Slow.Attempt}));
   ASSERT_EQ(Bench.all<AskReport>().size(), 1U);
   EXPECT_EQ(Bench.last<AskReport>().Engine, Slow.Engine);
-  Bench.end(Slow.Attempt, RelayDelivered{});
+  Bench.endAttempt(Slow.Attempt, RelayDelivered{});
   Bench.send(GatewayEvent(EngineReported{report(Slow.Engine, 6)}));
   for (int Each = 0; Each < 5; ++Each) {
     Bench.arrive("/stream/x", Tokens);
     const DispatchRelay Next = Bench.last<DispatchRelay>();
     EXPECT_NE(Next.Engine, Slow.Engine);
     Bench.send(GatewayEvent(RelayBegan{Next.Attempt}));
-    Bench.end(Next.Attempt, RelayDelivered{});
+    Bench.endAttempt(Next.Attempt, RelayDelivered{});
   }
 }
 
--- a/tests/auto/gateway/EngineTrustTest.cpp
+++ b/tests/auto/gateway/EngineTrustTest.cpp
@@ -20,7 +20,7 @@
   for (int Each = 0; Each < 12; ++Each) {
     Bench.arrive("/once/1");
     Result.insert(Bench.last<DispatchRelay>().Engine.Value);
-    Bench.pass(milliseconds(1));
+    Bench.advance(milliseconds(1));
   }
   return Result;
 }
--- a/tests/auto/gateway/GatewayBeliefsTest.cpp
+++ b/tests/auto/gateway/GatewayBeliefsTest.cpp
@@ -68,10 +68,10 @@
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
-  Bench.pass(milliseconds(10));
+  Bench.advance(milliseconds(10));
   const std::size_t Before = Bench.sent<Heartbeat>().size();
   Bench.configure(6);
-  Bench.pass(milliseconds(5));
+  Bench.advance(milliseconds(5));
   EXPECT_GT(Bench.sent<Heartbeat>().size(), Before);
   EXPECT_EQ(Bench.sent<Heartbeat>().back().InForce, 6U);
 }
@@ -84,7 +84,7 @@
   Beat.EnginesDigest = 1; // It knows an engine, this host none.
   Beat.StoreAge = Duration(0);
   Bench.receive("h2", Beat);
-  Bench.pass(milliseconds(500));
+  Bench.advance(milliseconds(500));
   ASSERT_FALSE(Bench.sent<EnginesRequest>().empty());
   EnginesRelayed Relayed;
   EngineChange Change;
@@ -102,7 +102,7 @@
   GatewayBench Bench;
   Bench.configure(1);
   // Two engines, listed at offset 5: what went before that is not known here.
-  Bench.enlist("desk", 2, 3);
+  Bench.registerEngines("desk", 2, 3);
   EnginesRead Listing;
   Listing.Complete = true;
   Listing.UpTo = 5;
@@ -119,7 +119,7 @@
   EXPECT_TRUE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 2U);
   // Two are only renewed; the third is new, and all that there is to tell.
-  Bench.enlist("desk", 3, 6);
+  Bench.registerEngines("desk", 3, 6);
   Bench.receive("h2", EnginesRequest{5});
   EXPECT_FALSE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 1U);
@@ -128,7 +128,7 @@
 TEST(Beliefs, WhatACompleteTellingDoesNotNameIsGone) {
   GatewayBench Bench;
   Bench.configure(1);
-  Bench.enlist("desk", 1, 0);
+  Bench.registerEngines("desk", 1, 0);
   EnginesRelayed Relayed;
   Relayed.UpTo = 9;
   Relayed.Complete = true;
@@ -164,7 +164,7 @@
 TEST(Beliefs, ADrainingEngineGetsNothingNew) {
   GatewayBench Bench;
   Bench.configure(1);
-  Bench.enlist("desk", 2);
+  Bench.registerEngines("desk", 2);
   EnginesRead Read;
   EngineChange Change;
   Change.Engine.Id = UpstreamId("e1");
--- a/tests/auto/gateway/GatewayBench.cpp
+++ b/tests/auto/gateway/GatewayBench.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-void GatewayBench::pass(Duration For) {
+void GatewayBench::advance(Duration For) {
   const Time Until = this->Now + For;
   while (this->Decider.nextWake() <= Until) {
     this->Now = std::max(this->Now + milliseconds(1), this->Decider.nextWake());
@@ -52,7 +52,8 @@
                                             ConfigurationSource::Store}));
 }
 
-void GatewayBench::enlist(const char *Service, int Count, LogOffset From) {
+void GatewayBench::registerEngines(const char *Service, int Count,
+                                   LogOffset From) {
   EnginesRead Read;
   for (int Each = 1; Each <= Count; ++Each) {
     EngineChange Change;
@@ -91,13 +92,13 @@
   this->send(GatewayEvent(EngineReported{Report}));
 }
 
-void GatewayBench::rest(const UpstreamId &Engine, Duration For) {
+void GatewayBench::requestBackoff(const UpstreamId &Engine, Duration For) {
   AnswerSignals Signals;
   Signals.Backoff = BackoffRequested{For};
   this->send(GatewayEvent(EngineSignalsReceived{Engine, this->Now, Signals}));
 }
 
-void GatewayBench::end(const AttemptId &Try, RelayOutcome Outcome) {
+void GatewayBench::endAttempt(const AttemptId &Try, RelayOutcome Outcome) {
   this->send(GatewayEvent(RelayEnded{Try, std::move(Outcome)}));
 }
 
--- a/tests/auto/gateway/GatewayBench.h
+++ b/tests/auto/gateway/GatewayBench.h
@@ -20,19 +20,19 @@
   void send(const Event &What);
   void send(GatewayEvent What) { this->send(Event(std::move(What))); }
   /// Lets time pass, with a Tick whenever the kernel wants one.
-  void pass(Duration For);
+  void advance(Duration For);
 
   void configure(std::uint64_t Version);
   /// Engines named `e1`, `e2` ... of the service, all in the host's zone.
-  void enlist(const char *Service, int Count, LogOffset From = 0);
+  void registerEngines(const char *Service, int Count, LogOffset From = 0);
   /// A request to the path, with its key.
   RequestId arrive(std::string Path, std::uint64_t PromptTokens = 0,
                    Duration Remaining = seconds(5));
   /// An engine's own report, by which it names the life that it is in.
   void report(const UpstreamId &Life);
-  void end(const AttemptId &Try, RelayOutcome Outcome);
+  void endAttempt(const AttemptId &Try, RelayOutcome Outcome);
   /// An answer of the engine asks this host for rest.
-  void rest(const UpstreamId &Engine, Duration For);
+  void requestBackoff(const UpstreamId &Engine, Duration For);
 
   /// All actions of the kind since the start.
   template <class Wanted> std::vector<Wanted> all() const {
--- a/tests/auto/gateway/GatewayMemoryTest.cpp
+++ b/tests/auto/gateway/GatewayMemoryTest.cpp
@@ -16,7 +16,7 @@
 protected:
   EngineMemory() {
     this->Bench.configure(1);
-    this->Bench.enlist("ring", 6);
+    this->Bench.registerEngines("ring", 6);
     this->Request = this->Bench.arrive("/review/1", HugePrompt, seconds(30));
   }
 
@@ -62,12 +62,13 @@
 TEST_F(EngineMemory, IsRenewedWhileInUseAndLetGoAtTheEnd) {
   this->answerAll(ReservationResult::Held);
   const std::size_t Before = this->Bench.all<ReserveMemory>().size();
-  this->Bench.pass(milliseconds(1500));
+  this->Bench.advance(milliseconds(1500));
   EXPECT_GE(this->Bench.all<ReserveMemory>().size(), Before + 4);
-  this->Bench.end(this->Bench.last<DispatchRelay>().Attempt, RelayDelivered{});
+  this->Bench.endAttempt(this->Bench.last<DispatchRelay>().Attempt,
+                         RelayDelivered{});
   EXPECT_EQ(this->released(), this->asked());
   const std::size_t Asked = this->Bench.all<ReserveMemory>().size();
-  this->Bench.pass(seconds(5));
+  this->Bench.advance(seconds(5));
   EXPECT_EQ(this->Bench.all<ReserveMemory>().size(), Asked);
 }
 
@@ -91,7 +92,7 @@
   this->answerAll(ReservationResult::Unknown);
   this->Bench.send(Event(CallerDisconnected{this->Request}));
   const std::size_t Before = this->Bench.all<ReleaseMemory>().size();
-  this->Bench.pass(seconds(13));
+  this->Bench.advance(seconds(13));
   EXPECT_GE(this->Bench.all<ReleaseMemory>().size(), Before + 20);
 }
 
@@ -100,7 +101,7 @@
   const HelperEngine Kept = this->Bench.last<DispatchRelay>().Helpers.front();
   const std::size_t Asked = this->askedOf(Kept.Engine);
   this->Bench.report(UpstreamId(Kept.Engine.Value + "@5000"));
-  this->Bench.pass(seconds(20));
+  this->Bench.advance(seconds(20));
   EXPECT_EQ(this->askedOf(Kept.Engine), Asked);
   EXPECT_FALSE(this->released().contains(Kept.Reservation));
 }
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -17,7 +17,7 @@
 protected:
   Relays() {
     this->Bench.configure(1);
-    this->Bench.enlist("desk", 3);
+    this->Bench.registerEngines("desk", 3);
   }
 
   DispatchRelay sent() const { return this->Bench.last<DispatchRelay>(); }
@@ -56,7 +56,7 @@
 
 TEST_F(Relays, WhatMayRunOnceIsNotSentAgainAfterALostAnswer) {
   this->Bench.arrive("/once/1");
-  this->Bench.end(this->sent().Attempt, reset());
+  this->Bench.endAttempt(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->refused().Kind, RefusalKind::OutcomeUnknown);
 }
@@ -64,17 +64,17 @@
 TEST_F(Relays, WhatMayRunOnceIsSentAgainWhereItDidNotRun) {
   this->Bench.arrive("/once/1");
   const UpstreamId First = this->sent().Engine;
-  this->Bench.end(this->sent().Attempt, RelayNeverSent{});
+  this->Bench.endAttempt(this->sent().Attempt, RelayNeverSent{});
   EXPECT_EQ(this->sends(), 2U);
   EXPECT_NE(this->sent().Engine, First);
-  this->Bench.end(this->sent().Attempt, RelayNotRun{});
+  this->Bench.endAttempt(this->sent().Attempt, RelayNotRun{});
   EXPECT_EQ(this->sends(), 3U);
   EXPECT_TRUE(this->sent().Fresh);
 }
 
 TEST_F(Relays, ASilentEngineDoesNotMakeWhatMayRunOnceRunAgain) {
   this->Bench.arrive("/once/1");
-  this->Bench.pass(seconds(3));
+  this->Bench.advance(seconds(3));
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->refused().Kind, RefusalKind::TimedOut);
   EXPECT_EQ(this->Bench.all<CancelRelay>().size(), 1U);
@@ -83,26 +83,26 @@
 TEST_F(Relays, WhatMayRepeatIsTriedOnASecondEngineAndNoThird) {
   this->Bench.arrive("/safe/1");
   const UpstreamId First = this->sent().Engine;
-  this->Bench.end(this->sent().Attempt, reset());
+  this->Bench.endAttempt(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 2U);
   EXPECT_NE(this->sent().Engine, First);
-  this->Bench.end(this->sent().Attempt, reset());
+  this->Bench.endAttempt(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 2U);
   EXPECT_EQ(this->refused().Kind, RefusalKind::OutcomeUnknown);
 }
 
 TEST_F(Relays, AnEnginesFailureIsDeliveredWhenTheSecondFailsToo) {
   const RequestId Id = this->Bench.arrive("/safe/1");
-  this->Bench.end(this->sent().Attempt, RelayFailed{500});
+  this->Bench.endAttempt(this->sent().Attempt, RelayFailed{500});
   const AttemptId Second = this->sent().Attempt;
-  this->Bench.end(Second, RelayFailed{500});
+  this->Bench.endAttempt(Second, RelayFailed{500});
   EXPECT_EQ(this->Bench.last<DeliverFailure>(), (DeliverFailure{Id, Second}));
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
 }
 
 TEST_F(Relays, AnEnginesRefusalOfTheRequestItselfIsDeliveredAtOnce) {
   this->Bench.arrive("/safe/1");
-  this->Bench.end(this->sent().Attempt, RelayFailed{422});
+  this->Bench.endAttempt(this->sent().Attempt, RelayFailed{422});
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->Bench.all<DeliverFailure>().size(), 1U);
 }
@@ -110,7 +110,7 @@
 TEST_F(Relays, ASilentEngineIsGivenUpForAnotherWhereThatIsAllowed) {
   this->Bench.arrive("/safe/1");
   const DispatchRelay First = this->sent();
-  this->Bench.pass(milliseconds(1600));
+  this->Bench.advance(milliseconds(1600));
   EXPECT_EQ(this->sends(), 2U);
   EXPECT_EQ(this->Bench.last<CancelRelay>().Attempt, First.Attempt);
 }
@@ -120,17 +120,17 @@
   const UpstreamId Live = this->sent().Engine;
   for (const char *Engine : {"e1", "e2", "e3"})
     if (UpstreamId(Engine) != Live)
-      this->Bench.rest(UpstreamId(Engine), seconds(10));
-  this->Bench.pass(milliseconds(1600));
+      this->Bench.requestBackoff(UpstreamId(Engine), seconds(10));
+  this->Bench.advance(milliseconds(1600));
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_TRUE(this->Bench.all<CancelRelay>().empty());
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
 }
 
 TEST_F(Relays, WhileAllEnginesRestAreSentBackAtOnceUntilTheFirstOpens) {
-  this->Bench.rest(UpstreamId("e1"), seconds(3));
-  this->Bench.rest(UpstreamId("e2"), milliseconds(500));
-  this->Bench.rest(UpstreamId("e3"), seconds(2));
+  this->Bench.requestBackoff(UpstreamId("e1"), seconds(3));
+  this->Bench.requestBackoff(UpstreamId("e2"), milliseconds(500));
+  this->Bench.requestBackoff(UpstreamId("e3"), seconds(2));
   this->Bench.arrive("/safe/1");
   EXPECT_EQ(this->sends(), 0U);
   ASSERT_EQ(this->refused().Kind, RefusalKind::NotRun);
@@ -141,7 +141,7 @@
 
 TEST_F(Relays, ARestThatOutlastsTheCallerIsRefusedAtOnceWithItsEnd) {
   for (const char *Engine : {"e1", "e2", "e3"})
-    this->Bench.rest(UpstreamId(Engine), seconds(60));
+    this->Bench.requestBackoff(UpstreamId(Engine), seconds(60));
   this->Bench.arrive("/safe/1");
   ASSERT_EQ(this->refused().Kind, RefusalKind::NotRun);
   EXPECT_GE(this->refused().RetryAfter, seconds(60));
@@ -149,14 +149,14 @@
 }
 
 TEST_F(Relays, GoToAnEngineAgainWhenItsRestIsOver) {
-  this->Bench.rest(UpstreamId("e1"), seconds(3));
-  this->Bench.rest(UpstreamId("e1"), seconds(1));
-  this->Bench.rest(UpstreamId("e2"), seconds(60));
-  this->Bench.rest(UpstreamId("e3"), seconds(60));
-  this->Bench.pass(milliseconds(2900));
+  this->Bench.requestBackoff(UpstreamId("e1"), seconds(3));
+  this->Bench.requestBackoff(UpstreamId("e1"), seconds(1));
+  this->Bench.requestBackoff(UpstreamId("e2"), seconds(60));
+  this->Bench.requestBackoff(UpstreamId("e3"), seconds(60));
+  this->Bench.advance(milliseconds(2900));
   this->Bench.arrive("/safe/1");
   EXPECT_EQ(this->sends(), 0U) << "an answer that asks for less ends none";
-  this->Bench.pass(milliseconds(200));
+  this->Bench.advance(milliseconds(200));
   this->Bench.arrive("/safe/2");
   ASSERT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->sent().Engine, UpstreamId("e1"));
@@ -170,7 +170,7 @@
   this->Bench.receive("h2", Told);
   this->Bench.arrive("/safe/1");
   EXPECT_EQ(this->sent().Engine, UpstreamId("e3")) << "better elsewhere";
-  this->Bench.rest(UpstreamId("e3"), seconds(60));
+  this->Bench.requestBackoff(UpstreamId("e3"), seconds(60));
   this->Bench.arrive("/safe/2");
   EXPECT_NE(this->sent().Engine, UpstreamId("e3"));
   EXPECT_EQ(this->sends(), 2U);
@@ -180,50 +180,51 @@
   const RequestId Id = this->Bench.arrive("/safe/1");
   this->Bench.send(Event(CallerDisconnected{Id}));
   EXPECT_EQ(this->Bench.last<CancelRelay>().Attempt, this->sent().Attempt);
-  this->Bench.end(this->sent().Attempt, reset());
+  this->Bench.endAttempt(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 1U);
 }
 
 TEST_F(Relays, EndAtTheRoutesTimeLimit) {
   this->Bench.arrive("/safe/1");
-  this->Bench.pass(milliseconds(2000));
+  this->Bench.advance(milliseconds(2000));
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
-  this->Bench.pass(milliseconds(100));
+  this->Bench.advance(milliseconds(100));
   EXPECT_EQ(this->refused().Kind, RefusalKind::TimedOut);
 }
 
 TEST_F(Relays, WithoutAnyEngineTheyWaitAndAreThenRefusedAsNotRun) {
   this->Bench.arrive("/stream/1", 5000);
   EXPECT_EQ(this->sends(), 0U);
-  this->Bench.pass(seconds(2));
+  this->Bench.advance(seconds(2));
   EXPECT_EQ(this->refused().Kind, RefusalKind::NotRun);
   EXPECT_GT(this->refused().RetryAfter, Duration(0));
 }
 
 TEST_F(Relays, AnEngineThatComesTakesWhatWaits) {
   this->Bench.arrive("/stream/1", 5000);
-  this->Bench.enlist("ring", 1, 50);
-  this->Bench.pass(milliseconds(100));
+  this->Bench.registerEngines("ring", 1, 50);
+  this->Bench.advance(milliseconds(100));
   EXPECT_EQ(this->sends(), 1U);
 }
 
 TEST_F(Relays, AStreamGoesOnElsewhereAfterItsLastEvent) {
-  this->Bench.enlist("ring", 3, 50);
+  this->Bench.registerEngines("ring", 3, 50);
   this->Bench.arrive("/stream/1", 5000);
   this->Bench.send(GatewayEvent(RelayBegan{this->sent().Attempt}));
-  this->Bench.end(this->sent().Attempt,
-                  RelayBroken{RelayBroken::Why::Reset, true, 7});
+  this->Bench.endAttempt(this->sent().Attempt,
+                         RelayBroken{RelayBroken::Why::Reset, true, 7});
   EXPECT_EQ(this->sends(), 2U);
   EXPECT_EQ(this->sent().LastEvent, 7U);
 }
 
 TEST_F(Relays, AStreamThatCanGoOnNowhereIsBrokenOff) {
-  this->Bench.enlist("ring", 3, 50);
+  this->Bench.registerEngines("ring", 3, 50);
   const RequestId Id = this->Bench.arrive("/stream/1", 5000);
   for (int Each = 0; Each < 2; ++Each) {
     this->Bench.send(GatewayEvent(RelayBegan{this->sent().Attempt}));
-    this->Bench.end(this->sent().Attempt,
-                    RelayBroken{RelayBroken::Why::Reset, true, 7 + Each});
+    this->Bench.endAttempt(
+        this->sent().Attempt,
+        RelayBroken{RelayBroken::Why::Reset, true, 7 + Each});
   }
   EXPECT_EQ(this->Bench.last<BreakRelay>().Request, Id);
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
@@ -234,24 +235,24 @@
   const UpstreamId Old = this->sent().Engine;
   RelayNotRun Other;
   Other.OtherEngine = true;
-  this->Bench.end(this->sent().Attempt, Other);
+  this->Bench.endAttempt(this->sent().Attempt, Other);
   for (int Each = 0; Each < 30; ++Each) {
     this->Bench.arrive("/once/2");
     EXPECT_NE(this->sent().Engine, Old);
-    this->Bench.end(this->sent().Attempt, RelayDelivered{});
+    this->Bench.endAttempt(this->sent().Attempt, RelayDelivered{});
   }
 }
 
 TEST_F(Relays, AStoppingHostServesOnRefusesLateAndEndsWhenIdle) {
   this->Bench.send(Event(StopRequest{}));
   EXPECT_EQ(this->Bench.all<CloseCallers>().size(), 1U);
-  this->Bench.pass(seconds(2));
+  this->Bench.advance(seconds(2));
   this->Bench.arrive("/once/1");
   EXPECT_EQ(this->sends(), 1U);
-  this->Bench.pass(milliseconds(1700));
+  this->Bench.advance(milliseconds(1700));
   EXPECT_FALSE(this->Bench.hasStopped()) << "a request is still running";
-  this->Bench.end(this->sent().Attempt, RelayDelivered{});
-  this->Bench.pass(milliseconds(200));
+  this->Bench.endAttempt(this->sent().Attempt, RelayDelivered{});
+  this->Bench.advance(milliseconds(200));
   EXPECT_TRUE(this->Bench.hasStopped());
 }
 
@@ -299,7 +300,7 @@
 RC_GTEST_PROP(RelaysProperty, AtMostOnceAndOneFinalAnswerHoldWhateverEnds, ()) {
   GatewayBench Bench;
   Bench.configure(1);
-  Bench.enlist("desk", 4);
+  Bench.registerEngines("desk", 4);
   std::vector<RequestId> Once;
   const auto Arrivals = *rc::gen::inRange(1, 12);
   Once.reserve(static_cast<std::size_t>(Arrivals));
@@ -311,10 +312,10 @@
     const DispatchRelay Next = Bench.all<DispatchRelay>()[Ended++];
     const RelayOutcome Outcome = anyOutcome();
     Runs[Next.Request] += mayHaveRun(Outcome) ? 1 : 0;
-    Bench.end(Next.Attempt, Outcome);
-    Bench.pass(milliseconds(*rc::gen::inRange(0, 60)));
+    Bench.endAttempt(Next.Attempt, Outcome);
+    Bench.advance(milliseconds(*rc::gen::inRange(0, 60)));
   }
-  Bench.pass(seconds(6));
+  Bench.advance(seconds(6));
   for (const auto &[Id, Count] : Runs)
     RC_ASSERT(Count <= 1);
   for (const RequestId &Id : Once) {
@@ -348,7 +349,7 @@
 }
 
 TEST_F(Relays, WhosePromptAnEngineThatStartedAnewHelpedToReadAreSentAgain) {
-  this->Bench.enlist("ring", 6, 10);
+  this->Bench.registerEngines("ring", 6, 10);
   this->Bench.arrive("/review/1", 300'000, seconds(30));
   const DispatchRelay First = this->sent();
   ASSERT_FALSE(First.Helpers.empty());
@@ -364,7 +365,7 @@
 protected:
   LongPrompts() {
     this->Bench.configure(1);
-    this->Bench.enlist("ring", 6);
+    this->Bench.registerEngines("ring", 6);
   }
   std::vector<DispatchRelay> sent() const {
     return this->Bench.all<DispatchRelay>();
@@ -384,10 +385,10 @@
   EXPECT_EQ(this->sent().front().Request, First);
   EXPECT_EQ(this->sent().front().Helpers.size(), 5U);
   this->beginLast();
-  this->Bench.pass(milliseconds(50));
+  this->Bench.advance(milliseconds(50));
   EXPECT_EQ(this->sent().size(), 2U);
   this->beginLast();
-  this->Bench.pass(milliseconds(50));
+  this->Bench.advance(milliseconds(50));
   EXPECT_EQ(this->sent().size(), 3U);
 }
 
@@ -396,7 +397,7 @@
   this->Bench.arrive("/stream/2", 300'000);
   const RequestId Shorter = this->Bench.arrive("/stream/3", 60'000);
   this->beginLast();
-  this->Bench.pass(milliseconds(50));
+  this->Bench.advance(milliseconds(50));
   ASSERT_EQ(this->sent().size(), 2U);
   EXPECT_EQ(this->sent().back().Request, Shorter);
 }
@@ -407,7 +408,7 @@
   const RequestId Stays = this->Bench.arrive("/stream/3", 200'000);
   this->Bench.send(Event(CallerDisconnected{Left}));
   this->beginLast();
-  this->Bench.pass(milliseconds(50));
+  this->Bench.advance(milliseconds(50));
   ASSERT_EQ(this->sent().size(), 2U);
   EXPECT_EQ(this->sent().back().Request, Stays);
 }
@@ -419,10 +420,10 @@
   Theirs.QueuedPrompts = {{7, 60'000, 680, 120, 250}};
   this->Bench.receive("h2", Theirs);
   this->beginLast();
-  this->Bench.pass(milliseconds(100));
+  this->Bench.advance(milliseconds(100));
   EXPECT_EQ(this->sent().size(), 1U) << "it is the peer's turn";
   this->Bench.receive("h2", EngineWork{});
-  this->Bench.pass(milliseconds(50));
+  this->Bench.advance(milliseconds(50));
   EXPECT_EQ(this->sent().size(), 2U);
 }
 
--- a/tests/auto/gateway/StoreReadersTest.cpp
+++ b/tests/auto/gateway/StoreReadersTest.cpp
@@ -28,7 +28,7 @@
 protected:
   StoreReaders() {
     this->Bench.configure(1);
-    this->Bench.enlist("desk", 1);
+    this->Bench.registerEngines("desk", 1);
   }
 
   void hear(std::size_t Peers, Duration StoreAge) {
@@ -40,7 +40,7 @@
   void hearFor(std::size_t Peers, Duration StoreAge, int Rounds) {
     for (int Each = 0; Each < Rounds; ++Each) {
       this->hear(Peers, StoreAge);
-      this->Bench.pass(milliseconds(200));
+      this->Bench.advance(milliseconds(200));
     }
   }
 
@@ -48,7 +48,7 @@
 };
 
 TEST_F(StoreReaders, AHostAloneReads) {
-  this->Bench.pass(seconds(5));
+  this->Bench.advance(seconds(5));
   EXPECT_TRUE(this->Bench.all<FollowStore>().empty()) << "it does from start";
 }
 
@@ -68,7 +68,7 @@
         Beat.KnownHosts.front().Zone = ZoneId("z");
         this->Bench.receive(fmt::format("p{}", Each).c_str(), Beat);
       }
-      this->Bench.pass(milliseconds(200));
+      this->Bench.advance(milliseconds(200));
     }
   }
 };
@@ -86,15 +86,15 @@
 TEST_F(StoreReadersInOneZone, AHostThatHearsNobodyReads) {
   this->hearOneZone(60, milliseconds(100), 5);
   ASSERT_FALSE(this->Bench.last<FollowStore>().Enabled);
-  this->Bench.pass(milliseconds(1400));
+  this->Bench.advance(milliseconds(1400));
   EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
 TEST_F(StoreReadersInOneZone, ChangesOfTheRegistryAreToldAtOnce) {
   this->hearOneZone(3, milliseconds(100), 2);
   const std::size_t Before = this->Bench.sent<Heartbeat>().size();
-  this->Bench.enlist("desk", 2, 5);
-  this->Bench.pass(milliseconds(100));
+  this->Bench.registerEngines("desk", 2, 5);
+  this->Bench.advance(milliseconds(100));
   EXPECT_GT(this->Bench.sent<Heartbeat>().size(), Before);
   EXPECT_EQ(this->Bench.sent<Heartbeat>().back().EnginesKnownTo, 7U);
   EXPECT_LT(this->Bench.sent<Heartbeat>().back().StoreAge, milliseconds(100))
--- a/tests/auto/gatewayrandom/GatewayRandomTest.cpp
+++ b/tests/auto/gatewayrandom/GatewayRandomTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Random runs of whole gateways in virtual time. A seed that once broke a
 /// promise stays in the list.
-#include "auto/gatewayrandom/GatewayWorld.h"
+#include "auto/gatewayrandom/GatewaySimulation.h"
 
 #include <cstdlib>
 #include <gtest/gtest.h>
@@ -9,21 +9,21 @@
 namespace banyanpick {
 namespace {
 
-void playAndExpect(std::uint64_t Seed, const WorldShape &Shape) {
-  GatewayWorld World(Seed, Shape);
-  World.play();
-  for (const std::string &Each : World.violations())
+void runAndExpect(std::uint64_t Seed, const SimulationOptions &Shape) {
+  GatewaySimulation Simulation(Seed, Shape);
+  Simulation.run();
+  for (const std::string &Each : Simulation.violations())
     ADD_FAILURE() << "seed " << Seed << ": " << Each;
-  EXPECT_GT(World.wholeCalls(), World.calls() / 2);
-  EXPECT_GT(World.faults(), 5U);
+  EXPECT_GT(Simulation.completeCalls(), Simulation.calls() / 2);
+  EXPECT_GT(Simulation.faults(), 5U);
 }
 
 class GatewayRandom : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(GatewayRandom, FewHostsBreakNoPromise) { playAndExpect(GetParam(), {}); }
+TEST_P(GatewayRandom, FewHostsBreakNoPromise) { runAndExpect(GetParam(), {}); }
 
 TEST_P(GatewayRandom, ManyHostsBreakNoPromise) {
-  playAndExpect(GetParam() + 1000, {24, 12, seconds(10)});
+  runAndExpect(GetParam() + 1000, {24, 12, seconds(10)});
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GatewayRandom,
@@ -41,25 +41,25 @@
   if (!Wanted || std::sscanf(Wanted, "%llu,%llu", &First, &Count) != 2)
     Count = 0;
   for (unsigned long long Seed = First; Seed < First + Count; ++Seed)
-    playAndExpect(Seed, {});
+    runAndExpect(Seed, {});
 }
 
-TEST(GatewayWorldTest, AFewOfManyHostsReadTheStore) {
-  GatewayWorld World(5, {40, 6, seconds(2)});
-  World.play();
-  EXPECT_TRUE(World.violations().empty());
-  EXPECT_EQ(World.followingHosts(), 4U);
+TEST(GatewaySimulationTest, AFewOfManyHostsReadTheStore) {
+  GatewaySimulation Simulation(5, {40, 6, seconds(2)});
+  Simulation.run();
+  EXPECT_TRUE(Simulation.violations().empty());
+  EXPECT_EQ(Simulation.followingHosts(), 4U);
   // Four hosts, one read in two seconds, over 16 s and some that end trouble.
-  EXPECT_LT(World.quietReads(), 400U);
+  EXPECT_LT(Simulation.quietReads(), 400U);
 }
 
-TEST(GatewayWorldTest, OneSeedPlaysOneWay) {
-  GatewayWorld One(9, {});
-  GatewayWorld Other(9, {});
-  One.play();
-  Other.play();
+TEST(GatewaySimulationTest, OneSeedPlaysOneWay) {
+  GatewaySimulation One(9, {});
+  GatewaySimulation Other(9, {});
+  One.run();
+  Other.run();
   EXPECT_EQ(One.calls(), Other.calls());
-  EXPECT_EQ(One.wholeCalls(), Other.wholeCalls());
+  EXPECT_EQ(One.completeCalls(), Other.completeCalls());
 }
 
 } // namespace
--- a/tests/auto/gatewayrandom/GatewayWorld.cpp
+++ b/tests/auto/gatewayrandom/GatewaySimulation.cpp
@@ -1,4 +1,4 @@
-#include "auto/gatewayrandom/GatewayWorld.h"
+#include "auto/gatewayrandom/GatewaySimulation.h"
 
 #include "base/Visitor.h"
 #include "fakes/GatewayDeclarations.h"
@@ -46,18 +46,19 @@
 
 } // namespace
 
-GatewayWorld::GatewayWorld(std::uint64_t Seed, const WorldShape &ShapeGiven)
+GatewaySimulation::GatewaySimulation(std::uint64_t Seed,
+                                     const SimulationOptions &ShapeGiven)
     : Numbers(Seed), Queue(Time(seconds(1'000'000))), Shape(ShapeGiven),
       Hosts(ShapeGiven.Hosts) {
   for (std::size_t At = 0; At < this->Shape.Upstreams; ++At) {
-    WorldUpstream Each;
+    SimulatedUpstream Each;
     Each.Record.Id = UpstreamId(fmt::format("u{}", At));
     Each.Record.Service = ServiceId(At % 3 == 0 ? "ring" : "desk");
     Each.Record.At = {"127.0.0.1", static_cast<std::uint16_t>(3000 + At)};
     Each.Record.Zone = ZoneId(fmt::format("z{}", At % Zones));
     Each.Record.Slots = 16;
     this->Upstreams.All.push_back(Each);
-    this->Store.enlist(Each.Record);
+    this->Store.registerEngine(Each.Record);
   }
   for (std::size_t At = 0; At < this->Hosts.size(); ++At) {
     this->Hosts[At].Self = identityOf(At);
@@ -65,24 +66,24 @@
   }
 }
 
-GatewayWorld::~GatewayWorld() = default;
+GatewaySimulation::~GatewaySimulation() = default;
 
-void GatewayWorld::play() {
+void GatewaySimulation::run() {
   const Time Start = this->Queue.now() + seconds(2);
   this->Queue.runUntil(Start);
-  this->arriveNext();
-  this->troubleNext(Start + this->Shape.Trouble);
+  this->scheduleNextArrival();
+  this->scheduleNextFault(Start + this->Shape.FaultPeriod);
   // The longest fault begins at its end.
-  this->Queue.runUntil(Start + this->Shape.Trouble + seconds(5));
+  this->Queue.runUntil(Start + this->Shape.FaultPeriod + seconds(5));
   this->Quiet = true;
   this->Queue.runUntil(this->Queue.now() + QuietFor);
   this->Arriving = false;
-  this->judgeBeliefs();
+  this->checkHostViews();
   this->Queue.runUntil(this->Queue.now() + seconds(8));
-  this->judgeCalls();
+  this->checkCalls();
 }
 
-void GatewayWorld::startHost(std::size_t At) {
+void GatewaySimulation::startHost(std::size_t At) {
   Host &Each = this->Hosts[At];
   Each.Life = ++this->Lives;
   Each.Self.Life = Incarnation(1000 + Each.Life);
@@ -100,17 +101,17 @@
   this->readStore(At, Each.Life);
 }
 
-void GatewayWorld::killHost(std::size_t At) {
+void GatewaySimulation::killHost(std::size_t At) {
   Host &Each = this->Hosts[At];
   if (Each.Decider && Each.Decider->invariantsBroken() > 0)
-    this->breakPromise(fmt::format("an invariant of host {}", At));
+    this->addViolation(fmt::format("an invariant of host {}", At));
   Each.Decider.reset();
   for (const auto &Call : this->Calls)
     if (Call->Host == At && Call->HostLife == Each.Life && !Call->EndedAt)
       Call->Disturbed = true;
 }
 
-void GatewayWorld::send(std::size_t At, std::uint64_t Life, Event What) {
+void GatewaySimulation::send(std::size_t At, std::uint64_t Life, Event What) {
   Host &Each = this->Hosts[At];
   if (!Each.Decider || Each.Life != Life)
     return;
@@ -127,7 +128,7 @@
   this->scheduleWake(At);
 }
 
-void GatewayWorld::scheduleWake(std::size_t At) {
+void GatewaySimulation::scheduleWake(std::size_t At) {
   Host &Each = this->Hosts[At];
   if (!Each.Decider)
     return;
@@ -149,14 +150,14 @@
   });
 }
 
-void GatewayWorld::perform(std::size_t At, const Action &Wanted) {
+void GatewaySimulation::perform(std::size_t At, const Action &Wanted) {
   match(
       Wanted, [&](const GatewayAction &Is) { this->perform(At, Is); },
       [&](const SendToPeer &Is) { this->deliver(At, Is); },
       [&](const ReadHostList &) { this->readHosts(At); }, [](const auto &) {});
 }
 
-void GatewayWorld::perform(std::size_t At, const GatewayAction &Wanted) {
+void GatewaySimulation::perform(std::size_t At, const GatewayAction &Wanted) {
   const std::uint64_t Life = this->Hosts[At].Life;
   match(
       Wanted, [&](const DispatchRelay &Is) { this->dispatch(At, Is); },
@@ -195,7 +196,8 @@
       [](const auto &) {});
 }
 
-std::optional<std::size_t> GatewayWorld::hostNamed(const HostId &Id) const {
+std::optional<std::size_t>
+GatewaySimulation::hostNamed(const HostId &Id) const {
   constexpr std::string_view Seed = "seed ";
   for (std::size_t At = 0; At < this->Hosts.size(); ++At) {
     const Identity &Self = this->Hosts[At].Self;
@@ -205,7 +207,7 @@
   return std::nullopt;
 }
 
-void GatewayWorld::deliver(std::size_t From, const SendToPeer &Sent) {
+void GatewaySimulation::deliver(std::size_t From, const SendToPeer &Sent) {
   const auto To = this->hostNamed(Sent.To);
   constexpr std::uint64_t LostOfHundred = 1;
   if (!To || !this->Hosts[From].ReachesPeers ||
@@ -223,7 +225,7 @@
               });
 }
 
-void GatewayWorld::readHosts(std::size_t At) {
+void GatewaySimulation::readHosts(std::size_t At) {
   this->after(milliseconds(5), [this, At, Life = this->Hosts[At].Life] {
     if (this->Store.Down || this->Hosts[At].CutFromStore) {
       this->send(At, Life, HostListReadFailed{});
@@ -238,39 +240,40 @@
   });
 }
 
-void GatewayWorld::dispatch(std::size_t At, const DispatchRelay &Order) {
-  WorldCall *Of = this->callOf(At, Order.Request);
+void GatewaySimulation::dispatch(std::size_t At, const DispatchRelay &Order) {
+  SimulatedCall *Of = this->callOf(At, Order.Request);
   if (!Of)
     return;
   const std::uint64_t Life = this->Hosts[At].Life;
   this->after(milliseconds(1), [this, At, Life, Order, Of] {
     if (this->Hosts[At].Cancelled.contains(Order.Attempt))
       return;
-    const TryFate Fate = this->Upstreams.fateOf(Order, this->Numbers);
-    Of->Runs += Fate.Ran ? 1 : 0;
-    if (!Fate.Answers)
+    const AttemptPlan Plan = this->Upstreams.planAttempt(Order, this->Numbers);
+    Of->Runs += Plan.Ran ? 1 : 0;
+    if (!Plan.Answers)
       return;
-    if (Fate.BeganAfter != Duration::max())
-      this->after(Fate.BeganAfter, [this, At, Life, Order] {
+    if (Plan.BeganAfter != Duration::max())
+      this->after(Plan.BeganAfter, [this, At, Life, Order] {
         if (!this->Hosts[At].Cancelled.contains(Order.Attempt))
           this->send(At, Life, GatewayEvent(RelayBegan{Order.Attempt}));
       });
-    this->endTry(At, Life, Order, Fate, *Of);
+    this->endAttempt(At, Life, Order, Plan, *Of);
   });
 }
 
-void GatewayWorld::endTry(std::size_t At, std::uint64_t Life,
-                          const DispatchRelay &Order, const TryFate &Fate,
-                          WorldCall &Of) {
-  const WorldUpstream *Runs = Fate.Ran ? this->Upstreams.at(Order.At) : nullptr;
+void GatewaySimulation::endAttempt(std::size_t At, std::uint64_t Life,
+                                   const DispatchRelay &Order,
+                                   const AttemptPlan &Plan, SimulatedCall &Of) {
+  const SimulatedUpstream *Runs =
+      Plan.Ran ? this->Upstreams.at(Order.At) : nullptr;
   const std::uint64_t UpstreamLife = Runs ? Runs->Life : 0;
-  this->after(Fate.EndsAfter, [this, At, Life, Order, Fate, &Of, UpstreamLife] {
+  this->after(Plan.EndsAfter, [this, At, Life, Order, Plan, &Of, UpstreamLife] {
     Host &Each = this->Hosts[At];
     if (Each.Life != Life || Each.Cancelled.contains(Order.Attempt))
       return;
-    RelayOutcome Outcome = Fate.Outcome;
-    const WorldUpstream *Now = this->Upstreams.at(Order.At);
-    if (Fate.Ran && (!Now || Now->Life != UpstreamLife))
+    RelayOutcome Outcome = Plan.Outcome;
+    const SimulatedUpstream *Now = this->Upstreams.at(Order.At);
+    if (Plan.Ran && (!Now || Now->Life != UpstreamLife))
       Outcome = RelayBroken{RelayBroken::Why::Reset, Order.Stream,
                             Order.Stream ? std::optional<std::uint64_t>(
                                                Order.LastEvent.value_or(0) + 1)
@@ -281,22 +284,22 @@
   });
 }
 
-WorldCall *GatewayWorld::callOf(std::size_t At, const RequestId &Id) {
+SimulatedCall *GatewaySimulation::callOf(std::size_t At, const RequestId &Id) {
   const auto Found = this->ByRequest.find({At, Id});
   return Found == this->ByRequest.end() ? nullptr : Found->second;
 }
 
-void GatewayWorld::endCall(std::size_t At, const RequestId &Id, bool Whole,
-                           bool SaidNotRun) {
-  WorldCall *Of = this->callOf(At, Id);
+void GatewaySimulation::endCall(std::size_t At, const RequestId &Id,
+                                bool Complete, bool ReportedNotRun) {
+  SimulatedCall *Of = this->callOf(At, Id);
   if (!Of || Of->EndedAt)
     return;
   Of->EndedAt = this->Queue.now();
-  Of->Whole = Whole;
-  Of->SaidNotRun = SaidNotRun;
+  Of->Complete = Complete;
+  Of->ReportedNotRun = ReportedNotRun;
 }
 
-void GatewayWorld::readStore(std::size_t At, std::uint64_t Life) {
+void GatewaySimulation::readStore(std::size_t At, std::uint64_t Life) {
   Host &Each = this->Hosts[At];
   if (!Each.Decider || Each.Life != Life || !Each.Follows)
     return;
@@ -333,7 +336,7 @@
   Again(ReadPause);
 }
 
-void GatewayWorld::noteStore(std::size_t At, bool Reachable) {
+void GatewaySimulation::noteStore(std::size_t At, bool Reachable) {
   Host &Each = this->Hosts[At];
   if (Each.StoreFailed == !Reachable)
     return;
@@ -345,16 +348,16 @@
         GatewayEvent(StoreObserved{Part, Reachable, "as the world says"}));
 }
 
-void GatewayWorld::arriveNext() {
+void GatewaySimulation::scheduleNextArrival() {
   this->after(milliseconds(1 + this->Numbers.below(30)), [this] {
     if (!this->Arriving)
       return;
     this->arrive();
-    this->arriveNext();
+    this->scheduleNextArrival();
   });
 }
 
-void GatewayWorld::arrive() {
+void GatewaySimulation::arrive() {
   const std::size_t At = this->Numbers.below(this->Hosts.size());
   Host &Each = this->Hosts[At];
   const auto *InForce =
@@ -373,7 +376,7 @@
   Head.Remaining = milliseconds(800 + this->Numbers.below(2000));
   Head.PromptTokens = Kind == 2 ? this->promptTokens() : 0;
   Head.Content = Fingerprint(Head.Id.Value);
-  auto Call = std::make_unique<WorldCall>();
+  auto Call = std::make_unique<SimulatedCall>();
   Call->Kind = Kinds[Kind];
   Call->Host = At;
   Call->HostLife = Each.Life;
@@ -388,64 +391,64 @@
   this->send(At, Each.Life, GatewayEvent(RelayArrived{std::move(Head)}));
 }
 
-std::uint64_t GatewayWorld::promptTokens() {
+std::uint64_t GatewaySimulation::promptTokens() {
   // What two engines can read as declared, at the rate of arrivals: hosts
   // rightly refuse what those cannot read in time.
   const std::uint64_t Drawn = this->Numbers.below(300'000);
   return 1000 + Drawn % (Drawn % 8 == 0 ? 60'000 : 3000);
 }
 
-void GatewayWorld::after(Duration Delay, std::function<void()> Todo) {
-  this->Queue.after(Delay, std::move(Todo));
+void GatewaySimulation::after(Duration Delay, std::function<void()> Callback) {
+  this->Queue.after(Delay, std::move(Callback));
 }
 
-std::size_t GatewayWorld::wholeCalls() const {
+std::size_t GatewaySimulation::completeCalls() const {
   return static_cast<std::size_t>(std::ranges::count_if(
-      this->Calls, [](const auto &Each) { return Each->Whole; }));
+      this->Calls, [](const auto &Each) { return Each->Complete; }));
 }
 
-std::size_t GatewayWorld::followingHosts() const {
+std::size_t GatewaySimulation::followingHosts() const {
   return static_cast<std::size_t>(
       std::ranges::count(this->Hosts, true, &Host::Follows));
 }
 
-void GatewayWorld::breakPromise(std::string What) {
-  this->Broken.push_back(std::move(What));
+void GatewaySimulation::addViolation(std::string What) {
+  this->Violations.push_back(std::move(What));
 }
 
-void GatewayWorld::judgeCalls() {
+void GatewaySimulation::checkCalls() {
   const Time Calm = this->Queue.now() - seconds(8) - CalmFor;
   for (const auto &Each : this->Calls) {
     const std::string Name =
         fmt::format("request {} at host {}", Each->Id.Value, Each->Host);
     if (Each->Kind == RequestKind::AtMostOnce && Each->Runs > 1)
-      this->breakPromise(Name + " ran twice");
-    if (Each->SaidNotRun && Each->Runs > 0)
-      this->breakPromise(Name + " ran though it was said not to");
+      this->addViolation(Name + " ran twice");
+    if (Each->ReportedNotRun && Each->Runs > 0)
+      this->addViolation(Name + " ran though it was said not to");
     if (Each->Disturbed)
       continue;
     if (!Each->EndedAt)
-      this->breakPromise(Name + " never ended");
+      this->addViolation(Name + " never ended");
     else if (*Each->EndedAt > Each->Deadline + LateMargin)
-      this->breakPromise(Name + " ended late");
-    if (Each->ArrivedAt >= Calm && !Each->Whole)
-      this->breakPromise(Name + " was not served in calm");
+      this->addViolation(Name + " ended late");
+    if (Each->ArrivedAt >= Calm && !Each->Complete)
+      this->addViolation(Name + " was not served in calm");
   }
 }
 
-void GatewayWorld::judgeBeliefs() {
+void GatewaySimulation::checkHostViews() {
   for (std::size_t At = 0; At < this->Hosts.size(); ++At) {
     Kernel &Decider = *this->Hosts[At].Decider;
     if (Decider.invariantsBroken() > 0)
-      this->breakPromise(fmt::format("an invariant of host {}", At));
+      this->addViolation(fmt::format("an invariant of host {}", At));
     if (Decider.services().get<InForceView>().version() !=
         this->Store.version())
-      this->breakPromise(fmt::format("host {} has an old configuration", At));
-    this->judgeUpstreams(At);
+      this->addViolation(fmt::format("host {} has an old configuration", At));
+    this->checkKnownUpstreams(At);
   }
 }
 
-void GatewayWorld::judgeUpstreams(std::size_t At) {
+void GatewaySimulation::checkKnownUpstreams(std::size_t At) {
   const auto &Directory =
       this->Hosts[At].Decider->services().get<EngineDirectory>();
   std::size_t Known = 0;
@@ -454,12 +457,12 @@
          Directory.ofService(ServiceId(Service))) {
       ++Known;
       if (!this->Store.engines().contains(Each->Record.Id))
-        this->breakPromise(fmt::format(
+        this->addViolation(fmt::format(
             "host {} believes in upstream {}, {} as of {}", At,
             Each->Record.Id.Value, name(Each->Standing), Each->Offset));
     }
   if (Known < this->Store.engines().size())
-    this->breakPromise(fmt::format("host {} knows {} of {} upstreams", At,
+    this->addViolation(fmt::format("host {} knows {} of {} upstreams", At,
                                    Known, this->Store.engines().size()));
 }
 
--- a/tests/auto/gatewayrandom/GatewayWorld.h
+++ b/tests/auto/gatewayrandom/GatewaySimulation.h
@@ -3,8 +3,8 @@
 /// and callers, with faults drawn from a seed. Repeats exactly.
 #pragma once
 
-#include "auto/gatewayrandom/WorldStore.h"
-#include "auto/gatewayrandom/WorldUpstreams.h"
+#include "auto/gatewayrandom/SimulatedStore.h"
+#include "auto/gatewayrandom/SimulatedUpstreams.h"
 #include "harness/EventQueue.h"
 #include "kernel/Kernel.h"
 
@@ -15,14 +15,14 @@
 
 namespace banyanpick {
 
-struct WorldShape {
+struct SimulationOptions {
   std::size_t Hosts = 5;
   std::size_t Upstreams = 6;
-  Duration Trouble = seconds(20); ///< Faults begin within it.
+  Duration FaultPeriod = seconds(20); ///< Faults begin within it.
 };
 
 /// One request as the world knows it.
-struct WorldCall {
+struct SimulatedCall {
   RequestKind Kind = RequestKind::AtMostOnce;
   std::size_t Host = 0;
   std::uint64_t HostLife = 0;
@@ -31,22 +31,24 @@
   Time Deadline{};
   int Runs = 0;
   std::optional<Time> EndedAt;
-  bool Whole = false;
-  bool SaidNotRun = false;
+  bool Complete = false;
+  bool ReportedNotRun = false;
   bool Disturbed = false; ///< Its host died or was paused meanwhile.
 };
 
-class GatewayWorld {
+class GatewaySimulation {
 public:
-  GatewayWorld(std::uint64_t Seed, const WorldShape &Shape);
-  ~GatewayWorld();
+  GatewaySimulation(std::uint64_t Seed, const SimulationOptions &Shape);
+  ~GatewaySimulation();
 
   /// Plays the trouble, then a quiet time, and judges.
-  void play();
+  void run();
 
-  const std::vector<std::string> &violations() const { return this->Broken; }
+  const std::vector<std::string> &violations() const {
+    return this->Violations;
+  }
   std::size_t calls() const { return this->Calls.size(); }
-  std::size_t wholeCalls() const;
+  std::size_t completeCalls() const;
   std::size_t faults() const { return this->FaultCount; }
   /// Reads of the store, by all hosts, in the quiet time.
   std::size_t quietReads() const { return this->QuietReads; }
@@ -82,11 +84,12 @@
   void deliver(std::size_t From, const SendToPeer &Sent);
   std::optional<std::size_t> hostNamed(const HostId &Id) const;
   void dispatch(std::size_t At, const DispatchRelay &Order);
-  void endTry(std::size_t At, std::uint64_t Life, const DispatchRelay &Order,
-              const TryFate &Fate, WorldCall &Of);
-  void endCall(std::size_t At, const RequestId &Id, bool Whole,
-               bool SaidNotRun);
-  WorldCall *callOf(std::size_t At, const RequestId &Id);
+  void endAttempt(std::size_t At, std::uint64_t Life,
+                  const DispatchRelay &Order, const AttemptPlan &Plan,
+                  SimulatedCall &Of);
+  void endCall(std::size_t At, const RequestId &Id, bool Complete,
+               bool ReportedNotRun);
+  SimulatedCall *callOf(std::size_t At, const RequestId &Id);
   void readHosts(std::size_t At);
 
   // The store's reader of one host.
@@ -94,31 +97,31 @@
   void noteStore(std::size_t At, bool Reachable);
 
   // What happens to them.
-  void arriveNext();
+  void scheduleNextArrival();
   void arrive();
   std::uint64_t promptTokens();
-  void troubleNext(Time Until);
-  void beginTrouble();
+  void scheduleNextFault(Time Until);
+  void injectFault();
   void pauseHost(std::size_t At, Duration For);
   void cutFromPeers(std::size_t At, Duration For);
   void replaceUpstream(std::size_t Which, Duration For);
-  void after(Duration Delay, std::function<void()> Todo);
+  void after(Duration Delay, std::function<void()> Callback);
 
   // Judgement.
-  void judgeCalls();
-  void judgeBeliefs();
-  void judgeUpstreams(std::size_t At);
-  void breakPromise(std::string What);
+  void checkCalls();
+  void checkHostViews();
+  void checkKnownUpstreams(std::size_t At);
+  void addViolation(std::string What);
 
   Random Numbers;
   EventQueue Queue;
-  WorldShape Shape;
-  WorldStore Store;
-  WorldUpstreams Upstreams;
+  SimulationOptions Shape;
+  SimulatedStore Store;
+  SimulatedUpstreams Upstreams;
   std::vector<Host> Hosts;
-  std::vector<std::unique_ptr<WorldCall>> Calls;
-  std::map<std::pair<std::size_t, RequestId>, WorldCall *> ByRequest;
-  std::vector<std::string> Broken;
+  std::vector<std::unique_ptr<SimulatedCall>> Calls;
+  std::map<std::pair<std::size_t, RequestId>, SimulatedCall *> ByRequest;
+  std::vector<std::string> Violations;
   std::uint64_t Lives = 0;
   std::uint64_t Requests = 0;
   std::size_t FaultCount = 0;
--- a/tests/auto/gatewayrandom/WorldFaults.cpp
+++ b/tests/auto/gatewayrandom/SimulatedFaults.cpp
@@ -1,4 +1,4 @@
-#include "auto/gatewayrandom/GatewayWorld.h"
+#include "auto/gatewayrandom/GatewaySimulation.h"
 
 namespace banyanpick {
 
@@ -9,16 +9,16 @@
 
 } // namespace
 
-void GatewayWorld::troubleNext(Time Until) {
+void GatewaySimulation::scheduleNextFault(Time Until) {
   this->after(milliseconds(this->Numbers.below(1500)), [this, Until] {
     if (this->Queue.now() >= Until)
       return;
-    this->beginTrouble();
-    this->troubleNext(Until);
+    this->injectFault();
+    this->scheduleNextFault(Until);
   });
 }
 
-void GatewayWorld::beginTrouble() {
+void GatewaySimulation::injectFault() {
   ++this->FaultCount;
   const Duration For =
       milliseconds(100 + this->Numbers.below(LongestFault.count() - 100));
@@ -53,23 +53,23 @@
     this->replaceUpstream(Which, For);
     return;
   default:
-    this->Upstreams.All[Which].Mood =
-        static_cast<UpstreamMood>(1 + this->Numbers.below(4));
+    this->Upstreams.All[Which].Behavior =
+        static_cast<UpstreamBehavior>(1 + this->Numbers.below(4));
     this->after(For, [this, Which] {
-      this->Upstreams.All[Which].Mood = UpstreamMood::Sound;
+      this->Upstreams.All[Which].Behavior = UpstreamBehavior::Healthy;
     });
     return;
   }
 }
 
-void GatewayWorld::pauseHost(std::size_t At, Duration For) {
+void GatewaySimulation::pauseHost(std::size_t At, Duration For) {
   this->Hosts[At].PausedUntil = this->Queue.now() + For;
   for (const auto &Call : this->Calls)
     if (Call->Host == At && !Call->EndedAt)
       Call->Disturbed = true;
 }
 
-void GatewayWorld::cutFromPeers(std::size_t At, Duration For) {
+void GatewaySimulation::cutFromPeers(std::size_t At, Duration For) {
   Host &Each = this->Hosts[At];
   Each.HearsPeers = this->Numbers.below(2) == 0;
   Each.ReachesPeers = !Each.HearsPeers && this->Numbers.below(2) == 0;
@@ -79,17 +79,17 @@
   });
 }
 
-void GatewayWorld::replaceUpstream(std::size_t Which, Duration For) {
-  WorldUpstream &Each = this->Upstreams.All[Which];
+void GatewaySimulation::replaceUpstream(std::size_t Which, Duration For) {
+  SimulatedUpstream &Each = this->Upstreams.All[Which];
   if (!Each.Up)
     return;
   Each.Up = false;
   ++Each.Life;
-  this->Store.strike(Each.Record.Id);
+  this->Store.removeEngine(Each.Record.Id);
   this->after(For, [this, Which] {
-    WorldUpstream &Back = this->Upstreams.All[Which];
+    SimulatedUpstream &Back = this->Upstreams.All[Which];
     this->Upstreams.replace(Back);
-    this->Store.enlist(Back.Record);
+    this->Store.registerEngine(Back.Record);
   });
 }
 
--- a/tests/auto/gatewayrandom/WorldStore.cpp
+++ b/tests/auto/gatewayrandom/SimulatedStore.cpp
@@ -1,20 +1,20 @@
-#include "auto/gatewayrandom/WorldStore.h"
+#include "auto/gatewayrandom/SimulatedStore.h"
 
 namespace banyanpick {
 
-void WorldStore::enlist(const EngineRecord &Engine) {
+void SimulatedStore::registerEngine(const EngineRecord &Engine) {
   this->append({Engine, false, 0});
   this->Engines[Engine.Id] = this->Changes.back();
 }
 
-void WorldStore::strike(const UpstreamId &Engine) {
+void SimulatedStore::removeEngine(const UpstreamId &Engine) {
   EngineRecord Gone;
   Gone.Id = Engine;
   this->append({Gone, true, 0});
   this->Engines.erase(Engine);
 }
 
-EnginesRead WorldStore::list() const {
+EnginesRead SimulatedStore::list() const {
   EnginesRead Result;
   for (const auto &[Id, Each] : this->Engines)
     Result.Changes.push_back(Each);
@@ -23,7 +23,7 @@
   return Result;
 }
 
-EnginesRead WorldStore::readFrom(LogOffset From) const {
+EnginesRead SimulatedStore::readFrom(LogOffset From) const {
   EnginesRead Result;
   for (LogOffset Each = From; Each < this->end(); ++Each)
     Result.Changes.push_back(this->Changes[Each]);
@@ -31,7 +31,7 @@
   return Result;
 }
 
-void WorldStore::append(EngineChange Change) {
+void SimulatedStore::append(EngineChange Change) {
   Change.Offset = this->end();
   this->Changes.push_back(std::move(Change));
 }
--- a/tests/auto/gatewayrandom/WorldStore.h
+++ b/tests/auto/gatewayrandom/SimulatedStore.h
@@ -10,13 +10,13 @@
 namespace banyanpick {
 
 /// Versions of the configuration and the registry of upstreams.
-class WorldStore {
+class SimulatedStore {
 public:
   void declare() { ++this->Version; }
   std::uint64_t version() const { return this->Version; }
 
-  void enlist(const EngineRecord &Engine);
-  void strike(const UpstreamId &Engine);
+  void registerEngine(const EngineRecord &Engine);
+  void removeEngine(const UpstreamId &Engine);
   const std::map<UpstreamId, EngineChange> &engines() const {
     return this->Engines;
   }
--- a/tests/auto/gatewayrandom/WorldUpstreams.cpp
+++ b/tests/auto/gatewayrandom/SimulatedUpstreams.cpp
@@ -1,4 +1,4 @@
-#include "auto/gatewayrandom/WorldUpstreams.h"
+#include "auto/gatewayrandom/SimulatedUpstreams.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -12,15 +12,15 @@
                      static_cast<std::uint64_t>((Most - Least).count())));
 }
 
-TryFate unanswered(bool Ran) {
-  TryFate Result;
+AttemptPlan unanswered(bool Ran) {
+  AttemptPlan Result;
   Result.Ran = Ran;
   Result.Answers = false;
   return Result;
 }
 
-TryFate soon(RelayOutcome Outcome) {
-  TryFate Result;
+AttemptPlan soon(RelayOutcome Outcome) {
+  AttemptPlan Result;
   Result.EndsAfter = milliseconds(2);
   Result.Outcome = std::move(Outcome);
   return Result;
@@ -28,31 +28,32 @@
 
 } // namespace
 
-WorldUpstream *WorldUpstreams::at(const Address &Where) {
+SimulatedUpstream *SimulatedUpstreams::at(const Address &Where) {
   const auto Found = std::ranges::find_if(this->All, [&](const auto &Each) {
     return Each.Up && Each.Record.At == Where;
   });
   return Found == this->All.end() ? nullptr : &*Found;
 }
 
-TryFate WorldUpstreams::fateOf(const DispatchRelay &Order, Random &Numbers) {
-  WorldUpstream *Each = this->at(Order.At);
+AttemptPlan SimulatedUpstreams::planAttempt(const DispatchRelay &Order,
+                                            Random &Numbers) {
+  SimulatedUpstream *Each = this->at(Order.At);
   if (!Each)
     return soon(RelayNeverSent{});
   if (Each->Record.Id != Order.Engine)
     return soon(RelayNotRun{true, 421, std::nullopt});
-  if (Each->Mood == UpstreamMood::Refuses)
+  if (Each->Behavior == UpstreamBehavior::Refuses)
     return soon(RelayNotRun{false, 503, std::nullopt});
-  if (Each->Mood == UpstreamMood::Silent)
+  if (Each->Behavior == UpstreamBehavior::Silent)
     return unanswered(Numbers.below(2) == 0);
-  TryFate Result;
+  AttemptPlan Result;
   Result.Ran = true;
   Result.EndsAfter = between(Numbers, milliseconds(10), milliseconds(200));
-  if (Order.Stream && Each->Mood != UpstreamMood::Fails)
+  if (Order.Stream && Each->Behavior != UpstreamBehavior::Fails)
     Result.BeganAfter = Result.EndsAfter / 2;
-  if (Each->Mood == UpstreamMood::Fails)
+  if (Each->Behavior == UpstreamBehavior::Fails)
     Result.Outcome = RelayFailed{500};
-  else if (Each->Mood == UpstreamMood::Cuts)
+  else if (Each->Behavior == UpstreamBehavior::Cuts)
     Result.Outcome = RelayBroken{
         RelayBroken::Why::Reset, Order.Stream,
         Order.Stream
@@ -63,10 +64,10 @@
   return Result;
 }
 
-void WorldUpstreams::replace(WorldUpstream &Each) {
+void SimulatedUpstreams::replace(SimulatedUpstream &Each) {
   ++Each.Life;
   Each.Up = true;
-  Each.Mood = UpstreamMood::Sound;
+  Each.Behavior = UpstreamBehavior::Healthy;
   const std::string Old = Each.Record.Id.Value;
   Each.Record.Id = UpstreamId(
       fmt::format("{}r{}", Old.substr(0, Old.find('r')), ++this->Replacements));
--- a/tests/auto/gatewayrandom/WorldUpstreams.h
+++ b/tests/auto/gatewayrandom/SimulatedUpstreams.h
@@ -11,17 +11,17 @@
 namespace banyanpick {
 
 /// How an upstream treats what it is sent.
-enum class UpstreamMood { Sound, Refuses, Fails, Silent, Cuts };
+enum class UpstreamBehavior { Healthy, Refuses, Fails, Silent, Cuts };
 
-struct WorldUpstream {
+struct SimulatedUpstream {
   EngineRecord Record;
   std::uint64_t Life = 1; ///< Raised when the process ends.
   bool Up = true;
-  UpstreamMood Mood = UpstreamMood::Sound;
+  UpstreamBehavior Behavior = UpstreamBehavior::Healthy;
 };
 
 /// How one try ends: after how long, and whether it ran.
-struct TryFate {
+struct AttemptPlan {
   bool Ran = false;
   bool Answers = true;                   ///< Else nothing comes, ever.
   Duration BeganAfter = Duration::max(); ///< Streams only.
@@ -29,16 +29,16 @@
   RelayOutcome Outcome;
 };
 
-class WorldUpstreams {
+class SimulatedUpstreams {
 public:
-  std::vector<WorldUpstream> All;
+  std::vector<SimulatedUpstream> All;
 
   /// The process that listens at the address, or null.
-  WorldUpstream *at(const Address &Where);
+  SimulatedUpstream *at(const Address &Where);
   /// What the upstream at the order's address does with it.
-  TryFate fateOf(const DispatchRelay &Order, Random &Numbers);
+  AttemptPlan planAttempt(const DispatchRelay &Order, Random &Numbers);
   /// Another process takes the address; its id is new.
-  void replace(WorldUpstream &Each);
+  void replace(SimulatedUpstream &Each);
 
 private:
   std::uint64_t Replacements = 0;
