--- a/src/plugins/claims/ClaimTable.cpp
+++ b/src/plugins/claims/ClaimTable.cpp
@@ -5,25 +5,25 @@
 
 namespace banyanpick {
 
-ClaimJudgement ClaimTable::take(const RecordId &Id, const ClaimRecord &Claim) {
+ClaimFoldResult ClaimTable::fold(const RecordId &Id, const ClaimRecord &Claim) {
   const auto CreatedAt = creationTime(Claim.Key);
   if (!CreatedAt || Id.Maker != Claim.OwnerLife)
-    return ClaimJudgement::Void;
+    return ClaimFoldResult::Ignored;
   const OperationName Name{Claim.Team, Claim.Key};
-  ClaimedOperation &Operation = this->Known[Name];
+  ClaimedOperation &Operation = this->Operations[Name];
   Operation.CreatedAt = *CreatedAt;
   this->ByAge.emplace(*CreatedAt, Name);
-  if (!Operation.Judged.insert(Id).second)
-    return ClaimJudgement::Void;
+  if (!Operation.ProcessedClaims.insert(Id).second)
+    return ClaimFoldResult::Ignored;
   if (Operation.Owner)
-    return ClaimJudgement::Lost;
+    return ClaimFoldResult::Lost;
   Operation.Owner = ClaimOwner{Id, Claim.Owner, Claim.Content};
-  return ClaimJudgement::Owns;
+  return ClaimFoldResult::Owns;
 }
 
-void ClaimTable::take(const OutcomeRecord &Outcome) {
-  const auto Found = this->Known.find({Outcome.Team, Outcome.Key});
-  if (Found == this->Known.end())
+void ClaimTable::fold(const OutcomeRecord &Outcome) {
+  const auto Found = this->Operations.find({Outcome.Team, Outcome.Key});
+  if (Found == this->Operations.end())
     return;
   ClaimedOperation &Operation = Found->second;
   const RecordId Named{Outcome.OwnerLife, Outcome.ClaimSequence};
@@ -37,14 +37,14 @@
 
 void ClaimTable::prune(Time Oldest) {
   while (!this->ByAge.empty() && this->ByAge.begin()->first < Oldest) {
-    this->Known.erase(this->ByAge.begin()->second);
+    this->Operations.erase(this->ByAge.begin()->second);
     this->ByAge.erase(this->ByAge.begin());
   }
 }
 
 const ClaimedOperation *ClaimTable::find(const OperationName &Name) const {
-  const auto Found = this->Known.find(Name);
-  return Found == this->Known.end() ? nullptr : &Found->second;
+  const auto Found = this->Operations.find(Name);
+  return Found == this->Operations.end() ? nullptr : &Found->second;
 }
 
 } // namespace banyanpick
--- a/src/plugins/claims/ClaimTable.h
+++ b/src/plugins/claims/ClaimTable.h
@@ -42,13 +42,14 @@
 struct ClaimedOperation {
   std::optional<ClaimOwner> Owner; ///< None: given back.
   std::optional<ClaimOutcome> Outcome;
-  std::set<RecordId> Judged; ///< Claims read before; a second copy is void.
-  Time CreatedAt{};          ///< From the key.
+  std::set<RecordId>
+      ProcessedClaims; ///< Claims read before; a second copy is void.
+  Time CreatedAt{};    ///< From the key.
 
   bool operator==(const ClaimedOperation &) const = default;
 };
 
-enum class ClaimJudgement { Owns, Lost, Void };
+enum class ClaimFoldResult { Owns, Lost, Ignored };
 
 /// All operations whose keys are young enough to be asked for.
 class ClaimTable {
@@ -56,21 +57,21 @@
   /// Folds a claim. The first one read while nobody owns the operation owns
   /// it; any other has lost for good, also when the owner gives it back. Only
   /// the first copy of a claim counts.
-  ClaimJudgement take(const RecordId &Id, const ClaimRecord &Claim);
+  ClaimFoldResult fold(const RecordId &Id, const ClaimRecord &Claim);
 
   /// Folds an outcome; it counts only for the very claim it names, once.
-  void take(const OutcomeRecord &Outcome);
+  void fold(const OutcomeRecord &Outcome);
 
   /// Forgets operations whose keys were made before \p Oldest.
   void prune(Time Oldest);
 
   const ClaimedOperation *find(const OperationName &Name) const;
-  std::size_t size() const { return this->Known.size(); }
+  std::size_t size() const { return this->Operations.size(); }
 
   bool operator==(const ClaimTable &) const = default;
 
 private:
-  std::map<OperationName, ClaimedOperation> Known;
+  std::map<OperationName, ClaimedOperation> Operations;
   std::set<std::pair<Time, OperationName>> ByAge;
 };
 
--- a/src/plugins/claims/ClaimsPlugin.cpp
+++ b/src/plugins/claims/ClaimsPlugin.cpp
@@ -39,10 +39,10 @@
 
 /// Operations stay known this much longer than their keys are taken, so that
 /// no claim under way outlives what is known of its operation.
-constexpr Duration ForgetAfter = std::chrono::minutes(10);
+constexpr Duration ForgetDelay = std::chrono::minutes(10);
 constexpr Duration PruneInterval = seconds(10);
 /// Owners that membership has not met after this are taken as gone.
-constexpr Duration MeetPeersWithin = seconds(10);
+constexpr Duration PeerDiscoveryTimeout = seconds(10);
 
 NotRun badRequest(std::string Message) {
   return {RefusalReason::BadRequest, Duration(0), std::move(Message)};
@@ -54,7 +54,7 @@
           "operation up at the service"};
 }
 
-FinalAnswer answerFor(const ClaimOutcome &Outcome, Duration ComeBack) {
+FinalAnswer answerFor(const ClaimOutcome &Outcome, Duration RetryAfter) {
   switch (Outcome.Ended) {
   case OutcomeRecord::Kind::Done:
     return CompleteAnswer{0, Outcome.Result};
@@ -63,15 +63,15 @@
   default:
     return OutcomeUnknown{"the operation may have run and is never run again; "
                           "look it up at the service",
-                          ComeBack};
+                          RetryAfter};
   }
 }
 
-OperationName nameOf(const Request &Asked) {
-  return {Asked.Team, Asked.Head.Operation.value_or(OperationKey())};
+OperationName operationOf(const Request &Req) {
+  return {Req.Team, Req.Head.Operation.value_or(OperationKey())};
 }
 
-bool surelyNotRun(const AttemptOutcome &Outcome) {
+bool didNotRun(const AttemptOutcome &Outcome) {
   return std::holds_alternative<AttemptRefused>(Outcome) ||
          std::holds_alternative<AttemptNeverSent>(Outcome);
 }
@@ -80,34 +80,34 @@
 
 void ClaimsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Self = Context.self().Host;
   this->Life = Context.self().Life;
-  this->Window = std::min(Values.span("claims", "window"),
-                          Values.span("log", "retention") / 2);
-  this->Skew = Values.span("claims", "skew");
-  this->GiveUpAfter = Values.span("claims", "give_up_after");
-  this->ComeBack = Values.span("claims", "come_back");
-  this->MostResult = Values.size("claims", "result_bytes");
-  this->Log = &this->Offered->get<LogWriter>();
-  this->Tail = &this->Offered->get<LogTail>();
-  this->Offered->provide<ClaimKeeper>(*this);
-  this->Offered->list<LogObserver>().add(*this);
-  this->Offered->list<RequestObserver>().add(*this);
+  this->KeyWindow = std::min(Values.span("claims", "window"),
+                             Values.span("log", "retention") / 2);
+  this->ClockSkew = Values.span("claims", "skew");
+  this->ClaimTimeout = Values.span("claims", "give_up_after");
+  this->RetryAfter = Values.span("claims", "come_back");
+  this->MaxResultBytes = Values.size("claims", "result_bytes");
+  this->Log = &this->PluginServices->get<LogWriter>();
+  this->Tail = &this->PluginServices->get<LogTail>();
+  this->PluginServices->provide<ClaimKeeper>(*this);
+  this->PluginServices->list<LogObserver>().add(*this);
+  this->PluginServices->list<RequestObserver>().add(*this);
 }
 
 void ClaimsPlugin::start(Time Now, Actions &) {
-  this->Members = this->Offered->find<MembershipView>();
+  this->Members = this->PluginServices->find<MembershipView>();
   this->StartedAt = Now;
   this->PruneAt = Now + PruneInterval;
 }
 
 void ClaimsPlugin::handle(const Event &, Time Now, Actions &Out) {
-  this->giveUpLate(Now, Out);
+  this->denyExpired(Now, Out);
   if (Now < this->PruneAt)
     return;
   this->PruneAt = Now + PruneInterval;
-  const Time Oldest = Now - this->Window - ForgetAfter;
+  const Time Oldest = Now - this->KeyWindow - ForgetDelay;
   this->Table.prune(Oldest);
   const auto Forgotten = [this](const auto &Each) {
     return !this->Table.find(Each.first);
@@ -117,68 +117,70 @@
 
 Time ClaimsPlugin::nextWake() const {
   Time Earliest = Never;
-  for (const auto &[Name, Each] : this->Claims)
-    Earliest = std::min(Earliest, Each.GiveUpAt);
+  for (const auto &[Name, Each] : this->PendingClaims)
+    Earliest = std::min(Earliest, Each.Deadline);
   return Earliest;
 }
 
 void ClaimsPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
-  Monitor.require(this->DoubleGrants == 0,
+  Monitor.require(this->DuplicateGrants == 0,
                   "an operation is granted at most once");
   for (const auto &[Name, Each] : this->Grants) {
-    const ClaimedOperation *Known = this->Table.find(Name);
-    Monitor.require(!Known ||
-                        (Known->Owner && Known->Owner->Claim == Each.Claim),
+    const ClaimedOperation *Operation = this->Table.find(Name);
+    Monitor.require(!Operation || (Operation->Owner &&
+                                   Operation->Owner->Claim == Each.Claim),
                     "a granted claim owns its operation in the log");
   }
 }
 
-void ClaimsPlugin::claim(const Request &Asked, Time Now, Actions &Out) {
-  const OperationName Name = nameOf(Asked);
-  const Fingerprint Content = Asked.Head.Content;
-  if (const auto Refusal = this->refusalOf(Asked, Now))
-    return this->decide(Asked.id(), ClaimDenied{*Refusal}, Now, Out);
-  if (const auto Answer = this->answerKnown(Name, Content, Now))
-    return this->decide(Asked.id(), ClaimDenied{*Answer}, Now, Out);
-  if (this->isFenced(*creationTime(Name.Key)))
-    return this->decide(Asked.id(), ClaimDenied{keyTooOld()}, Now, Out);
+void ClaimsPlugin::claim(const Request &Req, Time Now, Actions &Out) {
+  const OperationName Name = operationOf(Req);
+  const Fingerprint Content = Req.Head.Content;
+  if (const auto Refusal = this->checkKey(Req, Now))
+    return this->decide(Req.id(), ClaimDenied{*Refusal}, Now, Out);
+  if (const auto Answer = this->knownAnswer(Name, Content, Now))
+    return this->decide(Req.id(), ClaimDenied{*Answer}, Now, Out);
+  if (this->mayHaveMissedClaim(*creationTime(Name.Key)))
+    return this->decide(Req.id(), ClaimDenied{keyTooOld()}, Now, Out);
   if (!this->CaughtUp || !this->Log->isReachable(Now))
-    return this->decide(Asked.id(), ClaimDenied{this->notSettled()}, Now, Out);
+    return this->decide(Req.id(), ClaimDenied{this->logUnavailable()}, Now,
+                        Out);
   const RecordId Id = this->Log->append(
       ClaimRecord{Name.Key, Name.Team, this->Self, this->Life, Content}, Now,
       Out);
-  this->Claims[Name] =
-      Waiting{Id, Asked.id(), Content, Now + this->GiveUpAfter};
+  this->PendingClaims[Name] =
+      PendingClaim{Id, Req.id(), Content, Now + this->ClaimTimeout};
 }
 
-void ClaimsPlugin::abandon(const Request &Asked, Time Now, Actions &Out) {
-  const OperationName Name = nameOf(Asked);
-  const auto Underway = this->Claims.find(Name);
-  if (Underway != this->Claims.end() && Underway->second.For == Asked.id()) {
-    this->Log->withdraw(Underway->second.Claim);
-    this->Claims.erase(Underway);
+void ClaimsPlugin::abandon(const Request &Req, Time Now, Actions &Out) {
+  const OperationName Name = operationOf(Req);
+  const auto Pending = this->PendingClaims.find(Name);
+  if (Pending != this->PendingClaims.end() &&
+      Pending->second.Requester == Req.id()) {
+    this->Log->withdraw(Pending->second.Claim);
+    this->PendingClaims.erase(Pending);
     return;
   }
   const auto Granted = this->Grants.find(Name);
-  if (Granted == this->Grants.end() || Granted->second.For != Asked.id() ||
+  if (Granted == this->Grants.end() || Granted->second.Requester != Req.id() ||
       Granted->second.Outcome)
     return;
   if (Granted->second.MayHaveRun)
-    return this->finish(Asked, OutcomeRecord::Kind::Unknown, "", Now, Out);
+    return this->finish(Req, OutcomeRecord::Kind::Unknown, "", Now, Out);
   const RecordId Claim = Granted->second.Claim;
   this->Grants.erase(Granted);
-  this->giveBack(Name, Claim, Now, Out);
+  this->releaseClaim(Name, Claim, Now, Out);
 }
 
-void ClaimsPlugin::finish(const Request &Asked, OutcomeRecord::Kind Ended,
+void ClaimsPlugin::finish(const Request &Req, OutcomeRecord::Kind Ended,
                           std::string_view Result, Time Now, Actions &Out) {
-  const OperationName Name = nameOf(Asked);
+  const OperationName Name = operationOf(Req);
   const auto Granted = this->Grants.find(Name);
-  if (Granted == this->Grants.end() || Granted->second.For != Asked.id() ||
+  if (Granted == this->Grants.end() || Granted->second.Requester != Req.id() ||
       Granted->second.Outcome)
     return;
   ClaimOutcome Outcome{Ended, std::string(Result)};
-  if (Result.size() > this->MostResult)
+  if (Result.size() > this->MaxResultBytes)
     Outcome = {OutcomeRecord::Kind::Failed,
                "it ran, but its result of " + std::to_string(Result.size()) +
                    " bytes is too long to be kept; look it up at the service"};
@@ -189,25 +191,25 @@
                     Now, Out);
 }
 
-void ClaimsPlugin::recordRead(const StoredRecord &Read, Time Now,
+void ClaimsPlugin::recordRead(const StoredRecord &Stored, Time Now,
                               Actions &Out) {
-  if (const auto *Claim = std::get_if<ClaimRecord>(&Read.Record.Body))
-    this->takeClaim(Read.Record.Id, *Claim, Now, Out);
-  else if (const auto *End = std::get_if<OutcomeRecord>(&Read.Record.Body))
-    this->Table.take(*End);
+  if (const auto *Claim = std::get_if<ClaimRecord>(&Stored.Record.Body))
+    this->foldClaim(Stored.Record.Id, *Claim, Now, Out);
+  else if (const auto *End = std::get_if<OutcomeRecord>(&Stored.Record.Body))
+    this->Table.fold(*End);
 }
 
-void ClaimsPlugin::appendSettled(const RecordId &Id, bool Taken, Time Now,
+void ClaimsPlugin::appendSettled(const RecordId &Id, bool Appended, Time Now,
                                  Actions &Out) {
-  if (Taken)
+  if (Appended)
     return;
   const auto Found =
-      std::find_if(this->Claims.begin(), this->Claims.end(),
+      std::find_if(this->PendingClaims.begin(), this->PendingClaims.end(),
                    [&](const auto &Each) { return Each.second.Claim == Id; });
-  if (Found == this->Claims.end())
+  if (Found == this->PendingClaims.end())
     return;
   const OperationName Name = Found->first;
-  this->denyWaiting(Name, this->notSettled(), Now, Out);
+  this->denyPending(Name, this->logUnavailable(), Now, Out);
 }
 
 void ClaimsPlugin::caughtUp(LogOffset, Time, Actions &) {
@@ -216,42 +218,42 @@
 
 void ClaimsPlugin::recordsMissed(LogOffset, Time Now, Actions &) {
   if (!this->Tail->isWhole())
-    this->KeysAfter = Now + this->Skew;
+    this->MissedKeysUntil = Now + this->ClockSkew;
 }
 
-void ClaimsPlugin::dispatched(const Request &Asked, const Attempt &, Time,
+void ClaimsPlugin::dispatched(const Request &Req, const Attempt &, Time,
                               Actions &) {
-  const auto Granted = this->Grants.find(nameOf(Asked));
-  if (Granted != this->Grants.end() && Granted->second.For == Asked.id())
+  const auto Granted = this->Grants.find(operationOf(Req));
+  if (Granted != this->Grants.end() && Granted->second.Requester == Req.id())
     Granted->second.MayHaveRun = true;
 }
 
-void ClaimsPlugin::attemptEnded(const Request &Asked, const Attempt &,
+void ClaimsPlugin::attemptEnded(const Request &Req, const Attempt &,
                                 const AttemptOutcome &Outcome, Time,
                                 Actions &) {
-  const auto Granted = this->Grants.find(nameOf(Asked));
-  if (Granted != this->Grants.end() && Granted->second.For == Asked.id() &&
-      surelyNotRun(Outcome))
+  const auto Granted = this->Grants.find(operationOf(Req));
+  if (Granted != this->Grants.end() && Granted->second.Requester == Req.id() &&
+      didNotRun(Outcome))
     Granted->second.MayHaveRun = false;
 }
 
-std::optional<NotRun> ClaimsPlugin::refusalOf(const Request &Asked,
-                                              Time Now) const {
-  if (!Asked.Head.Operation)
+std::optional<NotRun> ClaimsPlugin::checkKey(const Request &Req,
+                                             Time Now) const {
+  if (!Req.Head.Operation)
     return badRequest("this class needs an operation_key; give a UUIDv7");
-  const auto CreatedAt = creationTime(*Asked.Head.Operation);
+  const auto CreatedAt = creationTime(*Req.Head.Operation);
   if (!CreatedAt)
     return badRequest("operation_key is no UUIDv7; make one for each operation "
                       "and send it again with each retry");
-  if (*CreatedAt > Now + this->Skew)
+  if (*CreatedAt > Now + this->ClockSkew)
     return badRequest("operation_key is from the future; set the caller's "
                       "clock");
-  if (*CreatedAt < Now - this->Window)
+  if (*CreatedAt < Now - this->KeyWindow)
     return keyTooOld();
   return std::nullopt;
 }
 
-std::optional<FinalAnswer> ClaimsPlugin::answerKnown(const OperationName &Name,
+std::optional<FinalAnswer> ClaimsPlugin::knownAnswer(const OperationName &Name,
                                                      Fingerprint Content,
                                                      Time Now) const {
   const NotRun OtherContent =
@@ -262,42 +264,42 @@
     if (Granted->second.Content != Content)
       return OtherContent;
     if (Granted->second.Outcome)
-      return answerFor(*Granted->second.Outcome, this->ComeBack);
-    return InProgress{this->ComeBack};
+      return answerFor(*Granted->second.Outcome, this->RetryAfter);
+    return InProgress{this->RetryAfter};
   }
-  const ClaimedOperation *Known = this->Table.find(Name);
-  if (Known && Known->Owner) {
-    if (Known->Owner->Content != Content)
+  const ClaimedOperation *Operation = this->Table.find(Name);
+  if (Operation && Operation->Owner) {
+    if (Operation->Owner->Content != Content)
       return OtherContent;
-    return this->answerOwned(*Known, Now);
+    return this->answerForOwned(*Operation, Now);
   }
-  const auto Underway = this->Claims.find(Name);
-  if (Underway == this->Claims.end())
+  const auto Pending = this->PendingClaims.find(Name);
+  if (Pending == this->PendingClaims.end())
     return std::nullopt;
-  if (Underway->second.Content != Content)
+  if (Pending->second.Content != Content)
     return OtherContent;
-  return InProgress{this->ComeBack};
+  return InProgress{this->RetryAfter};
 }
 
-FinalAnswer ClaimsPlugin::answerOwned(const ClaimedOperation &Known,
-                                      Time Now) const {
-  if (Known.Outcome)
-    return answerFor(*Known.Outcome, this->ComeBack);
-  if (this->isGone(*Known.Owner, Now))
-    return answerFor(ClaimOutcome{}, this->ComeBack);
-  return InProgress{this->ComeBack};
+FinalAnswer ClaimsPlugin::answerForOwned(const ClaimedOperation &Operation,
+                                         Time Now) const {
+  if (Operation.Outcome)
+    return answerFor(*Operation.Outcome, this->RetryAfter);
+  if (this->isOwnerDead(*Operation.Owner, Now))
+    return answerFor(ClaimOutcome{}, this->RetryAfter);
+  return InProgress{this->RetryAfter};
 }
 
-NotRun ClaimsPlugin::notSettled() const {
-  return {RefusalReason::LogUnavailable, this->ComeBack,
+NotRun ClaimsPlugin::logUnavailable() const {
+  return {RefusalReason::LogUnavailable, this->RetryAfter,
           "the claim can't be recorded now; ask again with the same key"};
 }
 
-bool ClaimsPlugin::isFenced(Time CreatedAt) const {
-  return CreatedAt <= this->KeysAfter;
+bool ClaimsPlugin::mayHaveMissedClaim(Time CreatedAt) const {
+  return CreatedAt <= this->MissedKeysUntil;
 }
 
-bool ClaimsPlugin::isGone(const ClaimOwner &Owner, Time Now) const {
+bool ClaimsPlugin::isOwnerDead(const ClaimOwner &Owner, Time Now) const {
   if (Owner.Host == this->Self)
     return Owner.Claim.Maker != this->Life;
   if (!this->Members)
@@ -305,73 +307,76 @@
   if (this->Members->isDead(Owner.Host, Owner.Claim.Maker))
     return true;
   const auto Peers = this->Members->peers();
-  const bool Met =
+  const bool IsListed =
       std::any_of(Peers.begin(), Peers.end(), [&](const Member &Each) {
         return Each.Listing.Id == Owner.Host;
       });
-  return !Met && Now > this->StartedAt + MeetPeersWithin;
+  return !IsListed && Now > this->StartedAt + PeerDiscoveryTimeout;
 }
 
-void ClaimsPlugin::takeClaim(const RecordId &Id, const ClaimRecord &Claim,
+void ClaimsPlugin::foldClaim(const RecordId &Id, const ClaimRecord &Claim,
                              Time Now, Actions &Out) {
   const OperationName Name{Claim.Team, Claim.Key};
-  const ClaimJudgement Judged = this->Table.take(Id, Claim);
+  const ClaimFoldResult FoldResult = this->Table.fold(Id, Claim);
   if (Claim.OwnerLife == this->Life)
-    return this->takeOwnClaim(Name, Id, Judged, Now, Out);
+    return this->handleOwnClaim(Name, Id, FoldResult, Now, Out);
   // Somebody else owns it: an own claim on its way has lost already.
-  const auto Underway = this->Claims.find(Name);
-  if (Judged == ClaimJudgement::Owns && Underway != this->Claims.end())
-    this->denyWaiting(Name,
-                      *this->answerKnown(Name, Underway->second.Content, Now),
-                      Now, Out);
+  const auto Pending = this->PendingClaims.find(Name);
+  if (FoldResult == ClaimFoldResult::Owns &&
+      Pending != this->PendingClaims.end())
+    this->denyPending(
+        Name, *this->knownAnswer(Name, Pending->second.Content, Now), Now, Out);
 }
 
-void ClaimsPlugin::takeOwnClaim(const OperationName &Name, const RecordId &Id,
-                                ClaimJudgement Judged, Time Now, Actions &Out) {
-  if (Judged == ClaimJudgement::Void)
+void ClaimsPlugin::handleOwnClaim(const OperationName &Name, const RecordId &Id,
+                                  ClaimFoldResult FoldResult, Time Now,
+                                  Actions &Out) {
+  if (FoldResult == ClaimFoldResult::Ignored)
     return;
-  const auto Underway = this->Claims.find(Name);
-  std::optional<Waiting> Own;
-  if (Underway != this->Claims.end() && Underway->second.Claim == Id) {
-    Own = Underway->second;
-    this->Claims.erase(Underway);
+  const auto Pending = this->PendingClaims.find(Name);
+  std::optional<PendingClaim> Own;
+  if (Pending != this->PendingClaims.end() && Pending->second.Claim == Id) {
+    Own = Pending->second;
+    this->PendingClaims.erase(Pending);
   }
-  if (Judged == ClaimJudgement::Lost) {
+  if (FoldResult == ClaimFoldResult::Lost) {
     if (Own)
-      this->decide(Own->For,
-                   ClaimDenied{*this->answerKnown(Name, Own->Content, Now)},
+      this->decide(Own->Requester,
+                   ClaimDenied{*this->knownAnswer(Name, Own->Content, Now)},
                    Now, Out);
     return;
   }
-  const bool Late = Own && Now >= Own->GiveUpAt;
-  const bool Fenced = this->isFenced(this->Table.find(Name)->CreatedAt);
-  if (!Own || Late || Fenced) {
-    this->giveBack(Name, Id, Now, Out);
+  const bool Late = Own && Now >= Own->Deadline;
+  const bool Missed =
+      this->mayHaveMissedClaim(this->Table.find(Name)->CreatedAt);
+  if (!Own || Late || Missed) {
+    this->releaseClaim(Name, Id, Now, Out);
     if (Own)
-      this->decide(Own->For,
-                   ClaimDenied{Fenced ? keyTooOld() : this->notSettled()}, Now,
-                   Out);
+      this->decide(Own->Requester,
+                   ClaimDenied{Missed ? keyTooOld() : this->logUnavailable()},
+                   Now, Out);
     return;
   }
-  if (!this->Grants.emplace(Name, Grant{Id, Own->For, Own->Content, false, {}})
+  if (!this->Grants
+           .emplace(Name, Grant{Id, Own->Requester, Own->Content, false, {}})
            .second)
-    ++this->DoubleGrants;
-  this->decide(Own->For, ClaimGranted{}, Now, Out);
+    ++this->DuplicateGrants;
+  this->decide(Own->Requester, ClaimGranted{}, Now, Out);
 }
 
-void ClaimsPlugin::denyWaiting(const OperationName &Name, FinalAnswer Answer,
+void ClaimsPlugin::denyPending(const OperationName &Name, FinalAnswer Answer,
                                Time Now, Actions &Out) {
-  const auto Underway = this->Claims.find(Name);
-  if (Underway == this->Claims.end())
+  const auto Pending = this->PendingClaims.find(Name);
+  if (Pending == this->PendingClaims.end())
     return;
-  const RequestId For = Underway->second.For;
-  this->Log->withdraw(Underway->second.Claim);
-  this->Claims.erase(Underway);
-  this->decide(For, ClaimDenied{std::move(Answer)}, Now, Out);
+  const RequestId Requester = Pending->second.Requester;
+  this->Log->withdraw(Pending->second.Claim);
+  this->PendingClaims.erase(Pending);
+  this->decide(Requester, ClaimDenied{std::move(Answer)}, Now, Out);
 }
 
-void ClaimsPlugin::giveBack(const OperationName &Name, const RecordId &Claim,
-                            Time Now, Actions &Out) {
+void ClaimsPlugin::releaseClaim(const OperationName &Name,
+                                const RecordId &Claim, Time Now, Actions &Out) {
   this->Log->append(OutcomeRecord{Name.Key, Name.Team, this->Life,
                                   OutcomeRecord::Kind::Released, "",
                                   Claim.Sequence},
@@ -383,14 +388,14 @@
   Out.count("claims_released");
 }
 
-void ClaimsPlugin::giveUpLate(Time Now, Actions &Out) {
+void ClaimsPlugin::denyExpired(Time Now, Actions &Out) {
   std::vector<OperationName> Late;
-  for (const auto &[Name, Each] : this->Claims) {
-    if (Now >= Each.GiveUpAt)
+  for (const auto &[Name, Each] : this->PendingClaims) {
+    if (Now >= Each.Deadline)
       Late.push_back(Name);
   }
   for (const OperationName &Name : Late)
-    this->denyWaiting(Name, this->notSettled(), Now, Out);
+    this->denyPending(Name, this->logUnavailable(), Now, Out);
 }
 
 void ClaimsPlugin::decide(const RequestId &Id, const ClaimVerdict &Verdict,
@@ -401,7 +406,7 @@
               .with("granted", Granted ? "yes" : "no")
               .build());
   Out.count("claims_decided", Granted ? "granted" : "denied");
-  for (ClaimObserver *Each : this->Offered->list<ClaimObserver>().all())
+  for (ClaimObserver *Each : this->PluginServices->list<ClaimObserver>().all())
     Each->claimDecided(Id, Verdict, Now, Out);
 }
 
--- a/tests/auto/claims/ClaimBench.cpp
+++ b/tests/auto/claims/ClaimBench.cpp
@@ -21,52 +21,51 @@
   return Result;
 }
 
-void claim(BenchHost &Host, const Request &Asked) {
-  Host.ask([&](Actions &Out) { keeper(Host).claim(Asked, Host.Now, Out); });
+void claim(BenchHost &Host, const Request &Req) {
+  Host.ask([&](Actions &Out) { keeper(Host).claim(Req, Host.Now, Out); });
 }
 
-void abandon(BenchHost &Host, const Request &Asked) {
-  Host.ask([&](Actions &Out) { keeper(Host).abandon(Asked, Host.Now, Out); });
+void abandon(BenchHost &Host, const Request &Req) {
+  Host.ask([&](Actions &Out) { keeper(Host).abandon(Req, Host.Now, Out); });
 }
 
-void finish(BenchHost &Host, const Request &Asked, std::string Result) {
+void finish(BenchHost &Host, const Request &Req, std::string Result) {
   Host.ask([&](Actions &Out) {
-    keeper(Host).finish(Asked, OutcomeRecord::Kind::Done, Result, Host.Now,
-                        Out);
+    keeper(Host).finish(Req, OutcomeRecord::Kind::Done, Result, Host.Now, Out);
   });
 }
 
-void dispatch(BenchHost &Host, const Request &Asked) {
+void dispatch(BenchHost &Host, const Request &Req) {
   Host.ask([&](Actions &Out) {
     for (auto *Each : Host.services().list<RequestObserver>().all())
-      Each->dispatched(Asked, Attempt(), Host.Now, Out);
+      Each->dispatched(Req, Attempt(), Host.Now, Out);
   });
 }
 
-void endAttempt(BenchHost &Host, const Request &Asked, AttemptOutcome Outcome) {
+void endAttempt(BenchHost &Host, const Request &Req, AttemptOutcome Outcome) {
   Host.ask([&](Actions &Out) {
     for (auto *Each : Host.services().list<RequestObserver>().all())
-      Each->attemptEnded(Asked, Attempt(), Outcome, Host.Now, Out);
+      Each->attemptEnded(Req, Attempt(), Outcome, Host.Now, Out);
   });
 }
 
-std::optional<ClaimVerdict> verdictOn(BenchHost &Host, const Request &Asked) {
+std::optional<ClaimVerdict> verdictOn(BenchHost &Host, const Request &Req) {
   for (const auto &[Id, Verdict] : Host.probe().Verdicts) {
-    if (Id == Asked.id())
+    if (Id == Req.id())
       return Verdict;
   }
   return std::nullopt;
 }
 
-FinalAnswer denialOf(BenchHost &Host, const Request &Asked) {
-  const auto Verdict = verdictOn(Host, Asked);
+FinalAnswer denialOf(BenchHost &Host, const Request &Req) {
+  const auto Verdict = verdictOn(Host, Req);
   if (!Verdict)
     throw Error(ErrorKind::Internal, "no verdict yet", "mend the test");
   return std::get<ClaimDenied>(*Verdict).Answer;
 }
 
-bool isGranted(BenchHost &Host, const Request &Asked) {
-  const auto Verdict = verdictOn(Host, Asked);
+bool isGranted(BenchHost &Host, const Request &Req) {
+  const auto Verdict = verdictOn(Host, Req);
   return Verdict && std::holds_alternative<ClaimGranted>(*Verdict);
 }
 
--- a/tests/auto/claims/ClaimBench.h
+++ b/tests/auto/claims/ClaimBench.h
@@ -22,17 +22,17 @@
 Request requestFor(OperationKey Key, std::uint64_t Id,
                    std::uint64_t Content = 1, std::string Team = "t");
 
-void claim(BenchHost &Host, const Request &Asked);
-void abandon(BenchHost &Host, const Request &Asked);
-void finish(BenchHost &Host, const Request &Asked, std::string Result);
-void dispatch(BenchHost &Host, const Request &Asked);
-void endAttempt(BenchHost &Host, const Request &Asked, AttemptOutcome Outcome);
+void claim(BenchHost &Host, const Request &Req);
+void abandon(BenchHost &Host, const Request &Req);
+void finish(BenchHost &Host, const Request &Req, std::string Result);
+void dispatch(BenchHost &Host, const Request &Req);
+void endAttempt(BenchHost &Host, const Request &Req, AttemptOutcome Outcome);
 
 /// The verdict on the request, or nothing yet.
-std::optional<ClaimVerdict> verdictOn(BenchHost &Host, const Request &Asked);
+std::optional<ClaimVerdict> verdictOn(BenchHost &Host, const Request &Req);
 
 /// The answer with which the request was denied; fails when it was not.
-FinalAnswer denialOf(BenchHost &Host, const Request &Asked);
-bool isGranted(BenchHost &Host, const Request &Asked);
+FinalAnswer denialOf(BenchHost &Host, const Request &Req);
+bool isGranted(BenchHost &Host, const Request &Req);
 
 } // namespace banyanpick
--- a/tests/auto/claims/ClaimsProperty.cpp
+++ b/tests/auto/claims/ClaimsProperty.cpp
@@ -14,12 +14,12 @@
 constexpr unsigned Keys = 2;
 
 /// One request that a random caller has sent.
-struct Sent {
-  Request Asked;
+struct SentRequest {
+  Request Req;
   unsigned Host = 0;
   unsigned Key = 0;
   bool Dispatched = false;
-  bool Over = false;
+  bool Ended = false;
 };
 
 /// Three hosts, their callers, and a count of runs by operation.
@@ -27,114 +27,117 @@
 public:
   RandomRun() {
     for (unsigned Host = 0; Host < Hosts; ++Host) {
-      this->All.push_back(this->born(Host));
-      this->All.back()->catchUp();
+      this->BenchHosts.push_back(this->makeHost(Host));
+      this->BenchHosts.back()->catchUp();
     }
     for (unsigned Key = 0; Key < Keys; ++Key)
-      this->Names.push_back(keyMadeAt(this->All[0]->Now, Key));
+      this->Names.push_back(keyMadeAt(this->BenchHosts[0]->Now, Key));
   }
 
   void step(unsigned Draw) {
     const unsigned Kind = Draw % 16;
     const unsigned Host = Draw / 16 % Hosts;
     const unsigned Pick = Draw / 64;
-    BenchHost &On = *this->All[Host];
+    BenchHost &Target = *this->BenchHosts[Host];
     if (Kind < 3)
       this->send(Host, Pick % Keys);
     else if (Kind < 6)
-      On.answerAppend(static_cast<AppendFate>(Pick % 5));
+      Target.answerAppend(static_cast<AppendFate>(Pick % 5));
     else if (Kind < 9)
-      On.answerRead();
+      Target.answerRead();
     else if (Kind < 12)
-      this->act(Pick);
+      this->advanceRequest(Pick);
     else if (Kind == 12)
-      On.takeLate();
+      Target.takeLate();
     else if (Kind == 13)
       this->restart(Host, Pick % 2 == 0);
     else
-      On.pass(milliseconds(Pick % 8 == 0 ? 2500 : 30));
+      Target.pass(milliseconds(Pick % 8 == 0 ? 2500 : 30));
   }
 
   void check() const {
     for (const unsigned Each : this->Runs)
       RC_ASSERT(Each <= 1u);
-    for (const auto &Each : this->All)
+    for (const auto &Each : this->BenchHosts)
       RC_ASSERT(Each->kernel().invariantsBroken() == 0u);
   }
 
 private:
-  std::unique_ptr<BenchHost> born(unsigned Host) {
+  std::unique_ptr<BenchHost> makeHost(unsigned Host) {
     auto Result = std::make_unique<BenchHost>(
         this->Log, std::string(1, static_cast<char>('a' + Host)),
-        ++this->Lives);
-    Result->Now = this->All.size() > Host ? this->All[Host]->Now : Result->Now;
+        ++this->Incarnations);
+    Result->Now = this->BenchHosts.size() > Host ? this->BenchHosts[Host]->Now
+                                                 : Result->Now;
     return Result;
   }
 
   void send(unsigned Host, unsigned Key) {
-    Sent Next{requestFor(this->Names[Key], ++this->Requests), Host, Key};
-    claim(*this->All[Host], Next.Asked);
-    this->Open.push_back(Next);
+    SentRequest NewRequest{requestFor(this->Names[Key], ++this->Requests), Host,
+                           Key};
+    claim(*this->BenchHosts[Host], NewRequest.Req);
+    this->Open.push_back(NewRequest);
   }
 
   /// A granted request is dispatched, refused by its upstream, given up or
   /// finished; one that waits is given up.
-  void act(unsigned Pick) {
+  void advanceRequest(unsigned Pick) {
     if (this->Open.empty())
       return;
-    Sent &Of = this->Open[Pick / 4 % this->Open.size()];
-    BenchHost &On = *this->All[Of.Host];
-    const auto Verdict = verdictOn(On, Of.Asked);
-    if (Of.Over || (Verdict && !isGranted(On, Of.Asked)))
-      return this->checkAnswer(Of, Verdict);
-    if (Verdict && !Of.Dispatched && Pick % 4 != 0) {
-      Of.Dispatched = true;
-      ++this->Runs[Of.Key];
-      return dispatch(On, Of.Asked);
+    SentRequest &Item = this->Open[Pick / 4 % this->Open.size()];
+    BenchHost &Target = *this->BenchHosts[Item.Host];
+    const auto Verdict = verdictOn(Target, Item.Req);
+    if (Item.Ended || (Verdict && !isGranted(Target, Item.Req)))
+      return this->checkAnswer(Item, Verdict);
+    if (Verdict && !Item.Dispatched && Pick % 4 != 0) {
+      Item.Dispatched = true;
+      ++this->Runs[Item.Key];
+      return dispatch(Target, Item.Req);
     }
-    Of.Over = true;
-    if (Of.Dispatched && Pick % 4 != 1) {
-      this->Results[Of.Key] = std::to_string(Of.Asked.id().Value);
-      return finish(On, Of.Asked, this->Results[Of.Key]);
+    Item.Ended = true;
+    if (Item.Dispatched && Pick % 4 != 1) {
+      this->Results[Item.Key] = std::to_string(Item.Req.id().Value);
+      return finish(Target, Item.Req, this->Results[Item.Key]);
     }
-    if (Of.Dispatched) {
-      --this->Runs[Of.Key];
-      endAttempt(On, Of.Asked, AttemptRefused());
+    if (Item.Dispatched) {
+      --this->Runs[Item.Key];
+      endAttempt(Target, Item.Req, AttemptRefused());
     }
-    abandon(On, Of.Asked);
+    abandon(Target, Item.Req);
   }
 
   /// A whole answer is the one that the only run gave.
-  void checkAnswer(const Sent &Of, const std::optional<ClaimVerdict> &Verdict) {
+  void checkAnswer(const SentRequest &Item,
+                   const std::optional<ClaimVerdict> &Verdict) {
     const auto *Denied =
         Verdict ? std::get_if<ClaimDenied>(&*Verdict) : nullptr;
-    const auto *Whole =
+    const auto *Complete =
         Denied ? std::get_if<CompleteAnswer>(&Denied->Answer) : nullptr;
-    if (Whole)
-      RC_ASSERT(Whole->Result == this->Results[Of.Key]);
+    if (Complete)
+      RC_ASSERT(Complete->Result == this->Results[Item.Key]);
   }
 
   void restart(unsigned Host, bool Noticed) {
-    auto Late = std::move(this->All[Host]->LateAppends);
-    const Incarnation Old = this->All[Host]->probe().Self.Life;
-    for (Sent &Each : this->Open)
-      Each.Over = Each.Over || Each.Host == Host;
-    this->All[Host] = this->born(Host);
-    this->All[Host]->LateAppends = std::move(Late);
-    for (auto &Each : this->All) {
+    auto Late = std::move(this->BenchHosts[Host]->LateAppends);
+    const Incarnation Old = this->BenchHosts[Host]->probe().Self.Life;
+    for (SentRequest &Each : this->Open)
+      Each.Ended = Each.Ended || Each.Host == Host;
+    this->BenchHosts[Host] = this->makeHost(Host);
+    this->BenchHosts[Host]->LateAppends = std::move(Late);
+    for (auto &Each : this->BenchHosts) {
       if (Noticed)
         Each->probe().Over.push_back(Old);
     }
   }
 
   LogServiceModel Log;
-  std::vector<std::unique_ptr<BenchHost>> All;
+  std::vector<std::unique_ptr<BenchHost>> BenchHosts;
   std::vector<OperationKey> Names;
-  std::vector<Sent> Open;
+  std::vector<SentRequest> Open;
   std::vector<unsigned> Runs = std::vector<unsigned>(Keys, 0);
   std::map<unsigned, std::string> Results;
   std::uint64_t Requests = 0;
-  std::uint64_t Lives = 0;
+  std::uint64_t Incarnations = 0;
 };
 
 } // namespace
--- a/tests/auto/claims/ClaimsTest.cpp
+++ b/tests/auto/claims/ClaimsTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-RefusalReason reasonOf(const FinalAnswer &Answer) {
+RefusalReason refusalReason(const FinalAnswer &Answer) {
   return std::get<NotRun>(Answer).Reason;
 }
 
@@ -71,17 +71,18 @@
   this->B.probe().Over = {Incarnation(0xa1)};
   claim(this->B, this->Again);
   EXPECT_TRUE(std::holds_alternative<OutcomeUnknown>(denialOf(B, Again)));
-  BenchHost Reborn(this->Log, "a", 0xa2);
-  Reborn.catchUp();
-  claim(Reborn, this->Again);
-  EXPECT_TRUE(std::holds_alternative<OutcomeUnknown>(denialOf(Reborn, Again)));
+  BenchHost Restarted(this->Log, "a", 0xa2);
+  Restarted.catchUp();
+  claim(Restarted, this->Again);
+  EXPECT_TRUE(
+      std::holds_alternative<OutcomeUnknown>(denialOf(Restarted, Again)));
 }
 
 TEST_F(ClaimsTest, LogAwayAfterSendingTheClaimEndsAsNotRunAndGivesItBack) {
   claim(this->A, this->First);
   this->A.answerAppend(AppendFate::Late);
   this->A.pass(seconds(3));
-  EXPECT_EQ(reasonOf(denialOf(A, First)), RefusalReason::LogUnavailable);
+  EXPECT_EQ(refusalReason(denialOf(A, First)), RefusalReason::LogUnavailable);
   this->A.takeLate();
   this->A.settle();
   this->A.settle();
@@ -145,42 +146,42 @@
   this->grantFirst();
   const Request Other = requestFor(this->Key, 9, 2);
   claim(this->B, Other);
-  EXPECT_EQ(reasonOf(denialOf(B, Other)), RefusalReason::BadRequest);
+  EXPECT_EQ(refusalReason(denialOf(B, Other)), RefusalReason::BadRequest);
   claim(this->A, Other);
-  EXPECT_EQ(reasonOf(denialOf(A, Other)), RefusalReason::BadRequest);
+  EXPECT_EQ(refusalReason(denialOf(A, Other)), RefusalReason::BadRequest);
 }
 
 TEST_F(ClaimsTest, RefusesKeysOutsideTheWindow) {
   const auto ReasonFor = [&](Time CreatedAt, std::uint64_t Id) {
-    const Request Asked = requestFor(keyMadeAt(CreatedAt, 5), Id);
-    claim(this->A, Asked);
-    return reasonOf(denialOf(this->A, Asked));
+    const Request Req = requestFor(keyMadeAt(CreatedAt, 5), Id);
+    claim(this->A, Req);
+    return refusalReason(denialOf(this->A, Req));
   };
   EXPECT_EQ(ReasonFor(A.Now - std::chrono::hours(2), 10),
             RefusalReason::KeyTooOld);
   EXPECT_EQ(ReasonFor(A.Now + seconds(60), 11), RefusalReason::BadRequest);
   const Request NoKey = requestFor(OperationKey("chair-7"), 12);
   claim(this->A, NoKey);
-  EXPECT_EQ(reasonOf(denialOf(A, NoKey)), RefusalReason::BadRequest);
+  EXPECT_EQ(refusalReason(denialOf(A, NoKey)), RefusalReason::BadRequest);
 }
 
 TEST_F(ClaimsTest, WindowIsAtMostHalfOfTheRetention) {
   BenchHost C(this->Log, "c", 0xc1, {{"log.retention", "10s"}});
   C.catchUp();
-  const Request Asked = requestFor(keyMadeAt(C.Now - seconds(6), 1), 20);
-  claim(C, Asked);
-  EXPECT_EQ(reasonOf(denialOf(C, Asked)), RefusalReason::KeyTooOld);
+  const Request Req = requestFor(keyMadeAt(C.Now - seconds(6), 1), 20);
+  claim(C, Req);
+  EXPECT_EQ(refusalReason(denialOf(C, Req)), RefusalReason::KeyTooOld);
 }
 
 TEST_F(ClaimsTest, NewHostClaimsNothingBeforeItHasReadTheLog) {
   this->grantFirst();
   BenchHost C(this->Log, "c", 0xc1);
   claim(C, this->Again);
-  EXPECT_EQ(reasonOf(denialOf(C, Again)), RefusalReason::LogUnavailable);
+  EXPECT_EQ(refusalReason(denialOf(C, Again)), RefusalReason::LogUnavailable);
   C.handle(LogRead{{}, 1, 1, 1, 2});
   const Request Third = requestFor(this->Key, 3);
   claim(C, Third);
-  EXPECT_EQ(reasonOf(denialOf(C, Third)), RefusalReason::LogUnavailable);
+  EXPECT_EQ(refusalReason(denialOf(C, Third)), RefusalReason::LogUnavailable);
 }
 
 TEST_F(ClaimsTest, SecondCopyOfALostClaimStaysLost) {
@@ -189,13 +190,13 @@
   const ClaimRecord Loser{Key, TeamId("t"), HostId("b"), Incarnation(2), {}};
   const RecordId WinnerId{Incarnation(1), 1};
   const RecordId LoserId{Incarnation(2), 1};
-  EXPECT_EQ(Table.take(WinnerId, Winner), ClaimJudgement::Owns);
-  EXPECT_EQ(Table.take(LoserId, Loser), ClaimJudgement::Lost);
-  Table.take(OutcomeRecord{Key, TeamId("t"), Incarnation(1),
+  EXPECT_EQ(Table.fold(WinnerId, Winner), ClaimFoldResult::Owns);
+  EXPECT_EQ(Table.fold(LoserId, Loser), ClaimFoldResult::Lost);
+  Table.fold(OutcomeRecord{Key, TeamId("t"), Incarnation(1),
                            OutcomeRecord::Kind::Released, "", 1});
-  EXPECT_EQ(Table.take(LoserId, Loser), ClaimJudgement::Void);
-  EXPECT_EQ(Table.take(WinnerId, Winner), ClaimJudgement::Void);
-  EXPECT_EQ(Table.take({Incarnation(2), 2}, Loser), ClaimJudgement::Owns);
+  EXPECT_EQ(Table.fold(LoserId, Loser), ClaimFoldResult::Ignored);
+  EXPECT_EQ(Table.fold(WinnerId, Winner), ClaimFoldResult::Ignored);
+  EXPECT_EQ(Table.fold({Incarnation(2), 2}, Loser), ClaimFoldResult::Owns);
 }
 
 TEST_F(ClaimsTest, RefusesKeysWhoseClaimsMayHaveBeenMissed) {
@@ -210,7 +211,7 @@
   this->Log.dropBefore(5);
   C.catchUp();
   claim(C, this->Again);
-  EXPECT_EQ(reasonOf(denialOf(C, Again)), RefusalReason::KeyTooOld);
+  EXPECT_EQ(refusalReason(denialOf(C, Again)), RefusalReason::KeyTooOld);
   C.pass(seconds(30));
   C.settle();
   const Request Fresh = requestFor(keyMadeAt(C.Now, 8), 30);
@@ -225,7 +226,7 @@
   this->A.answerAppend(AppendFate::Taken);
   this->A.Now += std::chrono::hours(3);
   this->A.answerRead();
-  EXPECT_EQ(reasonOf(denialOf(A, First)), RefusalReason::LogUnavailable);
+  EXPECT_EQ(refusalReason(denialOf(A, First)), RefusalReason::LogUnavailable);
 }
 
 TEST_F(ClaimsTest, ResultsTooLongToKeepAreSaidSo) {
@@ -244,7 +245,7 @@
   this->A.settle();
   this->A.pass(std::chrono::hours(2));
   claim(this->A, this->Again);
-  EXPECT_EQ(reasonOf(denialOf(A, Again)), RefusalReason::KeyTooOld);
+  EXPECT_EQ(refusalReason(denialOf(A, Again)), RefusalReason::KeyTooOld);
   EXPECT_EQ(this->A.kernel().invariantsBroken(), 0u);
 }
 
