--- a/src/plugins/claims/ClaimTable.h
+++ b/src/plugins/claims/ClaimTable.h
@@ -1,6 +1,6 @@
 /// \file
-/// The fold of claims and outcomes: which life of which host may run each
-/// non-idempotent operation. A pure function of the log.
+/// The fold of claim and outcome records. It determines which incarnation of
+/// which host may run each non-idempotent operation, from the log alone.
 #pragma once
 
 #include "kernel/LogRecord.h"
@@ -12,7 +12,7 @@
 
 namespace banyanpick {
 
-/// An operation's identity: keys of two teams never meet.
+/// Identifies an operation. Equal keys of two teams are different operations.
 struct OperationName {
   TeamId Team;
   OperationKey Key;
@@ -23,14 +23,14 @@
 
 /// The claim that owns an operation.
 struct ClaimOwner {
-  RecordId Claim; ///< Its maker is the owner's life.
+  RecordId Claim; ///< The record's maker is the owner's incarnation.
   HostId Host;
   Fingerprint Content;
 
   bool operator==(const ClaimOwner &) const = default;
 };
 
-/// How the owner ended it.
+/// How the owner ended the operation.
 struct ClaimOutcome {
   OutcomeRecord::Kind Ended = OutcomeRecord::Kind::Unknown;
   std::string Result;
@@ -38,31 +38,30 @@
   bool operator==(const ClaimOutcome &) const = default;
 };
 
-/// One operation as the log tells it.
+/// The state of one operation according to the log.
 struct ClaimedOperation {
-  std::optional<ClaimOwner> Owner; ///< None: given back.
+  std::optional<ClaimOwner> Owner; ///< Empty after a release.
   std::optional<ClaimOutcome> Outcome;
-  std::set<RecordId>
-      ProcessedClaims; ///< Claims read before; a second copy is void.
-  Time CreatedAt{};    ///< From the key.
+  std::set<RecordId> ProcessedClaims; ///< A second copy of a claim is ignored.
+  Time CreatedAt{};                   ///< Encoded in the key.
 
   bool operator==(const ClaimedOperation &) const = default;
 };
 
 enum class ClaimFoldResult { Owns, Lost, Ignored };
 
-/// All operations whose keys are young enough to be asked for.
+/// All operations whose keys callers may still use.
 class ClaimTable {
 public:
-  /// Folds a claim. The first one read while nobody owns the operation owns
-  /// it; any other has lost for good, also when the owner gives it back. Only
-  /// the first copy of a claim counts.
+  /// Folds a claim. The first claim read while the operation has no owner
+  /// becomes its owner. Every other claim is lost permanently, even if the
+  /// owner later releases the operation. Only the first copy of a claim counts.
   ClaimFoldResult fold(const RecordId &Id, const ClaimRecord &Claim);
 
-  /// Folds an outcome; it counts only for the very claim it names, once.
+  /// Folds an outcome. It applies only to the claim that it names, and once.
   void fold(const OutcomeRecord &Outcome);
 
-  /// Forgets operations whose keys were made before \p Oldest.
+  /// Removes operations whose keys were created before \p Oldest.
   void prune(Time Oldest);
 
   const ClaimedOperation *find(const OperationName &Name) const;
--- a/src/plugins/claims/ClaimsPlugin.cpp
+++ b/src/plugins/claims/ClaimsPlugin.cpp
@@ -37,11 +37,11 @@
                                              std::make_unique<ClaimsPlugin>());
                                        }});
 
-/// Operations stay known this much longer than their keys are taken, so that
-/// no claim under way outlives what is known of its operation.
+/// Operations are kept this much longer than their keys are accepted, so that
+/// no pending claim outlives the state of its operation.
 constexpr Duration ForgetDelay = std::chrono::minutes(10);
 constexpr Duration PruneInterval = seconds(10);
-/// Owners that membership has not met after this are taken as gone.
+/// Owners that membership does not list after this time count as dead.
 constexpr Duration PeerDiscoveryTimeout = seconds(10);
 
 NotRun badRequest(std::string Message) {
@@ -109,26 +109,26 @@
   this->PruneAt = Now + PruneInterval;
   const Time Oldest = Now - this->KeyWindow - ForgetDelay;
   this->Table.prune(Oldest);
-  const auto Forgotten = [this](const auto &Each) {
-    return !this->Table.find(Each.first);
+  const auto Forgotten = [this](const auto &Entry) {
+    return !this->Table.find(Entry.first);
   };
   std::erase_if(this->Grants, Forgotten);
 }
 
 Time ClaimsPlugin::nextWake() const {
   Time Earliest = Never;
-  for (const auto &[Name, Each] : this->PendingClaims)
-    Earliest = std::min(Earliest, Each.Deadline);
+  for (const auto &[Name, Claim] : this->PendingClaims)
+    Earliest = std::min(Earliest, Claim.Deadline);
   return Earliest;
 }
 
 void ClaimsPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
   Monitor.require(this->DuplicateGrants == 0,
                   "an operation is granted at most once");
-  for (const auto &[Name, Each] : this->Grants) {
+  for (const auto &[Name, Granted] : this->Grants) {
     const ClaimedOperation *Operation = this->Table.find(Name);
     Monitor.require(!Operation || (Operation->Owner &&
-                                   Operation->Owner->Claim == Each.Claim),
+                                   Operation->Owner->Claim == Granted.Claim),
                     "a granted claim owns its operation in the log");
   }
 }
@@ -205,7 +205,7 @@
     return;
   const auto Found =
       std::find_if(this->PendingClaims.begin(), this->PendingClaims.end(),
-                   [&](const auto &Each) { return Each.second.Claim == Id; });
+                   [&](const auto &Entry) { return Entry.second.Claim == Id; });
   if (Found == this->PendingClaims.end())
     return;
   const OperationName Name = Found->first;
@@ -308,8 +308,8 @@
     return true;
   const auto Peers = this->Members->peers();
   const bool IsListed =
-      std::any_of(Peers.begin(), Peers.end(), [&](const Member &Each) {
-        return Each.Listing.Id == Owner.Host;
+      std::any_of(Peers.begin(), Peers.end(), [&](const Member &Peer) {
+        return Peer.Listing.Id == Owner.Host;
       });
   return !IsListed && Now > this->StartedAt + PeerDiscoveryTimeout;
 }
@@ -320,7 +320,7 @@
   const ClaimFoldResult FoldResult = this->Table.fold(Id, Claim);
   if (Claim.OwnerLife == this->Life)
     return this->handleOwnClaim(Name, Id, FoldResult, Now, Out);
-  // Somebody else owns it: an own claim on its way has lost already.
+  // Another host owns the operation, so a pending claim of this host has lost.
   const auto Pending = this->PendingClaims.find(Name);
   if (FoldResult == ClaimFoldResult::Owns &&
       Pending != this->PendingClaims.end())
@@ -389,12 +389,12 @@
 }
 
 void ClaimsPlugin::denyExpired(Time Now, Actions &Out) {
-  std::vector<OperationName> Late;
-  for (const auto &[Name, Each] : this->PendingClaims) {
-    if (Now >= Each.Deadline)
-      Late.push_back(Name);
+  std::vector<OperationName> Expired;
+  for (const auto &[Name, Claim] : this->PendingClaims) {
+    if (Now >= Claim.Deadline)
+      Expired.push_back(Name);
   }
-  for (const OperationName &Name : Late)
+  for (const OperationName &Name : Expired)
     this->denyPending(Name, this->logUnavailable(), Now, Out);
 }
 
@@ -406,8 +406,9 @@
               .with("granted", Granted ? "yes" : "no")
               .build());
   Out.count("claims_decided", Granted ? "granted" : "denied");
-  for (ClaimObserver *Each : this->PluginServices->list<ClaimObserver>().all())
-    Each->claimDecided(Id, Verdict, Now, Out);
+  for (ClaimObserver *Observer :
+       this->PluginServices->list<ClaimObserver>().all())
+    Observer->claimDecided(Id, Verdict, Now, Out);
 }
 
 } // namespace banyanpick
--- a/src/plugins/claims/ClaimsPlugin.h
+++ b/src/plugins/claims/ClaimsPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in `claims`: non-idempotent operations run at most once.
+/// The plug-in `claims`, which runs non-idempotent operations at most once.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -11,11 +11,12 @@
 
 namespace banyanpick {
 
-/// Claims each operation in the log before it may be dispatched. A claim is
-/// granted only when it was read back as the operation's owner, after
-/// everything before it in the log; it never lapses, so a pause of its owner
-/// does no harm. A claim that is not needed any more is given back by a record
-/// that names it; one whose owner died is never run by anybody.
+/// Claims each operation in the log before the operation may be dispatched. A
+/// claim is granted only after it was read back as the operation's owner,
+/// following every record before it in the log. A claim never expires, so a
+/// paused owner can't run an operation that another host has claimed since. A
+/// claim that is no longer needed is released by a record that names it. An
+/// operation whose owner died is never run again.
 class ClaimsPlugin : public Plugin,
                      public ClaimKeeper,
                      public LogObserver,
@@ -45,21 +46,22 @@
                     Actions &Out) override;
 
 private:
-  /// An own claim that a request waits for. One that nobody waits for any
-  /// more is forgotten, and given back should it be read as the owner.
+  /// A claim of this host that a request waits for. The entry is removed when
+  /// the request stops waiting; the claim is then released if it is read back
+  /// as the owner.
   struct PendingClaim {
     RecordId Claim;
     RequestId Requester;
     Fingerprint Content;
     Time Deadline{};
   };
-  /// An own claim that was granted to a request of this host.
+  /// A claim of this host that was granted to a request.
   struct Grant {
     RecordId Claim;
     RequestId Requester;
     Fingerprint Content;
     bool MayHaveRun = false;
-    std::optional<ClaimOutcome> Outcome; ///< Known here, maybe not in the log.
+    std::optional<ClaimOutcome> Outcome; ///< The log may not hold it yet.
   };
 
   std::optional<NotRun> checkKey(const Request &Req, Time Now) const;
@@ -97,8 +99,8 @@
   std::size_t MaxResultBytes = 0;
   bool CaughtUp = false;
   Time StartedAt{};
-  Time MissedKeysUntil{}; ///< Older keys may have been claimed in records
-                          ///< missed.
+  /// Keys created up to this time may have been claimed in missed records.
+  Time MissedKeysUntil{};
   Time PruneAt{};
   std::uint64_t DuplicateGrants = 0;
 };
--- a/src/plugins/claims/OperationKeyTime.cpp
+++ b/src/plugins/claims/OperationKeyTime.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// `tttttttt-tttt-7xxx-vxxx-xxxxxxxxxxxx` with v one of 8, 9, a, b.
+/// The layout is `tttttttt-tttt-7xxx-vxxx-xxxxxxxxxxxx`, where t is the time in
+/// milliseconds and v is one of 8, 9, a, b.
 constexpr std::string_view Pattern = "xxxxxxxx-xxxx-7xxx-vxxx-xxxxxxxxxxxx";
 constexpr std::string_view Digits = "0123456789abcdefABCDEF";
 constexpr std::string_view Variants = "89abAB";
--- a/src/plugins/claims/OperationKeyTime.h
+++ b/src/plugins/claims/OperationKeyTime.h
@@ -1,5 +1,5 @@
 /// \file
-/// The creation time that an operation key holds.
+/// Reads the creation time encoded in an operation key.
 #pragma once
 
 #include "base/StrongId.h"
@@ -9,8 +9,8 @@
 
 namespace banyanpick {
 
-/// When the key was made, from its first 48 bits (RFC 9562, version 7);
-/// nothing when the key is no UUIDv7.
+/// Returns the creation time encoded in the first 48 bits of the key (RFC 9562,
+/// version 7), or nothing when the key is not a UUIDv7.
 std::optional<Time> creationTime(const OperationKey &Key);
 
 } // namespace banyanpick
--- a/tests/auto/claims/ClaimBench.cpp
+++ b/tests/auto/claims/ClaimBench.cpp
@@ -37,15 +37,15 @@
 
 void dispatch(BenchHost &Host, const Request &Req) {
   Host.ask([&](Actions &Out) {
-    for (auto *Each : Host.services().list<RequestObserver>().all())
-      Each->dispatched(Req, Attempt(), Host.Now, Out);
+    for (auto *Observer : Host.services().list<RequestObserver>().all())
+      Observer->dispatched(Req, Attempt(), Host.Now, Out);
   });
 }
 
 void endAttempt(BenchHost &Host, const Request &Req, AttemptOutcome Outcome) {
   Host.ask([&](Actions &Out) {
-    for (auto *Each : Host.services().list<RequestObserver>().all())
-      Each->attemptEnded(Req, Attempt(), Outcome, Host.Now, Out);
+    for (auto *Observer : Host.services().list<RequestObserver>().all())
+      Observer->attemptEnded(Req, Attempt(), Outcome, Host.Now, Out);
   });
 }
 
@@ -60,7 +60,8 @@
 FinalAnswer denialOf(BenchHost &Host, const Request &Req) {
   const auto Verdict = verdictOn(Host, Req);
   if (!Verdict)
-    throw Error(ErrorKind::Internal, "no verdict yet", "mend the test");
+    throw Error(ErrorKind::Internal, "the claim has no verdict yet",
+                "fix the test");
   return std::get<ClaimDenied>(*Verdict).Answer;
 }
 
--- a/tests/auto/claims/ClaimBench.h
+++ b/tests/auto/claims/ClaimBench.h
@@ -1,5 +1,5 @@
 /// \file
-/// Callers of non-idempotent operations on kernels that share one log.
+/// Helpers that call non-idempotent operations on kernels sharing one log.
 #pragma once
 
 #include "auto/log/LogBench.h"
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// A UUIDv7 made at \p CreatedAt.
+/// Returns a UUIDv7 created at \p CreatedAt.
 inline OperationKey keyMadeAt(Time CreatedAt, unsigned Number) {
   const auto Milliseconds =
       std::chrono::duration_cast<milliseconds>(CreatedAt.time_since_epoch())
@@ -18,7 +18,7 @@
                                   Hex.substr(8), Number));
 }
 
-/// A request of \p Team for the operation.
+/// Returns a request of \p Team for the operation.
 Request requestFor(OperationKey Key, std::uint64_t Id,
                    std::uint64_t Content = 1, std::string Team = "t");
 
@@ -28,10 +28,10 @@
 void dispatch(BenchHost &Host, const Request &Req);
 void endAttempt(BenchHost &Host, const Request &Req, AttemptOutcome Outcome);
 
-/// The verdict on the request, or nothing yet.
+/// Returns the verdict on the request, or nothing while there is none.
 std::optional<ClaimVerdict> verdictOn(BenchHost &Host, const Request &Req);
 
-/// The answer with which the request was denied; fails when it was not.
+/// Returns the answer that denied the request. Throws when it was not denied.
 FinalAnswer denialOf(BenchHost &Host, const Request &Req);
 bool isGranted(BenchHost &Host, const Request &Req);
 
--- a/tests/auto/claims/ClaimsProperty.cpp
+++ b/tests/auto/claims/ClaimsProperty.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Random interleavings of claims, lost and late appends, reads, restarts and
-/// clock jumps over three hosts: no operation runs twice.
+/// Guards against an operation that runs twice. Three hosts go through random
+/// interleavings of claims, lost and late appends, reads, restarts and clock
+/// jumps.
 #include "auto/claims/ClaimBench.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 constexpr unsigned Hosts = 3;
 constexpr unsigned Keys = 2;
 
-/// One request that a random caller has sent.
+/// One request sent by a caller.
 struct SentRequest {
   Request Req;
   unsigned Host = 0;
@@ -22,7 +23,7 @@
   bool Ended = false;
 };
 
-/// Three hosts, their callers, and a count of runs by operation.
+/// Holds three hosts, their callers and the number of runs of each operation.
 class RandomRun {
 public:
   RandomRun() {
@@ -56,10 +57,10 @@
   }
 
   void check() const {
-    for (const unsigned Each : this->Runs)
-      RC_ASSERT(Each <= 1u);
-    for (const auto &Each : this->BenchHosts)
-      RC_ASSERT(Each->kernel().invariantsBroken() == 0u);
+    for (const unsigned Count : this->Runs)
+      RC_ASSERT(Count <= 1u);
+    for (const auto &Host : this->BenchHosts)
+      RC_ASSERT(Host->kernel().invariantsBroken() == 0u);
   }
 
 private:
@@ -79,8 +80,8 @@
     this->Open.push_back(NewRequest);
   }
 
-  /// A granted request is dispatched, refused by its upstream, given up or
-  /// finished; one that waits is given up.
+  /// Dispatches, refuses, abandons or finishes a granted request; abandons a
+  /// pending one.
   void advanceRequest(unsigned Pick) {
     if (this->Open.empty())
       return;
@@ -106,7 +107,7 @@
     abandon(Target, Item.Req);
   }
 
-  /// A whole answer is the one that the only run gave.
+  /// Checks that a complete answer is the result of the only run.
   void checkAnswer(const SentRequest &Item,
                    const std::optional<ClaimVerdict> &Verdict) {
     const auto *Denied =
@@ -117,16 +118,16 @@
       RC_ASSERT(Complete->Result == this->Results[Item.Key]);
   }
 
-  void restart(unsigned Host, bool Noticed) {
+  void restart(unsigned Host, bool IsNoticed) {
     auto Late = std::move(this->BenchHosts[Host]->LateAppends);
     const Incarnation Old = this->BenchHosts[Host]->probe().Self.Life;
-    for (SentRequest &Each : this->Open)
-      Each.Ended = Each.Ended || Each.Host == Host;
+    for (SentRequest &Request : this->Open)
+      Request.Ended = Request.Ended || Request.Host == Host;
     this->BenchHosts[Host] = this->makeHost(Host);
     this->BenchHosts[Host]->LateAppends = std::move(Late);
-    for (auto &Each : this->BenchHosts) {
-      if (Noticed)
-        Each->probe().Over.push_back(Old);
+    for (auto &Other : this->BenchHosts) {
+      if (IsNoticed)
+        Other->probe().Over.push_back(Old);
     }
   }
 
@@ -146,8 +147,8 @@
   RandomRun Run;
   const auto Draws = *rc::gen::container<std::vector<unsigned>>(
       300, rc::gen::inRange<unsigned>(0, 1u << 20));
-  for (const unsigned Each : Draws) {
-    Run.step(Each);
+  for (const unsigned Draw : Draws) {
+    Run.step(Draw);
     Run.check();
   }
 }
--- a/tests/auto/claims/ClaimsTest.cpp
+++ b/tests/auto/claims/ClaimsTest.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ(std::get<CompleteAnswer>(denialOf(B, Third)).Result, "chair 7");
 }
 
-TEST_F(ClaimsTest, OfTwoClaimsAtOnceTheFirstInTheLogOwns) {
+TEST_F(ClaimsTest, FirstOfTwoConcurrentClaimsInTheLogOwns) {
   claim(this->A, this->First);
   claim(this->B, this->Again);
   this->B.settle();
@@ -66,7 +66,7 @@
   EXPECT_TRUE(isGranted(this->A, this->First));
 }
 
-TEST_F(ClaimsTest, OwnersDeathLeavesTheOutcomeUnknownForGood) {
+TEST_F(ClaimsTest, OutcomeStaysUnknownAfterTheOwnerDied) {
   this->grantFirst();
   this->B.probe().Over = {Incarnation(0xa1)};
   claim(this->B, this->Again);
@@ -78,7 +78,8 @@
       std::holds_alternative<OutcomeUnknown>(denialOf(Restarted, Again)));
 }
 
-TEST_F(ClaimsTest, LogAwayAfterSendingTheClaimEndsAsNotRunAndGivesItBack) {
+TEST_F(ClaimsTest,
+       UnreachableLogAfterSendingTheClaimEndsAsNotRunAndReleasesIt) {
   claim(this->A, this->First);
   this->A.answerAppend(AppendFate::Late);
   this->A.pass(seconds(3));
@@ -110,7 +111,7 @@
   EXPECT_TRUE(std::holds_alternative<InProgress>(denialOf(B, Third)));
 }
 
-TEST_F(ClaimsTest, WhatMayHaveRunIsNeverGivenBack) {
+TEST_F(ClaimsTest, OperationThatMayHaveRunIsNeverReleased) {
   this->grantFirst();
   dispatch(this->A, this->First);
   abandon(this->A, this->First);
@@ -120,7 +121,7 @@
   EXPECT_TRUE(std::holds_alternative<OutcomeUnknown>(denialOf(B, Again)));
 }
 
-TEST_F(ClaimsTest, WhatTheUpstreamRefusedIsGivenBack) {
+TEST_F(ClaimsTest, OperationThatTheUpstreamRefusedIsReleased) {
   this->grantFirst();
   dispatch(this->A, this->First);
   endAttempt(this->A, this->First, AttemptRefused());
@@ -132,7 +133,7 @@
   EXPECT_TRUE(isGranted(this->B, this->Again));
 }
 
-TEST_F(ClaimsTest, AnotherTeamsSameKeyIsAnotherOperation) {
+TEST_F(ClaimsTest, SameKeyOfAnotherTeamIsAnotherOperation) {
   this->grantFirst();
   finish(this->A, this->First, "ours");
   this->A.settle();
@@ -142,7 +143,7 @@
   EXPECT_TRUE(isGranted(this->A, Others));
 }
 
-TEST_F(ClaimsTest, AnotherContentUnderTheKeyIsRefused) {
+TEST_F(ClaimsTest, SameKeyWithOtherContentIsRefused) {
   this->grantFirst();
   const Request Other = requestFor(this->Key, 9, 2);
   claim(this->B, Other);
@@ -229,7 +230,7 @@
   EXPECT_EQ(refusalReason(denialOf(A, First)), RefusalReason::LogUnavailable);
 }
 
-TEST_F(ClaimsTest, ResultsTooLongToKeepAreSaidSo) {
+TEST_F(ClaimsTest, ResultTooLongToKeepIsReportedAsFailed) {
   this->grantFirst();
   dispatch(this->A, this->First);
   finish(this->A, this->First, std::string(5000, 'x'));
@@ -239,7 +240,7 @@
   EXPECT_TRUE(std::holds_alternative<FailedAnswer>(denialOf(B, Again)));
 }
 
-TEST_F(ClaimsTest, ForgetsOperationsWhoseKeysAreTooOld) {
+TEST_F(ClaimsTest, RemovesOperationsWhoseKeysAreTooOld) {
   this->grantFirst();
   finish(this->A, this->First, "done");
   this->A.settle();
