--- a/src/plugins/orders/EngineOrders.h
+++ b/src/plugins/orders/EngineOrders.h
@@ -9,7 +9,7 @@
 namespace banyanpick {
 
 /// How long an engine is left alone.
-struct OrderWaits {
+struct OrderTimeouts {
   Duration Answer{};   ///< No answer within this: nobody knows.
   Duration ReadBack{}; ///< Its report should show the effect within this.
   Duration Failure{};  ///< After a failure or refusal.
@@ -20,25 +20,25 @@
 class EngineOrders {
 public:
   EngineOrders() = default;
-  explicit EngineOrders(OrderWaits Waits) : Waits(Waits) {}
+  explicit EngineOrders(OrderTimeouts Timeouts) : Timeouts(Timeouts) {}
 
   bool isFree(const UpstreamId &Engine, Time Now) const;
   void noteSent(const UpstreamId &Engine, const OrderId &Order, Time Now);
   /// False when the answer is to no order that waits for one.
   bool noteAnswer(const OrderAnswered &Answer, Time Now);
   /// Nothing is wanted of the engine any more: its report showed the effect.
-  void noteDone(const UpstreamId &Engine) { this->Waiting.erase(Engine); }
+  void noteDone(const UpstreamId &Engine) { this->Outstanding.erase(Engine); }
   /// The engines with an order whose effect is awaited.
   std::vector<UpstreamId> engines() const;
 
 private:
-  struct Item {
+  struct OutstandingOrder {
     OrderId Order;
     Time FreeAt{};
   };
 
-  OrderWaits Waits;
-  std::unordered_map<UpstreamId, Item> Waiting;
+  OrderTimeouts Timeouts;
+  std::unordered_map<UpstreamId, OutstandingOrder> Outstanding;
 };
 
 } // namespace banyanpick
--- a/src/plugins/orders/StewardLeases.cpp
+++ b/src/plugins/orders/LeaderLeases.cpp
@@ -1,4 +1,4 @@
-#include "plugins/orders/StewardLeases.h"
+#include "plugins/orders/LeaderLeases.h"
 
 #include <algorithm>
 #include <tuple>
@@ -8,24 +8,24 @@
 namespace {
 
 /// The holder's part of its lease.
-constexpr int UsedShare = 2;
+constexpr int UsableDivisor = 2;
 
 } // namespace
 
-void StewardLeases::noteAsked(const UpstreamId &Engine, const RecordId &Record,
-                              Time Now) {
+void LeaderLeases::noteRequested(const UpstreamId &Engine,
+                                 const RecordId &Record, Time Now) {
   EngineLease &Of = this->Engines[Engine];
-  Of.Asked = Record;
-  Of.AskedAt = Now;
+  Of.PendingRecord = Record;
+  Of.RequestedAt = Now;
 }
 
-void StewardLeases::noteRefused(const RecordId &Record) {
+void LeaderLeases::noteRefused(const RecordId &Record) {
   for (auto &[Engine, Each] : this->Engines)
-    if (Each.Asked == Record)
-      Each.Asked = RecordId();
+    if (Each.PendingRecord == Record)
+      Each.PendingRecord = RecordId();
 }
 
-void StewardLeases::noteRead(const StoredRecord &Record, Time Now) {
+void LeaderLeases::noteRead(const StoredRecord &Record, Time Now) {
   const auto *Lease = std::get_if<StewardLease>(&Record.Record.Body);
   if (!Lease)
     return;
@@ -40,49 +40,50 @@
     return;
   Of.Offset = Record.Offset;
   Of.Position = Record.Position;
-  const bool IsAwaited = IsOwn && Of.Asked == Record.Record.Id;
+  const bool IsAwaited = IsOwn && Of.PendingRecord == Record.Record.Id;
   Of.IsOwn = IsAwaited;
-  Of.UsableUntil = IsAwaited ? Of.AskedAt + Lease->Length / UsedShare : Time{};
+  Of.UsableUntil =
+      IsAwaited ? Of.RequestedAt + Lease->Length / UsableDivisor : Time{};
   if (IsAwaited)
-    Of.Asked = RecordId();
+    Of.PendingRecord = RecordId();
 }
 
-void StewardLeases::noteMissed(Time Now) {
+void LeaderLeases::noteMissedRecords(Time Now) {
   this->MissedUntil = Now + this->Terms.Length + this->Terms.LongestDelivery;
 }
 
-void StewardLeases::drop(const UpstreamId &Engine) {
+void LeaderLeases::invalidate(const UpstreamId &Engine) {
   this->Engines[Engine].IsOwn = false;
 }
 
-std::optional<OrderWindow> StewardLeases::window(const UpstreamId &Engine,
-                                                 bool ChecksFencing,
-                                                 Time Now) const {
+std::optional<OrderWindow> LeaderLeases::window(const UpstreamId &Engine,
+                                                bool ChecksFencing,
+                                                Time Now) const {
   const auto Found = this->Engines.find(Engine);
   if (Found == this->Engines.end())
     return std::nullopt;
   const EngineLease &Of = Found->second;
-  const bool Usable = Of.IsOwn && Now < Of.UsableUntil;
-  const bool Alone = ChecksFencing || Now >= this->othersUntil(Of);
-  if (!Usable || !Alone)
+  const bool IsUsable = Of.IsOwn && Now < Of.UsableUntil;
+  const bool IsExclusive = ChecksFencing || Now >= this->othersUntil(Of);
+  if (!IsUsable || !IsExclusive)
     return std::nullopt;
   return OrderWindow{Of.Offset, Of.UsableUntil};
 }
 
-bool StewardLeases::shouldAsk(const UpstreamId &Engine, bool ChecksFencing,
-                              Time Now) const {
+bool LeaderLeases::shouldRequest(const UpstreamId &Engine, bool ChecksFencing,
+                                 Time Now) const {
   const auto Found = this->Engines.find(Engine);
   const EngineLease Of =
       Found == this->Engines.end() ? EngineLease{} : Found->second;
   // A lease asked for earlier would run out while waiting for the others.
   if (!ChecksFencing && Now < this->othersUntil(Of))
     return false;
-  const bool OnItsWay =
-      Of.Asked != RecordId() && Now < Of.AskedAt + this->Terms.Length;
-  return !OnItsWay && !(Of.IsOwn && Now < Of.UsableUntil);
+  const bool IsPending = Of.PendingRecord != RecordId() &&
+                         Now < Of.RequestedAt + this->Terms.Length;
+  return !IsPending && !(Of.IsOwn && Now < Of.UsableUntil);
 }
 
-Time StewardLeases::othersUntil(const EngineLease &Of) const {
+Time LeaderLeases::othersUntil(const EngineLease &Of) const {
   return std::max(Of.OthersUntil, this->MissedUntil);
 }
 
--- a/src/plugins/orders/StewardLeases.h
+++ b/src/plugins/orders/LeaderLeases.h
@@ -26,27 +26,28 @@
 /// later than anybody read of it. For engines that ignore fencing numbers any
 /// other host waits until lease and longest delivery are over, counted by its
 /// own clock from when it read of it.
-class StewardLeases {
+class LeaderLeases {
 public:
-  StewardLeases() = default;
-  StewardLeases(Incarnation Self, LeaseTerms Terms)
-      : Self(Self), Terms(Terms) {}
+  LeaderLeases() = default;
+  LeaderLeases(Incarnation Self, LeaseTerms Terms) : Self(Self), Terms(Terms) {}
 
   /// This host has asked for a lease; its record is on its way to the log.
-  void noteAsked(const UpstreamId &Engine, const RecordId &Record, Time Now);
+  void noteRequested(const UpstreamId &Engine, const RecordId &Record,
+                     Time Now);
   /// The record did not get into the log.
   void noteRefused(const RecordId &Record);
   void noteRead(const StoredRecord &Record, Time Now);
   /// Leases before now may have been missed.
-  void noteMissed(Time Now);
+  void noteMissedRecords(Time Now);
   /// The engine knows a higher fencing number than ours.
-  void drop(const UpstreamId &Engine);
+  void invalidate(const UpstreamId &Engine);
 
   /// The window in which this host may order the engine now, if any.
   std::optional<OrderWindow> window(const UpstreamId &Engine,
                                     bool ChecksFencing, Time Now) const;
   /// Whether asking for a lease may help: none is usable or on its way.
-  bool shouldAsk(const UpstreamId &Engine, bool ChecksFencing, Time Now) const;
+  bool shouldRequest(const UpstreamId &Engine, bool ChecksFencing,
+                     Time Now) const;
   Duration length() const { return this->Terms.Length; }
 
 private:
@@ -54,13 +55,13 @@
     LogOffset Offset = 0;
     std::uint32_t Position = 0;
     bool IsOwn = false;
-    Time UsableUntil{}; ///< Own leases only.
-    Time OthersUntil{}; ///< Others' orders may arrive until then.
-    RecordId Asked;     ///< Sequence 0: nothing is on its way.
-    Time AskedAt{};
+    Time UsableUntil{};     ///< Own leases only.
+    Time OthersUntil{};     ///< Others' orders may arrive until then.
+    RecordId PendingRecord; ///< Sequence 0: nothing is on its way.
+    Time RequestedAt{};
   };
 
-  Time othersUntil(const EngineLease &Of) const;
+  Time othersUntil(const EngineLease &Lease) const;
 
   Incarnation Self;
   LeaseTerms Terms;
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration LookInterval = milliseconds(500);
+constexpr Duration CheckInterval = milliseconds(500);
 
 std::string_view name(OrderResult Result) {
   switch (Result) {
@@ -38,37 +38,39 @@
 
 void OrdersPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "orders";
-  this->Offered = &Context.services();
+  const std::string_view Section = "orders";
+  this->PluginServices = &Context.services();
   this->Fleet = &Context.services().get<FleetView>();
   this->Members = &Context.services().get<MembershipView>();
-  this->Own = Context.self();
-  this->Leases =
-      StewardLeases(this->Own.Life, {Values.span(In, "lease"),
-                                     Values.span(In, "longest_delivery")});
-  this->Orders = EngineOrders({Values.span(In, "longest_delivery"),
-                               Values.span(In, "read_back_within"),
-                               Values.span(In, "retry_after")});
-  this->WeightBytesPerSecond =
-      static_cast<double>(Values.size(In, "weight_store_bytes_per_second"));
-  this->Settle = Values.span(In, "settle");
+  this->SelfIdentity = Context.self();
+  this->Leases = LeaderLeases(this->SelfIdentity.Life,
+                              {Values.span(Section, "lease"),
+                               Values.span(Section, "longest_delivery")});
+  this->Orders = EngineOrders({Values.span(Section, "longest_delivery"),
+                               Values.span(Section, "read_back_within"),
+                               Values.span(Section, "retry_after")});
+  this->WeightBytesPerSecond = static_cast<double>(
+      Values.size(Section, "weight_store_bytes_per_second"));
+  this->SettleTime = Values.span(Section, "settle");
   Context.services().list<LogObserver>().add(*this);
 }
 
 void OrdersPlugin::start(Time Now, Actions &) {
-  this->Declared = &this->Offered->get<CatalogueView>();
-  this->Log = &this->Offered->get<LogWriter>();
-  this->Drain = this->Offered->find<DrainView>();
-  this->Leases.noteMissed(Now);
+  this->Declared = &this->PluginServices->get<CatalogueView>();
+  this->Log = &this->PluginServices->get<LogWriter>();
+  this->Drain = this->PluginServices->find<DrainView>();
+  this->Leases.noteMissedRecords(Now);
 }
 
-void OrdersPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void OrdersPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
-      [&](const OrderAnswered &Answer) { this->takeAnswer(Answer, Now, Out); },
+      Incoming,
+      [&](const OrderAnswered &Answer) {
+        this->handleAnswer(Answer, Now, Out);
+      },
       [](const auto &) {});
-  if (Now >= this->NextLook)
-    this->look(Now, Out);
+  if (Now >= this->NextCheck)
+    this->checkPlacement(Now, Out);
 }
 
 void OrdersPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
@@ -80,31 +82,31 @@
   this->Leases.noteRead(Record, Now);
 }
 
-void OrdersPlugin::appendSettled(const RecordId &Record, bool Taken, Time,
+void OrdersPlugin::appendSettled(const RecordId &Record, bool Appended, Time,
                                  Actions &) {
-  if (!Taken)
+  if (!Appended)
     this->Leases.noteRefused(Record);
 }
 
 void OrdersPlugin::recordsMissed(LogOffset, Time Now, Actions &) {
-  this->Leases.noteMissed(Now);
+  this->Leases.noteMissedRecords(Now);
 }
 
-void OrdersPlugin::look(Time Now, Actions &Out) {
-  this->NextLook = Now + LookInterval;
+void OrdersPlugin::checkPlacement(Time Now, Actions &Out) {
+  this->NextCheck = Now + CheckInterval;
   const bool Leaving = this->Drain && this->Drain->isLeaving();
   if (Leaving || !this->Declared->isCurrent(Now))
     return;
-  this->updateWanted(Now);
+  this->updateChanges(Now);
   for (const auto &[Key, Each] : this->Changes)
-    this->pursue(Each, Now, Out);
+    this->advanceChange(Each, Now, Out);
 }
 
-void OrdersPlugin::updateWanted(Time Now) {
-  std::map<WantedKey, Wanted> Next;
+void OrdersPlugin::updateChanges(Time Now) {
+  std::map<ChangeKey, PendingChange> Next;
   for (PlacementChange &Each :
        placementChanges(this->Declared->catalogue(), *this->Fleet)) {
-    const WantedKey Key{Each.Engine, Each.Model};
+    const ChangeKey Key{Each.Engine, Each.Model};
     const auto Old = this->Changes.find(Key);
     const bool Same =
         Old != this->Changes.end() && Old->second.Change.Load == Each.Load;
@@ -112,47 +114,49 @@
     Next[Key] = {std::move(Each), Since};
   }
   for (const UpstreamId &Engine : this->Orders.engines()) {
-    const bool StillWanted = std::ranges::any_of(
+    const bool IsStillPending = std::ranges::any_of(
         Next, [&](const auto &Each) { return Each.first.first == Engine; });
-    if (!StillWanted)
+    if (!IsStillPending)
       this->Orders.noteDone(Engine);
   }
   this->Changes = std::move(Next);
 }
 
-void OrdersPlugin::pursue(const Wanted &Of, Time Now, Actions &Out) {
-  const UpstreamId &Name = Of.Change.Engine;
-  const Upstream *Engine = this->Fleet->find(Name);
-  const bool Settled = Now >= Of.Since + this->Settle;
-  if (!Engine || !Settled || !this->isSteward(Name) ||
-      !this->Orders.isFree(Name, Now))
+void OrdersPlugin::advanceChange(const PendingChange &Of, Time Now,
+                                 Actions &Out) {
+  const UpstreamId &EngineId = Of.Change.Engine;
+  const Upstream *Engine = this->Fleet->find(EngineId);
+  const bool Settled = Now >= Of.Since + this->SettleTime;
+  if (!Engine || !Settled || !this->isLeader(EngineId) ||
+      !this->Orders.isFree(EngineId, Now))
     return;
-  const bool Checks = Engine->Listing.ChecksFencing;
-  const auto Window = this->Leases.window(Name, Checks, Now);
+  const bool ChecksFencing = Engine->Listing.ChecksFencing;
+  const auto Window = this->Leases.window(EngineId, ChecksFencing, Now);
   if (!Window) {
-    if (this->Leases.shouldAsk(Name, Checks, Now))
-      this->askForLease(Name, Now, Out);
+    if (this->Leases.shouldRequest(EngineId, ChecksFencing, Now))
+      this->requestLease(EngineId, Now, Out);
     return;
   }
   if (this->mayLoad(Of.Change, Now))
-    this->order(Of, *Engine, *Window, Now, Out);
+    this->sendOrder(Of, *Engine, *Window, Now, Out);
 }
 
-void OrdersPlugin::askForLease(const UpstreamId &Engine, Time Now,
-                               Actions &Out) {
+void OrdersPlugin::requestLease(const UpstreamId &Engine, Time Now,
+                                Actions &Out) {
   if (!this->Log->isReachable(Now))
     return;
-  const StewardLease Lease{Engine, this->Own.Host, this->Own.Life,
-                           this->Leases.length()};
+  const StewardLease Lease{Engine, this->SelfIdentity.Host,
+                           this->SelfIdentity.Life, this->Leases.length()};
   const RecordId Record = this->Log->append(Lease, Now, Out);
-  this->Leases.noteAsked(Engine, Record, Now);
+  this->Leases.noteRequested(Engine, Record, Now);
   Out.log(
       logEvent(events::LeaseRequested).with("engine", Engine.Value).build());
 }
 
-void OrdersPlugin::order(const Wanted &Of, const Upstream &Engine,
-                         const OrderWindow &Window, Time Now, Actions &Out) {
-  const OrderId Id{this->Own.Life, ++this->OrdersMade};
+void OrdersPlugin::sendOrder(const PendingChange &Of, const Upstream &Engine,
+                             const OrderWindow &Window, Time Now,
+                             Actions &Out) {
+  const OrderId Id{this->SelfIdentity.Life, ++this->OrderCount};
   if (Now >= Window.Until)
     ++this->OrdersOutsideWindow;
   this->Orders.noteSent(Of.Change.Engine, Id, Now);
@@ -165,15 +169,15 @@
               .with("candidates", joined(Of.Change.Candidates))
               .build());
   Out.add(OrderUpstream{Id, Of.Change.Engine, Engine.Listing.At, Window.Fencing,
-                        Window.Until, this->bodyOf(Of.Change)});
+                        Window.Until, this->makeBody(Of.Change)});
 }
 
-void OrdersPlugin::takeAnswer(const OrderAnswered &Answer, Time Now,
-                              Actions &Out) {
+void OrdersPlugin::handleAnswer(const OrderAnswered &Answer, Time Now,
+                                Actions &Out) {
   if (!this->Orders.noteAnswer(Answer, Now))
     return;
   if (Answer.Result == OrderResult::RefusedFencing)
-    this->Leases.drop(Answer.Upstream);
+    this->Leases.invalidate(Answer.Upstream);
   Out.count("orders_answered", name(Answer.Result));
   Out.log(logEvent(events::OrderAnswerRead)
               .with("engine", Answer.Upstream.Value)
@@ -182,17 +186,17 @@
               .build());
 }
 
-bool OrdersPlugin::isSteward(const UpstreamId &Of) const {
+bool OrdersPlugin::isLeader(const UpstreamId &Of) const {
   const auto Weight = [&](const HostId &Host) {
     return rendezvousWeight(Of.Value, Host.Value);
   };
-  const std::uint64_t OwnWeight = Weight(this->Own.Host);
+  const std::uint64_t OwnWeight = Weight(this->SelfIdentity.Host);
   return std::ranges::none_of(
       this->Members->livePeers(),
       [&](const HostId &Each) { return Weight(Each) > OwnWeight; });
 }
 
-OrderBody OrdersPlugin::bodyOf(const PlacementChange &Change) const {
+OrderBody OrdersPlugin::makeBody(const PlacementChange &Change) const {
   if (!Change.Load)
     return UnloadModel{Change.Model};
   const ModelEntry *Model = this->Declared->catalogue().model(Change.Model);
@@ -204,29 +208,30 @@
   if (!Change.Load || !Model)
     return true;
   const auto Hosts = static_cast<double>(this->Members->livePeers().size() + 1);
-  return this->Budget.take(static_cast<double>(Model->WeightBytes),
-                           this->WeightBytesPerSecond / Hosts, Now);
+  return this->Budget.tryAcquire(static_cast<double>(Model->WeightBytes),
+                                 this->WeightBytesPerSecond / Hosts, Now);
 }
 
 std::vector<SettingDeclaration> OrdersPlugin::settings() {
-  const std::string In = "orders";
-  return {{In, "lease", SettingKind::Span, "20s",
+  const std::string Section = "orders";
+  return {{Section, "lease", SettingKind::Span, "20s",
            "Length of a steward's lease on giving orders to an engine; orders "
            "are given in its first half. Equal on all hosts.",
            2e6, 600e6},
-          {In, "longest_delivery", SettingKind::Span, "5s",
+          {Section, "longest_delivery", SettingKind::Span, "5s",
            "An order arrives, or is given up, within this.", 100e3, 60e6},
-          {In, "read_back_within", SettingKind::Span, "2min",
+          {Section, "read_back_within", SettingKind::Span, "2min",
            "An engine's report should show an order's effect within this; "
            "choose it longer than the longest load of a model.",
            1e6, 3600e6},
-          {In, "retry_after", SettingKind::Span, "10s",
+          {Section, "retry_after", SettingKind::Span, "10s",
            "After a failed order the engine is left alone for this.", 100e3,
            3600e6},
-          {In, "settle", SettingKind::Span, "5s",
+          {Section, "settle", SettingKind::Span, "5s",
            "A change of placement is made once it has been wanted for this.", 0,
            600e6},
-          {In, "weight_store_bytes_per_second", SettingKind::Size, "1024MB",
+          {Section, "weight_store_bytes_per_second", SettingKind::Size,
+           "1024MB",
            "What the weight store can give a second, shared by all entry "
            "hosts.",
            1, 1e13}};
--- a/src/plugins/orders/OrdersPlugin.h
+++ b/src/plugins/orders/OrdersPlugin.h
@@ -4,8 +4,8 @@
 
 #include "kernel/Plugin.h"
 #include "plugins/orders/EngineOrders.h"
+#include "plugins/orders/LeaderLeases.h"
 #include "plugins/orders/Placement.h"
-#include "plugins/orders/StewardLeases.h"
 #include "plugins/orders/WeightBudget.h"
 
 #include <map>
@@ -20,13 +20,13 @@
   // Plugin
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
-  Time nextWake() const override { return this->NextLook; }
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
+  Time nextWake() const override { return this->NextCheck; }
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   // LogObserver
   void recordRead(const StoredRecord &Record, Time Now, Actions &Out) override;
-  void appendSettled(const RecordId &Record, bool Taken, Time Now,
+  void appendSettled(const RecordId &Record, bool Appended, Time Now,
                      Actions &Out) override;
   void recordsMissed(LogOffset StartOffset, Time Now, Actions &Out) override;
 
@@ -35,38 +35,38 @@
 
 private:
   /// A change of the placement since when it has been wanted.
-  struct Wanted {
+  struct PendingChange {
     PlacementChange Change;
     Time Since{};
   };
-  using WantedKey = std::pair<UpstreamId, ModelId>;
+  using ChangeKey = std::pair<UpstreamId, ModelId>;
 
-  void look(Time Now, Actions &Out);
-  void updateWanted(Time Now);
-  void pursue(const Wanted &Of, Time Now, Actions &Out);
-  void askForLease(const UpstreamId &Engine, Time Now, Actions &Out);
-  void order(const Wanted &Of, const Upstream &Engine,
-             const OrderWindow &Window, Time Now, Actions &Out);
-  void takeAnswer(const OrderAnswered &Answer, Time Now, Actions &Out);
-  bool isSteward(const UpstreamId &Of) const;
-  OrderBody bodyOf(const PlacementChange &Change) const;
+  void checkPlacement(Time Now, Actions &Out);
+  void updateChanges(Time Now);
+  void advanceChange(const PendingChange &Of, Time Now, Actions &Out);
+  void requestLease(const UpstreamId &Engine, Time Now, Actions &Out);
+  void sendOrder(const PendingChange &Of, const Upstream &Engine,
+                 const OrderWindow &Window, Time Now, Actions &Out);
+  void handleAnswer(const OrderAnswered &Answer, Time Now, Actions &Out);
+  bool isLeader(const UpstreamId &Of) const;
+  OrderBody makeBody(const PlacementChange &Change) const;
   bool mayLoad(const PlacementChange &Change, Time Now);
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   const FleetView *Fleet = nullptr;
   const MembershipView *Members = nullptr;
   const CatalogueView *Declared = nullptr;
   const DrainView *Drain = nullptr;
   LogWriter *Log = nullptr;
-  Identity Own;
-  StewardLeases Leases;
+  Identity SelfIdentity;
+  LeaderLeases Leases;
   EngineOrders Orders;
   WeightBudget Budget;
   double WeightBytesPerSecond = 0;
-  Duration Settle{};
-  Time NextLook{};
-  std::map<WantedKey, Wanted> Changes;
-  std::uint64_t OrdersMade = 0;
+  Duration SettleTime{};
+  Time NextCheck{};
+  std::map<ChangeKey, PendingChange> Changes;
+  std::uint64_t OrderCount = 0;
   std::uint64_t OrdersOutsideWindow = 0;
 };
 
--- a/src/plugins/orders/Placement.cpp
+++ b/src/plugins/orders/Placement.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Candidates named in the log line of a decision.
-constexpr std::size_t MostCandidatesNamed = 5;
+constexpr std::size_t MaxLoggedCandidates = 5;
 
 struct Candidate {
   std::size_t Models = 0; ///< Loaded, and planned by earlier models.
@@ -25,18 +25,19 @@
   return First.Engine < Second.Engine;
 }
 
-std::vector<UpstreamId> names(std::span<const Candidate> Of) {
+std::vector<UpstreamId>
+loggedCandidates(std::span<const Candidate> Candidates) {
   std::vector<UpstreamId> Result;
   for (const Candidate &Each :
-       Of.first(std::min(Of.size(), MostCandidatesNamed)))
+       Candidates.first(std::min(Candidates.size(), MaxLoggedCandidates)))
     Result.push_back(Each.Engine);
   return Result;
 }
 
 /// Places one model after the other, in the order of their names.
-class Placing {
+class PlacementPlanner {
 public:
-  explicit Placing(const FleetView &Fleet) {
+  explicit PlacementPlanner(const FleetView &Fleet) {
     for (const Upstream &Each : Fleet.upstreams())
       if (Each.Listing.Kind == UpstreamKind::Engine &&
           Each.State == UpstreamState::Live)
@@ -44,53 +45,57 @@
   }
 
   void place(const ModelId &Model, const ModelEntry &Declared) {
-    std::vector<Candidate> With;
-    std::vector<Candidate> Without;
+    std::vector<Candidate> Loaded;
+    std::vector<Candidate> NotLoaded;
     for (const Engine &Each : this->Engines) {
-      const UpstreamId &Name = Each.Known->Listing.Id;
-      const bool Has = std::ranges::count(Each.Known->Report.Models, Model) > 0;
-      (Has ? With : Without)
+      const UpstreamId &Name = Each.Info->Listing.Id;
+      const bool IsLoaded =
+          std::ranges::count(Each.Info->Report.Models, Model) > 0;
+      (IsLoaded ? Loaded : NotLoaded)
           .push_back(
               {Each.Models, rendezvousWeight(Model.Value, Name.Value), Name});
     }
-    if (With.size() < Declared.MinimumEngines)
-      this->load(Model, Declared.MinimumEngines - With.size(), Without);
+    if (Loaded.size() < Declared.MinimumEngines)
+      this->load(Model, Declared.MinimumEngines - Loaded.size(), NotLoaded);
     else if (Declared.MaximumEngines != 0 &&
-             With.size() > Declared.MaximumEngines)
-      this->unload(Model, With.size() - Declared.MaximumEngines, With);
+             Loaded.size() > Declared.MaximumEngines)
+      this->unload(Model, Loaded.size() - Declared.MaximumEngines, Loaded);
   }
 
-  std::vector<PlacementChange> take() { return std::move(this->Changes); }
+  std::vector<PlacementChange> takeChanges() {
+    return std::move(this->Changes);
+  }
 
 private:
   struct Engine {
-    const Upstream *Known = nullptr;
+    const Upstream *Info = nullptr;
     std::size_t Models = 0;
   };
 
   void load(const ModelId &Model, std::size_t Count,
-            std::vector<Candidate> &Among) {
-    std::ranges::sort(Among, isBetter);
-    const std::vector<UpstreamId> Named = names(Among);
-    for (std::size_t Index = 0; Index < std::min(Count, Among.size()); ++Index)
-      this->change({Among[Index].Engine, Model, true, Named});
+            std::vector<Candidate> &Candidates) {
+    std::ranges::sort(Candidates, isBetter);
+    const std::vector<UpstreamId> Logged = loggedCandidates(Candidates);
+    for (std::size_t Index = 0; Index < std::min(Count, Candidates.size());
+         ++Index)
+      this->addChange({Candidates[Index].Engine, Model, true, Logged});
   }
   void unload(const ModelId &Model, std::size_t Count,
-              std::vector<Candidate> &Among) {
+              std::vector<Candidate> &Candidates) {
     // Those with the most models and the least weight give it up.
-    std::ranges::sort(Among,
+    std::ranges::sort(Candidates,
                       [](const Candidate &First, const Candidate &Second) {
                         return isBetter(Second, First);
                       });
-    const std::vector<UpstreamId> Named = names(Among);
+    const std::vector<UpstreamId> Logged = loggedCandidates(Candidates);
     for (std::size_t Index = 0; Index < Count; ++Index)
-      this->change({Among[Index].Engine, Model, false, Named});
+      this->addChange({Candidates[Index].Engine, Model, false, Logged});
   }
-  void change(PlacementChange Wanted) {
+  void addChange(PlacementChange Change) {
     for (Engine &Each : this->Engines)
-      if (Each.Known->Listing.Id == Wanted.Engine)
-        Each.Models += Wanted.Load ? 1 : 0;
-    this->Changes.push_back(std::move(Wanted));
+      if (Each.Info->Listing.Id == Change.Engine)
+        Each.Models += Change.Load ? 1 : 0;
+    this->Changes.push_back(std::move(Change));
   }
 
   std::vector<Engine> Engines;
@@ -101,11 +106,11 @@
 
 std::vector<PlacementChange> placementChanges(const Catalogue &Declared,
                                               const FleetView &Fleet) {
-  Placing Work(Fleet);
+  PlacementPlanner Planner(Fleet);
   for (const auto &[Key, Each] : Declared.entries())
     if (const auto *Model = std::get_if<ModelEntry>(&Each.Body))
-      Work.place(ModelId(Key.Name), *Model);
-  return Work.take();
+      Planner.place(ModelId(Key.Name), *Model);
+  return Planner.takeChanges();
 }
 
 } // namespace banyanpick
--- a/src/plugins/orders/WeightBudget.h
+++ b/src/plugins/orders/WeightBudget.h
@@ -14,20 +14,20 @@
 class WeightBudget {
 public:
   /// Whether \p Bytes may be loaded now; takes them if so.
-  bool take(double Bytes, double BytesPerSecond, Time Now) {
-    if (this->At != Time{})
-      this->Owed = std::max(0.0, this->Owed - BytesPerSecond *
-                                                  inSeconds(Now - this->At));
-    this->At = Now;
-    if (this->Owed > 0)
+  bool tryAcquire(double Bytes, double BytesPerSecond, Time Now) {
+    if (this->UpdatedAt != Time{})
+      this->Debt = std::max(
+          0.0, this->Debt - BytesPerSecond * inSeconds(Now - this->UpdatedAt));
+    this->UpdatedAt = Now;
+    if (this->Debt > 0)
       return false;
-    this->Owed = Bytes;
+    this->Debt = Bytes;
     return true;
   }
 
 private:
-  double Owed = 0;
-  Time At{};
+  double Debt = 0;
+  Time UpdatedAt{};
 };
 
 } // namespace banyanpick
--- a/tests/auto/orders/StewardLeasesTest.cpp
+++ b/tests/auto/orders/LeaderLeasesTest.cpp
@@ -4,7 +4,7 @@
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
 
-#include "plugins/orders/StewardLeases.h"
+#include "plugins/orders/LeaderLeases.h"
 
 namespace banyanpick {
 namespace {
@@ -14,78 +14,78 @@
 
 /// A host that believes itself steward; it may be paused, and its clock may
 /// stand anywhere.
-struct Steward {
-  explicit Steward(std::uint64_t Life, Duration ClockAhead)
+struct LeaseHost {
+  explicit LeaseHost(std::uint64_t Life, Duration ClockAhead)
       : Life(Life), ClockAhead(ClockAhead), Leases(Incarnation(Life), Terms) {}
 
   Time clock(Time Now) const { return Now + this->ClockAhead; }
 
   Incarnation Life;
   Duration ClockAhead;
-  StewardLeases Leases;
-  std::size_t NextToRead = 0;
-  std::uint64_t Asked = 0;
+  LeaderLeases Leases;
+  std::size_t NextRecord = 0;
+  std::uint64_t RequestCount = 0;
 };
 
 /// A log whose records take effect at once; hosts read it when they run.
 struct LeaseLog {
-  void ask(Steward &By, Time Now) {
-    const RecordId Id{By.Life, ++By.Asked};
-    By.Leases.noteAsked(Engine, Id, By.clock(Now));
-    const StewardLease Lease{Engine, HostId("h"), By.Life, Terms.Length};
+  void request(LeaseHost &Host, Time Now) {
+    const RecordId Id{Host.Life, ++Host.RequestCount};
+    Host.Leases.noteRequested(Engine, Id, Host.clock(Now));
+    const StewardLease Lease{Engine, HostId("h"), Host.Life, Terms.Length};
     this->Records.push_back({this->Records.size() + 1, 0, {Id, Lease}});
   }
-  void read(Steward &By, Time Now) const {
-    for (; By.NextToRead < this->Records.size(); ++By.NextToRead)
-      By.Leases.noteRead(this->Records[By.NextToRead], By.clock(Now));
+  void read(LeaseHost &Host, Time Now) const {
+    for (; Host.NextRecord < this->Records.size(); ++Host.NextRecord)
+      Host.Leases.noteRead(this->Records[Host.NextRecord], Host.clock(Now));
   }
 
   std::vector<StoredRecord> Records;
 };
 
 struct SentOrder {
-  std::uint64_t By = 0;
+  std::uint64_t Host = 0;
   Time SentAt{};
   LogOffset Fencing = 0;
 };
 
-RC_GTEST_PROP(StewardLeasesTest, OrdersOfTwoHostsNeverOverlap, ()) {
+RC_GTEST_PROP(LeaderLeasesTest, OrdersOfTwoHostsNeverOverlap, ()) {
   Time Now = Time(seconds(100000));
   LeaseLog Log;
-  std::vector<Steward> Hosts;
+  std::vector<LeaseHost> Hosts;
   for (std::uint64_t Life = 1; Life <= 3; ++Life) {
     Hosts.emplace_back(Life, seconds(*rc::gen::inRange(-5000, 5000)));
-    Hosts.back().Leases.noteMissed(Hosts.back().clock(Now));
+    Hosts.back().Leases.noteMissedRecords(Hosts.back().clock(Now));
   }
   std::vector<SentOrder> Sent;
   const int Steps = *rc::gen::inRange(50, 300);
   for (int Step = 0; Step < Steps; ++Step) {
     Now += milliseconds(*rc::gen::inRange(0, 4000));
-    Steward &By = Hosts[*rc::gen::inRange<std::size_t>(0, Hosts.size())];
+    LeaseHost &Host = Hosts[*rc::gen::inRange<std::size_t>(0, Hosts.size())];
     // What it does when it runs; not running is being paused.
     if (*rc::gen::inRange(0, 3) != 0)
-      Log.read(By, Now);
-    if (const auto Window = By.Leases.window(Engine, false, By.clock(Now)))
-      Sent.push_back({By.Life.Value, Now, Window->Fencing});
-    else if (By.Leases.shouldAsk(Engine, false, By.clock(Now)))
-      Log.ask(By, Now);
+      Log.read(Host, Now);
+    if (const auto Window = Host.Leases.window(Engine, false, Host.clock(Now)))
+      Sent.push_back({Host.Life.Value, Now, Window->Fencing});
+    else if (Host.Leases.shouldRequest(Engine, false, Host.clock(Now)))
+      Log.request(Host, Now);
   }
   for (std::size_t Later = 1; Later < Sent.size(); ++Later) {
     const SentOrder &Before = Sent[Later - 1];
     const SentOrder &After = Sent[Later];
-    if (Before.By != After.By)
+    if (Before.Host != After.Host)
       RC_ASSERT(After.SentAt >= Before.SentAt + Terms.LongestDelivery);
   }
   RC_CLASSIFY(Sent.size() > 1);
 }
 
-TEST(StewardLeasesTest, FencedEngineNeedsNoWait) {
-  Steward First(1, Duration(0));
-  Steward Second(2, Duration(0));
+TEST(LeaderLeasesTest, FencedEngineNeedsNoWait) {
+  LeaseHost First(1, Duration(0));
+  LeaseHost Second(2, Duration(0));
   LeaseLog Log;
   const Time Now = Time(seconds(1000));
-  Log.ask(First, Now);
-  Log.ask(Second, Now);
+  Log.request(First, Now);
+  Log.request(Second, Now);
   Log.read(Second, Now);
   const auto Window = Second.Leases.window(Engine, true, Now);
   ASSERT_TRUE(Window);
@@ -95,14 +95,14 @@
   EXPECT_FALSE(First.Leases.window(Engine, true, Now)) << "superseded";
 }
 
-TEST(StewardLeasesTest, LeaseReadLateIsNotUsable) {
-  Steward Host(1, Duration(0));
+TEST(LeaderLeasesTest, LeaseReadLateIsNotUsable) {
+  LeaseHost Host(1, Duration(0));
   LeaseLog Log;
   const Time Now = Time(seconds(1000));
-  Log.ask(Host, Now);
+  Log.request(Host, Now);
   Log.read(Host, Now + seconds(11));
   EXPECT_FALSE(Host.Leases.window(Engine, true, Now + seconds(11)));
-  EXPECT_TRUE(Host.Leases.shouldAsk(Engine, true, Now + seconds(11)));
+  EXPECT_TRUE(Host.Leases.shouldRequest(Engine, true, Now + seconds(11)));
 }
 
 } // namespace
--- a/tests/auto/orders/OrdersTest.cpp
+++ b/tests/auto/orders/OrdersTest.cpp
@@ -15,111 +15,111 @@
     this->Bench.Self.Life = Incarnation(1);
     this->Bench.Offered.provide<FleetView>(this->Fleet);
     this->Fleet.add("e1").Listing.ChecksFencing = true;
-    this->wantModel("m", 1);
+    this->declareModel("m", 1);
     this->Bench.start();
     Actions Out;
     this->Bench.Tested.start(this->Now, Out);
   }
 
-  void wantModel(const std::string &Name, std::uint32_t Minimum) {
+  void declareModel(const std::string &Name, std::uint32_t Minimum) {
     ModelEntry Entry;
     Entry.Weights = "w-" + Name;
     Entry.WeightBytes = std::uint64_t(4) << 30;
     Entry.MinimumEngines = Minimum;
     this->Bench.Entries.add(ModelId(Name), Entry);
   }
-  void feed(const Event &What) {
+  void handleEvent(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(What, this->Now, Out);
+    this->Bench.Tested.handle(Incoming, this->Now, Out);
     for (const Action &Each : Out.items())
       if (const auto *Order = std::get_if<OrderUpstream>(&Each))
         this->Sent.push_back(*Order);
   }
   /// Passes time; what is appended to the log is read back at once.
-  void pass(Duration Span) {
+  void advance(Duration Span) {
     for (const Time End = this->Now + Span; this->Now < End;) {
       this->Now += milliseconds(100);
-      this->feed(Tick{});
+      this->handleEvent(Tick{});
       this->readLog();
     }
   }
   void readLog() {
     Actions Out;
-    for (; this->Read < this->Bench.Log.Appended.size(); ++this->Read)
-      this->Bench.Tested.recordRead(
-          {this->Read + 1,
-           0,
-           {{Incarnation(1), this->Read + 1}, this->Bench.Log.Appended[Read]}},
-          this->Now, Out);
+    for (; this->ReadCount < this->Bench.Log.Appended.size(); ++this->ReadCount)
+      this->Bench.Tested.recordRead({this->ReadCount + 1,
+                                     0,
+                                     {{Incarnation(1), this->ReadCount + 1},
+                                      this->Bench.Log.Appended[ReadCount]}},
+                                    this->Now, Out);
   }
   void answer(OrderResult Result) {
-    this->feed(OrderAnswered{this->Sent.back().Order,
-                             this->Sent.back().Upstream, Result, 9});
+    this->handleEvent(OrderAnswered{this->Sent.back().Order,
+                                    this->Sent.back().Upstream, Result, 9});
   }
 
   Time Now = Time(seconds(1000));
   FakeFleetView Fleet;
   PluginBench<OrdersPlugin> Bench;
   std::vector<OrderUpstream> Sent;
-  std::size_t Read = 0;
+  std::size_t ReadCount = 0;
 };
 
 TEST_F(OrdersTest, LoadIsOrderedOnceUnderALeaseAndReadBack) {
-  this->pass(seconds(4));
+  this->advance(seconds(4));
   EXPECT_TRUE(this->Bench.Log.Appended.empty()) << "the wish is not settled";
-  this->pass(seconds(3));
+  this->advance(seconds(3));
   ASSERT_EQ(this->Sent.size(), 1u);
   EXPECT_EQ(this->Sent[0].Fencing, 1u);
   EXPECT_EQ(std::get<LoadModel>(this->Sent[0].Body).Weights, "w-m");
   EXPECT_LE(this->Sent[0].ValidUntil, this->Now + seconds(10));
   this->answer(OrderResult::Accepted);
-  this->pass(seconds(60));
+  this->advance(seconds(60));
   EXPECT_EQ(this->Sent.size(), 1u) << "loading takes time";
   this->Fleet.Known[0].Report.Models = {ModelId("m")};
-  this->pass(seconds(300));
+  this->advance(seconds(300));
   EXPECT_EQ(this->Sent.size(), 1u);
 }
 
 TEST_F(OrdersTest, LostAnswerIsSettledByTheReport) {
-  this->pass(seconds(7));
+  this->advance(seconds(7));
   this->answer(OrderResult::Unknown);
-  this->pass(seconds(100));
+  this->advance(seconds(100));
   EXPECT_EQ(this->Sent.size(), 1u);
-  this->pass(seconds(30));
+  this->advance(seconds(30));
   EXPECT_EQ(this->Sent.size(), 2u) << "the report never showed it";
 }
 
 TEST_F(OrdersTest, RefusedFencingNeedsANewLease) {
-  this->pass(seconds(7));
+  this->advance(seconds(7));
   this->answer(OrderResult::RefusedFencing);
-  this->pass(seconds(12));
+  this->advance(seconds(12));
   ASSERT_EQ(this->Sent.size(), 2u);
   EXPECT_EQ(this->Sent[1].Fencing, 2u);
 }
 
 TEST_F(OrdersTest, EngineThatIgnoresNumbersWaitsOutEarlierLeases) {
   this->Fleet.Known[0].Listing.ChecksFencing = false;
-  this->pass(seconds(24));
+  this->advance(seconds(24));
   EXPECT_TRUE(this->Sent.empty()) << "a lease from before the start may run";
-  this->pass(seconds(3));
+  this->advance(seconds(3));
   EXPECT_EQ(this->Sent.size(), 1u);
 }
 
 TEST_F(OrdersTest, OnlyTheStewardOrders) {
   for (int Index = 0; Index < 50; ++Index)
     this->Bench.Members.add(HostId("h" + std::to_string(Index)));
-  this->pass(seconds(30));
+  this->advance(seconds(30));
   EXPECT_TRUE(this->Sent.empty());
 }
 
 TEST_F(OrdersTest, LoadsKeepToTheWeightStoresRate) {
   for (const char *Name : {"e2", "e3", "e4", "e5"})
     this->Fleet.add(Name).Listing.ChecksFencing = true;
-  this->wantModel("m", 5);
-  this->pass(seconds(7));
+  this->declareModel("m", 5);
+  this->advance(seconds(7));
   EXPECT_EQ(this->Sent.size(), 1u);
   // 4 GiB at 1 GiB a second: one more load each four seconds.
-  this->pass(seconds(8));
+  this->advance(seconds(8));
   EXPECT_EQ(this->Sent.size(), 3u);
 }
 
--- a/tests/auto/orders/PlacementTest.cpp
+++ b/tests/auto/orders/PlacementTest.cpp
@@ -43,7 +43,7 @@
   return Result;
 }
 
-void follow(FakeFleetView &Fleet, const PlacementChange &Change) {
+void applyChange(FakeFleetView &Fleet, const PlacementChange &Change) {
   for (Upstream &Each : Fleet.Known) {
     if (Each.Listing.Id != Change.Engine)
       continue;
@@ -67,26 +67,29 @@
   FakeFleetView Fleet = anyFleet();
   // One change at a time, any of those wanted, as answers may come.
   for (int Step = 0; Step < 200; ++Step) {
-    const auto Wanted = placementChanges(Declared.catalogue(), Fleet);
-    if (Wanted.empty())
+    const auto Changes = placementChanges(Declared.catalogue(), Fleet);
+    if (Changes.empty())
       break;
-    const auto Next = *rc::gen::inRange<std::size_t>(0, Wanted.size());
-    follow(Fleet, Wanted[Next]);
+    const auto Next = *rc::gen::inRange<std::size_t>(0, Changes.size());
+    applyChange(Fleet, Changes[Next]);
   }
   const auto Live = static_cast<std::size_t>(std::count_if(
       Fleet.Known.begin(), Fleet.Known.end(),
       [](const Upstream &Each) { return Each.State == UpstreamState::Live; }));
-  const auto Left = placementChanges(Declared.catalogue(), Fleet);
-  RC_ASSERT(Left.empty());
+  const auto Remaining = placementChanges(Declared.catalogue(), Fleet);
+  RC_ASSERT(Remaining.empty());
   for (const auto &[Key, Each] : Declared.catalogue().entries()) {
     const auto &Entry = std::get<ModelEntry>(Each.Body);
-    std::size_t With = 0;
+    std::size_t LoadedEngines = 0;
     for (const Upstream &Engine : Fleet.Known)
-      With += Engine.State == UpstreamState::Live &&
-              std::count(Engine.Report.Models.begin(),
-                         Engine.Report.Models.end(), ModelId(Key.Name)) > 0;
-    RC_ASSERT(With >= std::min<std::size_t>(Entry.MinimumEngines, Live));
-    RC_ASSERT(Entry.MaximumEngines == 0 || With <= Entry.MaximumEngines);
+      LoadedEngines +=
+          Engine.State == UpstreamState::Live &&
+          std::count(Engine.Report.Models.begin(), Engine.Report.Models.end(),
+                     ModelId(Key.Name)) > 0;
+    RC_ASSERT(LoadedEngines >=
+              std::min<std::size_t>(Entry.MinimumEngines, Live));
+    RC_ASSERT(Entry.MaximumEngines == 0 ||
+              LoadedEngines <= Entry.MaximumEngines);
   }
 }
 
