--- a/src/plugins/orders/EngineOrders.cpp
+++ b/src/plugins/orders/EngineOrders.cpp
@@ -11,7 +11,7 @@
 
 void EngineOrders::noteSent(const UpstreamId &Engine, const OrderId &Order,
                             Time Now) {
-  // Until the answer the order may or may not have reached the engine.
+  // Until the answer arrives, the order may or may not have reached the engine.
   this->Outstanding[Engine] = {Order, Now + this->Timeouts.Answer +
                                           this->Timeouts.ReadBack};
 }
@@ -30,7 +30,7 @@
 
 std::vector<UpstreamId> EngineOrders::engines() const {
   std::vector<UpstreamId> Result;
-  for (const auto &[Engine, Each] : this->Outstanding)
+  for (const auto &[Engine, Order] : this->Outstanding)
     Result.push_back(Engine);
   std::ranges::sort(Result);
   return Result;
--- a/src/plugins/orders/EngineOrders.h
+++ b/src/plugins/orders/EngineOrders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Orders on their way to engines.
+/// Tracks the orders sent to engines whose effect is not confirmed yet.
 #pragma once
 
 #include "kernel/Services.h"
@@ -8,15 +8,15 @@
 
 namespace banyanpick {
 
-/// How long an engine is left alone.
+/// How long an engine gets no further order.
 struct OrderTimeouts {
-  Duration Answer{};   ///< No answer within this: nobody knows.
-  Duration ReadBack{}; ///< Its report should show the effect within this.
+  Duration Answer{};   ///< After this the outcome is unknown.
+  Duration ReadBack{}; ///< The engine's report shows the effect within this.
   Duration Failure{};  ///< After a failure or refusal.
 };
 
-/// At most one order to an engine at a time: the next one only after the
-/// report showed the effect, or could have.
+/// Limits each engine to one outstanding order. The next order is allowed only
+/// after the engine's report showed the effect, or had the time to show it.
 class EngineOrders {
 public:
   EngineOrders() = default;
@@ -24,11 +24,12 @@
 
   bool isFree(const UpstreamId &Engine, Time Now) const;
   void noteSent(const UpstreamId &Engine, const OrderId &Order, Time Now);
-  /// False when the answer is to no order that waits for one.
+  /// Returns false when no outstanding order matches the answer.
   bool noteAnswer(const OrderAnswered &Answer, Time Now);
-  /// Nothing is wanted of the engine any more: its report showed the effect.
+  /// Called when no change of the engine is pending any more, because its
+  /// report showed the effect.
   void noteDone(const UpstreamId &Engine) { this->Outstanding.erase(Engine); }
-  /// The engines with an order whose effect is awaited.
+  /// Returns the engines with an outstanding order, sorted.
   std::vector<UpstreamId> engines() const;
 
 private:
--- a/src/plugins/orders/LeaderLeases.cpp
+++ b/src/plugins/orders/LeaderLeases.cpp
@@ -7,45 +7,45 @@
 
 namespace {
 
-/// The holder's part of its lease.
+/// The holder uses its lease for the length divided by this.
 constexpr int UsableDivisor = 2;
 
 } // namespace
 
 void LeaderLeases::noteRequested(const UpstreamId &Engine,
                                  const RecordId &Record, Time Now) {
-  EngineLease &Of = this->Engines[Engine];
-  Of.PendingRecord = Record;
-  Of.RequestedAt = Now;
+  EngineLease &Lease = this->Engines[Engine];
+  Lease.PendingRecord = Record;
+  Lease.RequestedAt = Now;
 }
 
 void LeaderLeases::noteRefused(const RecordId &Record) {
-  for (auto &[Engine, Each] : this->Engines)
-    if (Each.PendingRecord == Record)
-      Each.PendingRecord = RecordId();
+  for (auto &[Engine, Lease] : this->Engines)
+    if (Lease.PendingRecord == Record)
+      Lease.PendingRecord = RecordId();
 }
 
 void LeaderLeases::noteRead(const StoredRecord &Record, Time Now) {
   const auto *Lease = std::get_if<StewardLease>(&Record.Record.Body);
   if (!Lease)
     return;
-  EngineLease &Of = this->Engines[Lease->Engine];
+  EngineLease &State = this->Engines[Lease->Engine];
   const bool IsOwn = Lease->LeaderLife == this->Self;
   if (!IsOwn)
-    Of.OthersUntil = std::max(Of.OthersUntil, Now + Lease->Length +
-                                                  this->Terms.LongestDelivery);
+    State.OthersUntil = std::max(
+        State.OthersUntil, Now + Lease->Length + this->Terms.LongestDelivery);
   const bool IsLater = std::tie(Record.Offset, Record.Position) >
-                       std::tie(Of.Offset, Of.Position);
+                       std::tie(State.Offset, State.Position);
   if (!IsLater)
     return;
-  Of.Offset = Record.Offset;
-  Of.Position = Record.Position;
-  const bool IsAwaited = IsOwn && Of.PendingRecord == Record.Record.Id;
-  Of.IsOwn = IsAwaited;
-  Of.UsableUntil =
-      IsAwaited ? Of.RequestedAt + Lease->Length / UsableDivisor : Time{};
+  State.Offset = Record.Offset;
+  State.Position = Record.Position;
+  const bool IsAwaited = IsOwn && State.PendingRecord == Record.Record.Id;
+  State.IsOwn = IsAwaited;
+  State.UsableUntil =
+      IsAwaited ? State.RequestedAt + Lease->Length / UsableDivisor : Time{};
   if (IsAwaited)
-    Of.PendingRecord = RecordId();
+    State.PendingRecord = RecordId();
 }
 
 void LeaderLeases::noteMissedRecords(Time Now) {
@@ -62,29 +62,30 @@
   const auto Found = this->Engines.find(Engine);
   if (Found == this->Engines.end())
     return std::nullopt;
-  const EngineLease &Of = Found->second;
-  const bool IsUsable = Of.IsOwn && Now < Of.UsableUntil;
-  const bool IsExclusive = ChecksFencing || Now >= this->othersUntil(Of);
+  const EngineLease &Lease = Found->second;
+  const bool IsUsable = Lease.IsOwn && Now < Lease.UsableUntil;
+  const bool IsExclusive = ChecksFencing || Now >= this->othersUntil(Lease);
   if (!IsUsable || !IsExclusive)
     return std::nullopt;
-  return OrderWindow{Of.Offset, Of.UsableUntil};
+  return OrderWindow{Lease.Offset, Lease.UsableUntil};
 }
 
 bool LeaderLeases::shouldRequest(const UpstreamId &Engine, bool ChecksFencing,
                                  Time Now) const {
   const auto Found = this->Engines.find(Engine);
-  const EngineLease Of =
+  const EngineLease Lease =
       Found == this->Engines.end() ? EngineLease{} : Found->second;
-  // A lease asked for earlier would run out while waiting for the others.
-  if (!ChecksFencing && Now < this->othersUntil(Of))
+  // A lease requested earlier would expire while this host waits for the
+  // leases of other hosts to end.
+  if (!ChecksFencing && Now < this->othersUntil(Lease))
     return false;
-  const bool IsPending = Of.PendingRecord != RecordId() &&
-                         Now < Of.RequestedAt + this->Terms.Length;
-  return !IsPending && !(Of.IsOwn && Now < Of.UsableUntil);
+  const bool IsPending = Lease.PendingRecord != RecordId() &&
+                         Now < Lease.RequestedAt + this->Terms.Length;
+  return !IsPending && !(Lease.IsOwn && Now < Lease.UsableUntil);
 }
 
-Time LeaderLeases::othersUntil(const EngineLease &Of) const {
-  return std::max(Of.OthersUntil, this->MissedUntil);
+Time LeaderLeases::othersUntil(const EngineLease &Lease) const {
+  return std::max(Lease.OthersUntil, this->MissedUntil);
 }
 
 } // namespace banyanpick
--- a/src/plugins/orders/LeaderLeases.h
+++ b/src/plugins/orders/LeaderLeases.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who may give orders to an engine, and when.
+/// Tracks which host may send orders to an engine, and when.
 #pragma once
 
 #include "kernel/LogRecord.h"
@@ -9,43 +9,43 @@
 
 namespace banyanpick {
 
-/// Lengths that keep two stewards' orders apart.
+/// Durations that keep the orders of two leaders apart.
 struct LeaseTerms {
   Duration Length{};
-  Duration LongestDelivery{}; ///< An order sent arrives within this.
+  Duration LongestDelivery{}; ///< A sent order arrives within this.
 };
 
-/// The right to give orders to one engine until a time.
+/// The right to send orders to one engine until a point in time.
 struct OrderWindow {
   LogOffset Fencing = 0;
   Time Until{};
 };
 
-/// Leases as the log tells of them. The holder uses the first half of a lease,
-/// counted by its own clock from before it asked for it, so that it began no
-/// later than anybody read of it. For engines that ignore fencing numbers any
-/// other host waits until lease and longest delivery are over, counted by its
-/// own clock from when it read of it.
+/// Tracks the leases recorded in the log. The holder uses the first half of a
+/// lease, measured by its own clock from the time of the request, so that the
+/// lease starts no later than any host read its record. For engines that ignore
+/// fencing numbers, every other host waits until the lease and the longest
+/// delivery time are over, measured by its own clock from reading the record.
 class LeaderLeases {
 public:
   LeaderLeases() = default;
   LeaderLeases(Incarnation Self, LeaseTerms Terms) : Self(Self), Terms(Terms) {}
 
-  /// This host has asked for a lease; its record is on its way to the log.
+  /// Called after this host queued the lease record \p Record for the log.
   void noteRequested(const UpstreamId &Engine, const RecordId &Record,
                      Time Now);
-  /// The record did not get into the log.
+  /// Called when the record was not appended to the log.
   void noteRefused(const RecordId &Record);
   void noteRead(const StoredRecord &Record, Time Now);
-  /// Leases before now may have been missed.
+  /// Called when lease records before now may have been missed.
   void noteMissedRecords(Time Now);
-  /// The engine knows a higher fencing number than ours.
+  /// Called when the engine knows a higher fencing number than this host's.
   void invalidate(const UpstreamId &Engine);
 
-  /// The window in which this host may order the engine now, if any.
+  /// Returns the window in which this host may send orders now, if any.
   std::optional<OrderWindow> window(const UpstreamId &Engine,
                                     bool ChecksFencing, Time Now) const;
-  /// Whether asking for a lease may help: none is usable or on its way.
+  /// Whether to request a lease: none is usable, and none is pending.
   bool shouldRequest(const UpstreamId &Engine, bool ChecksFencing,
                      Time Now) const;
   Duration length() const { return this->Terms.Length; }
@@ -56,8 +56,8 @@
     std::uint32_t Position = 0;
     bool IsOwn = false;
     Time UsableUntil{};     ///< Own leases only.
-    Time OthersUntil{};     ///< Others' orders may arrive until then.
-    RecordId PendingRecord; ///< Sequence 0: nothing is on its way.
+    Time OthersUntil{};     ///< Orders of other hosts may arrive until then.
+    RecordId PendingRecord; ///< Sequence 0: no request is pending.
     Time RequestedAt{};
   };
 
@@ -65,7 +65,7 @@
 
   Incarnation Self;
   LeaseTerms Terms;
-  Time MissedUntil{}; ///< Of leases that were not read.
+  Time MissedUntil{}; ///< End of leases whose records were missed.
   std::unordered_map<UpstreamId, EngineLease> Engines;
 };
 
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -29,8 +29,8 @@
 
 std::string joined(std::span<const UpstreamId> Names) {
   std::string Result;
-  for (const UpstreamId &Each : Names)
-    Result += (Result.empty() ? "" : ",") + Each.Value;
+  for (const UpstreamId &Name : Names)
+    Result += (Result.empty() ? "" : ",") + Name.Value;
   return Result;
 }
 
@@ -98,36 +98,36 @@
   if (Leaving || !this->Declared->isCurrent(Now))
     return;
   this->updateChanges(Now);
-  for (const auto &[Key, Each] : this->Changes)
-    this->advanceChange(Each, Now, Out);
+  for (const auto &[Key, Pending] : this->Changes)
+    this->advanceChange(Pending, Now, Out);
 }
 
 void OrdersPlugin::updateChanges(Time Now) {
   std::map<ChangeKey, PendingChange> Next;
-  for (PlacementChange &Each :
+  for (PlacementChange &Change :
        placementChanges(this->Declared->catalogue(), *this->Fleet)) {
-    const ChangeKey Key{Each.Engine, Each.Model};
+    const ChangeKey Key{Change.Engine, Change.Model};
     const auto Old = this->Changes.find(Key);
     const bool Same =
-        Old != this->Changes.end() && Old->second.Change.Load == Each.Load;
+        Old != this->Changes.end() && Old->second.Change.Load == Change.Load;
     const Time Since = Same ? Old->second.Since : Now;
-    Next[Key] = {std::move(Each), Since};
+    Next[Key] = {std::move(Change), Since};
   }
   for (const UpstreamId &Engine : this->Orders.engines()) {
     const bool IsStillPending = std::ranges::any_of(
-        Next, [&](const auto &Each) { return Each.first.first == Engine; });
+        Next, [&](const auto &Entry) { return Entry.first.first == Engine; });
     if (!IsStillPending)
       this->Orders.noteDone(Engine);
   }
   this->Changes = std::move(Next);
 }
 
-void OrdersPlugin::advanceChange(const PendingChange &Of, Time Now,
+void OrdersPlugin::advanceChange(const PendingChange &Pending, Time Now,
                                  Actions &Out) {
-  const UpstreamId &EngineId = Of.Change.Engine;
+  const UpstreamId &EngineId = Pending.Change.Engine;
   const Upstream *Engine = this->Fleet->find(EngineId);
-  const bool Settled = Now >= Of.Since + this->SettleTime;
-  if (!Engine || !Settled || !this->isLeader(EngineId) ||
+  const bool IsSettled = Now >= Pending.Since + this->SettleTime;
+  if (!Engine || !IsSettled || !this->isLeader(EngineId) ||
       !this->Orders.isFree(EngineId, Now))
     return;
   const bool ChecksFencing = Engine->Listing.ChecksFencing;
@@ -137,8 +137,8 @@
       this->requestLease(EngineId, Now, Out);
     return;
   }
-  if (this->mayLoad(Of.Change, Now))
-    this->sendOrder(Of, *Engine, *Window, Now, Out);
+  if (this->mayLoad(Pending.Change, Now))
+    this->sendOrder(Pending, *Engine, *Window, Now, Out);
 }
 
 void OrdersPlugin::requestLease(const UpstreamId &Engine, Time Now,
@@ -153,23 +153,24 @@
       logEvent(events::LeaseRequested).with("engine", Engine.Value).build());
 }
 
-void OrdersPlugin::sendOrder(const PendingChange &Of, const Upstream &Engine,
-                             const OrderWindow &Window, Time Now,
-                             Actions &Out) {
+void OrdersPlugin::sendOrder(const PendingChange &Pending,
+                             const Upstream &Engine, const OrderWindow &Window,
+                             Time Now, Actions &Out) {
   const OrderId Id{this->SelfIdentity.Life, ++this->OrderCount};
   if (Now >= Window.Until)
     ++this->OrdersOutsideWindow;
-  this->Orders.noteSent(Of.Change.Engine, Id, Now);
-  Out.count("orders_given", Of.Change.Load ? "load" : "unload");
+  this->Orders.noteSent(Pending.Change.Engine, Id, Now);
+  Out.count("orders_given", Pending.Change.Load ? "load" : "unload");
   Out.log(logEvent(events::PlacementDecided)
-              .with("engine", Of.Change.Engine.Value)
-              .with("model", Of.Change.Model.Value)
-              .with("action", Of.Change.Load ? "load" : "unload")
+              .with("engine", Pending.Change.Engine.Value)
+              .with("model", Pending.Change.Model.Value)
+              .with("action", Pending.Change.Load ? "load" : "unload")
               .with("fencing", Window.Fencing)
-              .with("candidates", joined(Of.Change.Candidates))
+              .with("candidates", joined(Pending.Change.Candidates))
               .build());
-  Out.add(OrderUpstream{Id, Of.Change.Engine, Engine.Listing.At, Window.Fencing,
-                        Window.Until, this->makeBody(Of.Change)});
+  Out.add(OrderUpstream{Id, Pending.Change.Engine, Engine.Listing.At,
+                        Window.Fencing, Window.Until,
+                        this->makeBody(Pending.Change)});
 }
 
 void OrdersPlugin::handleAnswer(const OrderAnswered &Answer, Time Now,
@@ -186,14 +187,14 @@
               .build());
 }
 
-bool OrdersPlugin::isLeader(const UpstreamId &Of) const {
+bool OrdersPlugin::isLeader(const UpstreamId &Engine) const {
   const auto Weight = [&](const HostId &Host) {
-    return rendezvousWeight(Of.Value, Host.Value);
+    return rendezvousWeight(Engine.Value, Host.Value);
   };
   const std::uint64_t OwnWeight = Weight(this->SelfIdentity.Host);
   return std::ranges::none_of(
       this->Members->livePeers(),
-      [&](const HostId &Each) { return Weight(Each) > OwnWeight; });
+      [&](const HostId &Peer) { return Weight(Peer) > OwnWeight; });
 }
 
 OrderBody OrdersPlugin::makeBody(const PlacementChange &Change) const {
--- a/src/plugins/orders/OrdersPlugin.h
+++ b/src/plugins/orders/OrdersPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that orders engines to load and unload models.
+/// The plug-in `orders`, which tells engines to load and unload models.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -12,9 +12,9 @@
 
 namespace banyanpick {
 
-/// Brings the engines to the placement that the catalogue asks for. Each
-/// engine has a steward among the live hosts; only a steward with a lease from
-/// the log orders.
+/// Moves models between engines until the placement matches the catalogue. Each
+/// engine has a leader among the live hosts. Only a leader that holds a lease
+/// from the log sends orders.
 class OrdersPlugin : public Plugin, public LogObserver {
 public:
   // Plugin
@@ -34,7 +34,7 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  /// A change of the placement since when it has been wanted.
+  /// A needed change of the placement and since when it has been needed.
   struct PendingChange {
     PlacementChange Change;
     Time Since{};
@@ -43,12 +43,12 @@
 
   void checkPlacement(Time Now, Actions &Out);
   void updateChanges(Time Now);
-  void advanceChange(const PendingChange &Of, Time Now, Actions &Out);
+  void advanceChange(const PendingChange &Pending, Time Now, Actions &Out);
   void requestLease(const UpstreamId &Engine, Time Now, Actions &Out);
-  void sendOrder(const PendingChange &Of, const Upstream &Engine,
+  void sendOrder(const PendingChange &Pending, const Upstream &Engine,
                  const OrderWindow &Window, Time Now, Actions &Out);
   void handleAnswer(const OrderAnswered &Answer, Time Now, Actions &Out);
-  bool isLeader(const UpstreamId &Of) const;
+  bool isLeader(const UpstreamId &Engine) const;
   OrderBody makeBody(const PlacementChange &Change) const;
   bool mayLoad(const PlacementChange &Change, Time Now);
 
--- a/src/plugins/orders/Placement.cpp
+++ b/src/plugins/orders/Placement.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Candidates named in the log line of a decision.
+/// Number of candidates named in the log line of a decision.
 constexpr std::size_t MaxLoggedCandidates = 5;
 
 struct Candidate {
-  std::size_t Models = 0; ///< Loaded, and planned by earlier models.
+  std::size_t Models = 0; ///< Loaded models, plus those planned in this pass.
   std::uint64_t Weight = 0;
   UpstreamId Engine;
 };
@@ -28,32 +28,32 @@
 std::vector<UpstreamId>
 loggedCandidates(std::span<const Candidate> Candidates) {
   std::vector<UpstreamId> Result;
-  for (const Candidate &Each :
+  for (const Candidate &Item :
        Candidates.first(std::min(Candidates.size(), MaxLoggedCandidates)))
-    Result.push_back(Each.Engine);
+    Result.push_back(Item.Engine);
   return Result;
 }
 
-/// Places one model after the other, in the order of their names.
+/// Places the models one after the other, ordered by name.
 class PlacementPlanner {
 public:
   explicit PlacementPlanner(const FleetView &Fleet) {
-    for (const Upstream &Each : Fleet.upstreams())
-      if (Each.Listing.Kind == UpstreamKind::Engine &&
-          Each.State == UpstreamState::Live)
-        this->Engines.push_back({&Each, Each.Report.Models.size()});
+    for (const Upstream &Item : Fleet.upstreams())
+      if (Item.Listing.Kind == UpstreamKind::Engine &&
+          Item.State == UpstreamState::Live)
+        this->Engines.push_back({&Item, Item.Report.Models.size()});
   }
 
   void place(const ModelId &Model, const ModelEntry &Declared) {
     std::vector<Candidate> Loaded;
     std::vector<Candidate> NotLoaded;
-    for (const Engine &Each : this->Engines) {
-      const UpstreamId &Name = Each.Info->Listing.Id;
+    for (const Engine &Item : this->Engines) {
+      const UpstreamId &Name = Item.Info->Listing.Id;
       const bool IsLoaded =
-          std::ranges::count(Each.Info->Report.Models, Model) > 0;
+          std::ranges::count(Item.Info->Report.Models, Model) > 0;
       (IsLoaded ? Loaded : NotLoaded)
           .push_back(
-              {Each.Models, rendezvousWeight(Model.Value, Name.Value), Name});
+              {Item.Models, rendezvousWeight(Model.Value, Name.Value), Name});
     }
     if (Loaded.size() < Declared.MinimumEngines)
       this->load(Model, Declared.MinimumEngines - Loaded.size(), NotLoaded);
@@ -82,7 +82,7 @@
   }
   void unload(const ModelId &Model, std::size_t Count,
               std::vector<Candidate> &Candidates) {
-    // Those with the most models and the least weight give it up.
+    // Engines with the most models and the lowest weight unload first.
     std::ranges::sort(Candidates,
                       [](const Candidate &First, const Candidate &Second) {
                         return isBetter(Second, First);
@@ -92,9 +92,9 @@
       this->addChange({Candidates[Index].Engine, Model, false, Logged});
   }
   void addChange(PlacementChange Change) {
-    for (Engine &Each : this->Engines)
-      if (Each.Info->Listing.Id == Change.Engine)
-        Each.Models += Change.Load ? 1 : 0;
+    for (Engine &Item : this->Engines)
+      if (Item.Info->Listing.Id == Change.Engine)
+        Item.Models += Change.Load ? 1 : 0;
     this->Changes.push_back(std::move(Change));
   }
 
@@ -107,8 +107,8 @@
 std::vector<PlacementChange> placementChanges(const Catalogue &Declared,
                                               const FleetView &Fleet) {
   PlacementPlanner Planner(Fleet);
-  for (const auto &[Key, Each] : Declared.entries())
-    if (const auto *Model = std::get_if<ModelEntry>(&Each.Body))
+  for (const auto &[Key, Item] : Declared.entries())
+    if (const auto *Model = std::get_if<ModelEntry>(&Item.Body))
       Planner.place(ModelId(Key.Name), *Model);
   return Planner.takeChanges();
 }
--- a/src/plugins/orders/Placement.h
+++ b/src/plugins/orders/Placement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which model shall be on which engine.
+/// Computes which models engines have to load or unload.
 #pragma once
 
 #include "catalogue/Fold.h"
@@ -7,22 +7,24 @@
 
 namespace banyanpick {
 
-/// One engine that shall load or unload a model, and whom it was chosen among.
+/// One engine that has to load or unload a model, and the engines that it was
+/// chosen from.
 struct PlacementChange {
   UpstreamId Engine;
   ModelId Model;
   bool Load = false;
-  /// Best first, the chosen one among them; at most a few.
+  /// Best first, including the chosen engine. Only the first few are kept.
   std::vector<UpstreamId> Candidates;
 
   bool operator==(const PlacementChange &) const = default;
 };
 
-/// What has to change so that each model is on as many live engines as the
-/// catalogue says. A pure function: hosts that see the same catalogue and the
-/// same engines agree. Engines that have a model keep it, those with the
-/// fewest models are given more, ties go by rendezvous hash. Models that the
-/// catalogue does not name are left alone.
+/// Returns the changes after which each model is loaded on as many live engines
+/// as the catalogue declares. The result depends only on the arguments, so
+/// hosts with the same catalogue and the same view of the engines agree.
+/// Engines that hold a model keep it. Engines with the fewest models are chosen
+/// first, and rendezvous hashing breaks ties. Models that the catalogue does
+/// not name stay where they are.
 std::vector<PlacementChange> placementChanges(const Catalogue &Declared,
                                               const FleetView &Fleet);
 
--- a/src/plugins/orders/WeightBudget.h
+++ b/src/plugins/orders/WeightBudget.h
@@ -1,5 +1,5 @@
 /// \file
-/// This host's part of what the weight store can give.
+/// Limits model loads to this host's share of the weight store's bandwidth.
 #pragma once
 
 #include "base/Time.h"
@@ -8,12 +8,12 @@
 
 namespace banyanpick {
 
-/// A token bucket that may go into debt: a load is let go when nothing is
-/// owed, and then owes its bytes. Over any time the loads exceed the rate by
-/// one load at most.
+/// A token bucket that may go into debt. A load starts when there is no debt
+/// and then adds its bytes to the debt. Over any period the loads exceed the
+/// rate by at most one load.
 class WeightBudget {
 public:
-  /// Whether \p Bytes may be loaded now; takes them if so.
+  /// Returns whether \p Bytes may be loaded now, and charges them if so.
   bool tryAcquire(double Bytes, double BytesPerSecond, Time Now) {
     if (this->UpdatedAt != Time{})
       this->Debt = std::max(
--- a/tests/auto/orders/LeaderLeasesTest.cpp
+++ b/tests/auto/orders/LeaderLeasesTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// No two hosts' orders to an engine that ignores fencing numbers overlap.
+/// Guards against overlapping orders of two hosts to an engine that ignores
+/// fencing numbers. They arise when a paused host goes on using its lease.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -12,8 +13,8 @@
 constexpr LeaseTerms Terms{seconds(20), seconds(5)};
 const UpstreamId Engine("e1");
 
-/// A host that believes itself steward; it may be paused, and its clock may
-/// stand anywhere.
+/// A host that considers itself the leader. It may be paused, and its clock may
+/// be off by any amount.
 struct LeaseHost {
   explicit LeaseHost(std::uint64_t Life, Duration ClockAhead)
       : Life(Life), ClockAhead(ClockAhead), Leases(Incarnation(Life), Terms) {}
@@ -27,7 +28,7 @@
   std::uint64_t RequestCount = 0;
 };
 
-/// A log whose records take effect at once; hosts read it when they run.
+/// A log whose records take effect at once. Hosts read it when they run.
 struct LeaseLog {
   void request(LeaseHost &Host, Time Now) {
     const RecordId Id{Host.Life, ++Host.RequestCount};
@@ -62,7 +63,7 @@
   for (int Step = 0; Step < Steps; ++Step) {
     Now += milliseconds(*rc::gen::inRange(0, 4000));
     LeaseHost &Host = Hosts[*rc::gen::inRange<std::size_t>(0, Hosts.size())];
-    // What it does when it runs; not running is being paused.
+    // One step of the chosen host. A host that is not chosen is paused.
     if (*rc::gen::inRange(0, 3) != 0)
       Log.read(Host, Now);
     if (const auto Window = Host.Leases.window(Engine, false, Host.clock(Now)))
--- a/tests/auto/orders/OrdersTest.cpp
+++ b/tests/auto/orders/OrdersTest.cpp
@@ -1,5 +1,7 @@
 /// \file
-/// Orders from the catalogue's wish to the engine's report.
+/// Guards the sequence from a declared placement to the engine's report: orders
+/// that are repeated, sent without a usable lease, or sent faster than the
+/// weight store can serve.
 #include <gtest/gtest.h>
 
 #include "fakes/FakeRequestTable.h"
@@ -31,11 +33,11 @@
   void handleEvent(const Event &Incoming) {
     Actions Out;
     this->Bench.Tested.handle(Incoming, this->Now, Out);
-    for (const Action &Each : Out.items())
-      if (const auto *Order = std::get_if<OrderUpstream>(&Each))
+    for (const Action &Requested : Out.items())
+      if (const auto *Order = std::get_if<OrderUpstream>(&Requested))
         this->Sent.push_back(*Order);
   }
-  /// Passes time; what is appended to the log is read back at once.
+  /// Advances the clock. Appended records are read back at once.
   void advance(Duration Span) {
     for (const Time End = this->Now + Span; this->Now < End;) {
       this->Now += milliseconds(100);
@@ -66,7 +68,8 @@
 
 TEST_F(OrdersTest, LoadIsOrderedOnceUnderALeaseAndReadBack) {
   this->advance(seconds(4));
-  EXPECT_TRUE(this->Bench.Log.Appended.empty()) << "the wish is not settled";
+  EXPECT_TRUE(this->Bench.Log.Appended.empty())
+      << "the placement has not settled yet";
   this->advance(seconds(3));
   ASSERT_EQ(this->Sent.size(), 1u);
   EXPECT_EQ(this->Sent[0].Fencing, 1u);
@@ -74,7 +77,7 @@
   EXPECT_LE(this->Sent[0].ValidUntil, this->Now + seconds(10));
   this->answer(OrderResult::Accepted);
   this->advance(seconds(60));
-  EXPECT_EQ(this->Sent.size(), 1u) << "loading takes time";
+  EXPECT_EQ(this->Sent.size(), 1u) << "the load is still in progress";
   this->Fleet.Known[0].Report.Models = {ModelId("m")};
   this->advance(seconds(300));
   EXPECT_EQ(this->Sent.size(), 1u);
@@ -86,7 +89,7 @@
   this->advance(seconds(100));
   EXPECT_EQ(this->Sent.size(), 1u);
   this->advance(seconds(30));
-  EXPECT_EQ(this->Sent.size(), 2u) << "the report never showed it";
+  EXPECT_EQ(this->Sent.size(), 2u) << "the report never showed the model";
 }
 
 TEST_F(OrdersTest, RefusedFencingNeedsANewLease) {
@@ -97,15 +100,16 @@
   EXPECT_EQ(this->Sent[1].Fencing, 2u);
 }
 
-TEST_F(OrdersTest, EngineThatIgnoresNumbersWaitsOutEarlierLeases) {
+TEST_F(OrdersTest, EngineWithoutFencingGetsNoOrderDuringEarlierLeases) {
   this->Fleet.Known[0].Listing.ChecksFencing = false;
   this->advance(seconds(24));
-  EXPECT_TRUE(this->Sent.empty()) << "a lease from before the start may run";
+  EXPECT_TRUE(this->Sent.empty())
+      << "a lease from before the start may still be valid";
   this->advance(seconds(3));
   EXPECT_EQ(this->Sent.size(), 1u);
 }
 
-TEST_F(OrdersTest, OnlyTheStewardOrders) {
+TEST_F(OrdersTest, OnlyTheLeaderSendsOrders) {
   for (int Index = 0; Index < 50; ++Index)
     this->Bench.Members.add(HostId("h" + std::to_string(Index)));
   this->advance(seconds(30));
@@ -118,7 +122,7 @@
   this->declareModel("m", 5);
   this->advance(seconds(7));
   EXPECT_EQ(this->Sent.size(), 1u);
-  // 4 GiB at 1 GiB a second: one more load each four seconds.
+  // 4 GiB at 1 GiB per second allow one more load every four seconds.
   this->advance(seconds(8));
   EXPECT_EQ(this->Sent.size(), 3u);
 }
--- a/tests/auto/orders/PlacementTest.cpp
+++ b/tests/auto/orders/PlacementTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The placement of models is pure, agreed, and reached by following it.
+/// Guards against hosts that compute different placements from the same view,
+/// and against a placement that never converges when its changes are applied.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -36,21 +37,21 @@
     Added.State =
         *rc::gen::element(UpstreamState::Live, UpstreamState::Live,
                           UpstreamState::Leaving, UpstreamState::Dead);
-    for (int Each = 0; Each < 6; ++Each)
+    for (int Model = 0; Model < 6; ++Model)
       if (*rc::gen::inRange(0, 3) == 0)
-        Added.Report.Models.push_back(model(Each));
+        Added.Report.Models.push_back(model(Model));
   }
   return Result;
 }
 
 void applyChange(FakeFleetView &Fleet, const PlacementChange &Change) {
-  for (Upstream &Each : Fleet.Known) {
-    if (Each.Listing.Id != Change.Engine)
+  for (Upstream &Engine : Fleet.Known) {
+    if (Engine.Listing.Id != Change.Engine)
       continue;
     if (Change.Load)
-      Each.Report.Models.push_back(Change.Model);
+      Engine.Report.Models.push_back(Change.Model);
     else
-      std::erase(Each.Report.Models, Change.Model);
+      std::erase(Engine.Report.Models, Change.Model);
   }
 }
 
@@ -62,10 +63,11 @@
   RC_ASSERT(placementChanges(Declared.catalogue(), Fleet) == First);
 }
 
-RC_GTEST_PROP(PlacementTest, FollowedInAnyOrderItEnds, ()) {
+RC_GTEST_PROP(PlacementTest, ChangesAppliedInAnyOrderConverge, ()) {
   const FakeCatalogueView Declared = anyCatalogue();
   FakeFleetView Fleet = anyFleet();
-  // One change at a time, any of those wanted, as answers may come.
+  // Applies the needed changes one at a time in random order, since answers may
+  // arrive in any order.
   for (int Step = 0; Step < 200; ++Step) {
     const auto Changes = placementChanges(Declared.catalogue(), Fleet);
     if (Changes.empty())
@@ -74,12 +76,13 @@
     applyChange(Fleet, Changes[Next]);
   }
   const auto Live = static_cast<std::size_t>(std::count_if(
-      Fleet.Known.begin(), Fleet.Known.end(),
-      [](const Upstream &Each) { return Each.State == UpstreamState::Live; }));
+      Fleet.Known.begin(), Fleet.Known.end(), [](const Upstream &Engine) {
+        return Engine.State == UpstreamState::Live;
+      }));
   const auto Remaining = placementChanges(Declared.catalogue(), Fleet);
   RC_ASSERT(Remaining.empty());
-  for (const auto &[Key, Each] : Declared.catalogue().entries()) {
-    const auto &Entry = std::get<ModelEntry>(Each.Body);
+  for (const auto &[Key, Item] : Declared.catalogue().entries()) {
+    const auto &Entry = std::get<ModelEntry>(Item.Body);
     std::size_t LoadedEngines = 0;
     for (const Upstream &Engine : Fleet.Known)
       LoadedEngines +=
