--- a/src/plugins/reclaim/OrphanWatch.h
+++ b/src/plugins/reclaim/OrphanDetector.h
@@ -10,14 +10,14 @@
 namespace banyanpick {
 
 /// How long something must look orphaned before it is freed.
-struct OrphanGraces {
+struct OrphanGracePeriods {
   Duration Owner{};    ///< Its owner is dead, or does not know it.
   Duration Deadline{}; ///< Its own deadline is past.
   Duration Unknown{};  ///< Nobody knows its owner.
 };
 
 /// Who asks, and whom it may ask.
-struct OrphanJudges {
+struct OrphanDetectorViews {
   const MembershipView *Members = nullptr;
   const RequestTable *Requests = nullptr;
   const GroupHolder *Groups = nullptr; ///< May be null.
@@ -25,44 +25,45 @@
 
 /// Compares what an engine says it holds with the owners' liveness and the
 /// deadlines. Freeing is idempotent, so it does no harm when two hosts do it.
-class OrphanWatch {
+class OrphanDetector {
 public:
-  OrphanWatch() = default;
-  OrphanWatch(OrphanJudges Judges, OrphanGraces Graces)
-      : Judges(Judges), Graces(Graces) {}
+  OrphanDetector() = default;
+  OrphanDetector(OrphanDetectorViews Views, OrphanGracePeriods GracePeriods)
+      : Views(Views), GracePeriods(GracePeriods) {}
 
-  /// What is to be freed now; each is named again while it stays. \p IsSteward
+  /// What is to be freed now; each is named again while it stays. \p IsLeader
   /// false: only this host's own memory is judged.
-  std::vector<HoldReport> judge(const LoadReport &Report, bool IsSteward,
-                                Time Now);
+  std::vector<HoldReport> findOrphans(const LoadReport &Report, bool IsLeader,
+                                      Time Now);
   /// The upstream is gone or has another life.
-  void forget(const UpstreamId &Of) { this->Engines.erase(Of); }
+  void forget(const UpstreamId &Engine) { this->Engines.erase(Engine); }
 
 private:
-  struct Key {
+  struct HoldKey {
     HoldKind Kind = HoldKind::Stream;
     std::uint64_t OwnerLife = 0;
     std::uint64_t Sequence = 0;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang 14 misreads defaults.
-    auto operator<=>(const Key &) const = default;
+    auto operator<=>(const HoldKey &) const = default;
   };
-  struct Seen {
-    Time FirstAt{};
+  struct HoldState {
+    Time FirstReportedAt{};
     Time OrphanSince = Never;
-    Time NextTry{};
+    Time NextAttemptAt{};
   };
 
   /// The grace for what looks orphaned; nothing while it looks needed.
-  std::optional<Duration> graceOf(const HoldReport &Hold, const Seen &Record,
-                                  bool IsSteward, Time Now) const;
+  std::optional<Duration> gracePeriod(const HoldReport &Hold,
+                                      const HoldState &State, bool IsLeader,
+                                      Time Now) const;
   bool isUnknownHere(const HoldReport &Hold) const;
-  std::optional<Duration> graceOfPeer(const HoldReport &Hold,
-                                      const Seen &Record) const;
+  std::optional<Duration> peerGracePeriod(const HoldReport &Hold,
+                                          const HoldState &State) const;
 
-  OrphanJudges Judges;
-  OrphanGraces Graces;
-  std::map<UpstreamId, std::map<Key, Seen>> Engines;
+  OrphanDetectorViews Views;
+  OrphanGracePeriods GracePeriods;
+  std::map<UpstreamId, std::map<HoldKey, HoldState>> Engines;
 };
 
 } // namespace banyanpick
--- a/src/plugins/reclaim/PendingCancels.cpp
+++ b/src/plugins/reclaim/PendingCancels.cpp
@@ -6,77 +6,80 @@
 
 namespace {
 
-constexpr Duration FirstWait = milliseconds(250);
-constexpr Duration LongestWait = seconds(4);
-constexpr Duration GiveUpAfterDeadline = seconds(60);
-constexpr std::size_t MostItems = 4096;
+constexpr Duration InitialRetryDelay = milliseconds(250);
+constexpr Duration MaxRetryDelay = seconds(4);
+constexpr Duration ExpiryAfterDeadline = seconds(60);
+constexpr std::size_t MaxCancels = 4096;
 
 } // namespace
 
-void PendingCancels::add(const AttemptId &Id, const Upstream &Where,
+void PendingCancels::add(const AttemptId &Id, const Upstream &Target,
                          Time Deadline, Time Now, Actions &Out) {
   this->erase(Id);
-  if (this->Items.size() >= MostItems) {
-    this->erase(this->Due.begin()->second);
+  if (this->Cancels.size() >= MaxCancels) {
+    this->erase(this->Schedule.begin()->second);
     Out.count("cancels_dropped");
   }
-  Item &Of = this->Items[Id];
-  Of = {Where.Listing.Id, Where.Listing.Life,
-        std::max(Deadline, Now) + GiveUpAfterDeadline, Now, FirstWait};
-  this->plan(Id, Of, Now);
-  Out.add(CancelAttempt{Id, Of.Where, Where.Listing.At});
+  PendingCancel &Cancel = this->Cancels[Id];
+  Cancel = {Target.Listing.Id, Target.Listing.Life,
+            std::max(Deadline, Now) + ExpiryAfterDeadline, Now,
+            InitialRetryDelay};
+  this->schedule(Id, Cancel, Now);
+  Out.add(CancelAttempt{Id, Cancel.Target, Target.Listing.At});
 }
 
 void PendingCancels::confirm(const AttemptId &Id) { this->erase(Id); }
 
-void PendingCancels::noteLife(const UpstreamId &Where, Incarnation Life) {
+void PendingCancels::noteIncarnation(const UpstreamId &Target,
+                                     Incarnation Life) {
   for (const AttemptId &Id : this->ids()) {
-    const Item &Each = this->Items.at(Id);
-    if (Each.Where == Where && Each.Life != Life)
+    const PendingCancel &Each = this->Cancels.at(Id);
+    if (Each.Target == Target && Each.Life != Life)
       this->erase(Id);
   }
 }
 
-void PendingCancels::repeat(const FleetView &Fleet, Time Now, Actions &Out) {
+void PendingCancels::resendDue(const FleetView &Fleet, Time Now, Actions &Out) {
   while (this->nextDue() <= Now) {
-    const AttemptId Id = this->Due.begin()->second;
-    Item &Of = this->Items.at(Id);
-    const Upstream *Where = Fleet.find(Of.Where);
-    if (!Where || Of.GiveUpAt <= Now) {
+    const AttemptId Id = this->Schedule.begin()->second;
+    PendingCancel &Cancel = this->Cancels.at(Id);
+    const Upstream *Target = Fleet.find(Cancel.Target);
+    if (!Target || Cancel.ExpiresAt <= Now) {
       Out.count("cancels_given_up");
       this->erase(Id);
       continue;
     }
-    this->Due.erase({Of.NextTry, Id});
-    Of.Wait = std::min(Of.Wait * 2, LongestWait);
-    this->plan(Id, Of, Now);
-    Out.add(CancelAttempt{Id, Of.Where, Where->Listing.At});
+    this->Schedule.erase({Cancel.NextAttemptAt, Id});
+    Cancel.RetryDelay = std::min(Cancel.RetryDelay * 2, MaxRetryDelay);
+    this->schedule(Id, Cancel, Now);
+    Out.add(CancelAttempt{Id, Cancel.Target, Target->Listing.At});
   }
 }
 
 Time PendingCancels::nextDue() const {
-  return this->Due.empty() ? Never : this->Due.begin()->first;
+  return this->Schedule.empty() ? Never : this->Schedule.begin()->first;
 }
 
 std::vector<AttemptId> PendingCancels::ids() const {
   std::vector<AttemptId> Result;
-  Result.reserve(this->Items.size());
-  for (const auto &[Id, Each] : this->Items)
+  Result.reserve(this->Cancels.size());
+  for (const auto &[Id, Each] : this->Cancels)
     Result.push_back(Id);
   return Result;
 }
 
 void PendingCancels::erase(const AttemptId &Id) {
-  const auto Found = this->Items.find(Id);
-  if (Found == this->Items.end())
+  const auto Found = this->Cancels.find(Id);
+  if (Found == this->Cancels.end())
     return;
-  this->Due.erase({Found->second.NextTry, Id});
-  this->Items.erase(Found);
+  this->Schedule.erase({Found->second.NextAttemptAt, Id});
+  this->Cancels.erase(Found);
 }
 
-void PendingCancels::plan(const AttemptId &Id, Item &Of, Time Now) {
-  Of.NextTry = Now + Of.Wait;
-  this->Due.emplace(Of.NextTry, Id);
+void PendingCancels::schedule(const AttemptId &Id, PendingCancel &Cancel,
+                              Time Now) {
+  Cancel.NextAttemptAt = Now + Cancel.RetryDelay;
+  this->Schedule.emplace(Cancel.NextAttemptAt, Id);
 }
 
 } // namespace banyanpick
--- a/src/plugins/reclaim/PendingCancels.h
+++ b/src/plugins/reclaim/PendingCancels.h
@@ -14,33 +14,35 @@
 /// number: what is dropped is found again by the steward of the engine.
 class PendingCancels {
 public:
-  void add(const AttemptId &Id, const Upstream &Where, Time Deadline, Time Now,
+  void add(const AttemptId &Id, const Upstream &Target, Time Deadline, Time Now,
            Actions &Out);
   void confirm(const AttemptId &Id);
   /// The memory of an earlier life went with its process.
-  void noteLife(const UpstreamId &Where, Incarnation Life);
-  void repeat(const FleetView &Fleet, Time Now, Actions &Out);
+  void noteIncarnation(const UpstreamId &Target, Incarnation Life);
+  void resendDue(const FleetView &Fleet, Time Now, Actions &Out);
 
   Time nextDue() const;
-  bool contains(const AttemptId &Id) const { return this->Items.contains(Id); }
-  std::size_t size() const { return this->Items.size(); }
+  bool contains(const AttemptId &Id) const {
+    return this->Cancels.contains(Id);
+  }
+  std::size_t size() const { return this->Cancels.size(); }
   /// The attempts not confirmed yet, in no order.
   std::vector<AttemptId> ids() const;
 
 private:
-  struct Item {
-    UpstreamId Where;
+  struct PendingCancel {
+    UpstreamId Target;
     Incarnation Life;
-    Time GiveUpAt{};
-    Time NextTry{};
-    Duration Wait{};
+    Time ExpiresAt{};
+    Time NextAttemptAt{};
+    Duration RetryDelay{};
   };
 
   void erase(const AttemptId &Id);
-  void plan(const AttemptId &Id, Item &Of, Time Now);
+  void schedule(const AttemptId &Id, PendingCancel &Cancel, Time Now);
 
-  std::unordered_map<AttemptId, Item> Items;
-  std::set<std::pair<Time, AttemptId>> Due;
+  std::unordered_map<AttemptId, PendingCancel> Cancels;
+  std::set<std::pair<Time, AttemptId>> Schedule;
 };
 
 } // namespace banyanpick
--- a/src/plugins/reclaim/ReclaimPlugin.cpp
+++ b/src/plugins/reclaim/ReclaimPlugin.cpp
@@ -26,35 +26,35 @@
 
 void ReclaimPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Fleet = &Context.services().get<FleetView>();
   this->Members = &Context.services().get<MembershipView>();
-  this->Graces = {Values.span("reclaim", "owner_grace"),
-                  Values.span("reclaim", "deadline_grace"),
-                  Values.span("reclaim", "unknown_owner_grace")};
+  this->GracePeriods = {Values.span("reclaim", "owner_grace"),
+                        Values.span("reclaim", "deadline_grace"),
+                        Values.span("reclaim", "unknown_owner_grace")};
   Context.services().provide<AttemptCanceller>(*this);
   Context.services().list<FleetObserver>().add(*this);
 }
 
 void ReclaimPlugin::start(Time, Actions &) {
-  this->Requests = &this->Offered->get<RequestTable>();
-  this->Orphans = OrphanWatch(
-      {this->Members, this->Requests, this->Offered->find<GroupHolder>()},
-      this->Graces);
+  this->Requests = &this->PluginServices->get<RequestTable>();
+  this->Orphans = OrphanDetector({this->Members, this->Requests,
+                                  this->PluginServices->find<GroupHolder>()},
+                                 this->GracePeriods);
 }
 
-void ReclaimPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void ReclaimPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
+      Incoming,
       [&](const CancelAnswered &Answer) {
         if (Answer.Confirmed)
           this->Cancels.confirm(Answer.Attempt);
       },
       [&](const LoadReported &Load) {
-        this->takeReport(Load.Report, Now, Out);
+        this->handleReport(Load.Report, Now, Out);
       },
       [](const auto &) {});
-  this->Cancels.repeat(*this->Fleet, Now, Out);
+  this->Cancels.resendDue(*this->Fleet, Now, Out);
 }
 
 void ReclaimPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
@@ -65,45 +65,46 @@
   Monitor.require(OnlyEnded, "no live attempt is being cancelled");
 }
 
-void ReclaimPlugin::cancel(const AttemptId &Id, const UpstreamId &Where,
+void ReclaimPlugin::cancel(const AttemptId &Id, const UpstreamId &Target,
                            Time Deadline, Time Now, Actions &Out) {
-  if (const Upstream *Known = this->Fleet->find(Where))
-    this->Cancels.add(Id, *Known, Deadline, Now, Out);
+  if (const Upstream *Found = this->Fleet->find(Target))
+    this->Cancels.add(Id, *Found, Deadline, Now, Out);
 }
 
 void ReclaimPlugin::upstreamChanged(const Upstream &Changed, Time, Actions &) {
-  Incarnation &Life = this->Lives[Changed.Listing.Id];
+  Incarnation &Life = this->Incarnations[Changed.Listing.Id];
   if (Life == Changed.Listing.Life)
     return;
   Life = Changed.Listing.Life;
-  this->Cancels.noteLife(Changed.Listing.Id, Life);
+  this->Cancels.noteIncarnation(Changed.Listing.Id, Life);
   this->Orphans.forget(Changed.Listing.Id);
 }
 
-void ReclaimPlugin::takeReport(const LoadReport &Report, Time Now,
-                               Actions &Out) {
-  const Upstream *Where = this->Fleet->find(Report.Id);
+void ReclaimPlugin::handleReport(const LoadReport &Report, Time Now,
+                                 Actions &Out) {
+  const Upstream *Target = this->Fleet->find(Report.Id);
   // A plain service holds no memory; its calls are never cancelled here.
-  if (!Where || Where->Listing.Kind != UpstreamKind::Engine)
+  if (!Target || Target->Listing.Kind != UpstreamKind::Engine)
     return;
   this->Followers.update(*this->Members);
-  const bool IsSteward = this->Followers.ownRank(Report.Id) == 0;
-  for (const HoldReport &Each : this->Orphans.judge(Report, IsSteward, Now))
-    this->free(*Where, Each, Out);
+  const bool IsLeader = this->Followers.ownRank(Report.Id) == 0;
+  for (const HoldReport &Each :
+       this->Orphans.findOrphans(Report, IsLeader, Now))
+    this->freeHold(*Target, Each, Out);
 }
 
-void ReclaimPlugin::free(const Upstream &Where, const HoldReport &Hold,
-                         Actions &Out) {
+void ReclaimPlugin::freeHold(const Upstream &Target, const HoldReport &Hold,
+                             Actions &Out) {
   const Incarnation Owner(Hold.OwnerLife);
   if (Hold.Kind == HoldKind::Stream)
-    Out.add(CancelAttempt{AttemptId{Owner, Hold.Sequence}, Where.Listing.Id,
-                          Where.Listing.At});
+    Out.add(CancelAttempt{AttemptId{Owner, Hold.Sequence}, Target.Listing.Id,
+                          Target.Listing.At});
   else
-    Out.add(ReleaseHold{HoldId{Owner, Hold.Sequence}, Where.Listing.Id,
-                        Where.Listing.At});
+    Out.add(ReleaseHold{HoldId{Owner, Hold.Sequence}, Target.Listing.Id,
+                        Target.Listing.At});
   Out.count("orphans_freed", name(Hold.Kind));
   Out.log(logEvent(events::OrphanFreed)
-              .with("upstream", Where.Listing.Id.Value)
+              .with("upstream", Target.Listing.Id.Value)
               .with("kind", name(Hold.Kind))
               .with("owner", Hold.OwnerHost)
               .with("life", Hold.OwnerLife)
@@ -113,16 +114,16 @@
 }
 
 std::vector<SettingDeclaration> ReclaimPlugin::settings() {
-  const std::string In = "reclaim";
-  return {{In, "owner_grace", SettingKind::Span, "3s",
+  const std::string Section = "reclaim";
+  return {{Section, "owner_grace", SettingKind::Span, "3s",
            "Memory on an engine is freed when its owner is dead, or does not "
            "know it, for so long.",
            100e3, 600e6},
-          {In, "deadline_grace", SettingKind::Span, "2s",
+          {Section, "deadline_grace", SettingKind::Span, "2s",
            "Memory on an engine is freed when its own deadline is past for so "
            "long.",
            0, 600e6},
-          {In, "unknown_owner_grace", SettingKind::Span, "1min",
+          {Section, "unknown_owner_grace", SettingKind::Span, "1min",
            "Memory on an engine whose owner no host knows is freed after so "
            "long.",
            1e6, 3600e6}};
--- a/src/plugins/reclaim/ReclaimPlugin.h
+++ b/src/plugins/reclaim/ReclaimPlugin.h
@@ -4,7 +4,7 @@
 
 #include "kernel/Plugin.h"
 #include "plugins/fleet/EngineFollowers.h"
-#include "plugins/reclaim/OrphanWatch.h"
+#include "plugins/reclaim/OrphanDetector.h"
 #include "plugins/reclaim/PendingCancels.h"
 
 namespace banyanpick {
@@ -18,11 +18,11 @@
   // Plugin
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override { return this->Cancels.nextDue(); }
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
-  void cancel(const AttemptId &Id, const UpstreamId &Where, Time Deadline,
+  void cancel(const AttemptId &Id, const UpstreamId &Target, Time Deadline,
               Time Now, Actions &Out) override;
   void upstreamChanged(const Upstream &Changed, Time Now,
                        Actions &Out) override;
@@ -31,18 +31,18 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void takeReport(const LoadReport &Report, Time Now, Actions &Out);
-  void free(const Upstream &Where, const HoldReport &Hold, Actions &Out);
+  void handleReport(const LoadReport &Report, Time Now, Actions &Out);
+  void freeHold(const Upstream &Target, const HoldReport &Hold, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   const FleetView *Fleet = nullptr;
   const MembershipView *Members = nullptr;
   const RequestTable *Requests = nullptr;
   EngineFollowers Followers;
-  OrphanGraces Graces;
-  OrphanWatch Orphans;
+  OrphanGracePeriods GracePeriods;
+  OrphanDetector Orphans;
   PendingCancels Cancels;
-  std::map<UpstreamId, Incarnation> Lives;
+  std::map<UpstreamId, Incarnation> Incarnations;
 };
 
 } // namespace banyanpick
--- a/tests/auto/reclaim/ReclaimTest.cpp
+++ b/tests/auto/reclaim/ReclaimTest.cpp
@@ -21,13 +21,13 @@
     this->Bench.Tested.start(this->Now, Out);
   }
 
-  void feed(const Event &What) {
+  void handleEvent(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(What, this->Now, Out);
+    this->Bench.Tested.handle(Incoming, this->Now, Out);
     for (const Action &Each : Out.items()) {
       if (const auto *Cancel = std::get_if<CancelAttempt>(&Each))
         this->Cancelled.push_back(Cancel->Attempt);
-      this->Released += std::holds_alternative<ReleaseHold>(Each);
+      this->ReleaseCount += std::holds_alternative<ReleaseHold>(Each);
     }
   }
   /// Reports of e1 with the holds, four a second.
@@ -39,7 +39,7 @@
     for (const Time End = this->Now + Span; this->Now < End;) {
       this->Now += milliseconds(250);
       Report.MeasuredAt = this->Now;
-      this->feed(LoadReported{Report});
+      this->handleEvent(LoadReported{Report});
     }
   }
   HoldReport hold(const std::string &Owner, std::uint64_t Life,
@@ -48,7 +48,7 @@
   }
   Member &addPeer(const std::string &Name, std::uint64_t Life) {
     this->Bench.Members.add(HostId(Name));
-    Member &Added = this->Bench.Members.at(this->Peers++);
+    Member &Added = this->Bench.Members.at(this->PeerCount++);
     Added.Life = Incarnation(Life);
     // In another zone, so that this host stays the steward.
     Added.Listing.Zone = ZoneId("y");
@@ -64,9 +64,9 @@
   FakeFleetView Fleet;
   FakeRequestTable Table;
   PluginBench<ReclaimPlugin> Bench;
-  std::size_t Peers = 0;
+  std::size_t PeerCount = 0;
   std::vector<AttemptId> Cancelled;
-  std::size_t Released = 0;
+  std::size_t ReleaseCount = 0;
 };
 
 TEST_F(ReclaimTest, CancelIsRepeatedUntilConfirmed) {
@@ -74,19 +74,19 @@
   const AttemptId Id{Incarnation(1), 5};
   for (int Step = 0; Step < 20; ++Step) {
     this->Now += milliseconds(100);
-    this->feed(Tick{});
+    this->handleEvent(Tick{});
   }
   EXPECT_GE(this->Cancelled.size(), 2u);
-  this->feed(CancelAnswered{Id, UpstreamId("e1"), false});
+  this->handleEvent(CancelAnswered{Id, UpstreamId("e1"), false});
   EXPECT_NE(this->Bench.Tested.nextWake(), Never);
-  this->feed(CancelAnswered{Id, UpstreamId("e1"), true});
+  this->handleEvent(CancelAnswered{Id, UpstreamId("e1"), true});
   EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
 }
 
 TEST_F(ReclaimTest, CancelEndsLongAfterItsDeadlineOrWithTheUpstreamsLife) {
   this->cancel(5);
   this->Now += seconds(61);
-  this->feed(Tick{});
+  this->handleEvent(Tick{});
   EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
   this->cancel(6);
   this->Fleet.Known[0].Listing.Life = Incarnation(2);
@@ -99,7 +99,7 @@
   for (std::uint64_t Sequence = 0; Sequence < 6000; ++Sequence)
     this->cancel(Sequence);
   this->Now += seconds(1);
-  this->feed(Tick{});
+  this->handleEvent(Tick{});
   EXPECT_EQ(this->Cancelled.size(), 4096u);
 }
 
@@ -115,7 +115,7 @@
   this->report(Holds, seconds(1));
   ASSERT_FALSE(this->Cancelled.empty());
   EXPECT_EQ(this->Cancelled[0], (AttemptId{Incarnation(7), 5}));
-  EXPECT_GE(this->Released, 1u);
+  EXPECT_GE(this->ReleaseCount, 1u);
 }
 
 TEST_F(ReclaimTest, OwnerThatComesBackInTimeKeepsItsMemory) {
@@ -161,8 +161,8 @@
 }
 
 TEST_F(ReclaimTest, OwnStreamIsFreedOnlyWhenNoRequestHasIt) {
-  const Request Asked = RequestMaker(1);
-  this->Table.add(Asked, attemptOf(Asked, 5, "e1"));
+  const Request OwnRequest = RequestMaker(1);
+  this->Table.add(OwnRequest, attemptOf(OwnRequest, 5, "e1"));
   const std::vector<HoldReport> Holds{this->hold("host-a", 1)};
   this->report(Holds, seconds(10));
   EXPECT_TRUE(this->Cancelled.empty());
@@ -180,8 +180,8 @@
 }
 
 /// Of the hosts of one zone exactly one frees.
-TEST(ReclaimStewardTest, OneHostOfAZoneIsSteward) {
-  int Stewards = 0;
+TEST(ReclaimLeaderTest, OneHostOfAZoneIsSteward) {
+  int Leaders = 0;
   for (int Index = 0; Index < 5; ++Index) {
     FakeMembershipView Members(HostId("h" + std::to_string(Index)));
     for (int Other = 0; Other < 5; ++Other)
@@ -189,9 +189,9 @@
         Members.add(HostId("h" + std::to_string(Other)));
     EngineFollowers Followers;
     Followers.update(Members);
-    Stewards += Followers.ownRank(UpstreamId("e1")) == 0;
+    Leaders += Followers.ownRank(UpstreamId("e1")) == 0;
   }
-  EXPECT_EQ(Stewards, 1);
+  EXPECT_EQ(Leaders, 1);
 }
 
 } // namespace
