--- a/src/plugins/reclaim/OrphanDetector.cpp
+++ b/src/plugins/reclaim/OrphanDetector.cpp
@@ -47,7 +47,7 @@
   }
   if (!IsLeader)
     return std::nullopt;
-  // Past the deadline freeing is always safe.
+  // Freeing is always safe after the deadline.
   if (Now >= Hold.Deadline)
     return this->GracePeriods.Deadline;
   return this->peerGracePeriod(Hold, State);
@@ -67,22 +67,23 @@
   const MembershipView &Members = *this->Views.Members;
   const HostId Owner(Hold.OwnerHost);
   const Incarnation Life(Hold.OwnerLife);
-  // Streams of a planned stop may have been handed over; they end by their
-  // deadline.
+  // Streams of a host that stopped as planned may have been handed over. They
+  // end by their deadline.
   if (Hold.Kind == HoldKind::Stream && Members.hasLeft(Owner, Life))
     return std::nullopt;
   if (Members.isDead(Owner, Life))
     return this->GracePeriods.Owner;
   if (Owner == Members.self())
     return std::nullopt;
-  for (const Member &Each : Members.peers()) {
-    if (Each.Listing.Id != Owner)
+  for (const Member &Peer : Members.peers()) {
+    if (Peer.Listing.Id != Owner)
       continue;
-    // The hold was seen before the host was heard as another life: that life
-    // is the later one, and the owner's is over.
+    // The hold was reported before the host was heard under another
+    // incarnation. That incarnation is the later one, and the owner's has
+    // ended.
     const bool IsReplaced =
-        Each.Life != Incarnation() && Each.Life != Life &&
-        Each.LastHeard > State.FirstReportedAt + this->GracePeriods.Owner;
+        Peer.Life != Incarnation() && Peer.Life != Life &&
+        Peer.LastHeard > State.FirstReportedAt + this->GracePeriods.Owner;
     if (IsReplaced)
       return this->GracePeriods.Owner;
     return std::nullopt;
--- a/src/plugins/reclaim/OrphanDetector.h
+++ b/src/plugins/reclaim/OrphanDetector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Memory on engines that nobody needs any more.
+/// Detects memory on engines that no request needs any more.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,33 +9,35 @@
 
 namespace banyanpick {
 
-/// How long something must look orphaned before it is freed.
+/// How long memory must look orphaned before it is freed.
 struct OrphanGracePeriods {
-  Duration Owner{};    ///< Its owner is dead, or does not know it.
-  Duration Deadline{}; ///< Its own deadline is past.
-  Duration Unknown{};  ///< Nobody knows its owner.
+  Duration Owner{};    ///< The owner is dead, or has no record of it.
+  Duration Deadline{}; ///< The hold's own deadline is past.
+  Duration Unknown{};  ///< No host knows the owner.
 };
 
-/// Who asks, and whom it may ask.
+/// The views that the detector reads.
 struct OrphanDetectorViews {
   const MembershipView *Members = nullptr;
   const RequestTable *Requests = nullptr;
   const GroupHolder *Groups = nullptr; ///< May be null.
 };
 
-/// Compares what an engine says it holds with the owners' liveness and the
-/// deadlines. Freeing is idempotent, so it does no harm when two hosts do it.
+/// Compares the holds that an engine reports with the liveness of their owners
+/// and with the deadlines. Freeing is idempotent, so two hosts may free the
+/// same hold.
 class OrphanDetector {
 public:
   OrphanDetector() = default;
   OrphanDetector(OrphanDetectorViews Views, OrphanGracePeriods GracePeriods)
       : Views(Views), GracePeriods(GracePeriods) {}
 
-  /// What is to be freed now; each is named again while it stays. \p IsLeader
-  /// false: only this host's own memory is judged.
+  /// Returns the holds to free now. A hold is returned again while the engine
+  /// reports it. If \p IsLeader is false, only this host's own holds are
+  /// checked.
   std::vector<HoldReport> findOrphans(const LoadReport &Report, bool IsLeader,
                                       Time Now);
-  /// The upstream is gone or has another life.
+  /// Called when the upstream was removed or has restarted.
   void forget(const UpstreamId &Engine) { this->Engines.erase(Engine); }
 
 private:
@@ -53,7 +55,8 @@
     Time NextAttemptAt{};
   };
 
-  /// The grace for what looks orphaned; nothing while it looks needed.
+  /// Returns the grace period of a hold that looks orphaned, or nothing while
+  /// it looks needed.
   std::optional<Duration> gracePeriod(const HoldReport &Hold,
                                       const HoldState &State, bool IsLeader,
                                       Time Now) const;
--- a/src/plugins/reclaim/PendingCancels.cpp
+++ b/src/plugins/reclaim/PendingCancels.cpp
@@ -33,8 +33,8 @@
 void PendingCancels::noteIncarnation(const UpstreamId &Target,
                                      Incarnation Life) {
   for (const AttemptId &Id : this->ids()) {
-    const PendingCancel &Each = this->Cancels.at(Id);
-    if (Each.Target == Target && Each.Life != Life)
+    const PendingCancel &Cancel = this->Cancels.at(Id);
+    if (Cancel.Target == Target && Cancel.Life != Life)
       this->erase(Id);
   }
 }
@@ -63,7 +63,7 @@
 std::vector<AttemptId> PendingCancels::ids() const {
   std::vector<AttemptId> Result;
   Result.reserve(this->Cancels.size());
-  for (const auto &[Id, Each] : this->Cancels)
+  for (const auto &[Id, Cancel] : this->Cancels)
     Result.push_back(Id);
   return Result;
 }
--- a/src/plugins/reclaim/PendingCancels.h
+++ b/src/plugins/reclaim/PendingCancels.h
@@ -1,5 +1,5 @@
 /// \file
-/// Cancels that an upstream has not confirmed yet.
+/// Tracks cancels that an upstream has not confirmed yet.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,15 +9,17 @@
 
 namespace banyanpick {
 
-/// Repeats each cancel, ever less often, until it is confirmed, the upstream
-/// has another life, or the attempt's deadline is long past. Bounded in
-/// number: what is dropped is found again by the steward of the engine.
+/// Repeats each cancel with exponential backoff until the cancel is confirmed,
+/// the upstream has restarted, or the attempt's deadline is long past. The
+/// number of cancels is bounded. The leader of the engine finds the memory of
+/// dropped cancels again.
 class PendingCancels {
 public:
   void add(const AttemptId &Id, const Upstream &Target, Time Deadline, Time Now,
            Actions &Out);
   void confirm(const AttemptId &Id);
-  /// The memory of an earlier life went with its process.
+  /// Drops cancels of earlier incarnations, whose memory ended with the
+  /// process.
   void noteIncarnation(const UpstreamId &Target, Incarnation Life);
   void resendDue(const FleetView &Fleet, Time Now, Actions &Out);
 
@@ -26,7 +28,7 @@
     return this->Cancels.contains(Id);
   }
   std::size_t size() const { return this->Cancels.size(); }
-  /// The attempts not confirmed yet, in no order.
+  /// Returns the unconfirmed attempts in unspecified order.
   std::vector<AttemptId> ids() const;
 
 private:
--- a/src/plugins/reclaim/ReclaimPlugin.cpp
+++ b/src/plugins/reclaim/ReclaimPlugin.cpp
@@ -83,14 +83,14 @@
 void ReclaimPlugin::handleReport(const LoadReport &Report, Time Now,
                                  Actions &Out) {
   const Upstream *Target = this->Fleet->find(Report.Id);
-  // A plain service holds no memory; its calls are never cancelled here.
+  // A plain service holds no memory, so its calls are never cancelled here.
   if (!Target || Target->Listing.Kind != UpstreamKind::Engine)
     return;
   this->Followers.update(*this->Members);
   const bool IsLeader = this->Followers.ownRank(Report.Id) == 0;
-  for (const HoldReport &Each :
+  for (const HoldReport &Orphan :
        this->Orphans.findOrphans(Report, IsLeader, Now))
-    this->freeHold(*Target, Each, Out);
+    this->freeHold(*Target, Orphan, Out);
 }
 
 void ReclaimPlugin::freeHold(const Upstream &Target, const HoldReport &Hold,
--- a/src/plugins/reclaim/ReclaimPlugin.h
+++ b/src/plugins/reclaim/ReclaimPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that frees engine memory nobody needs any more.
+/// The plug-in `reclaim`, which frees engine memory that is no longer needed.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -9,8 +9,8 @@
 
 namespace banyanpick {
 
-/// Repeats cancels until they are confirmed; as the steward of an engine also
-/// frees what dead owners left there.
+/// Repeats cancels until they are confirmed. On the leader of an engine it also
+/// frees memory that dead owners left there.
 class ReclaimPlugin : public Plugin,
                       public AttemptCanceller,
                       public FleetObserver {
--- a/tests/auto/reclaim/ReclaimTest.cpp
+++ b/tests/auto/reclaim/ReclaimTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Cancels that are lost, and memory whose owner is dead, gone or late.
+/// Guards against lost cancels, and against memory that stays on an engine
+/// after its owner died, forgot it or exceeded its deadline.
 #include <gtest/gtest.h>
 
 #include "fakes/FakeRequestTable.h"
@@ -24,13 +25,13 @@
   void handleEvent(const Event &Incoming) {
     Actions Out;
     this->Bench.Tested.handle(Incoming, this->Now, Out);
-    for (const Action &Each : Out.items()) {
-      if (const auto *Cancel = std::get_if<CancelAttempt>(&Each))
+    for (const Action &Requested : Out.items()) {
+      if (const auto *Cancel = std::get_if<CancelAttempt>(&Requested))
         this->Cancelled.push_back(Cancel->Attempt);
-      this->ReleaseCount += std::holds_alternative<ReleaseHold>(Each);
+      this->ReleaseCount += std::holds_alternative<ReleaseHold>(Requested);
     }
   }
-  /// Reports of e1 with the holds, four a second.
+  /// Sends reports of e1 with the holds, four per second.
   void report(std::vector<HoldReport> Holds, Duration Span) {
     LoadReport Report;
     Report.Id = UpstreamId("e1");
@@ -50,7 +51,7 @@
     this->Bench.Members.add(HostId(Name));
     Member &Added = this->Bench.Members.at(this->PeerCount++);
     Added.Life = Incarnation(Life);
-    // In another zone, so that this host stays the steward.
+    // In another zone, so that this host stays the leader.
     Added.Listing.Zone = ZoneId("y");
     return Added;
   }
@@ -83,7 +84,7 @@
   EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
 }
 
-TEST_F(ReclaimTest, CancelEndsLongAfterItsDeadlineOrWithTheUpstreamsLife) {
+TEST_F(ReclaimTest, CancelExpiresAfterItsDeadlineOrWhenTheUpstreamRestarts) {
   this->cancel(5);
   this->Now += seconds(61);
   this->handleEvent(Tick{});
@@ -103,7 +104,7 @@
   EXPECT_EQ(this->Cancelled.size(), 4096u);
 }
 
-TEST_F(ReclaimTest, DeadOwnersMemoryIsFreedAfterTheGrace) {
+TEST_F(ReclaimTest, MemoryOfADeadOwnerIsFreedAfterTheGracePeriod) {
   this->addPeer("host-b", 7);
   const std::vector<HoldReport> Holds{
       this->hold("host-b", 7), this->hold("host-b", 7, HoldKind::GroupHold)};
@@ -118,7 +119,7 @@
   EXPECT_GE(this->ReleaseCount, 1u);
 }
 
-TEST_F(ReclaimTest, OwnerThatComesBackInTimeKeepsItsMemory) {
+TEST_F(ReclaimTest, OwnerThatReturnsWithinTheGracePeriodKeepsItsMemory) {
   this->addPeer("host-b", 7);
   const std::vector<HoldReport> Holds{this->hold("host-b", 7)};
   this->Bench.Members.Dead.insert({HostId("host-b"), Incarnation(7)});
@@ -130,7 +131,7 @@
   EXPECT_TRUE(this->Cancelled.empty());
 }
 
-TEST_F(ReclaimTest, StreamOfAPlannedStopLivesUntilItsDeadline) {
+TEST_F(ReclaimTest, StreamOfAPlannedStopIsKeptUntilItsDeadline) {
   this->addPeer("host-b", 7);
   HoldReport Hold = this->hold("host-b", 7);
   this->Bench.Members.Dead.insert({HostId("host-b"), Incarnation(7)});
@@ -142,17 +143,17 @@
   EXPECT_FALSE(this->Cancelled.empty());
 }
 
-TEST_F(ReclaimTest, UnknownLifeIsOverOnceTheHostWasHeardAsAnotherAfterIt) {
+TEST_F(ReclaimTest, IncarnationHasEndedOnceTheHostWasHeardUnderALaterOne) {
   Member &Owner = this->addPeer("host-b", 8);
   const std::vector<HoldReport> Holds{this->hold("host-b", 7)};
   this->report(Holds, seconds(10));
-  EXPECT_TRUE(this->Cancelled.empty()) << "life 7 may be the later one";
+  EXPECT_TRUE(this->Cancelled.empty()) << "incarnation 7 may be the later one";
   Owner.LastHeard = this->Now;
   this->report(Holds, seconds(4));
   EXPECT_FALSE(this->Cancelled.empty());
 }
 
-TEST_F(ReclaimTest, MemoryOfAnUnknownHostIsFreedInTheEnd) {
+TEST_F(ReclaimTest, MemoryOfAnUnknownHostIsFreedEventually) {
   const std::vector<HoldReport> Holds{this->hold("host-x", 7)};
   this->report(Holds, seconds(59));
   EXPECT_TRUE(this->Cancelled.empty());
@@ -160,7 +161,7 @@
   EXPECT_FALSE(this->Cancelled.empty());
 }
 
-TEST_F(ReclaimTest, OwnStreamIsFreedOnlyWhenNoRequestHasIt) {
+TEST_F(ReclaimTest, OwnStreamIsFreedOnlyWhenNoRequestOwnsIt) {
   const Request OwnRequest = RequestMaker(1);
   this->Table.add(OwnRequest, attemptOf(OwnRequest, 5, "e1"));
   const std::vector<HoldReport> Holds{this->hold("host-a", 1)};
@@ -179,8 +180,8 @@
   EXPECT_TRUE(this->Cancelled.empty());
 }
 
-/// Of the hosts of one zone exactly one frees.
-TEST(ReclaimLeaderTest, OneHostOfAZoneIsSteward) {
+/// Guards against several hosts of one zone, or none, freeing memory.
+TEST(ReclaimLeaderTest, ExactlyOneHostOfAZoneIsLeader) {
   int Leaders = 0;
   for (int Index = 0; Index < 5; ++Index) {
     FakeMembershipView Members(HostId("h" + std::to_string(Index)));
