--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -125,7 +125,7 @@
     return;
   }
   this->InForce.passOver(EndOffset - 1);
-  this->Known->confirm(this->Tail->endSeenAt());
+  this->Known->confirm(this->Tail->endReadAt());
   this->Complete = true;
   this->Writer->begin(Now);
 }
@@ -163,7 +163,7 @@
     return;
   }
   if (const auto *Asked = std::get_if<RecordsRequest>(&Message.Body)) {
-    const LogOffset Kept = this->Tail->firstKept();
+    const LogOffset Kept = this->Tail->firstRetained();
     if (this->isReady() && (Kept == 0 || Asked->FromOffset < Kept))
       Out.add(SendToPeer{Message.From,
                          CatalogueRelayed{this->InForce.offset(),
@@ -245,7 +245,7 @@
 }
 
 bool CataloguePlugin::holdsTooLittle(LogOffset EndOffset, Actions &Out) {
-  const Time ReadAt = this->Tail->endSeenAt();
+  const Time ReadAt = this->Tail->endReadAt();
   const auto KnowsMore = [&](const Member &Each) {
     return Each.InForce >= EndOffset && Each.LastHeard < ReadAt;
   };
--- a/src/plugins/claims/ClaimsPlugin.cpp
+++ b/src/plugins/claims/ClaimsPlugin.cpp
@@ -217,7 +217,7 @@
 }
 
 void ClaimsPlugin::recordsMissed(LogOffset, Time Now, Actions &) {
-  if (!this->Tail->isWhole())
+  if (!this->Tail->isComplete())
     this->MissedKeysUntil = Now + this->ClockSkew;
 }
 
--- a/src/plugins/log/AppendQueue.cpp
+++ b/src/plugins/log/AppendQueue.cpp
@@ -18,9 +18,9 @@
 } // namespace
 
 RecordId AppendQueue::add(LogRecordBody Body) {
-  const RecordId Id{this->Self, ++this->LastRecord};
-  this->Open.insert(Id);
-  if (this->Waiting.size() >= this->Options.MostWaiting) {
+  const RecordId Id{this->Self, ++this->LastSequence};
+  this->Unsettled.insert(Id);
+  if (this->Waiting.size() >= this->Options.MaxWaiting) {
     this->settle(Id, false);
     return Id;
   }
@@ -29,26 +29,26 @@
 }
 
 bool AppendQueue::withdraw(const RecordId &Id) {
-  if (this->Open.erase(Id) == 0)
+  if (this->Unsettled.erase(Id) == 0)
     return false;
-  const auto Queued =
-      std::find_if(this->Waiting.begin(), this->Waiting.end(),
-                   [&](const Item &Each) { return Each.Record.Id == Id; });
+  const auto Queued = std::find_if(
+      this->Waiting.begin(), this->Waiting.end(),
+      [&](const QueuedRecord &Each) { return Each.Record.Id == Id; });
   if (Queued != this->Waiting.end()) {
-    const bool NeverSent = !Queued->MaybeTaken;
+    const bool NeverSent = !Queued->MayBeInLog;
     this->Waiting.erase(Queued);
     return NeverSent;
   }
-  std::erase_if(this->Unknowns, [&](const Doubtful &Each) {
-    return Each.What.Record.Id == Id;
+  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Each) {
+    return Each.Entry.Record.Id == Id;
   });
   return false;
 }
 
 void AppendQueue::sendWhenDue(Duration Gap, Time Now, Actions &Out) {
   if (this->InFlight &&
-      Now >= this->InFlight->SentAt + this->Options.StallAfter) {
-    this->unknown(std::move(this->InFlight->Items), Now);
+      Now >= this->InFlight->SentAt + this->Options.StallTimeout) {
+    this->handleUnknown(std::move(this->InFlight->Batch), Now);
     this->InFlight.reset();
   }
   if (this->InFlight || this->Waiting.empty() || Now < this->nextWake(Gap))
@@ -56,92 +56,92 @@
   this->send(Now, Out);
 }
 
-void AppendQueue::addForeign(LogRecord Record) {
-  const auto Same = [&](const Item &Each) {
+void AppendQueue::addForPeer(LogRecord Record) {
+  const auto HasSameId = [&](const QueuedRecord &Each) {
     return Each.Record.Id == Record.Id;
   };
-  const bool Known =
-      std::any_of(this->Waiting.begin(), this->Waiting.end(), Same);
-  if (Known || this->Waiting.size() >= this->Options.MostWaiting)
+  const bool IsQueued =
+      std::any_of(this->Waiting.begin(), this->Waiting.end(), HasSameId);
+  if (IsQueued || this->Waiting.size() >= this->Options.MaxWaiting)
     return;
   this->Waiting.push_back({std::move(Record), false});
 }
 
 std::vector<LogRecord>
-AppendQueue::handOutWhenDue(Duration Gap, Duration Patience, Time Now) {
+AppendQueue::takeForAppender(Duration Gap, Duration Timeout, Time Now) {
   std::vector<LogRecord> Records;
   if (this->InFlight || this->Waiting.empty() || Now < this->nextWake(Gap))
     return Records;
   this->LastSentAt = Now;
-  for (Item &Each : this->nextBatch()) {
+  for (QueuedRecord &Each : this->nextBatch()) {
     // Another host's record can only be here since this host appended before;
     // its maker gives it to a host that does.
     if (Each.Record.Id.Maker != this->Self)
       continue;
     Records.push_back(Each.Record);
-    Each.MaybeTaken = true;
-    this->Unknowns.push_back({std::move(Each), Now + Patience});
+    Each.MayBeInLog = true;
+    this->Unconfirmed.push_back({std::move(Each), Now + Timeout});
   }
   return Records;
 }
 
-void AppendQueue::take(const AppendAnswered &Answer, Time Now) {
+void AppendQueue::handleAnswer(const AppendAnswered &Answer, Time Now) {
   if (!this->InFlight || this->InFlight->Append != Answer.Append)
     return;
-  std::vector<Item> Items = std::move(this->InFlight->Items);
+  std::vector<QueuedRecord> Batch = std::move(this->InFlight->Batch);
   this->InFlight.reset();
   switch (Answer.Result) {
   case AppendResult::Appended:
-    return this->landed(Items);
+    return this->handleAppended(Batch);
   case AppendResult::Refused:
-    return this->refused(std::move(Items), Now);
+    return this->handleRefused(std::move(Batch), Now);
   case AppendResult::Unknown:
-    return this->unknown(std::move(Items), Now);
+    return this->handleUnknown(std::move(Batch), Now);
   }
 }
 
-void AppendQueue::sawRecord(const RecordId &Id) {
-  if (Id.Maker != this->Self || !this->Open.contains(Id))
+void AppendQueue::noteRecordRead(const RecordId &Id) {
+  if (Id.Maker != this->Self || !this->Unsettled.contains(Id))
     return;
   this->settle(Id, true);
-  std::erase_if(this->Unknowns, [&](const Doubtful &Each) {
-    return Each.What.Record.Id == Id;
+  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Each) {
+    return Each.Entry.Record.Id == Id;
   });
   std::erase_if(this->Waiting,
-                [&](const Item &Each) { return Each.Record.Id == Id; });
+                [&](const QueuedRecord &Each) { return Each.Record.Id == Id; });
 }
 
-void AppendQueue::sawEnd(Time AskedAt) {
-  const auto Judged = [&](const Doubtful &Each) {
-    return Each.Since < AskedAt;
+void AppendQueue::noteEndRead(Time RequestedAt) {
+  const auto IsCovered = [&](const UnconfirmedRecord &Each) {
+    return Each.Since < RequestedAt;
   };
-  for (Doubtful &Each : this->Unknowns) {
-    if (!Judged(Each))
+  for (UnconfirmedRecord &Each : this->Unconfirmed) {
+    if (!IsCovered(Each))
       continue;
-    if (mayRepeat(Each.What.Record))
-      this->Waiting.push_front(std::move(Each.What));
+    if (mayRepeat(Each.Entry.Record))
+      this->Waiting.push_front(std::move(Each.Entry));
     else
-      this->Open.erase(Each.What.Record.Id);
+      this->Unsettled.erase(Each.Entry.Record.Id);
   }
-  std::erase_if(this->Unknowns, Judged);
+  std::erase_if(this->Unconfirmed, IsCovered);
 }
 
-std::vector<Settled> AppendQueue::takeSettled() {
-  return std::exchange(this->Done, {});
+std::vector<SettledRecord> AppendQueue::takeSettled() {
+  return std::exchange(this->SettledRecords, {});
 }
 
 Time AppendQueue::nextWake(Duration Gap) const {
   if (this->InFlight)
-    return this->InFlight->SentAt + this->Options.StallAfter;
+    return this->InFlight->SentAt + this->Options.StallTimeout;
   if (this->Waiting.empty())
     return Never;
-  return std::max(this->LastSentAt + Gap, this->NotBefore);
+  return std::max(this->LastSentAt + Gap, this->BackoffUntil);
 }
 
 void AppendQueue::send(Time Now, Actions &Out) {
-  Flight Next{AppendId(++this->LastAppend), this->nextBatch(), Now};
+  InFlightAppend Next{AppendId(++this->LastAppendId), this->nextBatch(), Now};
   AppendToLog Append{Next.Append, {}};
-  for (const Item &Each : Next.Items)
+  for (const QueuedRecord &Each : Next.Batch)
     Append.Records.push_back(Each.Record);
   this->InFlight = std::move(Next);
   this->LastSentAt = Now;
@@ -149,12 +149,12 @@
   Out.count("log_appends");
 }
 
-std::vector<AppendQueue::Item> AppendQueue::nextBatch() {
-  std::vector<Item> Batch;
+std::vector<AppendQueue::QueuedRecord> AppendQueue::nextBatch() {
+  std::vector<QueuedRecord> Batch;
   std::size_t Bytes = 0;
-  while (!this->Waiting.empty() && Batch.size() < this->Options.MostRecords) {
+  while (!this->Waiting.empty() && Batch.size() < this->Options.MaxRecords) {
     Bytes += estimatedBytes(this->Waiting.front().Record.Body);
-    if (!Batch.empty() && Bytes > this->Options.MostBytes)
+    if (!Batch.empty() && Bytes > this->Options.MaxBytes)
       break;
     Batch.push_back(std::move(this->Waiting.front()));
     this->Waiting.pop_front();
@@ -162,16 +162,16 @@
   return Batch;
 }
 
-void AppendQueue::landed(const std::vector<Item> &Items) {
-  for (const Item &Each : Items)
+void AppendQueue::handleAppended(const std::vector<QueuedRecord> &Batch) {
+  for (const QueuedRecord &Each : Batch)
     this->settle(Each.Record.Id, true);
 }
 
-void AppendQueue::refused(std::vector<Item> Items, Time Now) {
-  this->NotBefore = Now + this->Options.Backoff;
-  for (auto Each = Items.rbegin(); Each != Items.rend(); ++Each) {
+void AppendQueue::handleRefused(std::vector<QueuedRecord> Batch, Time Now) {
+  this->BackoffUntil = Now + this->Options.Backoff;
+  for (auto Each = Batch.rbegin(); Each != Batch.rend(); ++Each) {
     const RecordId Id = Each->Record.Id;
-    if (!this->Open.contains(Id))
+    if (!this->Unsettled.contains(Id))
       continue;
     if (mayRepeat(Each->Record))
       this->Waiting.push_front(std::move(*Each));
@@ -180,19 +180,19 @@
   }
 }
 
-void AppendQueue::unknown(std::vector<Item> Items, Time Now) {
-  this->NotBefore = Now + this->Options.Backoff;
-  for (Item &Each : Items) {
-    if (!this->Open.contains(Each.Record.Id))
+void AppendQueue::handleUnknown(std::vector<QueuedRecord> Batch, Time Now) {
+  this->BackoffUntil = Now + this->Options.Backoff;
+  for (QueuedRecord &Each : Batch) {
+    if (!this->Unsettled.contains(Each.Record.Id))
       continue;
-    Each.MaybeTaken = true;
-    this->Unknowns.push_back({std::move(Each), Now});
+    Each.MayBeInLog = true;
+    this->Unconfirmed.push_back({std::move(Each), Now});
   }
 }
 
-void AppendQueue::settle(const RecordId &Id, bool Taken) {
-  if (this->Open.erase(Id) > 0)
-    this->Done.push_back({Id, Taken});
+void AppendQueue::settle(const RecordId &Id, bool Appended) {
+  if (this->Unsettled.erase(Id) > 0)
+    this->SettledRecords.push_back({Id, Appended});
 }
 
 } // namespace banyanpick
--- a/src/plugins/log/AppendQueue.h
+++ b/src/plugins/log/AppendQueue.h
@@ -14,17 +14,17 @@
 namespace banyanpick {
 
 struct AppendQueueOptions {
-  std::size_t MostRecords = 0; ///< In one append.
-  std::size_t MostBytes = 0;   ///< In one append, estimated.
-  std::size_t MostWaiting = 0; ///< Records waiting; more are not taken.
-  Duration Backoff{};          ///< Pause after a refused append.
-  Duration StallAfter{};       ///< An append not answered by then is unknown.
+  std::size_t MaxRecords = 0; ///< In one append.
+  std::size_t MaxBytes = 0;   ///< In one append, estimated.
+  std::size_t MaxWaiting = 0; ///< Records waiting; more are not taken.
+  Duration Backoff{};         ///< Pause after a refused append.
+  Duration StallTimeout{};    ///< An append not answered by then is unknown.
 };
 
 /// A record whose fate is settled: in the log, or surely never.
-struct Settled {
+struct SettledRecord {
   RecordId Id;
-  bool Taken = false;
+  bool Appended = false;
 };
 
 /// The records on their way to the log.
@@ -51,66 +51,66 @@
   void sendWhenDue(Duration Gap, Time Now, Actions &Out);
 
   /// Queues another host's record; that host repeats it when it is lost here.
-  void addForeign(LogRecord Record);
+  void addForPeer(LogRecord Record);
 
   /// The records to hand to a host that appends for this one, when \p Gap has
   /// passed since the last. They count as appended without an answer, and are
   /// given again when a read begun \p Patience later did not show them.
-  std::vector<LogRecord> handOutWhenDue(Duration Gap, Duration Patience,
-                                        Time Now);
+  std::vector<LogRecord> takeForAppender(Duration Gap, Duration Timeout,
+                                         Time Now);
 
   /// Takes in the answer of an append; others than the one in flight are
   /// ignored.
-  void take(const AppendAnswered &Answer, Time Now);
+  void handleAnswer(const AppendAnswered &Answer, Time Now);
 
   /// Notes that the record was read in the log.
-  void sawRecord(const RecordId &Id);
+  void noteRecordRead(const RecordId &Id);
 
-  /// Everything the log held at \p AskedAt has been read.
-  void sawEnd(Time AskedAt);
+  /// Everything the log held at \p RequestedAt has been read.
+  void noteEndRead(Time RequestedAt);
 
   /// What was settled since the last call.
-  std::vector<Settled> takeSettled();
+  std::vector<SettledRecord> takeSettled();
 
   Time nextWake(Duration Gap) const;
 
   /// Records that are neither settled nor withdrawn.
-  std::size_t unsettled() const { return this->Open.size(); }
+  std::size_t unsettled() const { return this->Unsettled.size(); }
 
 private:
-  struct Item {
+  struct QueuedRecord {
     LogRecord Record;
     /// An append that held it got no answer; a copy may be in the log.
-    bool MaybeTaken = false;
+    bool MayBeInLog = false;
   };
-  struct Flight {
+  struct InFlightAppend {
     AppendId Append;
-    std::vector<Item> Items;
+    std::vector<QueuedRecord> Batch;
     Time SentAt{};
   };
-  struct Doubtful {
-    Item What;
+  struct UnconfirmedRecord {
+    QueuedRecord Entry;
     Time Since{};
   };
 
   void send(Time Now, Actions &Out);
-  std::vector<Item> nextBatch();
-  void landed(const std::vector<Item> &Items);
-  void refused(std::vector<Item> Items, Time Now);
-  void unknown(std::vector<Item> Items, Time Now);
-  void settle(const RecordId &Id, bool Taken);
+  std::vector<QueuedRecord> nextBatch();
+  void handleAppended(const std::vector<QueuedRecord> &Batch);
+  void handleRefused(std::vector<QueuedRecord> Batch, Time Now);
+  void handleUnknown(std::vector<QueuedRecord> Batch, Time Now);
+  void settle(const RecordId &Id, bool Appended);
 
   AppendQueueOptions Options;
   Incarnation Self;
-  std::uint64_t LastRecord = 0;
-  std::uint64_t LastAppend = 0;
-  std::deque<Item> Waiting;
-  std::optional<Flight> InFlight;
-  std::vector<Doubtful> Unknowns;
-  std::set<RecordId> Open; ///< Neither settled nor withdrawn.
-  std::vector<Settled> Done;
+  std::uint64_t LastSequence = 0;
+  std::uint64_t LastAppendId = 0;
+  std::deque<QueuedRecord> Waiting;
+  std::optional<InFlightAppend> InFlight;
+  std::vector<UnconfirmedRecord> Unconfirmed;
+  std::set<RecordId> Unsettled; ///< Neither settled nor withdrawn.
+  std::vector<SettledRecord> SettledRecords;
   Time LastSentAt{};
-  Time NotBefore{};
+  Time BackoffUntil{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/log/Gatherers.cpp
+++ b/src/plugins/log/AppendRoute.cpp
@@ -1,5 +1,5 @@
 /// \file
-#include "plugins/log/Gatherers.h"
+#include "plugins/log/AppendRoute.h"
 
 #include "base/RendezvousHash.h"
 
@@ -32,32 +32,34 @@
 
 } // namespace
 
-AppendRoute appendRoute(const MembershipView &Members, std::size_t Most) {
+AppendRoute appendRoute(const MembershipView &Members,
+                        std::size_t MaxAppenders) {
   std::vector<Candidate> Live = liveHosts(Members);
-  if (Most == 0 || Live.size() <= Most)
+  if (MaxAppenders == 0 || Live.size() <= MaxAppenders)
     return {std::nullopt, Live.size()};
   const auto Heavier = [](const Candidate &First, const Candidate &Second) {
     return First.Weight > Second.Weight;
   };
-  const auto End = Live.begin() + static_cast<std::ptrdiff_t>(Most);
+  const auto End = Live.begin() + static_cast<std::ptrdiff_t>(MaxAppenders);
   std::nth_element(Live.begin(), End, Live.end(), Heavier);
   Live.erase(End, Live.end());
 
   const HostId &Self = Members.self();
   const auto Better = [&](const Candidate &First, const Candidate &Second) {
-    const bool FirstNear = First.Zone == Members.selfZone();
-    const bool SecondNear = Second.Zone == Members.selfZone();
-    if (FirstNear != SecondNear)
-      return FirstNear;
+    const bool IsFirstInZone = First.Zone == Members.selfZone();
+    const bool IsSecondInZone = Second.Zone == Members.selfZone();
+    if (IsFirstInZone != IsSecondInZone)
+      return IsFirstInZone;
     return rendezvousWeight(Self.Value, First.Host.Value) >
            rendezvousWeight(Self.Value, Second.Host.Value);
   };
-  const bool Appends =
+  const bool IsAppender =
       std::any_of(Live.begin(), Live.end(),
                   [&](const Candidate &Each) { return Each.Host == Self; });
-  if (Appends)
-    return {std::nullopt, Most};
-  return {std::min_element(Live.begin(), Live.end(), Better)->Host, Most};
+  if (IsAppender)
+    return {std::nullopt, MaxAppenders};
+  return {std::min_element(Live.begin(), Live.end(), Better)->Host,
+          MaxAppenders};
 }
 
 } // namespace banyanpick
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -81,43 +81,46 @@
 
 void LogPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Reader.emplace(readerOptions(Values), Context.random());
   this->Queue.emplace(queueOptions(Values), Context.self().Life);
   this->Tail.emplace(Values.size("log", "tail_bytes"));
-  this->ReachableWithin = Values.span("log", "reachable_within");
+  this->ReachableTimeout = Values.span("log", "reachable_within");
   this->RelayInterval = Values.span("log", "relay_interval");
   this->AppendRate = Values.fraction("log", "append_rate");
-  this->MostAppending =
+  this->MaxAppenders =
       static_cast<std::size_t>(Values.whole("log", "appending_hosts"));
-  this->GatherInterval = Values.span("log", "gather_interval");
-  this->GatherPatience = Values.span("log", "gather_patience");
-  this->MostRelayed = Values.size("log", "relay_bytes");
-  this->Offered->provide<LogWriter>(*this);
-  this->Offered->provide<LogTail>(*this);
+  this->HandoverInterval = Values.span("log", "gather_interval");
+  this->HandoverTimeout = Values.span("log", "gather_patience");
+  this->MaxRelayBytes = Values.size("log", "relay_bytes");
+  this->PluginServices->provide<LogWriter>(*this);
+  this->PluginServices->provide<LogTail>(*this);
 }
 
 void LogPlugin::start(Time Now, Actions &Out) {
-  this->Members = this->Offered->find<MembershipView>();
-  this->AskPeerAt = Now + this->RelayInterval;
+  this->Members = this->PluginServices->find<MembershipView>();
+  this->NextPeerRequestAt = Now + this->RelayInterval;
   this->Reader->readWhenDue(Now, Out);
 }
 
-void LogPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void LogPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What, [&](const LogRead &Answer) { this->takeRead(Answer, Now, Out); },
-      [&](const LogReadFailed &) { this->Reader->failed(Now); },
-      [&](const AppendAnswered &Answer) { this->Queue->take(Answer, Now); },
-      [&](const PeerMessageReceived &Given) {
-        this->takePeerMessage(Given.Message, Now, Out);
+      Incoming,
+      [&](const LogRead &Answer) { this->handleRead(Answer, Now, Out); },
+      [&](const LogReadFailed &) { this->Reader->noteFailure(Now); },
+      [&](const AppendAnswered &Answer) {
+        this->Queue->handleAnswer(Answer, Now);
+      },
+      [&](const PeerMessageReceived &Received) {
+        this->handlePeerMessage(Received.Message, Now, Out);
       },
       [](const auto &) {});
-  this->noteReachability(Now, Out);
-  this->tellSettled(Now, Out);
+  this->updateReachability(Now, Out);
+  this->notifySettled(Now, Out);
   this->refreshRoute(Now);
   this->sendRecords(Now, Out);
   this->Reader->readWhenDue(Now, Out);
-  this->askPeerWhenDue(Now, Out);
+  this->requestFromPeerWhenDue(Now, Out);
 }
 
 Time LogPlugin::nextWake() const {
@@ -126,12 +129,12 @@
   if (!this->Members)
     return Own;
   return std::min(Own, this->Reachable
-                           ? this->Reader->answeredAt() + this->ReachableWithin
-                           : this->AskPeerAt);
+                           ? this->Reader->answeredAt() + this->ReachableTimeout
+                           : this->NextPeerRequestAt);
 }
 
 void LogPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
-  Monitor.require(this->OutOfOrder == 0,
+  Monitor.require(this->OutOfOrderCount == 0,
                   "log records are delivered in log order, once");
 }
 
@@ -147,20 +150,20 @@
 
 bool LogPlugin::isReachable(Time Now) const {
   return this->Reader->nextOffset() > 0 &&
-         Now < this->Reader->answeredAt() + this->ReachableWithin;
+         Now < this->Reader->answeredAt() + this->ReachableTimeout;
 }
 
 void LogPlugin::skipTo(LogOffset Offset, Time Now, Actions &Out) {
   if (Offset <= this->Reader->nextOffset())
     return;
   this->Reader->skipTo(Offset);
-  this->missed(Offset, Now, Out);
+  this->handleMissedRecords(Offset, Now, Out);
 }
 
-void LogPlugin::takeRead(const LogRead &Answer, Time Now, Actions &Out) {
+void LogPlugin::handleRead(const LogRead &Answer, Time Now, Actions &Out) {
   const bool First = this->Reader->nextOffset() == 0;
-  const ReadStep Step = this->Reader->take(Answer, Now);
-  if (Step.WentBack) {
+  const ReadResult Result = this->Reader->handleAnswer(Answer, Now);
+  if (Result.EndRegressed) {
     Out.log(logEvent(events::LogRecordsLost)
                 .with("end", Answer.EndOffset)
                 .with("next", this->Reader->nextOffset())
@@ -168,82 +171,86 @@
     Out.count("log_went_back");
     return;
   }
-  if (Step.MissedUpTo) {
-    const bool WasWhole = this->Whole;
-    this->missed(*Step.MissedUpTo, Now, Out);
-    this->Whole = WasWhole && First;
+  if (Result.MissedUpTo) {
+    const bool WasComplete = this->IsComplete;
+    this->handleMissedRecords(*Result.MissedUpTo, Now, Out);
+    this->IsComplete = WasComplete && First;
   } else if (First) {
     this->Tail->restart(Answer.StartOffset);
   }
-  this->deliver(Step, Now, Out);
-  if (!Step.CaughtUp)
+  this->deliver(Result, Now, Out);
+  if (!Result.CaughtUp)
     return;
-  this->EndSeenAt = std::max(this->EndSeenAt, Step.AskedAt);
-  this->Queue->sawEnd(Step.AskedAt);
-  for (LogObserver *Each : this->Offered->list<LogObserver>().all())
+  this->EndReadAt = std::max(this->EndReadAt, Result.RequestedAt);
+  this->Queue->noteEndRead(Result.RequestedAt);
+  for (LogObserver *Each : this->PluginServices->list<LogObserver>().all())
     Each->caughtUp(Answer.EndOffset, Now, Out);
 }
 
-void LogPlugin::takePeerMessage(const PeerMessage &Message, Time Now,
-                                Actions &Out) {
-  if (const auto *Asked = std::get_if<RecordsRequest>(&Message.Body)) {
-    const LogOffset Kept = this->Tail->first();
-    if (Kept > 0 && Asked->FromOffset >= Kept)
-      Out.add(SendToPeer{Message.From, this->Tail->from(Asked->FromOffset,
-                                                        this->MostRelayed)});
+void LogPlugin::handlePeerMessage(const PeerMessage &Message, Time Now,
+                                  Actions &Out) {
+  if (const auto *Requested = std::get_if<RecordsRequest>(&Message.Body)) {
+    const LogOffset Retained = this->Tail->first();
+    if (Retained > 0 && Requested->FromOffset >= Retained)
+      Out.add(SendToPeer{
+          Message.From,
+          this->Tail->recordsFrom(Requested->FromOffset, this->MaxRelayBytes)});
     return;
   }
-  if (const auto *Handed = std::get_if<RecordsToAppend>(&Message.Body)) {
-    for (const LogRecord &Each : Handed->Records)
-      this->Queue->addForeign(Each);
+  if (const auto *HandedOver = std::get_if<RecordsToAppend>(&Message.Body)) {
+    for (const LogRecord &Each : HandedOver->Records)
+      this->Queue->addForPeer(Each);
     return;
   }
   if (const auto *Relayed = std::get_if<RecordsRelayed>(&Message.Body))
-    this->deliver(this->Reader->take(*Relayed), Now, Out);
+    this->deliver(this->Reader->handleRelayed(*Relayed), Now, Out);
 }
 
-void LogPlugin::missed(LogOffset Start, Time Now, Actions &Out) {
-  this->Whole = false;
+void LogPlugin::handleMissedRecords(LogOffset Start, Time Now, Actions &Out) {
+  this->IsComplete = false;
   this->Tail->restart(Start);
   this->LastDelivered = Start - 1;
   Out.log(logEvent(events::RecordsMissed).with("start", Start).build());
-  for (LogObserver *Each : this->Offered->list<LogObserver>().all())
+  for (LogObserver *Each : this->PluginServices->list<LogObserver>().all())
     Each->recordsMissed(Start, Now, Out);
 }
 
-void LogPlugin::deliver(const ReadStep &Step, Time Now, Actions &Out) {
-  this->Tail->add(Step.Fresh, this->Reader->nextOffset());
-  for (const StoredRecord &Each : Step.Fresh) {
+void LogPlugin::deliver(const ReadResult &Result, Time Now, Actions &Out) {
+  this->Tail->add(Result.NewRecords, this->Reader->nextOffset());
+  for (const StoredRecord &Each : Result.NewRecords) {
     if (Each.Offset < this->LastDelivered)
-      ++this->OutOfOrder;
+      ++this->OutOfOrderCount;
     this->LastDelivered = Each.Offset;
-    this->Queue->sawRecord(Each.Record.Id);
-    for (LogObserver *Observer : this->Offered->list<LogObserver>().all())
+    this->Queue->noteRecordRead(Each.Record.Id);
+    for (LogObserver *Observer :
+         this->PluginServices->list<LogObserver>().all())
       Observer->recordRead(Each, Now, Out);
   }
 }
 
-void LogPlugin::tellSettled(Time Now, Actions &Out) {
-  for (const Settled &Each : this->Queue->takeSettled()) {
-    for (LogObserver *Observer : this->Offered->list<LogObserver>().all())
-      Observer->appendSettled(Each.Id, Each.Taken, Now, Out);
+void LogPlugin::notifySettled(Time Now, Actions &Out) {
+  for (const SettledRecord &Each : this->Queue->takeSettled()) {
+    for (LogObserver *Observer :
+         this->PluginServices->list<LogObserver>().all())
+      Observer->appendSettled(Each.Id, Each.Appended, Now, Out);
   }
 }
 
-void LogPlugin::noteReachability(Time Now, Actions &Out) {
-  const bool Is = this->isReachable(Now);
-  if (Is == this->Reachable)
+void LogPlugin::updateReachability(Time Now, Actions &Out) {
+  const bool IsReachableNow = this->isReachable(Now);
+  if (IsReachableNow == this->Reachable)
     return;
-  this->Reachable = Is;
-  Out.log(logEvent(Is ? events::LogReachable : events::LogUnreachable)
-              .with("next", this->Reader->nextOffset())
-              .build());
+  this->Reachable = IsReachableNow;
+  Out.log(
+      logEvent(IsReachableNow ? events::LogReachable : events::LogUnreachable)
+          .with("next", this->Reader->nextOffset())
+          .build());
 }
 
-void LogPlugin::askPeerWhenDue(Time Now, Actions &Out) {
-  if (this->Reachable || !this->Members || Now < this->AskPeerAt)
+void LogPlugin::requestFromPeerWhenDue(Time Now, Actions &Out) {
+  if (this->Reachable || !this->Members || Now < this->NextPeerRequestAt)
     return;
-  this->AskPeerAt = Now + this->RelayInterval;
+  this->NextPeerRequestAt = Now + this->RelayInterval;
   if (this->Reader->nextOffset() == 0)
     return;
   if (const Member *Best = bestPeer(*this->Members))
@@ -252,32 +259,32 @@
 }
 
 void LogPlugin::sendRecords(Time Now, Actions &Out) {
-  if (!this->Route.Gatherer) {
+  if (!this->Route.Appender) {
     this->Queue->sendWhenDue(this->appendGap(), Now, Out);
     return;
   }
-  std::vector<LogRecord> Records =
-      this->Queue->handOutWhenDue(this->appendGap(), this->GatherPatience, Now);
+  std::vector<LogRecord> Records = this->Queue->takeForAppender(
+      this->appendGap(), this->HandoverTimeout, Now);
   if (Records.empty())
     return;
   Out.add(
-      SendToPeer{*this->Route.Gatherer, RecordsToAppend{std::move(Records)}});
+      SendToPeer{*this->Route.Appender, RecordsToAppend{std::move(Records)}});
   Out.count("records_handed_to_gatherers");
 }
 
 void LogPlugin::refreshRoute(Time Now) {
   // Ranking all hosts costs more than most events; a second old will do.
-  constexpr Duration FreshFor = seconds(1);
-  if (!this->Members || Now < this->RouteFreshUntil)
+  constexpr Duration RouteLifetime = seconds(1);
+  if (!this->Members || Now < this->RouteValidUntil)
     return;
-  this->Route = appendRoute(*this->Members, this->MostAppending);
-  this->RouteFreshUntil = Now + FreshFor;
+  this->Route = appendRoute(*this->Members, this->MaxAppenders);
+  this->RouteValidUntil = Now + RouteLifetime;
 }
 
 Duration LogPlugin::appendGap() const {
-  if (this->Route.Gatherer)
-    return this->GatherInterval;
-  return fromSeconds(static_cast<double>(this->Route.Appending) /
+  if (this->Route.Appender)
+    return this->HandoverInterval;
+  return fromSeconds(static_cast<double>(this->Route.AppenderCount) /
                      this->AppendRate);
 }
 
--- a/src/plugins/log/LogPlugin.h
+++ b/src/plugins/log/LogPlugin.h
@@ -4,7 +4,7 @@
 
 #include "kernel/Plugin.h"
 #include "plugins/log/AppendQueue.h"
-#include "plugins/log/Gatherers.h"
+#include "plugins/log/AppendRoute.h"
 #include "plugins/log/LogReader.h"
 #include "plugins/log/LogTail.h"
 #include "plugins/log/RecordTail.h"
@@ -19,7 +19,7 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
@@ -29,43 +29,43 @@
   std::size_t unsettled() const override { return this->Queue->unsettled(); }
 
   LogOffset nextOffset() const override { return this->Reader->nextOffset(); }
-  LogOffset firstKept() const override { return this->Tail->first(); }
-  Time endSeenAt() const override { return this->EndSeenAt; }
-  bool isWhole() const override { return this->Whole; }
+  LogOffset firstRetained() const override { return this->Tail->first(); }
+  Time endReadAt() const override { return this->EndReadAt; }
+  bool isComplete() const override { return this->IsComplete; }
   void skipTo(LogOffset Offset, Time Now, Actions &Out) override;
 
 private:
-  void takeRead(const LogRead &Answer, Time Now, Actions &Out);
-  void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
-  void missed(LogOffset Start, Time Now, Actions &Out);
-  void deliver(const ReadStep &Step, Time Now, Actions &Out);
-  void tellSettled(Time Now, Actions &Out);
-  void noteReachability(Time Now, Actions &Out);
-  void askPeerWhenDue(Time Now, Actions &Out);
+  void handleRead(const LogRead &Answer, Time Now, Actions &Out);
+  void handlePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
+  void handleMissedRecords(LogOffset Start, Time Now, Actions &Out);
+  void deliver(const ReadResult &Result, Time Now, Actions &Out);
+  void notifySettled(Time Now, Actions &Out);
+  void updateReachability(Time Now, Actions &Out);
+  void requestFromPeerWhenDue(Time Now, Actions &Out);
   /// Appends what waits, or hands it to the host that appends for this one.
   void sendRecords(Time Now, Actions &Out);
   void refreshRoute(Time Now);
   Duration appendGap() const;
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   const MembershipView *Members = nullptr;
   std::optional<LogReader> Reader;
   std::optional<AppendQueue> Queue;
   std::optional<RecordTail> Tail;
-  Duration ReachableWithin{};
+  Duration ReachableTimeout{};
   Duration RelayInterval{};
-  Duration GatherInterval{};
-  Duration GatherPatience{};
+  Duration HandoverInterval{};
+  Duration HandoverTimeout{};
   double AppendRate = 0;
-  std::size_t MostAppending = 0;
+  std::size_t MaxAppenders = 0;
   AppendRoute Route;
-  Time RouteFreshUntil{};
-  std::size_t MostRelayed = 0;
-  Time EndSeenAt{};
-  Time AskPeerAt{};
+  Time RouteValidUntil{};
+  std::size_t MaxRelayBytes = 0;
+  Time EndReadAt{};
+  Time NextPeerRequestAt{};
   LogOffset LastDelivered = 0;
-  std::uint64_t OutOfOrder = 0;
-  bool Whole = true;
+  std::uint64_t OutOfOrderCount = 0;
+  bool IsComplete = true;
   bool Reachable = false;
 };
 
--- a/src/plugins/log/LogReader.cpp
+++ b/src/plugins/log/LogReader.cpp
@@ -10,87 +10,88 @@
 /// Offsets of the log start here.
 constexpr LogOffset FirstOffset = 1;
 /// Doubling stops at this many failures in a row.
-constexpr std::uint32_t MostDoublings = 10;
+constexpr std::uint32_t MaxDoublings = 10;
 
 } // namespace
 
 void LogReader::readWhenDue(Time Now, Actions &Out) {
   if (Now < this->nextWake())
     return;
-  this->Asked.push_back(Now);
-  Out.add(ReadLog{std::max(this->Next, FirstOffset)});
+  this->PendingReads.push_back(Now);
+  Out.add(ReadLog{std::max(this->NextOffset, FirstOffset)});
 }
 
 Time LogReader::nextWake() const {
-  if (this->Asked.empty())
+  if (this->PendingReads.empty())
     return this->DueAt;
-  return this->Asked.back() + this->Options.StallAfter;
+  return this->PendingReads.back() + this->Options.StallTimeout;
 }
 
-ReadStep LogReader::take(const LogRead &Answer, Time Now) {
-  ReadStep Step;
-  Step.AskedAt = this->popAskedAt(Now);
-  if (Answer.EndOffset < this->Next) {
-    Step.WentBack = true;
+ReadResult LogReader::handleAnswer(const LogRead &Answer, Time Now) {
+  ReadResult Result;
+  Result.RequestedAt = this->popRequestTime(Now);
+  if (Answer.EndOffset < this->NextOffset) {
+    Result.EndRegressed = true;
     this->backOff(Now);
-    return Step;
+    return Result;
   }
   this->AnsweredAt = Now;
   this->Failures = 0;
-  const LogOffset Before = this->Next;
-  if (this->Next < Answer.StartOffset) {
+  const LogOffset Before = this->NextOffset;
+  if (this->NextOffset < Answer.StartOffset) {
     if (Answer.StartOffset > FirstOffset)
-      Step.MissedUpTo = Answer.StartOffset;
-    this->Next = Answer.StartOffset;
+      Result.MissedUpTo = Answer.StartOffset;
+    this->NextOffset = Answer.StartOffset;
   }
-  if (Answer.FromOffset <= this->Next)
-    Step.Fresh = this->advance(Answer.Records, Answer.NextOffset);
-  Step.CaughtUp = this->Next >= Answer.EndOffset;
-  this->DueAt = this->Next == Before ? Now + this->Options.PollGap : Now;
-  return Step;
+  if (Answer.FromOffset <= this->NextOffset)
+    Result.NewRecords = this->advance(Answer.Records, Answer.NextOffset);
+  Result.CaughtUp = this->NextOffset >= Answer.EndOffset;
+  this->DueAt =
+      this->NextOffset == Before ? Now + this->Options.PollInterval : Now;
+  return Result;
 }
 
-ReadStep LogReader::take(const RecordsRelayed &Relayed) {
-  ReadStep Step;
-  if (this->Next == 0 || Relayed.FirstOffset > this->Next)
-    return Step;
-  Step.Fresh = this->advance(Relayed.Records, Relayed.NextOffset);
-  return Step;
+ReadResult LogReader::handleRelayed(const RecordsRelayed &Relayed) {
+  ReadResult Result;
+  if (this->NextOffset == 0 || Relayed.FirstOffset > this->NextOffset)
+    return Result;
+  Result.NewRecords = this->advance(Relayed.Records, Relayed.NextOffset);
+  return Result;
 }
 
-void LogReader::failed(Time Now) {
-  this->popAskedAt(Now);
+void LogReader::noteFailure(Time Now) {
+  this->popRequestTime(Now);
   this->backOff(Now);
 }
 
 void LogReader::skipTo(LogOffset Offset) {
-  this->Next = std::max(this->Next, Offset);
+  this->NextOffset = std::max(this->NextOffset, Offset);
 }
 
-Time LogReader::popAskedAt(Time Now) {
-  if (this->Asked.empty())
+Time LogReader::popRequestTime(Time Now) {
+  if (this->PendingReads.empty())
     return Now;
-  const Time AskedAt = this->Asked.front();
-  this->Asked.pop_front();
-  return AskedAt;
+  const Time RequestedAt = this->PendingReads.front();
+  this->PendingReads.pop_front();
+  return RequestedAt;
 }
 
 void LogReader::backOff(Time Now) {
-  this->Failures = std::min(this->Failures + 1, MostDoublings);
-  const Duration Whole =
-      std::min(this->Options.BackoffFirst * (1 << (this->Failures - 1)),
-               this->Options.BackoffMost);
-  const double Jitter = 0.5 + this->Numbers.fraction() / 2;
-  this->DueAt = Now + fromSeconds(inSeconds(Whole) * Jitter);
+  this->Failures = std::min(this->Failures + 1, MaxDoublings);
+  const Duration FullDelay =
+      std::min(this->Options.InitialBackoff * (1 << (this->Failures - 1)),
+               this->Options.MaxBackoff);
+  const double Jitter = 0.5 + this->Rng.fraction() / 2;
+  this->DueAt = Now + fromSeconds(inSeconds(FullDelay) * Jitter);
 }
 
 std::span<const StoredRecord>
 LogReader::advance(std::span<const StoredRecord> Records, LogOffset Until) {
   const auto IsNew = [this](const StoredRecord &Each) {
-    return Each.Offset >= this->Next;
+    return Each.Offset >= this->NextOffset;
   };
   const auto First = std::find_if(Records.begin(), Records.end(), IsNew);
-  this->Next = std::max(this->Next, Until);
+  this->NextOffset = std::max(this->NextOffset, Until);
   return {First, Records.end()};
 }
 
--- a/src/plugins/log/LogReader.h
+++ b/src/plugins/log/LogReader.h
@@ -13,24 +13,24 @@
 namespace banyanpick {
 
 struct LogReaderOptions {
-  Duration PollGap{};      ///< Pause after a read that brought nothing.
-  Duration BackoffFirst{}; ///< Pause after the first failed read.
-  Duration BackoffMost{};  ///< Longest pause after failed reads.
-  Duration StallAfter{};   ///< A read not answered by then is asked again.
+  Duration PollInterval{};   ///< Pause after a read that brought nothing.
+  Duration InitialBackoff{}; ///< Pause after the first failed read.
+  Duration MaxBackoff{};     ///< Longest pause after failed reads.
+  Duration StallTimeout{};   ///< A read not answered by then is asked again.
 };
 
 /// What one answer of the log, or of a peer, brought.
-struct ReadStep {
+struct ReadResult {
   /// Records before this offset were lost before they were read.
   std::optional<LogOffset> MissedUpTo;
   /// Records not read before, in log order.
-  std::span<const StoredRecord> Fresh;
+  std::span<const StoredRecord> NewRecords;
   /// The end of the log was reached.
   bool CaughtUp = false;
   /// When the read was asked.
-  Time AskedAt{};
+  Time RequestedAt{};
   /// The answer can't be of the log that was read before.
-  bool WentBack = false;
+  bool EndRegressed = false;
 };
 
 /// The place in the log, and when to read on. The driver answers every
@@ -38,20 +38,20 @@
 /// unanswered read.
 class LogReader {
 public:
-  LogReader(LogReaderOptions Options, Random &Numbers)
-      : Options(Options), Numbers(Numbers) {}
+  LogReader(LogReaderOptions Options, Random &Rng)
+      : Options(Options), Rng(Rng) {}
 
   /// Asks for the next read when it is due.
   void readWhenDue(Time Now, Actions &Out);
 
   /// Takes in an answer of the log.
-  ReadStep take(const LogRead &Answer, Time Now);
+  ReadResult handleAnswer(const LogRead &Answer, Time Now);
 
   /// Takes in records passed on by a peer.
-  ReadStep take(const RecordsRelayed &Relayed);
+  ReadResult handleRelayed(const RecordsRelayed &Relayed);
 
   /// Notes a failed read.
-  void failed(Time Now);
+  void noteFailure(Time Now);
 
   /// Moves the place forward.
   void skipTo(LogOffset Offset);
@@ -59,21 +59,21 @@
   Time nextWake() const;
 
   /// The next offset to be read; 0 while nothing was read.
-  LogOffset nextOffset() const { return this->Next; }
+  LogOffset nextOffset() const { return this->NextOffset; }
 
   /// When the log answered last.
   Time answeredAt() const { return this->AnsweredAt; }
 
 private:
-  Time popAskedAt(Time Now);
+  Time popRequestTime(Time Now);
   void backOff(Time Now);
   std::span<const StoredRecord> advance(std::span<const StoredRecord> Records,
                                         LogOffset Until);
 
   LogReaderOptions Options;
-  Random &Numbers;
-  LogOffset Next = 0;
-  std::deque<Time> Asked; ///< Unanswered reads, oldest first.
+  Random &Rng;
+  LogOffset NextOffset = 0;
+  std::deque<Time> PendingReads; ///< Unanswered reads, oldest first.
   Time DueAt{};
   Time AnsweredAt{};
   std::uint32_t Failures = 0;
--- a/src/plugins/log/LogTail.h
+++ b/src/plugins/log/LogTail.h
@@ -18,15 +18,15 @@
   virtual LogOffset nextOffset() const = 0;
 
   /// The oldest offset that can be passed on to peers; 0 when there is none.
-  virtual LogOffset firstKept() const = 0;
+  virtual LogOffset firstRetained() const = 0;
 
   /// When the read was asked that last showed the end of the log; the host
   /// knew everything in the log at that moment.
-  virtual Time endSeenAt() const = 0;
+  virtual Time endReadAt() const = 0;
 
   /// Whether every record that the log kept since the first read was read.
   /// False once records were skipped.
-  virtual bool isWhole() const = 0;
+  virtual bool isComplete() const = 0;
 
   /// Goes on reading at \p Offset, the records before it being known from
   /// elsewhere. Nothing happens when reading is already there.
--- a/src/plugins/log/RecordSize.cpp
+++ b/src/plugins/log/RecordSize.cpp
@@ -18,14 +18,16 @@
   return FixedBytes +
          match(
              Body,
-             [](const ConfigurationRecord &Given) {
-               return Given.Set.Changes.size() * ChangeBytes;
+             [](const ConfigurationRecord &Content) {
+               return Content.Set.Changes.size() * ChangeBytes;
              },
-             [](const ClaimRecord &Given) { return Given.Key.Value.size(); },
-             [](const OutcomeRecord &Given) { return Given.Result.size(); },
-             [](const SnapshotChunk &Given) { return Given.Bytes.size(); },
-             [](const StewardLease &Given) {
-               return Given.Engine.Value.size();
+             [](const ClaimRecord &Content) {
+               return Content.Key.Value.size();
+             },
+             [](const OutcomeRecord &Content) { return Content.Result.size(); },
+             [](const SnapshotChunk &Content) { return Content.Bytes.size(); },
+             [](const StewardLease &Content) {
+               return Content.Engine.Value.size();
              },
              [](const QuarantineRecord &) { return std::size_t{0}; });
 }
--- a/src/plugins/log/RecordTail.cpp
+++ b/src/plugins/log/RecordTail.cpp
@@ -10,30 +10,31 @@
 void RecordTail::add(std::span<const StoredRecord> Records, LogOffset Until) {
   for (const StoredRecord &Each : Records) {
     this->Bytes += estimatedBytes(Each.Record.Body);
-    this->Kept.push_back(Each);
+    this->Retained.push_back(Each);
   }
   this->Next = std::max(this->Next, Until);
-  while (this->Bytes > this->MostBytes && !this->Kept.empty())
+  while (this->Bytes > this->MaxBytes && !this->Retained.empty())
     this->dropOldest();
 }
 
 void RecordTail::restart(LogOffset At) {
-  this->Kept.clear();
+  this->Retained.clear();
   this->Bytes = 0;
   this->First = At;
   this->Next = At;
 }
 
-RecordsRelayed RecordTail::from(LogOffset From, std::size_t MostRelayed) const {
+RecordsRelayed RecordTail::recordsFrom(LogOffset From,
+                                       std::size_t MaxRelayBytes) const {
   RecordsRelayed Result{{}, From, std::max(From, this->Next)};
   std::size_t Relayed = 0;
   const auto Begin = std::lower_bound(
-      this->Kept.begin(), this->Kept.end(), From,
+      this->Retained.begin(), this->Retained.end(), From,
       [](const StoredRecord &Each, LogOffset At) { return Each.Offset < At; });
-  for (auto Each = Begin; Each != this->Kept.end(); ++Each) {
+  for (auto Each = Begin; Each != this->Retained.end(); ++Each) {
     const bool NewAppend =
         Result.Records.empty() || Result.Records.back().Offset != Each->Offset;
-    if (NewAppend && !Result.Records.empty() && Relayed > MostRelayed) {
+    if (NewAppend && !Result.Records.empty() && Relayed > MaxRelayBytes) {
       Result.NextOffset = Each->Offset;
       break;
     }
@@ -44,10 +45,10 @@
 }
 
 void RecordTail::dropOldest() {
-  const LogOffset Oldest = this->Kept.front().Offset;
-  while (!this->Kept.empty() && this->Kept.front().Offset == Oldest) {
-    this->Bytes -= estimatedBytes(this->Kept.front().Record.Body);
-    this->Kept.pop_front();
+  const LogOffset Oldest = this->Retained.front().Offset;
+  while (!this->Retained.empty() && this->Retained.front().Offset == Oldest) {
+    this->Bytes -= estimatedBytes(this->Retained.front().Record.Body);
+    this->Retained.pop_front();
   }
   this->First = Oldest + 1;
 }
--- a/tests/auto/catalogueplugin/CataloguePluginTest.cpp
+++ b/tests/auto/catalogueplugin/CataloguePluginTest.cpp
@@ -19,7 +19,7 @@
   /// Lets the host write a snapshot, then drops everything before it.
   void snapshotAndForget() {
     for (int Second = 0; Second < 20; ++Second) {
-      this->Host.pass(seconds(1));
+      this->Host.advance(seconds(1));
       this->Host.settle();
     }
     const LogOffset Before = this->offset(this->Host);
@@ -114,7 +114,7 @@
   Fresh.probe().Members = {peerHeard("h0", Fresh.Now, {}, 1),
                            peerHeard("h1", Fresh.Now, {}, 2)};
   Fresh.catchUp();
-  Fresh.pass(milliseconds(1500));
+  Fresh.advance(milliseconds(1500));
   const auto Sent = Fresh.take<SendToPeer>();
   ASSERT_FALSE(Sent.empty());
   EXPECT_EQ(Sent[0].To, HostId("h1"));
@@ -154,7 +154,7 @@
 
 TEST_F(CatalogueTest, DoesNotBelieveALogThatHoldsLessThanPeersHaveInForce) {
   this->Host.probe().Members = {peerHeard("h0", this->Host.Now, {}, 40)};
-  this->Host.pass(milliseconds(50));
+  this->Host.advance(milliseconds(50));
   write(this->Log, declareOwner("c1", "ring"));
   this->Host.settle();
   EXPECT_FALSE(viewOf(Host).isReady());
--- a/tests/auto/catalogueplugin/CurrencyTest.cpp
+++ b/tests/auto/catalogueplugin/CurrencyTest.cpp
@@ -43,7 +43,7 @@
       for (const std::string &Each : Silent)
         this->Host.probe().Members.push_back(
             peerHeard(Each, this->CutAt, this->CutAt, 1));
-      this->Host.pass(milliseconds(500));
+      this->Host.advance(milliseconds(500));
     }
   }
 };
@@ -67,7 +67,7 @@
     tell(this->Host, "h2", beat(2, this->Host.Now));
     this->Host.probe().Members = {
         peerHeard("h2", this->Host.Now, this->Host.Now, 2)};
-    this->Host.pass(milliseconds(500));
+    this->Host.advance(milliseconds(500));
   }
   EXPECT_EQ(gate(this->Host)->Reason, RefusalReason::NotCurrent);
 }
@@ -94,7 +94,7 @@
 }
 
 TEST_F(CurrencyTest, AnswerThatArrivesLateConfirmsOnlyTheTimeOfAsking) {
-  this->Host.pass(milliseconds(50));
+  this->Host.advance(milliseconds(50));
   const Time Asked = this->Host.Now;
   this->Host.Now += seconds(60);
   this->Host.answerRead();
--- a/tests/auto/catalogueplugin/SnapshotProperty.cpp
+++ b/tests/auto/catalogueplugin/SnapshotProperty.cpp
@@ -22,7 +22,7 @@
     const unsigned Host = Draw / 8 % 3;
     const unsigned Pick = Draw / 32;
     BenchHost &On = *this->All[Host];
-    On.pass(milliseconds(300));
+    On.advance(milliseconds(300));
     if (Kind < 2)
       write(this->Log, this->someSet(Pick));
     else if (Kind < 5)
--- a/tests/auto/claims/ClaimBench.cpp
+++ b/tests/auto/claims/ClaimBench.cpp
@@ -22,28 +22,28 @@
 }
 
 void claim(BenchHost &Host, const Request &Req) {
-  Host.ask([&](Actions &Out) { keeper(Host).claim(Req, Host.Now, Out); });
+  Host.call([&](Actions &Out) { keeper(Host).claim(Req, Host.Now, Out); });
 }
 
 void abandon(BenchHost &Host, const Request &Req) {
-  Host.ask([&](Actions &Out) { keeper(Host).abandon(Req, Host.Now, Out); });
+  Host.call([&](Actions &Out) { keeper(Host).abandon(Req, Host.Now, Out); });
 }
 
 void finish(BenchHost &Host, const Request &Req, std::string Result) {
-  Host.ask([&](Actions &Out) {
+  Host.call([&](Actions &Out) {
     keeper(Host).finish(Req, OutcomeRecord::Kind::Done, Result, Host.Now, Out);
   });
 }
 
 void dispatch(BenchHost &Host, const Request &Req) {
-  Host.ask([&](Actions &Out) {
+  Host.call([&](Actions &Out) {
     for (auto *Observer : Host.services().list<RequestObserver>().all())
       Observer->dispatched(Req, Attempt(), Host.Now, Out);
   });
 }
 
 void endAttempt(BenchHost &Host, const Request &Req, AttemptOutcome Outcome) {
-  Host.ask([&](Actions &Out) {
+  Host.call([&](Actions &Out) {
     for (auto *Observer : Host.services().list<RequestObserver>().all())
       Observer->attemptEnded(Req, Attempt(), Outcome, Host.Now, Out);
   });
--- a/tests/auto/claims/ClaimsProperty.cpp
+++ b/tests/auto/claims/ClaimsProperty.cpp
@@ -43,17 +43,17 @@
     if (Kind < 3)
       this->send(Host, Pick % Keys);
     else if (Kind < 6)
-      Target.answerAppend(static_cast<AppendFate>(Pick % 5));
+      Target.answerAppend(static_cast<AppendOutcome>(Pick % 5));
     else if (Kind < 9)
       Target.answerRead();
     else if (Kind < 12)
       this->advanceRequest(Pick);
     else if (Kind == 12)
-      Target.takeLate();
+      Target.applyLateAppend();
     else if (Kind == 13)
       this->restart(Host, Pick % 2 == 0);
     else
-      Target.pass(milliseconds(Pick % 8 == 0 ? 2500 : 30));
+      Target.advance(milliseconds(Pick % 8 == 0 ? 2500 : 30));
   }
 
   void check() const {
@@ -127,7 +127,7 @@
     this->BenchHosts[Host]->LateAppends = std::move(Late);
     for (auto &Other : this->BenchHosts) {
       if (IsNoticed)
-        Other->probe().Over.push_back(Old);
+        Other->probe().EndedIncarnations.push_back(Old);
     }
   }
 
--- a/tests/auto/claims/ClaimsTest.cpp
+++ b/tests/auto/claims/ClaimsTest.cpp
@@ -60,7 +60,7 @@
 
 TEST_F(ClaimsTest, GrantsNothingBeforeTheClaimIsReadBack) {
   claim(this->A, this->First);
-  this->A.answerAppend(AppendFate::Taken);
+  this->A.answerAppend(AppendOutcome::Taken);
   EXPECT_FALSE(verdictOn(this->A, this->First));
   this->A.settle();
   EXPECT_TRUE(isGranted(this->A, this->First));
@@ -68,7 +68,7 @@
 
 TEST_F(ClaimsTest, OutcomeStaysUnknownAfterTheOwnerDied) {
   this->grantFirst();
-  this->B.probe().Over = {Incarnation(0xa1)};
+  this->B.probe().EndedIncarnations = {Incarnation(0xa1)};
   claim(this->B, this->Again);
   EXPECT_TRUE(std::holds_alternative<OutcomeUnknown>(denialOf(B, Again)));
   BenchHost Restarted(this->Log, "a", 0xa2);
@@ -81,10 +81,10 @@
 TEST_F(ClaimsTest,
        UnreachableLogAfterSendingTheClaimEndsAsNotRunAndReleasesIt) {
   claim(this->A, this->First);
-  this->A.answerAppend(AppendFate::Late);
-  this->A.pass(seconds(3));
+  this->A.answerAppend(AppendOutcome::Late);
+  this->A.advance(seconds(3));
   EXPECT_EQ(refusalReason(denialOf(A, First)), RefusalReason::LogUnavailable);
-  this->A.takeLate();
+  this->A.applyLateAppend();
   this->A.settle();
   this->A.settle();
   this->B.settle();
@@ -97,14 +97,14 @@
 TEST_F(ClaimsTest, LateCopyOfAReleaseDoesNotFreeALaterClaim) {
   this->grantFirst();
   abandon(this->A, this->First);
-  this->A.answerAppend(AppendFate::Late);
+  this->A.answerAppend(AppendOutcome::Late);
   this->A.settle();
   this->A.settle();
   claim(this->A, this->Again);
   this->A.settle();
   ASSERT_TRUE(isGranted(this->A, this->Again));
   dispatch(this->A, this->Again);
-  this->A.takeLate();
+  this->A.applyLateAppend();
   this->B.settle();
   const Request Third = requestFor(this->Key, 3);
   claim(this->B, Third);
@@ -213,7 +213,7 @@
   C.catchUp();
   claim(C, this->Again);
   EXPECT_EQ(refusalReason(denialOf(C, Again)), RefusalReason::KeyTooOld);
-  C.pass(seconds(30));
+  C.advance(seconds(30));
   C.settle();
   const Request Fresh = requestFor(keyMadeAt(C.Now, 8), 30);
   claim(C, Fresh);
@@ -222,9 +222,9 @@
 }
 
 TEST_F(ClaimsTest, FreezeBeforeReadingBackGrantsNothingLate) {
-  this->A.pass(milliseconds(30));
+  this->A.advance(milliseconds(30));
   claim(this->A, this->First);
-  this->A.answerAppend(AppendFate::Taken);
+  this->A.answerAppend(AppendOutcome::Taken);
   this->A.Now += std::chrono::hours(3);
   this->A.answerRead();
   EXPECT_EQ(refusalReason(denialOf(A, First)), RefusalReason::LogUnavailable);
@@ -244,7 +244,7 @@
   this->grantFirst();
   finish(this->A, this->First, "done");
   this->A.settle();
-  this->A.pass(std::chrono::hours(2));
+  this->A.advance(std::chrono::hours(2));
   claim(this->A, this->Again);
   EXPECT_EQ(refusalReason(denialOf(A, Again)), RefusalReason::KeyTooOld);
   EXPECT_EQ(this->A.kernel().invariantsBroken(), 0u);
--- a/tests/auto/log/GatherTest.cpp
+++ b/tests/auto/log/AppendRouteTest.cpp
@@ -16,17 +16,18 @@
 
 std::string hostName(int Number) { return fmt::format("h{:02}", Number); }
 
-class GatherTest : public testing::Test {
+class AppendRouteTest : public testing::Test {
 protected:
-  GatherTest() : World(options()) {
-    this->World.addApplication("p1", TestService, "a");
-    this->World.seedCatalogue(testCatalogue({"t"}));
+  AppendRouteTest() : Deployment(options()) {
+    this->Deployment.addApplication("p1", TestService, "a");
+    this->Deployment.seedCatalogue(testCatalogue({"t"}));
     for (int Number = 0; Number < Hosts; ++Number)
-      this->World.addHost(hostName(Number), Number % 2 == 0 ? "a" : "b");
-    this->World.runFor(seconds(15));
-    this->World.OnHandled = [this](const VirtualHost &Host, const Event &, Time,
-                                   const std::vector<Action> &Wanted) {
-      for (const Action &Each : Wanted)
+      this->Deployment.addHost(hostName(Number), Number % 2 == 0 ? "a" : "b");
+    this->Deployment.runFor(seconds(15));
+    this->Deployment.OnHandled = [this](const VirtualHost &Host, const Event &,
+                                        Time,
+                                        const std::vector<Action> &NewActions) {
+      for (const Action &Each : NewActions)
         if (std::holds_alternative<AppendToLog>(Each))
           this->Appenders.insert(Host.name());
     };
@@ -44,47 +45,47 @@
       RequestHead Head =
           testRequest("t", "confirm", 100, FirstContent + Number);
       Head.Streamed = false;
-      Head.Operation = this->World.makeOperationKey();
-      this->World.send(hostName(Number), Head);
+      Head.Operation = this->Deployment.makeOperationKey();
+      this->Deployment.send(hostName(Number), Head);
     }
   }
 
-  std::size_t whole() {
+  std::size_t completeAnswers() {
     std::size_t Count = 0;
-    for (const CallerRecord &Each : this->World.callers())
+    for (const CallerRecord &Each : this->Deployment.callers())
       if (Each.Answer && std::holds_alternative<CompleteAnswer>(*Each.Answer))
         ++Count;
     return Count;
   }
 
-  VirtualDeployment World;
+  VirtualDeployment Deployment;
   std::set<std::string> Appenders;
 };
 
-TEST_F(GatherTest, FewHostsAppendForAll) {
+TEST_F(AppendRouteTest, FewHostsAppendForAll) {
   this->confirmEverywhere(1);
-  this->World.runFor(seconds(3));
-  EXPECT_EQ(this->whole(), static_cast<std::size_t>(Hosts));
+  this->Deployment.runFor(seconds(3));
+  EXPECT_EQ(this->completeAnswers(), static_cast<std::size_t>(Hosts));
   EXPECT_LE(this->Appenders.size(), Appending);
-  EXPECT_TRUE(this->World.violations().empty());
+  EXPECT_TRUE(this->Deployment.violations().empty());
 }
 
-TEST_F(GatherTest, RecordsOfADeadGathererAreHandedOverAgain) {
+TEST_F(AppendRouteTest, RecordsOfADeadGathererAreHandedOverAgain) {
   this->confirmEverywhere(1);
-  this->World.runFor(seconds(3));
+  this->Deployment.runFor(seconds(3));
   ASSERT_FALSE(this->Appenders.empty());
   const std::string Dead = *this->Appenders.begin();
-  this->World.killHost(Dead);
-  const std::size_t Before = this->whole();
+  this->Deployment.killHost(Dead);
+  const std::size_t Before = this->completeAnswers();
   this->confirmEverywhere(100);
-  this->World.runFor(seconds(10));
-  EXPECT_GE(this->whole(), Before + Hosts / 2);
+  this->Deployment.runFor(seconds(10));
+  EXPECT_GE(this->completeAnswers(), Before + Hosts / 2);
   std::size_t Answered = 0;
-  for (const CallerRecord &Each : this->World.callers())
+  for (const CallerRecord &Each : this->Deployment.callers())
     Answered += Each.Answer ? 1 : 0;
   // The dead host's own caller alone is without an answer.
   EXPECT_GE(Answered, static_cast<std::size_t>(2 * Hosts - 1));
-  EXPECT_TRUE(this->World.violations().empty());
+  EXPECT_TRUE(this->Deployment.violations().empty());
 }
 
 } // namespace
--- a/tests/auto/log/LogBench.cpp
+++ b/tests/auto/log/LogBench.cpp
@@ -54,8 +54,9 @@
 }
 
 bool ProbePlugin::isDead(const HostId &, Incarnation Life) const {
-  return std::find(this->Over.begin(), this->Over.end(), Life) !=
-         this->Over.end();
+  return std::find(this->EndedIncarnations.begin(),
+                   this->EndedIncarnations.end(),
+                   Life) != this->EndedIncarnations.end();
 }
 
 BenchHost::BenchHost(LogServiceModel &Log, std::string Name, std::uint64_t Life,
@@ -68,21 +69,21 @@
   this->handle(Tick{});
 }
 
-void BenchHost::handle(const Event &What) {
-  this->absorb(this->Host->handle(What, this->Now));
+void BenchHost::handle(const Event &Incoming) {
+  this->collect(this->Host->handle(Incoming, this->Now));
 }
 
-void BenchHost::absorb(std::vector<Action> Wanted) {
-  for (Action &Each : Wanted) {
+void BenchHost::collect(std::vector<Action> NewActions) {
+  for (Action &Each : NewActions) {
     if (const auto *Read = std::get_if<ReadLog>(&Each))
       this->Reads.push_back(*Read);
     else if (const auto *Append = std::get_if<AppendToLog>(&Each))
       this->Appends.push_back(*Append);
-    this->Seen.push_back(std::move(Each));
+    this->Requested.push_back(std::move(Each));
   }
 }
 
-void BenchHost::pass(Duration Span) {
+void BenchHost::advance(Duration Span) {
   this->Now += Span;
   this->handle(Tick{});
 }
@@ -97,7 +98,7 @@
 
 void BenchHost::catchUp() {
   for (int Round = 0; Round < 3; ++Round) {
-    this->pass(milliseconds(30));
+    this->advance(milliseconds(30));
     this->answerRead();
   }
 }
@@ -109,25 +110,25 @@
   this->handle(LogReadFailed{});
 }
 
-void BenchHost::answerAppend(AppendFate Fate) {
+void BenchHost::answerAppend(AppendOutcome Outcome) {
   if (this->Appends.empty())
     return;
   const AppendToLog Append = this->Appends.front();
   this->Appends.pop_front();
   AppendAnswered Answer{Append.Append, AppendResult::Unknown, 0};
-  if (Fate == AppendFate::Taken)
+  if (Outcome == AppendOutcome::Taken)
     Answer = {Append.Append, AppendResult::Appended,
               this->Log.append(Append.Records)};
-  else if (Fate == AppendFate::Refused)
+  else if (Outcome == AppendOutcome::Refused)
     Answer.Result = AppendResult::Refused;
-  else if (Fate == AppendFate::LostAnswer)
+  else if (Outcome == AppendOutcome::LostAnswer)
     this->Log.append(Append.Records);
-  else if (Fate == AppendFate::Late)
+  else if (Outcome == AppendOutcome::Late)
     this->LateAppends.push_back(Append.Records);
   this->handle(Answer);
 }
 
-void BenchHost::takeLate() {
+void BenchHost::applyLateAppend() {
   if (this->LateAppends.empty())
     return;
   this->Log.append(std::move(this->LateAppends.front()));
@@ -136,7 +137,7 @@
 
 void BenchHost::settle() {
   for (int Round = 0; Round < 4; ++Round) {
-    this->pass(milliseconds(200));
+    this->advance(milliseconds(200));
     this->answerAppend();
     this->answerRead();
   }
--- a/tests/auto/log/LogBench.h
+++ b/tests/auto/log/LogBench.h
@@ -67,7 +67,7 @@
 
   Identity Self;
   std::vector<Member> Members;
-  std::vector<Incarnation> Over; ///< Lives known to be over.
+  std::vector<Incarnation> EndedIncarnations; ///< Lives known to be over.
   std::vector<StoredRecord> Read;
   std::vector<std::pair<RecordId, bool>> Settled;
   LogOffset MissedUpTo = 0;
@@ -75,12 +75,12 @@
 };
 
 /// What becomes of an append.
-enum class AppendFate {
+enum class AppendOutcome {
   Taken,
   Refused,
   LostAnswer, ///< Took effect; nobody is told.
   LostAppend, ///< Never takes effect; nobody is told.
-  Late,       ///< Nobody is told; it takes effect at takeLate().
+  Late,       ///< Nobody is told; it takes effect at applyLateAppend().
 };
 
 /// One kernel and the actions it has asked for.
@@ -89,29 +89,29 @@
   BenchHost(LogServiceModel &Log, std::string Name, std::uint64_t Life,
             const std::map<std::string, std::string> &Values = {});
 
-  void handle(const Event &What);
+  void handle(const Event &Incoming);
   /// Calls a service and takes in the actions it asks for.
-  template <class Call> auto ask(Call Asked) {
+  template <class Call> auto call(Call Function) {
     Actions Out;
-    if constexpr (std::is_void_v<decltype(Asked(Out))>) {
-      Asked(Out);
-      this->absorb(Out.take());
+    if constexpr (std::is_void_v<decltype(Function(Out))>) {
+      Function(Out);
+      this->collect(Out.take());
     } else {
-      auto Result = Asked(Out);
-      this->absorb(Out.take());
+      auto Result = Function(Out);
+      this->collect(Out.take());
       return Result;
     }
   }
-  void pass(Duration Span);
+  void advance(Duration Span);
   /// Answers the oldest read that waits, if any.
   void answerRead();
   /// Reads until nothing new comes.
   void catchUp();
   void failRead();
   /// Settles the append that waits, if any.
-  void answerAppend(AppendFate Fate = AppendFate::Taken);
+  void answerAppend(AppendOutcome Outcome = AppendOutcome::Taken);
   /// The oldest late append takes effect now, if there is one.
-  void takeLate();
+  void applyLateAppend();
   /// Appends and reads until both are quiet.
   void settle();
 
@@ -119,25 +119,25 @@
   Services &services() { return this->Host->services(); }
   Kernel &kernel() { return *this->Host; }
   /// The actions of one kind since the last call.
-  template <class Wanted> std::vector<Wanted> take();
+  template <class ActionType> std::vector<ActionType> take();
 
   Time Now{seconds(1'700'000'000)};
   std::vector<std::vector<LogRecord>> LateAppends;
 
 private:
-  void absorb(std::vector<Action> Wanted);
+  void collect(std::vector<Action> NewActions);
 
   LogServiceModel &Log;
   std::unique_ptr<Kernel> Host;
   std::deque<ReadLog> Reads;
   std::deque<AppendToLog> Appends;
-  std::vector<Action> Seen;
+  std::vector<Action> Requested;
 };
 
-template <class Wanted> std::vector<Wanted> BenchHost::take() {
-  std::vector<Wanted> Result;
-  std::erase_if(this->Seen, [&](const Action &Each) {
-    const auto *Match = std::get_if<Wanted>(&Each);
+template <class ActionType> std::vector<ActionType> BenchHost::take() {
+  std::vector<ActionType> Result;
+  std::erase_if(this->Requested, [&](const Action &Each) {
+    const auto *Match = std::get_if<ActionType>(&Each);
     if (Match)
       Result.push_back(*Match);
     return Match != nullptr;
--- a/tests/auto/log/LogTest.cpp
+++ b/tests/auto/log/LogTest.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t Life = 0xa1;
 
 RecordId append(BenchHost &Host, std::uint64_t Content = 1) {
-  return Host.ask([&](Actions &Out) {
+  return Host.call([&](Actions &Out) {
     return Host.services().get<LogWriter>().append(
         QuarantineRecord{Fingerprint(Content), 2, {}}, Host.Now, Out);
   });
@@ -44,8 +44,8 @@
 
 TEST_F(LogTest, SettlesALostAnswerByReading) {
   const RecordId Id = append(this->Host);
-  this->Host.pass(milliseconds(1));
-  this->Host.answerAppend(AppendFate::LostAnswer);
+  this->Host.advance(milliseconds(1));
+  this->Host.answerAppend(AppendOutcome::LostAnswer);
   EXPECT_TRUE(this->Host.probe().Settled.empty());
   EXPECT_EQ(this->Host.services().get<LogWriter>().unsettled(), 1u);
   this->Host.settle();
@@ -57,8 +57,8 @@
 
 TEST_F(LogTest, AppendsAgainUnderTheSameIdWhenTheRecordIsNotThere) {
   const RecordId Id = append(this->Host);
-  this->Host.pass(milliseconds(1));
-  this->Host.answerAppend(AppendFate::LostAppend);
+  this->Host.advance(milliseconds(1));
+  this->Host.answerAppend(AppendOutcome::LostAppend);
   this->Host.settle();
   this->Host.settle();
   EXPECT_EQ(timesRead(this->Host, Id), 1u);
@@ -67,19 +67,19 @@
 
 TEST_F(LogTest, NeverCallsAnUnansweredAppendUntaken) {
   const RecordId Id = append(this->Host);
-  this->Host.pass(milliseconds(1));
-  this->Host.answerAppend(AppendFate::Late);
+  this->Host.advance(milliseconds(1));
+  this->Host.answerAppend(AppendOutcome::Late);
   EXPECT_FALSE(this->Host.services().get<LogWriter>().withdraw(Id));
   this->Host.settle();
   EXPECT_TRUE(this->Host.probe().Settled.empty());
-  this->Host.takeLate();
+  this->Host.applyLateAppend();
   this->Host.settle();
   EXPECT_EQ(timesRead(this->Host, Id), 1u);
 }
 
 TEST_F(LogTest, TakesBackWhatWasNeverSent) {
   append(this->Host);
-  this->Host.pass(milliseconds(1));
+  this->Host.advance(milliseconds(1));
   const RecordId Id = append(this->Host);
   EXPECT_TRUE(this->Host.services().get<LogWriter>().withdraw(Id));
   this->Host.settle();
@@ -88,10 +88,10 @@
 
 TEST_F(LogTest, CannotTakeBackWhatWaitsToBeSentAgain) {
   const RecordId Id = append(this->Host);
-  this->Host.pass(milliseconds(1));
-  this->Host.answerAppend(AppendFate::Late);
+  this->Host.advance(milliseconds(1));
+  this->Host.answerAppend(AppendOutcome::Late);
   for (int Round = 0; Round < 3; ++Round) {
-    this->Host.pass(milliseconds(30));
+    this->Host.advance(milliseconds(30));
     this->Host.answerRead();
   }
   EXPECT_FALSE(this->Host.services().get<LogWriter>().withdraw(Id));
@@ -100,13 +100,13 @@
 }
 
 TEST_F(LogTest, DoesNotRepeatALease) {
-  this->Host.ask([&](Actions &Out) {
+  this->Host.call([&](Actions &Out) {
     return this->Host.services().get<LogWriter>().append(
         StewardLease{UpstreamId("e"), HostId("h1"), Incarnation(Life), {}},
         this->Host.Now, Out);
   });
-  this->Host.pass(milliseconds(1));
-  this->Host.answerAppend(AppendFate::LostAppend);
+  this->Host.advance(milliseconds(1));
+  this->Host.answerAppend(AppendOutcome::LostAppend);
   this->Host.settle();
   EXPECT_EQ(this->Log.end(), 1u);
 }
@@ -116,7 +116,7 @@
   EXPECT_TRUE(Writer.isReachable(this->Host.Now));
   for (int Round = 0; Round < 8; ++Round) {
     this->Host.failRead();
-    this->Host.pass(seconds(1));
+    this->Host.advance(seconds(1));
   }
   EXPECT_FALSE(Writer.isReachable(this->Host.Now));
   this->Host.answerRead();
@@ -139,20 +139,20 @@
   this->Log.dropBefore(4);
   this->Host.catchUp();
   EXPECT_EQ(this->Host.probe().MissedUpTo, 4u);
-  EXPECT_FALSE(this->Host.services().get<LogTail>().isWhole());
+  EXPECT_FALSE(this->Host.services().get<LogTail>().isComplete());
 }
 
 TEST_F(LogTest, FollowsThroughAPeerWhenCutFromTheLog) {
-  BenchHost Cut(this->Log, "h2", 0xb2);
-  Cut.catchUp();
+  BenchHost Isolated(this->Log, "h2", 0xb2);
+  Isolated.catchUp();
   const RecordId Id = append(this->Host);
   this->Host.settle();
-  Cut.probe().Members = {peerHeard("h1", Cut.Now, Cut.Now, 1)};
+  Isolated.probe().Members = {peerHeard("h1", Isolated.Now, Isolated.Now, 1)};
   for (int Round = 0; Round < 8; ++Round) {
-    Cut.failRead();
-    Cut.pass(seconds(1));
+    Isolated.failRead();
+    Isolated.advance(seconds(1));
   }
-  const auto Sent = Cut.take<SendToPeer>();
+  const auto Sent = Isolated.take<SendToPeer>();
   ASSERT_FALSE(Sent.empty());
   this->Host.handle(
       PeerMessageReceived{{HostId("h2"), Incarnation(0xb2), Sent.back().Body}});
@@ -160,20 +160,20 @@
   ASSERT_EQ(Answer.size(), 1u);
   const PeerMessageReceived Relayed{
       {HostId("h1"), Incarnation(Life), Answer[0].Body}};
-  Cut.handle(Relayed);
-  Cut.handle(Relayed);
-  EXPECT_EQ(timesRead(Cut, Id), 1u);
+  Isolated.handle(Relayed);
+  Isolated.handle(Relayed);
+  EXPECT_EQ(timesRead(Isolated, Id), 1u);
 }
 
 TEST_F(LogTest, RefusesALogThatWentBack) {
   append(this->Host);
   this->Host.settle();
   auto &Tail = this->Host.services().get<LogTail>();
-  const Time Before = Tail.endSeenAt();
-  this->Host.pass(seconds(1));
+  const Time Before = Tail.endReadAt();
+  this->Host.advance(seconds(1));
   this->Host.handle(LogRead{{}, 1, 1, 1, 1});
   EXPECT_EQ(Tail.nextOffset(), 2u);
-  EXPECT_EQ(Tail.endSeenAt(), Before);
+  EXPECT_EQ(Tail.endReadAt(), Before);
   const auto Counted = this->Host.take<RecordMeasurement>();
   EXPECT_TRUE(std::any_of(Counted.begin(), Counted.end(), [](const auto &Each) {
     return Each.Name == "log_went_back";
@@ -194,12 +194,12 @@
     if (Step < 2)
       Sent.push_back(append(Writer));
     else if (Step < 7)
-      Writer.answerAppend(static_cast<AppendFate>(Step - 2));
+      Writer.answerAppend(static_cast<AppendOutcome>(Step - 2));
     else if (Step == 7)
-      Writer.takeLate();
+      Writer.applyLateAppend();
     else
       Writer.answerRead();
-    Writer.pass(milliseconds(Step * 5));
+    Writer.advance(milliseconds(Step * 5));
     Reader.catchUp();
   }
   for (int Round = 0; Round < 10; ++Round)
--- a/tests/auto/operators/OperatorsTest.cpp
+++ b/tests/auto/operators/OperatorsTest.cpp
@@ -87,7 +87,7 @@
 
 TEST_F(OperatorsTest, AcceptsOnlyWhatWasReadBack) {
   this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
-  this->Host.answerAppend(AppendFate::Taken);
+  this->Host.answerAppend(AppendOutcome::Taken);
   EXPECT_TRUE(this->Host.take<AnswerOperator>().empty());
   this->Host.settle();
   EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
@@ -99,7 +99,7 @@
   BenchHost Other(this->Log, "h2", 0xb1, WithRoot);
   Other.catchUp();
   this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
-  this->Host.answerAppend(AppendFate::Taken);
+  this->Host.answerAppend(AppendOutcome::Taken);
   Other.handle(OperatorRequest{
       OperatorRequestId(1), Ring,
       ApplyChanges{
@@ -113,7 +113,7 @@
 
 TEST_F(OperatorsTest, LostAnswerOfTheLogIsSettledByReading) {
   this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
-  this->Host.answerAppend(AppendFate::LostAnswer);
+  this->Host.answerAppend(AppendOutcome::LostAnswer);
   this->Host.settle();
   EXPECT_TRUE(this->answered<ChangesAccepted>());
   EXPECT_EQ(this->Log.end(), 3u) << "it was appended twice";
@@ -122,11 +122,11 @@
 TEST_F(OperatorsTest, LogAwayIsPendingAndAcceptedWhenItIsBack) {
   for (int Round = 0; Round < 6; ++Round) {
     this->Host.failRead();
-    this->Host.pass(seconds(1));
+    this->Host.advance(seconds(1));
   }
   this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
   EXPECT_TRUE(this->answered<VerdictPending>());
-  this->Host.answerAppend(AppendFate::Refused);
+  this->Host.answerAppend(AppendOutcome::Refused);
   this->Host.settle();
   this->Host.settle();
   this->ask(Ring, QueryVerdict{ChangeId("c1")});
