--- a/src/plugins/log/AppendQueue.cpp
+++ b/src/plugins/log/AppendQueue.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Whether a second copy of the record in the log changes nothing.
+/// Whether a second copy of the record in the log has no effect.
 bool mayRepeat(const LogRecord &Record) {
   return !std::holds_alternative<StewardLease>(Record.Body);
 }
@@ -33,14 +33,14 @@
     return false;
   const auto Queued = std::find_if(
       this->Waiting.begin(), this->Waiting.end(),
-      [&](const QueuedRecord &Each) { return Each.Record.Id == Id; });
+      [&](const QueuedRecord &Item) { return Item.Record.Id == Id; });
   if (Queued != this->Waiting.end()) {
-    const bool NeverSent = !Queued->MayBeInLog;
+    const bool WasNeverSent = !Queued->MayBeInLog;
     this->Waiting.erase(Queued);
-    return NeverSent;
+    return WasNeverSent;
   }
-  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Each) {
-    return Each.Entry.Record.Id == Id;
+  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Item) {
+    return Item.Entry.Record.Id == Id;
   });
   return false;
 }
@@ -57,8 +57,8 @@
 }
 
 void AppendQueue::addForPeer(LogRecord Record) {
-  const auto HasSameId = [&](const QueuedRecord &Each) {
-    return Each.Record.Id == Record.Id;
+  const auto HasSameId = [&](const QueuedRecord &Item) {
+    return Item.Record.Id == Record.Id;
   };
   const bool IsQueued =
       std::any_of(this->Waiting.begin(), this->Waiting.end(), HasSameId);
@@ -73,14 +73,14 @@
   if (this->InFlight || this->Waiting.empty() || Now < this->nextWake(Gap))
     return Records;
   this->LastSentAt = Now;
-  for (QueuedRecord &Each : this->nextBatch()) {
-    // Another host's record can only be here since this host appended before;
-    // its maker gives it to a host that does.
-    if (Each.Record.Id.Maker != this->Self)
+  for (QueuedRecord &Item : this->nextBatch()) {
+    // Another host's record is only here because this host was an appender
+    // before. The record's maker sends it to a current appender.
+    if (Item.Record.Id.Maker != this->Self)
       continue;
-    Records.push_back(Each.Record);
-    Each.MayBeInLog = true;
-    this->Unconfirmed.push_back({std::move(Each), Now + Timeout});
+    Records.push_back(Item.Record);
+    Item.MayBeInLog = true;
+    this->Unconfirmed.push_back({std::move(Item), Now + Timeout});
   }
   return Records;
 }
@@ -104,24 +104,24 @@
   if (Id.Maker != this->Self || !this->Unsettled.contains(Id))
     return;
   this->settle(Id, true);
-  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Each) {
-    return Each.Entry.Record.Id == Id;
+  std::erase_if(this->Unconfirmed, [&](const UnconfirmedRecord &Item) {
+    return Item.Entry.Record.Id == Id;
   });
   std::erase_if(this->Waiting,
-                [&](const QueuedRecord &Each) { return Each.Record.Id == Id; });
+                [&](const QueuedRecord &Item) { return Item.Record.Id == Id; });
 }
 
 void AppendQueue::noteEndRead(Time RequestedAt) {
-  const auto IsCovered = [&](const UnconfirmedRecord &Each) {
-    return Each.Since < RequestedAt;
+  const auto IsCovered = [&](const UnconfirmedRecord &Item) {
+    return Item.Since < RequestedAt;
   };
-  for (UnconfirmedRecord &Each : this->Unconfirmed) {
-    if (!IsCovered(Each))
+  for (UnconfirmedRecord &Item : this->Unconfirmed) {
+    if (!IsCovered(Item))
       continue;
-    if (mayRepeat(Each.Entry.Record))
-      this->Waiting.push_front(std::move(Each.Entry));
+    if (mayRepeat(Item.Entry.Record))
+      this->Waiting.push_front(std::move(Item.Entry));
     else
-      this->Unsettled.erase(Each.Entry.Record.Id);
+      this->Unsettled.erase(Item.Entry.Record.Id);
   }
   std::erase_if(this->Unconfirmed, IsCovered);
 }
@@ -141,8 +141,8 @@
 void AppendQueue::send(Time Now, Actions &Out) {
   InFlightAppend Next{AppendId(++this->LastAppendId), this->nextBatch(), Now};
   AppendToLog Append{Next.Append, {}};
-  for (const QueuedRecord &Each : Next.Batch)
-    Append.Records.push_back(Each.Record);
+  for (const QueuedRecord &Item : Next.Batch)
+    Append.Records.push_back(Item.Record);
   this->InFlight = std::move(Next);
   this->LastSentAt = Now;
   Out.add(std::move(Append));
@@ -163,18 +163,18 @@
 }
 
 void AppendQueue::handleAppended(const std::vector<QueuedRecord> &Batch) {
-  for (const QueuedRecord &Each : Batch)
-    this->settle(Each.Record.Id, true);
+  for (const QueuedRecord &Item : Batch)
+    this->settle(Item.Record.Id, true);
 }
 
 void AppendQueue::handleRefused(std::vector<QueuedRecord> Batch, Time Now) {
   this->BackoffUntil = Now + this->Options.Backoff;
-  for (auto Each = Batch.rbegin(); Each != Batch.rend(); ++Each) {
-    const RecordId Id = Each->Record.Id;
+  for (auto Item = Batch.rbegin(); Item != Batch.rend(); ++Item) {
+    const RecordId Id = Item->Record.Id;
     if (!this->Unsettled.contains(Id))
       continue;
-    if (mayRepeat(Each->Record))
-      this->Waiting.push_front(std::move(*Each));
+    if (mayRepeat(Item->Record))
+      this->Waiting.push_front(std::move(*Item));
     else
       this->settle(Id, false);
   }
@@ -182,11 +182,11 @@
 
 void AppendQueue::handleUnknown(std::vector<QueuedRecord> Batch, Time Now) {
   this->BackoffUntil = Now + this->Options.Backoff;
-  for (QueuedRecord &Each : Batch) {
-    if (!this->Unsettled.contains(Each.Record.Id))
+  for (QueuedRecord &Item : Batch) {
+    if (!this->Unsettled.contains(Item.Record.Id))
       continue;
-    Each.MayBeInLog = true;
-    this->Unconfirmed.push_back({std::move(Each), Now});
+    Item.MayBeInLog = true;
+    this->Unconfirmed.push_back({std::move(Item), Now});
   }
 }
 
--- a/src/plugins/log/AppendQueue.h
+++ b/src/plugins/log/AppendQueue.h
@@ -1,6 +1,6 @@
 /// \file
-/// Group commit: records wait while an append is in flight and then go
-/// together in the next one, so that the append rate is bounded.
+/// Group commit. Records wait while an append is in flight and are then sent
+/// together in the next append, which bounds the append rate.
 #pragma once
 
 #include "kernel/Action.h"
@@ -16,60 +16,63 @@
 struct AppendQueueOptions {
   std::size_t MaxRecords = 0; ///< In one append.
   std::size_t MaxBytes = 0;   ///< In one append, estimated.
-  std::size_t MaxWaiting = 0; ///< Records waiting; more are not taken.
+  std::size_t MaxWaiting = 0; ///< Waiting records; further ones are rejected.
   Duration Backoff{};         ///< Pause after a refused append.
-  Duration StallTimeout{};    ///< An append not answered by then is unknown.
+  Duration StallTimeout{};    ///< After this an unanswered append is unknown.
 };
 
-/// A record whose fate is settled: in the log, or surely never.
+/// A record with a final outcome: it is in the log, or it never will be.
 struct SettledRecord {
   RecordId Id;
   bool Appended = false;
 };
 
-/// The records on their way to the log.
+/// Holds the records that are to be appended to the log.
 ///
-/// An append whose answer is lost may still take effect later, so nothing may
-/// be concluded from its absence. Its records are appended again under the
-/// same ids once a read begun later did not show them; what folds the log
-/// judges each record id once, which makes a second copy harmless. A lease is
-/// the exception: a late copy would renew it, so it is never repeated.
+/// An append whose answer is lost may still take effect later, so its absence
+/// from the log proves nothing. Its records are appended again under the same
+/// ids once a read that started later did not return them. Readers of the log
+/// process each record id only once, so a second copy has no effect. Leases are
+/// the exception: a late copy would renew the lease, so they are never
+/// repeated.
 class AppendQueue {
 public:
   AppendQueue(AppendQueueOptions Options, Incarnation Self)
       : Options(Options), Self(Self) {}
 
-  /// Queues the record and gives its id.
+  /// Queues the record and returns its id.
   RecordId add(LogRecordBody Body);
 
-  /// Stops trying to append the record. True: it never reached the log and
-  /// never will.
+  /// Stops appending the record. Returns true if the record was never sent to
+  /// the log and never will be.
   bool withdraw(const RecordId &Id);
 
   /// Sends the next append when none is in flight and \p Gap has passed since
   /// the last one was sent.
   void sendWhenDue(Duration Gap, Time Now, Actions &Out);
 
-  /// Queues another host's record; that host repeats it when it is lost here.
+  /// Queues a record of another host. That host repeats it when it is lost
+  /// here.
   void addForPeer(LogRecord Record);
 
-  /// The records to hand to a host that appends for this one, when \p Gap has
-  /// passed since the last. They count as appended without an answer, and are
-  /// given again when a read begun \p Patience later did not show them.
+  /// Returns the records to send to the host that appends for this one, when
+  /// \p Gap has passed since the last call that returned records. They count as
+  /// appended without an answer and are returned again when a read that started
+  /// \p Timeout later did not show them.
   std::vector<LogRecord> takeForAppender(Duration Gap, Duration Timeout,
                                          Time Now);
 
-  /// Takes in the answer of an append; others than the one in flight are
-  /// ignored.
+  /// Handles the answer to an append. Answers to other appends than the one in
+  /// flight are ignored.
   void handleAnswer(const AppendAnswered &Answer, Time Now);
 
-  /// Notes that the record was read in the log.
+  /// Called when the record was read from the log.
   void noteRecordRead(const RecordId &Id);
 
-  /// Everything the log held at \p RequestedAt has been read.
+  /// Called when everything that the log held at \p RequestedAt was read.
   void noteEndRead(Time RequestedAt);
 
-  /// What was settled since the last call.
+  /// Returns the records settled since the last call.
   std::vector<SettledRecord> takeSettled();
 
   Time nextWake(Duration Gap) const;
@@ -80,7 +83,7 @@
 private:
   struct QueuedRecord {
     LogRecord Record;
-    /// An append that held it got no answer; a copy may be in the log.
+    /// An append with this record got no answer, so a copy may be in the log.
     bool MayBeInLog = false;
   };
   struct InFlightAppend {
--- a/src/plugins/log/AppendRoute.cpp
+++ b/src/plugins/log/AppendRoute.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// One live host and its place in the order of appending.
+/// One live host and its weight in the selection of appenders.
 struct Candidate {
   HostId Host;
   ZoneId Zone;
@@ -23,9 +23,9 @@
 std::vector<Candidate> liveHosts(const MembershipView &Members) {
   std::vector<Candidate> Live;
   Live.push_back(candidate(Members.self(), Members.selfZone()));
-  for (const Member &Each : Members.peers()) {
-    if (Each.State == MemberState::Alive)
-      Live.push_back(candidate(Each.Listing.Id, Each.Listing.Zone));
+  for (const Member &Peer : Members.peers()) {
+    if (Peer.State == MemberState::Alive)
+      Live.push_back(candidate(Peer.Listing.Id, Peer.Listing.Zone));
   }
   return Live;
 }
@@ -55,7 +55,7 @@
   };
   const bool IsAppender =
       std::any_of(Live.begin(), Live.end(),
-                  [&](const Candidate &Each) { return Each.Host == Self; });
+                  [&](const Candidate &Host) { return Host.Host == Self; });
   if (IsAppender)
     return {std::nullopt, MaxAppenders};
   return {std::min_element(Live.begin(), Live.end(), Better)->Host,
--- a/src/plugins/log/AppendRoute.h
+++ b/src/plugins/log/AppendRoute.h
@@ -1,6 +1,7 @@
 /// \file
-/// Which entry hosts append to the log for the others. The log takes only so
-/// many appends a second; with many hosts, a few gather the records of all.
+/// Selects the entry hosts that append to the log. The log accepts a limited
+/// number of appends per second, so in large deployments a few hosts append the
+/// records of all.
 #pragma once
 
 #include "kernel/Services.h"
@@ -16,9 +17,10 @@
   std::size_t AppenderCount = 1;  ///< Hosts that share the append rate.
 };
 
-/// The hosts with the highest rendezvous weights append, \p Most of them; each
-/// other host hands its records to one of these, in its own zone where there
-/// is one. Views that differ for a moment make more hosts append, never fewer.
+/// Returns the route for this host. The \p MaxAppenders hosts with the highest
+/// rendezvous weights append. Every other host sends its records to one of
+/// them, in its own zone if there is one. While hosts have different views of
+/// the membership, more hosts append, never fewer.
 AppendRoute appendRoute(const MembershipView &Members,
                         std::size_t MaxAppenders);
 
--- a/src/plugins/log/BestPeer.cpp
+++ b/src/plugins/log/BestPeer.cpp
@@ -6,15 +6,15 @@
 namespace banyanpick {
 
 const Member *bestPeer(const MembershipView &Members) {
-  const auto Rank = [](const Member &Each) {
-    return std::tuple(Each.InForce, Each.LogConfirmedAt);
+  const auto Rank = [](const Member &Peer) {
+    return std::tuple(Peer.InForce, Peer.LogConfirmedAt);
   };
   const Member *Best = nullptr;
-  for (const Member &Each : Members.peers()) {
-    if (!Each.Ready || Each.State == MemberState::Dead)
+  for (const Member &Peer : Members.peers()) {
+    if (!Peer.Ready || Peer.State == MemberState::Dead)
       continue;
-    if (!Best || Rank(Each) > Rank(*Best))
-      Best = &Each;
+    if (!Best || Rank(Peer) > Rank(*Best))
+      Best = &Peer;
   }
   return Best;
 }
--- a/src/plugins/log/BestPeer.h
+++ b/src/plugins/log/BestPeer.h
@@ -1,14 +1,14 @@
 /// \file
-/// Which peer to ask for what the log would tell.
+/// Selects the peer to request records or the catalogue from.
 #pragma once
 
 #include "kernel/Services.h"
 
 namespace banyanpick {
 
-/// The peer to ask for records or for the catalogue: ready, not known dead,
-/// with the highest offset in force, then the latest contact with the log.
-/// Null when there is none.
+/// Returns the peer to request records or the catalogue from: the ready peer,
+/// not known to be dead, with the highest offset in force, then with the latest
+/// contact with the log. Returns null when there is none.
 const Member *bestPeer(const MembershipView &Members);
 
 } // namespace banyanpick
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -161,7 +161,7 @@
 }
 
 void LogPlugin::handleRead(const LogRead &Answer, Time Now, Actions &Out) {
-  const bool First = this->Reader->nextOffset() == 0;
+  const bool IsFirstRead = this->Reader->nextOffset() == 0;
   const ReadResult Result = this->Reader->handleAnswer(Answer, Now);
   if (Result.EndRegressed) {
     Out.log(logEvent(events::LogRecordsLost)
@@ -174,8 +174,8 @@
   if (Result.MissedUpTo) {
     const bool WasComplete = this->IsComplete;
     this->handleMissedRecords(*Result.MissedUpTo, Now, Out);
-    this->IsComplete = WasComplete && First;
-  } else if (First) {
+    this->IsComplete = WasComplete && IsFirstRead;
+  } else if (IsFirstRead) {
     this->Tail->restart(Answer.StartOffset);
   }
   this->deliver(Result, Now, Out);
@@ -183,8 +183,8 @@
     return;
   this->EndReadAt = std::max(this->EndReadAt, Result.RequestedAt);
   this->Queue->noteEndRead(Result.RequestedAt);
-  for (LogObserver *Each : this->PluginServices->list<LogObserver>().all())
-    Each->caughtUp(Answer.EndOffset, Now, Out);
+  for (LogObserver *Observer : this->PluginServices->list<LogObserver>().all())
+    Observer->caughtUp(Answer.EndOffset, Now, Out);
 }
 
 void LogPlugin::handlePeerMessage(const PeerMessage &Message, Time Now,
@@ -198,8 +198,8 @@
     return;
   }
   if (const auto *HandedOver = std::get_if<RecordsToAppend>(&Message.Body)) {
-    for (const LogRecord &Each : HandedOver->Records)
-      this->Queue->addForPeer(Each);
+    for (const LogRecord &Record : HandedOver->Records)
+      this->Queue->addForPeer(Record);
     return;
   }
   if (const auto *Relayed = std::get_if<RecordsRelayed>(&Message.Body))
@@ -211,28 +211,28 @@
   this->Tail->restart(Start);
   this->LastDelivered = Start - 1;
   Out.log(logEvent(events::RecordsMissed).with("start", Start).build());
-  for (LogObserver *Each : this->PluginServices->list<LogObserver>().all())
-    Each->recordsMissed(Start, Now, Out);
+  for (LogObserver *Observer : this->PluginServices->list<LogObserver>().all())
+    Observer->recordsMissed(Start, Now, Out);
 }
 
 void LogPlugin::deliver(const ReadResult &Result, Time Now, Actions &Out) {
   this->Tail->add(Result.NewRecords, this->Reader->nextOffset());
-  for (const StoredRecord &Each : Result.NewRecords) {
-    if (Each.Offset < this->LastDelivered)
+  for (const StoredRecord &Stored : Result.NewRecords) {
+    if (Stored.Offset < this->LastDelivered)
       ++this->OutOfOrderCount;
-    this->LastDelivered = Each.Offset;
-    this->Queue->noteRecordRead(Each.Record.Id);
+    this->LastDelivered = Stored.Offset;
+    this->Queue->noteRecordRead(Stored.Record.Id);
     for (LogObserver *Observer :
          this->PluginServices->list<LogObserver>().all())
-      Observer->recordRead(Each, Now, Out);
+      Observer->recordRead(Stored, Now, Out);
   }
 }
 
 void LogPlugin::notifySettled(Time Now, Actions &Out) {
-  for (const SettledRecord &Each : this->Queue->takeSettled()) {
+  for (const SettledRecord &Settled : this->Queue->takeSettled()) {
     for (LogObserver *Observer :
          this->PluginServices->list<LogObserver>().all())
-      Observer->appendSettled(Each.Id, Each.Appended, Now, Out);
+      Observer->appendSettled(Settled.Id, Settled.Appended, Now, Out);
   }
 }
 
@@ -273,7 +273,8 @@
 }
 
 void LogPlugin::refreshRoute(Time Now) {
-  // Ranking all hosts costs more than most events; a second old will do.
+  // Ranking all hosts costs more than handling most events, so the route may be
+  // one second old.
   constexpr Duration RouteLifetime = seconds(1);
   if (!this->Members || Now < this->RouteValidUntil)
     return;
--- a/src/plugins/log/LogPlugin.h
+++ b/src/plugins/log/LogPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in `log`: reads the platform's log and appends to it.
+/// The plug-in `log`, which reads the platform's log and appends to it.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -13,8 +13,8 @@
 
 namespace banyanpick {
 
-/// Hands every record to the LogObservers in log order, once, be it from the
-/// log itself or passed on by a peer, and appends by group commit.
+/// Delivers every record to the LogObservers once and in log order, whether it
+/// was read from the log or relayed by a peer. Appends records by group commit.
 class LogPlugin : public Plugin, public LogWriter, public LogTail {
 public:
   void initialize(PluginContext &Context) override;
@@ -42,7 +42,8 @@
   void notifySettled(Time Now, Actions &Out);
   void updateReachability(Time Now, Actions &Out);
   void requestFromPeerWhenDue(Time Now, Actions &Out);
-  /// Appends what waits, or hands it to the host that appends for this one.
+  /// Appends the waiting records, or sends them to the host that appends for
+  /// this one.
   void sendRecords(Time Now, Actions &Out);
   void refreshRoute(Time Now);
   Duration appendGap() const;
--- a/src/plugins/log/LogReader.cpp
+++ b/src/plugins/log/LogReader.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Offsets of the log start here.
+/// The first offset of a log.
 constexpr LogOffset FirstOffset = 1;
-/// Doubling stops at this many failures in a row.
+/// The backoff stops doubling after this many consecutive failures.
 constexpr std::uint32_t MaxDoublings = 10;
 
 } // namespace
@@ -87,8 +87,8 @@
 
 std::span<const StoredRecord>
 LogReader::advance(std::span<const StoredRecord> Records, LogOffset Until) {
-  const auto IsNew = [this](const StoredRecord &Each) {
-    return Each.Offset >= this->NextOffset;
+  const auto IsNew = [this](const StoredRecord &Record) {
+    return Record.Offset >= this->NextOffset;
   };
   const auto First = std::find_if(Records.begin(), Records.end(), IsNew);
   this->NextOffset = std::max(this->NextOffset, Until);
--- a/src/plugins/log/LogReader.h
+++ b/src/plugins/log/LogReader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the log forward, one read at a time, and keeps the place.
+/// Reads the log forward, one read at a time, and tracks the position.
 #pragma once
 
 #include "base/Random.h"
@@ -13,55 +13,55 @@
 namespace banyanpick {
 
 struct LogReaderOptions {
-  Duration PollInterval{};   ///< Pause after a read that brought nothing.
+  Duration PollInterval{};   ///< Pause after a read that returned nothing.
   Duration InitialBackoff{}; ///< Pause after the first failed read.
   Duration MaxBackoff{};     ///< Longest pause after failed reads.
-  Duration StallTimeout{};   ///< A read not answered by then is asked again.
+  Duration StallTimeout{};   ///< After this an unanswered read is repeated.
 };
 
-/// What one answer of the log, or of a peer, brought.
+/// The result of one answer of the log or of a peer.
 struct ReadResult {
-  /// Records before this offset were lost before they were read.
+  /// The log dropped records before this offset before they were read.
   std::optional<LogOffset> MissedUpTo;
   /// Records not read before, in log order.
   std::span<const StoredRecord> NewRecords;
   /// The end of the log was reached.
   bool CaughtUp = false;
-  /// When the read was asked.
+  /// When the read was sent.
   Time RequestedAt{};
-  /// The answer can't be of the log that was read before.
+  /// The log ends before the position, so it is not the log read before.
   bool EndRegressed = false;
 };
 
-/// The place in the log, and when to read on. The driver answers every
-/// ReadLog exactly once and in order, so an answer belongs to the oldest
-/// unanswered read.
+/// Tracks the position in the log and schedules the next read. The driver
+/// answers every ReadLog exactly once and in order, so an answer belongs to the
+/// oldest unanswered read.
 class LogReader {
 public:
   LogReader(LogReaderOptions Options, Random &Rng)
       : Options(Options), Rng(Rng) {}
 
-  /// Asks for the next read when it is due.
+  /// Requests the next read when it is due.
   void readWhenDue(Time Now, Actions &Out);
 
-  /// Takes in an answer of the log.
+  /// Handles an answer of the log.
   ReadResult handleAnswer(const LogRead &Answer, Time Now);
 
-  /// Takes in records passed on by a peer.
+  /// Handles records relayed by a peer.
   ReadResult handleRelayed(const RecordsRelayed &Relayed);
 
-  /// Notes a failed read.
+  /// Called after a failed read; starts the backoff.
   void noteFailure(Time Now);
 
-  /// Moves the place forward.
+  /// Moves the position forward to \p Offset, never back.
   void skipTo(LogOffset Offset);
 
   Time nextWake() const;
 
-  /// The next offset to be read; 0 while nothing was read.
+  /// The next offset to read; 0 before the first read.
   LogOffset nextOffset() const { return this->NextOffset; }
 
-  /// When the log answered last.
+  /// When the log last answered.
   Time answeredAt() const { return this->AnsweredAt; }
 
 private:
--- a/src/plugins/log/LogTail.h
+++ b/src/plugins/log/LogTail.h
@@ -1,5 +1,5 @@
 /// \file
-/// How far the log has been read here, for plug-ins that must know it.
+/// Interface to the position up to which this host has read the log.
 #pragma once
 
 #include "base/StrongId.h"
@@ -14,22 +14,22 @@
 public:
   virtual ~LogTail() = default;
 
-  /// The next offset to be read; 0 while nothing was read.
+  /// The next offset to read; 0 before the first read.
   virtual LogOffset nextOffset() const = 0;
 
-  /// The oldest offset that can be passed on to peers; 0 when there is none.
+  /// The oldest offset that can be relayed to peers; 0 when there is none.
   virtual LogOffset firstRetained() const = 0;
 
-  /// When the read was asked that last showed the end of the log; the host
-  /// knew everything in the log at that moment.
+  /// When the last read that reached the end of the log was sent. The host has
+  /// every record that the log held at that time.
   virtual Time endReadAt() const = 0;
 
-  /// Whether every record that the log kept since the first read was read.
-  /// False once records were skipped.
+  /// Whether every record that the log held since the first read was read.
+  /// False after records were skipped.
   virtual bool isComplete() const = 0;
 
-  /// Goes on reading at \p Offset, the records before it being known from
-  /// elsewhere. Nothing happens when reading is already there.
+  /// Continues reading at \p Offset, because the records before it are known
+  /// from another source. Does nothing when reading is already there.
   virtual void skipTo(LogOffset Offset, Time Now, Actions &Out) = 0;
 };
 
--- a/src/plugins/log/RecordSize.cpp
+++ b/src/plugins/log/RecordSize.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Ids, lengths and numbers of any record.
+/// Ids, lengths and numbers that every record has.
 constexpr std::size_t FixedBytes = 64;
-/// A change of a catalogue entry with its usual body.
+/// One change of a catalogue entry with a body of usual size.
 constexpr std::size_t ChangeBytes = 256;
 
 } // namespace
--- a/src/plugins/log/RecordTail.cpp
+++ b/src/plugins/log/RecordTail.cpp
@@ -8,9 +8,9 @@
 namespace banyanpick {
 
 void RecordTail::add(std::span<const StoredRecord> Records, LogOffset Until) {
-  for (const StoredRecord &Each : Records) {
-    this->Bytes += estimatedBytes(Each.Record.Body);
-    this->Retained.push_back(Each);
+  for (const StoredRecord &Stored : Records) {
+    this->Bytes += estimatedBytes(Stored.Record.Body);
+    this->Retained.push_back(Stored);
   }
   this->Next = std::max(this->Next, Until);
   while (this->Bytes > this->MaxBytes && !this->Retained.empty())
@@ -28,18 +28,20 @@
                                        std::size_t MaxRelayBytes) const {
   RecordsRelayed Result{{}, From, std::max(From, this->Next)};
   std::size_t Relayed = 0;
-  const auto Begin = std::lower_bound(
-      this->Retained.begin(), this->Retained.end(), From,
-      [](const StoredRecord &Each, LogOffset At) { return Each.Offset < At; });
-  for (auto Each = Begin; Each != this->Retained.end(); ++Each) {
-    const bool NewAppend =
-        Result.Records.empty() || Result.Records.back().Offset != Each->Offset;
-    if (NewAppend && !Result.Records.empty() && Relayed > MaxRelayBytes) {
-      Result.NextOffset = Each->Offset;
+  const auto Begin =
+      std::lower_bound(this->Retained.begin(), this->Retained.end(), From,
+                       [](const StoredRecord &Stored, LogOffset At) {
+                         return Stored.Offset < At;
+                       });
+  for (auto Stored = Begin; Stored != this->Retained.end(); ++Stored) {
+    const bool StartsAppend = Result.Records.empty() ||
+                              Result.Records.back().Offset != Stored->Offset;
+    if (StartsAppend && !Result.Records.empty() && Relayed > MaxRelayBytes) {
+      Result.NextOffset = Stored->Offset;
       break;
     }
-    Relayed += estimatedBytes(Each->Record.Body);
-    Result.Records.push_back(*Each);
+    Relayed += estimatedBytes(Stored->Record.Body);
+    Result.Records.push_back(*Stored);
   }
   return Result;
 }
--- a/src/plugins/log/RecordTail.h
+++ b/src/plugins/log/RecordTail.h
@@ -1,5 +1,5 @@
 /// \file
-/// The last records read, kept to be passed on to peers.
+/// The last records read, retained so that they can be relayed to peers.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -9,22 +9,22 @@
 
 namespace banyanpick {
 
-/// A bounded, contiguous piece at the end of the log as it was read.
+/// A bounded, contiguous range of records that ends at the read position.
 class RecordTail {
 public:
   explicit RecordTail(std::size_t MaxBytes) : MaxBytes(MaxBytes) {}
 
-  /// Adds records that follow those kept, up to \p Next (exclusive).
+  /// Adds the records that follow the retained ones, up to \p Next (exclusive).
   void add(std::span<const StoredRecord> Records, LogOffset Next);
 
-  /// Forgets everything; the next records start at \p Next.
+  /// Drops all records. The next records start at \p Next.
   void restart(LogOffset Next);
 
-  /// The oldest offset that can be passed on; 0 before the first record.
+  /// The oldest offset that can be relayed; 0 before the first record.
   LogOffset first() const { return this->First; }
 
-  /// Records from \p From on, at most \p MaxRelayBytes bytes (at least one
-  /// append). \p From must not be before first().
+  /// Returns records starting at \p From, at most \p MaxRelayBytes bytes (but
+  /// at least one append). \p From must not be before first().
   RecordsRelayed recordsFrom(LogOffset From, std::size_t MaxRelayBytes) const;
 
 private:
--- a/tests/auto/log/AppendRouteTest.cpp
+++ b/tests/auto/log/AppendRouteTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Many hosts, few that append: claims still run once each, also when a host
-/// that appends for others dies.
+/// Guards against claims that are lost or run twice when few hosts append for
+/// many, in particular when an appender dies with records of other hosts.
 #include "harness/TestCatalogue.h"
 #include "harness/VirtualDeployment.h"
 
@@ -27,8 +27,8 @@
     this->Deployment.OnHandled = [this](const VirtualHost &Host, const Event &,
                                         Time,
                                         const std::vector<Action> &NewActions) {
-      for (const Action &Each : NewActions)
-        if (std::holds_alternative<AppendToLog>(Each))
+      for (const Action &Requested : NewActions)
+        if (std::holds_alternative<AppendToLog>(Requested))
           this->Appenders.insert(Host.name());
     };
   }
@@ -39,7 +39,7 @@
     return Options;
   }
 
-  /// Sends one confirmation to each host.
+  /// Sends one confirmation request to each host.
   void confirmEverywhere(std::uint64_t FirstContent) {
     for (int Number = 0; Number < Hosts; ++Number) {
       RequestHead Head =
@@ -52,8 +52,9 @@
 
   std::size_t completeAnswers() {
     std::size_t Count = 0;
-    for (const CallerRecord &Each : this->Deployment.callers())
-      if (Each.Answer && std::holds_alternative<CompleteAnswer>(*Each.Answer))
+    for (const CallerRecord &Caller : this->Deployment.callers())
+      if (Caller.Answer &&
+          std::holds_alternative<CompleteAnswer>(*Caller.Answer))
         ++Count;
     return Count;
   }
@@ -70,7 +71,7 @@
   EXPECT_TRUE(this->Deployment.violations().empty());
 }
 
-TEST_F(AppendRouteTest, RecordsOfADeadGathererAreHandedOverAgain) {
+TEST_F(AppendRouteTest, RecordsOfADeadAppenderAreHandedOverAgain) {
   this->confirmEverywhere(1);
   this->Deployment.runFor(seconds(3));
   ASSERT_FALSE(this->Appenders.empty());
@@ -81,9 +82,9 @@
   this->Deployment.runFor(seconds(10));
   EXPECT_GE(this->completeAnswers(), Before + Hosts / 2);
   std::size_t Answered = 0;
-  for (const CallerRecord &Each : this->Deployment.callers())
-    Answered += Each.Answer ? 1 : 0;
-  // The dead host's own caller alone is without an answer.
+  for (const CallerRecord &Caller : this->Deployment.callers())
+    Answered += Caller.Answer ? 1 : 0;
+  // Only the caller of the dead host gets no answer.
   EXPECT_GE(Answered, static_cast<std::size_t>(2 * Hosts - 1));
   EXPECT_TRUE(this->Deployment.violations().empty());
 }
--- a/tests/auto/log/LogBench.cpp
+++ b/tests/auto/log/LogBench.cpp
@@ -21,7 +21,7 @@
     const std::string Problem =
         Result.set(Place.substr(0, Dot), Place.substr(Dot + 1), Value);
     if (!Problem.empty())
-      throw Error(ErrorKind::BadInput, Problem, "mend the test");
+      throw Error(ErrorKind::BadInput, Problem, "fix the test");
   }
   return Result;
 }
@@ -32,8 +32,8 @@
   LogRead Result{{}, From, this->end(), this->Start, this->end()};
   for (LogOffset At = std::max(From, this->Start); At < this->end(); ++At) {
     std::uint32_t Position = 0;
-    for (const LogRecord &Each : this->Appends[At - this->Start])
-      Result.Records.push_back({At, Position++, Each});
+    for (const LogRecord &Record : this->Appends[At - this->Start])
+      Result.Records.push_back({At, Position++, Record});
   }
   return Result;
 }
@@ -48,8 +48,8 @@
 
 std::vector<HostId> ProbePlugin::livePeers() const {
   std::vector<HostId> Result;
-  for (const Member &Each : this->Members)
-    Result.push_back(Each.Listing.Id);
+  for (const Member &Peer : this->Members)
+    Result.push_back(Peer.Listing.Id);
   return Result;
 }
 
@@ -74,12 +74,12 @@
 }
 
 void BenchHost::collect(std::vector<Action> NewActions) {
-  for (Action &Each : NewActions) {
-    if (const auto *Read = std::get_if<ReadLog>(&Each))
+  for (Action &Item : NewActions) {
+    if (const auto *Read = std::get_if<ReadLog>(&Item))
       this->Reads.push_back(*Read);
-    else if (const auto *Append = std::get_if<AppendToLog>(&Each))
+    else if (const auto *Append = std::get_if<AppendToLog>(&Item))
       this->Appends.push_back(*Append);
-    this->Requested.push_back(std::move(Each));
+    this->Requested.push_back(std::move(Item));
   }
 }
 
@@ -156,15 +156,15 @@
 }
 
 ChangeSet declareOwner(std::string Id, std::string Name, LogOffset Base) {
-  Change Wanted;
-  Wanted.Key = {EntryKind::Owner, std::move(Name)};
-  Wanted.BaseVersion = Base;
-  Wanted.Owner = OwnerId("root");
-  Wanted.Body = OwnerEntry{digestOfKey("secret", std::string(32, '0'))};
+  Change Declaration;
+  Declaration.Key = {EntryKind::Owner, std::move(Name)};
+  Declaration.BaseVersion = Base;
+  Declaration.Owner = OwnerId("root");
+  Declaration.Body = OwnerEntry{digestOfKey("secret", std::string(32, '0'))};
   ChangeSet Result;
   Result.Id = ChangeId(std::move(Id));
   Result.Author = OwnerId("root");
-  Result.Changes.push_back(std::move(Wanted));
+  Result.Changes.push_back(std::move(Declaration));
   return Result;
 }
 
--- a/tests/auto/log/LogBench.h
+++ b/tests/auto/log/LogBench.h
@@ -1,5 +1,6 @@
 /// \file
-/// Kernels on one log service, with every answer in the hands of the test.
+/// Test fixture: kernels that share one log service, whose answers the test
+/// controls.
 #pragma once
 
 #include "kernel/Kernel.h"
@@ -14,7 +15,7 @@
 
 namespace banyanpick {
 
-/// The platform's log as the tests need it: offsets, retention, nothing else.
+/// A minimal model of the platform's log with offsets and retention.
 class LogServiceModel {
 public:
   LogOffset append(std::vector<LogRecord> Records) {
@@ -35,7 +36,7 @@
   std::deque<std::vector<LogRecord>> Appends;
 };
 
-/// A plug-in that stands in for membership and notes what observers are told.
+/// A plug-in that replaces membership and records the calls to observers.
 class ProbePlugin : public Plugin,
                     public MembershipView,
                     public LogObserver,
@@ -67,30 +68,31 @@
 
   Identity Self;
   std::vector<Member> Members;
-  std::vector<Incarnation> EndedIncarnations; ///< Lives known to be over.
+  std::vector<Incarnation>
+      EndedIncarnations; ///< Incarnations known to have ended.
   std::vector<StoredRecord> Read;
   std::vector<std::pair<RecordId, bool>> Settled;
   LogOffset MissedUpTo = 0;
   std::vector<std::pair<RequestId, ClaimVerdict>> Verdicts;
 };
 
-/// What becomes of an append.
+/// The outcome of an append.
 enum class AppendOutcome {
   Taken,
   Refused,
-  LostAnswer, ///< Took effect; nobody is told.
-  LostAppend, ///< Never takes effect; nobody is told.
-  Late,       ///< Nobody is told; it takes effect at applyLateAppend().
+  LostAnswer, ///< Takes effect; the answer is lost.
+  LostAppend, ///< Never takes effect; there is no answer.
+  Late,       ///< No answer; takes effect at applyLateAppend().
 };
 
-/// One kernel and the actions it has asked for.
+/// One kernel and the actions that it has requested.
 class BenchHost {
 public:
   BenchHost(LogServiceModel &Log, std::string Name, std::uint64_t Life,
             const std::map<std::string, std::string> &Values = {});
 
   void handle(const Event &Incoming);
-  /// Calls a service and takes in the actions it asks for.
+  /// Calls a service and collects the actions that it requests.
   template <class Call> auto call(Call Function) {
     Actions Out;
     if constexpr (std::is_void_v<decltype(Function(Out))>) {
@@ -103,22 +105,22 @@
     }
   }
   void advance(Duration Span);
-  /// Answers the oldest read that waits, if any.
+  /// Answers the oldest pending read, if any.
   void answerRead();
-  /// Reads until nothing new comes.
+  /// Reads up to the end of the log.
   void catchUp();
   void failRead();
-  /// Settles the append that waits, if any.
+  /// Answers the oldest pending append, if any.
   void answerAppend(AppendOutcome Outcome = AppendOutcome::Taken);
-  /// The oldest late append takes effect now, if there is one.
+  /// Applies the oldest late append to the log, if any.
   void applyLateAppend();
-  /// Appends and reads until both are quiet.
+  /// Appends and reads until no append or read is pending.
   void settle();
 
   ProbePlugin &probe() { return this->Host->services().get<ProbePlugin>(); }
   Services &services() { return this->Host->services(); }
   Kernel &kernel() { return *this->Host; }
-  /// The actions of one kind since the last call.
+  /// Returns the actions of one type since the last call.
   template <class ActionType> std::vector<ActionType> take();
 
   Time Now{seconds(1'700'000'000)};
@@ -136,8 +138,8 @@
 
 template <class ActionType> std::vector<ActionType> BenchHost::take() {
   std::vector<ActionType> Result;
-  std::erase_if(this->Requested, [&](const Action &Each) {
-    const auto *Match = std::get_if<ActionType>(&Each);
+  std::erase_if(this->Requested, [&](const Action &Item) {
+    const auto *Match = std::get_if<ActionType>(&Item);
     if (Match)
       Result.push_back(*Match);
     return Match != nullptr;
@@ -145,11 +147,12 @@
   return Result;
 }
 
-/// A ready peer that was heard, and reached the log, at those times.
+/// Returns a ready peer last heard at \p Heard that last reached the log at
+/// \p Confirmed.
 Member peerHeard(std::string Name, Time Heard, Time Confirmed,
                  LogOffset InForce);
 
-/// A change set that declares one owner by root.
+/// Returns a change set in which root declares one owner.
 ChangeSet declareOwner(std::string Id, std::string Name, LogOffset Base = 0);
 
 } // namespace banyanpick
--- a/tests/auto/log/LogTest.cpp
+++ b/tests/auto/log/LogTest.cpp
@@ -16,12 +16,12 @@
   });
 }
 
-/// How often the record was told as read.
+/// Returns how often the observers received the record.
 std::size_t timesRead(BenchHost &Host, const RecordId &Id) {
   const auto &Read = Host.probe().Read;
   return static_cast<std::size_t>(
-      std::count_if(Read.begin(), Read.end(), [&](const StoredRecord &Each) {
-        return Each.Record.Id == Id;
+      std::count_if(Read.begin(), Read.end(), [&](const StoredRecord &Stored) {
+        return Stored.Record.Id == Id;
       }));
 }
 
@@ -34,12 +34,13 @@
 
 } // namespace
 
-TEST_F(LogTest, GathersRecordsWhileAnAppendIsInFlight) {
+TEST_F(LogTest, BatchesRecordsWhileAnAppendIsInFlight) {
   for (int Count = 0; Count < 50; ++Count)
     append(this->Host);
   this->Host.settle();
   EXPECT_EQ(this->Host.probe().Read.size(), 50u);
-  EXPECT_LE(this->Log.end(), 4u) << "fifty records went in many appends";
+  EXPECT_LE(this->Log.end(), 4u)
+      << "fifty records were sent in too many appends";
 }
 
 TEST_F(LogTest, SettlesALostAnswerByReading) {
@@ -52,10 +53,10 @@
   ASSERT_EQ(this->Host.probe().Settled.size(), 1u);
   EXPECT_EQ(this->Host.probe().Settled[0], std::pair(Id, true));
   EXPECT_EQ(this->Host.services().get<LogWriter>().unsettled(), 0u);
-  EXPECT_EQ(timesRead(this->Host, Id), 1u) << "it was appended again";
+  EXPECT_EQ(timesRead(this->Host, Id), 1u) << "the record was appended again";
 }
 
-TEST_F(LogTest, AppendsAgainUnderTheSameIdWhenTheRecordIsNotThere) {
+TEST_F(LogTest, RepeatsAMissingRecordUnderTheSameId) {
   const RecordId Id = append(this->Host);
   this->Host.advance(milliseconds(1));
   this->Host.answerAppend(AppendOutcome::LostAppend);
@@ -65,7 +66,7 @@
   EXPECT_EQ(this->Host.probe().Settled.back(), std::pair(Id, true));
 }
 
-TEST_F(LogTest, NeverCallsAnUnansweredAppendUntaken) {
+TEST_F(LogTest, NeverReportsAnUnansweredAppendAsNotAppended) {
   const RecordId Id = append(this->Host);
   this->Host.advance(milliseconds(1));
   this->Host.answerAppend(AppendOutcome::Late);
@@ -77,7 +78,7 @@
   EXPECT_EQ(timesRead(this->Host, Id), 1u);
 }
 
-TEST_F(LogTest, TakesBackWhatWasNeverSent) {
+TEST_F(LogTest, WithdrawsRecordThatWasNeverSent) {
   append(this->Host);
   this->Host.advance(milliseconds(1));
   const RecordId Id = append(this->Host);
@@ -86,7 +87,7 @@
   EXPECT_EQ(timesRead(this->Host, Id), 0u);
 }
 
-TEST_F(LogTest, CannotTakeBackWhatWaitsToBeSentAgain) {
+TEST_F(LogTest, CannotWithdrawRecordThatWaitsToBeSentAgain) {
   const RecordId Id = append(this->Host);
   this->Host.advance(milliseconds(1));
   this->Host.answerAppend(AppendOutcome::Late);
@@ -96,7 +97,7 @@
   }
   EXPECT_FALSE(this->Host.services().get<LogWriter>().withdraw(Id));
   this->Host.settle();
-  EXPECT_EQ(this->Log.end(), 1u) << "it was sent again all the same";
+  EXPECT_EQ(this->Log.end(), 1u) << "the withdrawn record was sent again";
 }
 
 TEST_F(LogTest, DoesNotRepeatALease) {
@@ -111,7 +112,7 @@
   EXPECT_EQ(this->Log.end(), 1u);
 }
 
-TEST_F(LogTest, SaysThatTheLogIsAwayAndComesBack) {
+TEST_F(LogTest, ReportsAnUnreachableLogAndItsRecovery) {
   auto &Writer = this->Host.services().get<LogWriter>();
   EXPECT_TRUE(Writer.isReachable(this->Host.Now));
   for (int Round = 0; Round < 8; ++Round) {
@@ -123,7 +124,7 @@
   EXPECT_TRUE(Writer.isReachable(this->Host.Now));
 }
 
-TEST_F(LogTest, EachWakeMovesTheNextOneOn) {
+TEST_F(LogTest, EveryWakeUpMovesTheNextOneForward) {
   this->Host.probe().Members = {peerHeard("h2", this->Host.Now, {}, 0)};
   for (int Wake = 0; Wake < 50; ++Wake) {
     this->Host.failRead();
@@ -133,7 +134,7 @@
   }
 }
 
-TEST_F(LogTest, TellsOfRecordsThatWereDropped) {
+TEST_F(LogTest, ReportsRecordsThatTheLogDropped) {
   for (int Count = 0; Count < 5; ++Count)
     this->Log.append({});
   this->Log.dropBefore(4);
@@ -142,7 +143,7 @@
   EXPECT_FALSE(this->Host.services().get<LogTail>().isComplete());
 }
 
-TEST_F(LogTest, FollowsThroughAPeerWhenCutFromTheLog) {
+TEST_F(LogTest, ReadsThroughAPeerWhenTheLogIsUnreachable) {
   BenchHost Isolated(this->Log, "h2", 0xb2);
   Isolated.catchUp();
   const RecordId Id = append(this->Host);
@@ -165,7 +166,7 @@
   EXPECT_EQ(timesRead(Isolated, Id), 1u);
 }
 
-TEST_F(LogTest, RefusesALogThatWentBack) {
+TEST_F(LogTest, RejectsALogWhoseEndRegressed) {
   append(this->Host);
   this->Host.settle();
   auto &Tail = this->Host.services().get<LogTail>();
@@ -175,15 +176,16 @@
   EXPECT_EQ(Tail.nextOffset(), 2u);
   EXPECT_EQ(Tail.endReadAt(), Before);
   const auto Counted = this->Host.take<RecordMeasurement>();
-  EXPECT_TRUE(std::any_of(Counted.begin(), Counted.end(), [](const auto &Each) {
-    return Each.Name == "log_went_back";
-  }));
+  EXPECT_TRUE(
+      std::any_of(Counted.begin(), Counted.end(), [](const auto &Metric) {
+        return Metric.Name == "log_went_back";
+      }));
   EXPECT_EQ(this->Host.kernel().invariantsBroken(), 0u);
 }
 
-/// Whatever becomes of appends, every record is read at last, in the same
-/// order by all, and "not taken" is never said of one in the log.
-RC_GTEST_PROP(LogProperty, RecordsArriveWhateverBecomesOfAppends, ()) {
+/// Guards against records that are lost or reordered by lost, refused and late
+/// appends, and against reporting a record in the log as not appended.
+RC_GTEST_PROP(LogProperty, RecordsArriveDespiteAnyOutcomeOfAppends, ()) {
   LogServiceModel Log;
   BenchHost Writer(Log, "h1", Life);
   BenchHost Reader(Log, "h2", 0xb2);
@@ -205,8 +207,8 @@
   for (int Round = 0; Round < 10; ++Round)
     Writer.settle();
   Reader.catchUp();
-  for (const RecordId &Each : Sent)
-    RC_ASSERT(timesRead(Writer, Each) >= 1u);
+  for (const RecordId &Id : Sent)
+    RC_ASSERT(timesRead(Writer, Id) >= 1u);
   for (const auto &[Id, Taken] : Writer.probe().Settled)
     RC_ASSERT(Taken || timesRead(Writer, Id) == 0u);
   RC_ASSERT(Reader.probe().Read == Writer.probe().Read);
