--- a/src/plugins/catalogue/Currency.h
+++ b/src/plugins/catalogue/CatalogueFreshness.h
@@ -18,39 +18,41 @@
 /// current all the while may rely on that: a host that was paused or cut off
 /// may have missed a change accepted before the outage. It is current again
 /// when the log, or a peer that is current, has nothing new for it.
-class Currency {
+class CatalogueFreshness {
 public:
-  explicit Currency(Duration Window) : Window(Window) {}
+  explicit CatalogueFreshness(Duration Window) : Window(Window) {}
 
   /// This host had everything the log held at \p When.
-  void confirm(Time When) { this->Confirmed = std::max(this->Confirmed, When); }
+  void confirm(Time When) {
+    this->ConfirmedAt = std::max(this->ConfirmedAt, When);
+  }
 
   /// Takes in what a peer says of itself; \p Offset is in force here.
-  void hear(const Heartbeat &Beat, LogOffset Offset, Time Now);
+  void handleHeartbeat(const Heartbeat &Beat, LogOffset Offset, Time Now);
 
   /// Notes whether this host is current now; call it at each event, before
   /// anything else.
-  void judge(const MembershipView *Members, Time Now);
+  void update(const MembershipView *Members, Time Now);
 
   /// \p Members may be null while there is no membership.
   bool isCurrent(const MembershipView *Members, Time Now) const;
 
   /// Whether this host heard from most of the hosts it knows within the
   /// window, itself included.
-  bool hearsMost(const MembershipView *Members, Time Now) const;
+  bool hearsMajority(const MembershipView *Members, Time Now) const;
 
-  Time confirmedAt() const { return this->Confirmed; }
+  Time confirmedAt() const { return this->ConfirmedAt; }
 
 private:
-  bool logIsAwayForAll(const MembershipView &Members, Time Now) const;
+  bool isLogUnreachableForAll(const MembershipView &Members, Time Now) const;
 
   Duration Window;
-  Time Confirmed{};
+  Time ConfirmedAt{};
   /// When this host last knew that it had not missed anything; Time{}: it may
   /// have.
-  Time HeldAt{};
-  Time JudgedAt{};
-  Time DeafUntil{}; ///< After a pause: what is heard may be old.
+  Time LastCurrentAt{};
+  Time UpdatedAt{};
+  Time IgnoreHeartbeatsUntil{}; ///< After a pause: what is heard may be old.
 };
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -34,117 +34,119 @@
 /// Snapshots made in the time the log keeps a record.
 constexpr int SnapshotsPerRetention = 4;
 /// When refused callers come back.
-constexpr Duration RetryWhenCurrent = seconds(1);
+constexpr Duration RetryDelay = seconds(1);
 
 } // namespace
 
 void CataloguePlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
-  this->Known.emplace(Values.span("catalogue", "current_within"));
-  this->AskInterval = Values.span("catalogue", "ask_interval");
+  this->PluginServices = &Context.services();
+  this->Freshness.emplace(Values.span("catalogue", "current_within"));
+  this->PeerRequestInterval = Values.span("catalogue", "ask_interval");
   this->Writer.emplace(
       Context.self().Host,
       SnapshotWriterOptions{Values.span("log", "retention") /
                                 SnapshotsPerRetention,
                             Values.size("catalogue", "snapshot_chunk")},
       Context.random());
-  this->Tail = &this->Offered->get<LogTail>();
-  this->Offered->provide<CatalogueView>(*this);
-  this->Offered->provide<ChangeAcceptance>(*this);
-  this->Offered->list<LogObserver>().add(*this);
-  this->Offered->list<AdmissionGate>().add(*this);
-  this->Offered->list<StatusContributor>().add(*this);
+  this->Tail = &this->PluginServices->get<LogTail>();
+  this->PluginServices->provide<CatalogueView>(*this);
+  this->PluginServices->provide<ChangeAcceptance>(*this);
+  this->PluginServices->list<LogObserver>().add(*this);
+  this->PluginServices->list<AdmissionGate>().add(*this);
+  this->PluginServices->list<StatusContributor>().add(*this);
 }
 
 void CataloguePlugin::start(Time Now, Actions &) {
-  this->Members = this->Offered->find<MembershipView>();
-  this->AskPeerAt = Now + this->AskInterval;
+  this->Members = this->PluginServices->find<MembershipView>();
+  this->NextPeerRequestAt = Now + this->PeerRequestInterval;
 }
 
-void CataloguePlugin::handle(const Event &What, Time Now, Actions &Out) {
-  this->Known->judge(this->Members, Now);
-  if (const auto *Given = std::get_if<PeerMessageReceived>(&What))
-    this->takePeerMessage(Given->Message, Now, Out);
-  this->askPeerWhenDue(Now, Out);
-  if (this->Complete)
+void CataloguePlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  this->Freshness->update(this->Members, Now);
+  if (const auto *Received = std::get_if<PeerMessageReceived>(&Incoming))
+    this->handlePeerMessage(Received->Message, Now, Out);
+  this->requestFromPeerWhenDue(Now, Out);
+  if (this->IsComplete)
     this->Writer->writeWhenDue(this->InForce, this->Members,
-                               this->Offered->get<LogWriter>(), Now, Out);
-  this->noteCurrency(Now, Out);
-  this->HighestSeen = std::max(this->HighestSeen, this->InForce.offset());
+                               this->PluginServices->get<LogWriter>(), Now,
+                               Out);
+  this->updateCurrent(Now, Out);
+  this->HighestOffset = std::max(this->HighestOffset, this->InForce.offset());
 }
 
 Time CataloguePlugin::nextWake() const {
-  if (this->Complete)
+  if (this->IsComplete)
     return this->Writer->nextWake();
-  return this->Members ? this->AskPeerAt : Never;
+  return this->Members ? this->NextPeerRequestAt : Never;
 }
 
 void CataloguePlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
-  Monitor.require(this->InForce.offset() >= this->HighestSeen,
+  Monitor.require(this->InForce.offset() >= this->HighestOffset,
                   "the offset in force never falls");
 }
 
 bool CataloguePlugin::isReady() const {
-  return this->Complete && !this->InForce.entries().empty();
+  return this->IsComplete && !this->InForce.entries().empty();
 }
 
 bool CataloguePlugin::isCurrent(Time Now) const {
-  return this->Complete && this->Known->isCurrent(this->Members, Now);
+  return this->IsComplete && this->Freshness->isCurrent(this->Members, Now);
 }
 
 bool CataloguePlugin::mayAccept(Time Now) const {
-  return this->isCurrent(Now) && this->Known->hearsMost(this->Members, Now);
+  return this->isCurrent(Now) &&
+         this->Freshness->hearsMajority(this->Members, Now);
 }
 
-void CataloguePlugin::recordRead(const StoredRecord &Read, Time Now,
+void CataloguePlugin::recordRead(const StoredRecord &Stored, Time Now,
                                  Actions &Out) {
-  if (Read.Offset <= this->RestoredAt)
+  if (Stored.Offset <= this->RestoredOffset)
     return;
-  const LogRecordBody &Body = Read.Record.Body;
+  const LogRecordBody &Body = Stored.Record.Body;
   if (const auto *Chunk = std::get_if<SnapshotChunk>(&Body))
-    this->takeChunk(Read, *Chunk, Now, Out);
+    this->handleChunk(Stored, *Chunk, Now, Out);
   const auto *Configuration = std::get_if<ConfigurationRecord>(&Body);
   if (this->MissingBefore > 0) {
     if (Configuration)
-      this->Held.push_back(Read);
+      this->BufferedRecords.push_back(Stored);
     return;
   }
   if (Configuration)
-    this->foldSet(Read, Configuration->Set, Out);
+    this->foldChangeSet(Stored, Configuration->Set, Out);
   else
-    this->InForce.passOver(Read.Offset);
+    this->InForce.passOver(Stored.Offset);
 }
 
 void CataloguePlugin::caughtUp(LogOffset EndOffset, Time Now, Actions &Out) {
   if (this->MissingBefore > 0)
     return;
-  if (this->holdsTooLittle(EndOffset, Out)) {
+  if (this->isLogTooShort(EndOffset, Out)) {
     // What was folded from it is not to be served; a peer has the catalogue.
-    this->Complete = this->InForce.offset() >= EndOffset;
+    this->IsComplete = this->InForce.offset() >= EndOffset;
     return;
   }
   this->InForce.passOver(EndOffset - 1);
-  this->Known->confirm(this->Tail->endReadAt());
-  this->Complete = true;
-  this->Writer->begin(Now);
+  this->Freshness->confirm(this->Tail->endReadAt());
+  this->IsComplete = true;
+  this->Writer->scheduleFirst(Now);
 }
 
 void CataloguePlugin::recordsMissed(LogOffset StartOffset, Time, Actions &) {
-  this->Held.clear();
-  if (this->RestoredAt + 1 >= StartOffset ||
+  this->BufferedRecords.clear();
+  if (this->RestoredOffset + 1 >= StartOffset ||
       this->InForce.offset() + 1 >= StartOffset)
     return;
   this->MissingBefore = StartOffset;
-  this->Complete = false;
+  this->IsComplete = false;
 }
 
 std::optional<NotRun> CataloguePlugin::check(const Request &, Time Now) {
   if (!this->isReady())
-    return NotRun{RefusalReason::NotReady, RetryWhenCurrent,
+    return NotRun{RefusalReason::NotReady, RetryDelay,
                   "this host does not know the catalogue yet; ask another one"};
   if (!this->isCurrent(Now))
-    return NotRun{RefusalReason::NotCurrent, RetryWhenCurrent,
+    return NotRun{RefusalReason::NotCurrent, RetryDelay,
                   "this host is cut off from the log; ask another one"};
   return std::nullopt;
 }
@@ -155,55 +157,55 @@
   Report.InForce = this->InForce.offset();
 }
 
-void CataloguePlugin::takePeerMessage(const PeerMessage &Message, Time Now,
-                                      Actions &Out) {
+void CataloguePlugin::handlePeerMessage(const PeerMessage &Message, Time Now,
+                                        Actions &Out) {
   if (const auto *Beat = std::get_if<Heartbeat>(&Message.Body)) {
-    if (this->Complete)
-      this->Known->hear(*Beat, this->InForce.offset(), Now);
+    if (this->IsComplete)
+      this->Freshness->handleHeartbeat(*Beat, this->InForce.offset(), Now);
     return;
   }
-  if (const auto *Asked = std::get_if<RecordsRequest>(&Message.Body)) {
-    const LogOffset Kept = this->Tail->firstRetained();
-    if (this->isReady() && (Kept == 0 || Asked->FromOffset < Kept))
+  if (const auto *Requested = std::get_if<RecordsRequest>(&Message.Body)) {
+    const LogOffset Retained = this->Tail->firstRetained();
+    if (this->isReady() && (Retained == 0 || Requested->FromOffset < Retained))
       Out.add(SendToPeer{Message.From,
                          CatalogueRelayed{this->InForce.offset(),
-                                          snapshotText(this->InForce)}});
+                                          serializeSnapshot(this->InForce)}});
     return;
   }
   const auto *Relayed = std::get_if<CatalogueRelayed>(&Message.Body);
   if (!Relayed || Relayed->AtOffset <= this->InForce.offset())
     return;
-  const bool Restored = this->restore(Relayed->AtOffset, Relayed->Text,
-                                      Message.From.Value, Now, Out);
+  const bool IsRestored = this->restore(Relayed->AtOffset, Relayed->Text,
+                                        Message.From.Value, Now, Out);
   // What the log itself can still give is read there, for the other plug-ins.
-  if (Restored && !this->Offered->get<LogWriter>().isReachable(Now))
+  if (IsRestored && !this->PluginServices->get<LogWriter>().isReachable(Now))
     this->Tail->skipTo(Relayed->AtOffset + 1, Now, Out);
 }
 
-void CataloguePlugin::takeChunk(const StoredRecord &Read,
-                                const SnapshotChunk &Chunk, Time Now,
-                                Actions &Out) {
+void CataloguePlugin::handleChunk(const StoredRecord &Stored,
+                                  const SnapshotChunk &Chunk, Time Now,
+                                  Actions &Out) {
   const std::uint64_t DamagedBefore = this->Assembler.damaged();
-  const auto Whole = this->Assembler.add(Chunk);
+  const auto Complete = this->Assembler.add(Chunk);
   if (this->Assembler.damaged() > DamagedBefore)
     Out.log(logEvent(events::SnapshotDamaged)
-                .with("offset", Read.Offset)
+                .with("offset", Stored.Offset)
                 .with("at", Chunk.AtOffset)
                 .build());
-  if (!Whole)
+  if (!Complete)
     return;
-  this->Writer->sawWhole(Whole->AtOffset, Now);
+  this->Writer->noteSnapshotRead(Complete->AtOffset, Now);
   if (this->MissingBefore > 0)
-    this->restore(Whole->AtOffset, Whole->Text, "log", Now, Out);
+    this->restore(Complete->AtOffset, Complete->Text, "log", Now, Out);
 }
 
-void CataloguePlugin::foldSet(const StoredRecord &Read, const ChangeSet &Set,
-                              Actions &Out) {
-  const ChangeVerdict Verdict = this->InForce.fold(Set, Read.Offset);
+void CataloguePlugin::foldChangeSet(const StoredRecord &Stored,
+                                    const ChangeSet &Set, Actions &Out) {
+  const ChangeVerdict Verdict = this->InForce.fold(Set, Stored.Offset);
   const auto *Refused = std::get_if<ChangeRefused>(&Verdict);
   auto Line =
       logEvent(Refused ? events::ChangeRejected : events::CatalogueAdvanced)
-          .with("offset", Read.Offset)
+          .with("offset", Stored.Offset)
           .with("change", Set.Id.Value)
           .with("author", Set.Author.Value);
   if (Refused)
@@ -213,12 +215,12 @@
 
 bool CataloguePlugin::restore(LogOffset AtOffset, std::string_view Text,
                               std::string_view Source, Time Now, Actions &Out) {
-  const bool Gap = AtOffset + 1 < this->MissingBefore;
-  if (Gap || AtOffset <= this->InForce.offset())
+  const bool HasGap = AtOffset + 1 < this->MissingBefore;
+  if (HasGap || AtOffset <= this->InForce.offset())
     return false;
   SnapshotState State;
   try {
-    State = snapshotFromText(Text);
+    State = parseSnapshot(Text);
   } catch (const Error &Problem) {
     Out.log(logEvent(events::SnapshotDamaged)
                 .with("at", AtOffset)
@@ -228,50 +230,50 @@
   }
   this->InForce.restore(std::move(State.Entries), AtOffset,
                         std::move(State.Verdicts));
-  this->RestoredAt = AtOffset;
+  this->RestoredOffset = AtOffset;
   this->MissingBefore = 0;
-  this->Complete = true;
-  this->Writer->begin(Now);
+  this->IsComplete = true;
+  this->Writer->scheduleFirst(Now);
   Out.log(logEvent(events::CatalogueRestored)
               .with("offset", AtOffset)
               .with("from", Source)
               .build());
-  for (const StoredRecord &Each : std::exchange(this->Held, {})) {
+  for (const StoredRecord &Each : std::exchange(this->BufferedRecords, {})) {
     if (Each.Offset > AtOffset)
-      this->foldSet(Each, std::get<ConfigurationRecord>(Each.Record.Body).Set,
-                    Out);
+      this->foldChangeSet(
+          Each, std::get<ConfigurationRecord>(Each.Record.Body).Set, Out);
   }
   return true;
 }
 
-bool CataloguePlugin::holdsTooLittle(LogOffset EndOffset, Actions &Out) {
+bool CataloguePlugin::isLogTooShort(LogOffset EndOffset, Actions &Out) {
   const Time ReadAt = this->Tail->endReadAt();
-  const auto KnowsMore = [&](const Member &Each) {
+  const auto HasMore = [&](const Member &Each) {
     return Each.InForce >= EndOffset && Each.LastHeard < ReadAt;
   };
-  bool TooLittle = this->InForce.offset() >= EndOffset;
+  bool IsTooShort = this->InForce.offset() >= EndOffset;
   if (this->Members)
-    TooLittle |= std::ranges::any_of(this->Members->peers(), KnowsMore);
-  if (TooLittle && !this->LogTooShort)
+    IsTooShort |= std::ranges::any_of(this->Members->peers(), HasMore);
+  if (IsTooShort && !this->WasLogTooShort)
     Out.log(logEvent(events::LogRecordsLost).with("end", EndOffset).build());
-  this->LogTooShort = TooLittle;
-  return TooLittle;
+  this->WasLogTooShort = IsTooShort;
+  return IsTooShort;
 }
 
-void CataloguePlugin::askPeerWhenDue(Time Now, Actions &Out) {
-  if (this->Complete || !this->Members || Now < this->AskPeerAt)
+void CataloguePlugin::requestFromPeerWhenDue(Time Now, Actions &Out) {
+  if (this->IsComplete || !this->Members || Now < this->NextPeerRequestAt)
     return;
-  this->AskPeerAt = Now + this->AskInterval;
+  this->NextPeerRequestAt = Now + this->PeerRequestInterval;
   if (const Member *Best = bestPeer(*this->Members))
     Out.add(SendToPeer{Best->Listing.Id, RecordsRequest{0}});
 }
 
-void CataloguePlugin::noteCurrency(Time Now, Actions &Out) {
-  const bool Is = this->isCurrent(Now);
-  if (Is == this->WasCurrent)
+void CataloguePlugin::updateCurrent(Time Now, Actions &Out) {
+  const bool IsCurrentNow = this->isCurrent(Now);
+  if (IsCurrentNow == this->WasCurrent)
     return;
-  this->WasCurrent = Is;
-  Out.log(logEvent(Is ? events::HostCurrent : events::HostNotCurrent)
+  this->WasCurrent = IsCurrentNow;
+  Out.log(logEvent(IsCurrentNow ? events::HostCurrent : events::HostNotCurrent)
               .with("offset", this->InForce.offset())
               .build());
 }
--- a/src/plugins/catalogue/CataloguePlugin.h
+++ b/src/plugins/catalogue/CataloguePlugin.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "kernel/Plugin.h"
+#include "plugins/catalogue/CatalogueFreshness.h"
 #include "plugins/catalogue/ChangeAcceptance.h"
-#include "plugins/catalogue/Currency.h"
 #include "plugins/catalogue/SnapshotAssembler.h"
 #include "plugins/catalogue/SnapshotWriter.h"
 #include "plugins/log/LogTail.h"
@@ -30,56 +30,57 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   const Catalogue &catalogue() const override { return this->InForce; }
   bool isReady() const override;
   bool isCurrent(Time Now) const override;
-  Time confirmedAt() const override { return this->Known->confirmedAt(); }
+  Time confirmedAt() const override { return this->Freshness->confirmedAt(); }
 
   bool mayAccept(Time Now) const override;
 
-  void recordRead(const StoredRecord &Read, Time Now, Actions &Out) override;
+  void recordRead(const StoredRecord &Stored, Time Now, Actions &Out) override;
   void caughtUp(LogOffset EndOffset, Time Now, Actions &Out) override;
   void recordsMissed(LogOffset StartOffset, Time Now, Actions &Out) override;
 
-  std::optional<NotRun> check(const Request &Asked, Time Now) override;
+  std::optional<NotRun> check(const Request &Req, Time Now) override;
   void contribute(StatusReport &Report, Time Now) const override;
 
 private:
-  void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
-  void takeChunk(const StoredRecord &Read, const SnapshotChunk &Chunk, Time Now,
-                 Actions &Out);
-  void foldSet(const StoredRecord &Read, const ChangeSet &Set, Actions &Out);
+  void handlePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
+  void handleChunk(const StoredRecord &Stored, const SnapshotChunk &Chunk,
+                   Time Now, Actions &Out);
+  void foldChangeSet(const StoredRecord &Stored, const ChangeSet &Set,
+                     Actions &Out);
   bool restore(LogOffset AtOffset, std::string_view Text,
                std::string_view Source, Time Now, Actions &Out);
   /// Whether this host, or a peer before this read, had more in force than
   /// the log holds: the log service lost records, and what it shows may be the
   /// start of another log.
-  bool holdsTooLittle(LogOffset EndOffset, Actions &Out);
-  void askPeerWhenDue(Time Now, Actions &Out);
-  void noteCurrency(Time Now, Actions &Out);
+  bool isLogTooShort(LogOffset EndOffset, Actions &Out);
+  void requestFromPeerWhenDue(Time Now, Actions &Out);
+  void updateCurrent(Time Now, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   LogTail *Tail = nullptr;
   const MembershipView *Members = nullptr;
   Catalogue InForce;
-  std::optional<Currency> Known;
+  std::optional<CatalogueFreshness> Freshness;
   std::optional<SnapshotWriter> Writer;
   SnapshotAssembler Assembler;
   /// While the start of the log is gone and no snapshot was found: the change
   /// sets read so far.
-  std::vector<StoredRecord> Held;
-  LogOffset MissingBefore = 0; ///< Records before it are needed; 0: none.
-  LogOffset RestoredAt = 0;    ///< Records up to it are in the snapshot.
-  LogOffset HighestSeen = 0;   ///< Of the offset in force; for the invariant.
-  bool Complete = false;       ///< Nothing that was in the log is missing.
+  std::vector<StoredRecord> BufferedRecords;
+  LogOffset MissingBefore = 0;  ///< Records before it are needed; 0: none.
+  LogOffset RestoredOffset = 0; ///< Records up to it are in the snapshot.
+  LogOffset HighestOffset = 0;  ///< Of the offset in force; for the invariant.
+  bool IsComplete = false;      ///< Nothing that was in the log is missing.
   bool WasCurrent = false;
-  bool LogTooShort = false;
-  Time AskPeerAt{};
-  Duration AskInterval{};
+  bool WasLogTooShort = false;
+  Time NextPeerRequestAt{};
+  Duration PeerRequestInterval{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/SnapshotAssembler.cpp
+++ b/src/plugins/catalogue/SnapshotAssembler.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Snapshots put together at one time; the oldest goes first.
-constexpr std::size_t MostOpen = 4;
+constexpr std::size_t MaxPartials = 4;
 /// More chunks than any catalogue needs.
-constexpr std::uint32_t MostChunks = 16384;
+constexpr std::uint32_t MaxChunks = 16384;
 
 std::uint64_t checksum(std::string_view Text) {
   return XXH64(Text.data(), Text.size(), 0);
@@ -19,44 +19,44 @@
 
 } // namespace
 
-std::optional<WholeSnapshot>
+std::optional<CompleteSnapshot>
 SnapshotAssembler::add(const SnapshotChunk &Chunk) {
-  if (Chunk.Count == 0 || Chunk.Count > MostChunks ||
-      Chunk.Index >= Chunk.Count)
+  if (Chunk.Count == 0 || Chunk.Count > MaxChunks || Chunk.Index >= Chunk.Count)
     return std::nullopt;
-  Partial &Into = this->Open[Chunk.AtOffset];
-  const bool Other =
-      Into.Pieces.size() != Chunk.Count || Into.Checksum != Chunk.WholeChecksum;
-  if (Other) {
-    Into.Checksum = Chunk.WholeChecksum;
-    Into.Pieces.assign(Chunk.Count, std::nullopt);
-    Into.Missing = Chunk.Count;
+  PartialSnapshot &Snapshot = this->Partials[Chunk.AtOffset];
+  const bool IsDifferent = Snapshot.Chunks.size() != Chunk.Count ||
+                           Snapshot.Checksum != Chunk.WholeChecksum;
+  if (IsDifferent) {
+    Snapshot.Checksum = Chunk.WholeChecksum;
+    Snapshot.Chunks.assign(Chunk.Count, std::nullopt);
+    Snapshot.Missing = Chunk.Count;
   }
-  if (!Into.Pieces[Chunk.Index]) {
-    Into.Pieces[Chunk.Index] = Chunk.Bytes;
-    --Into.Missing;
+  if (!Snapshot.Chunks[Chunk.Index]) {
+    Snapshot.Chunks[Chunk.Index] = Chunk.Bytes;
+    --Snapshot.Missing;
   }
-  if (Into.Missing == 0)
+  if (Snapshot.Missing == 0)
     return this->finish(Chunk.AtOffset);
-  if (this->Open.size() > MostOpen)
-    this->Open.erase(this->Open.begin());
+  if (this->Partials.size() > MaxPartials)
+    this->Partials.erase(this->Partials.begin());
   return std::nullopt;
 }
 
-std::optional<WholeSnapshot> SnapshotAssembler::finish(LogOffset AtOffset) {
-  const Partial Done = std::move(this->Open[AtOffset]);
-  this->Open.erase(AtOffset);
-  WholeSnapshot Result{AtOffset, {}};
-  for (const auto &Piece : Done.Pieces)
-    Result.Text += *Piece;
-  if (checksum(Result.Text) == Done.Checksum)
+std::optional<CompleteSnapshot> SnapshotAssembler::finish(LogOffset AtOffset) {
+  const PartialSnapshot Finished = std::move(this->Partials[AtOffset]);
+  this->Partials.erase(AtOffset);
+  CompleteSnapshot Result{AtOffset, {}};
+  for (const auto &Chunk : Finished.Chunks)
+    Result.Text += *Chunk;
+  if (checksum(Result.Text) == Finished.Checksum)
     return Result;
   ++this->Damaged;
   return std::nullopt;
 }
 
-std::vector<SnapshotChunk> chunksOf(LogOffset AtOffset, std::string_view Text,
-                                    std::size_t ChunkBytes) {
+std::vector<SnapshotChunk> splitIntoChunks(LogOffset AtOffset,
+                                           std::string_view Text,
+                                           std::size_t ChunkBytes) {
   const std::size_t Count =
       std::max<std::size_t>(1, (Text.size() + ChunkBytes - 1) / ChunkBytes);
   const std::uint64_t Checksum = checksum(Text);
--- a/src/plugins/catalogue/SnapshotAssembler.h
+++ b/src/plugins/catalogue/SnapshotAssembler.h
@@ -11,7 +11,7 @@
 namespace banyanpick {
 
 /// A snapshot whose chunks were all read and whose checksum holds.
-struct WholeSnapshot {
+struct CompleteSnapshot {
   LogOffset AtOffset = 0;
   std::string Text;
 };
@@ -21,26 +21,27 @@
 class SnapshotAssembler {
 public:
   /// Takes in a chunk; gives the snapshot when this was its last one.
-  std::optional<WholeSnapshot> add(const SnapshotChunk &Chunk);
+  std::optional<CompleteSnapshot> add(const SnapshotChunk &Chunk);
 
   /// Snapshots that were complete but did not match their checksum.
   std::uint64_t damaged() const { return this->Damaged; }
 
 private:
-  struct Partial {
+  struct PartialSnapshot {
     std::uint64_t Checksum = 0;
-    std::vector<std::optional<std::string>> Pieces;
+    std::vector<std::optional<std::string>> Chunks;
     std::size_t Missing = 0;
   };
 
-  std::optional<WholeSnapshot> finish(LogOffset AtOffset);
+  std::optional<CompleteSnapshot> finish(LogOffset AtOffset);
 
-  std::map<LogOffset, Partial> Open;
+  std::map<LogOffset, PartialSnapshot> Partials;
   std::uint64_t Damaged = 0;
 };
 
 /// The chunks of a snapshot text, at most \p ChunkBytes each.
-std::vector<SnapshotChunk> chunksOf(LogOffset AtOffset, std::string_view Text,
-                                    std::size_t ChunkBytes);
+std::vector<SnapshotChunk> splitIntoChunks(LogOffset AtOffset,
+                                           std::string_view Text,
+                                           std::size_t ChunkBytes);
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/SnapshotText.cpp
+++ b/src/plugins/catalogue/SnapshotText.cpp
@@ -10,14 +10,14 @@
 
 constexpr int FormatVersion = 1;
 
-[[noreturn]] void throwUnreadable(const std::string &What) {
-  throw Error(ErrorKind::BadInput, "the snapshot is unreadable: " + What,
+[[noreturn]] void throwUnreadable(const std::string &Reason) {
+  throw Error(ErrorKind::BadInput, "the snapshot is unreadable: " + Reason,
               "let a host of this version write a new one");
 }
 
 } // namespace
 
-std::string snapshotText(const Catalogue &Source) {
+std::string serializeSnapshot(const Catalogue &Source) {
   nlohmann::json Verdicts = nlohmann::json::array();
   for (const KnownVerdict &Each : Source.verdicts())
     Verdicts.push_back(
@@ -28,13 +28,13 @@
       .dump();
 }
 
-SnapshotState snapshotFromText(std::string_view Text) {
+SnapshotState parseSnapshot(std::string_view Text) {
   try {
-    const nlohmann::json Given = nlohmann::json::parse(Text);
-    if (Given.at("format") != FormatVersion)
+    const nlohmann::json Parsed = nlohmann::json::parse(Text);
+    if (Parsed.at("format") != FormatVersion)
       throwUnreadable("its format is not known");
-    SnapshotState Result{entryMapFromJson(Given.at("entries")), {}};
-    for (const nlohmann::json &Each : Given.at("verdicts"))
+    SnapshotState Result{entryMapFromJson(Parsed.at("entries")), {}};
+    for (const nlohmann::json &Each : Parsed.at("verdicts"))
       Result.Verdicts.push_back({ChangeId(Each.at("id").get<std::string>()),
                                  changeVerdictFromJson(Each.at("verdict"))});
     return Result;
--- a/src/plugins/catalogue/SnapshotText.h
+++ b/src/plugins/catalogue/SnapshotText.h
@@ -17,9 +17,9 @@
 };
 
 /// The text of everything that the fold of later records depends on.
-std::string snapshotText(const Catalogue &Source);
+std::string serializeSnapshot(const Catalogue &Source);
 
 /// The inverse. Throws Error(BadInput) on text that no host wrote.
-SnapshotState snapshotFromText(std::string_view Text);
+SnapshotState parseSnapshot(std::string_view Text);
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/SnapshotWriter.cpp
+++ b/src/plugins/catalogue/SnapshotWriter.cpp
@@ -13,26 +13,26 @@
 namespace {
 
 /// Part of the interval in which a new host plans its first snapshot.
-constexpr int FirstPart = 8;
+constexpr int FirstDelayDivisor = 8;
 /// Part of the interval between the turns of two hosts.
-constexpr int TurnPart = 16;
+constexpr int TurnDivisor = 16;
 /// Later turns than this are taken together.
-constexpr std::size_t MostTurns = 8;
+constexpr std::size_t MaxTurns = 8;
 /// Part of the interval after which an own snapshot not read back is repeated.
-constexpr int RepeatPart = 4;
+constexpr int RepeatDivisor = 4;
 
 } // namespace
 
-void SnapshotWriter::begin(Time Now) {
+void SnapshotWriter::scheduleFirst(Time Now) {
   if (this->DueAt != Never)
     return;
-  const double Part = this->Numbers.fraction() / FirstPart;
-  this->DueAt = Now + fromSeconds(inSeconds(this->Options.Interval) * Part);
+  const double Fraction = this->Rng.fraction() / FirstDelayDivisor;
+  this->DueAt = Now + fromSeconds(inSeconds(this->Options.Interval) * Fraction);
 }
 
-void SnapshotWriter::sawWhole(LogOffset AtOffset, Time Now) {
-  this->LastAt = std::max(this->LastAt, AtOffset);
-  this->TurnTaken = false;
+void SnapshotWriter::noteSnapshotRead(LogOffset AtOffset, Time Now) {
+  this->LastOffset = std::max(this->LastOffset, AtOffset);
+  this->IsTurnScheduled = false;
   if (this->DueAt != Never)
     this->DueAt = Now + this->Options.Interval;
 }
@@ -43,17 +43,17 @@
   if (Now < this->DueAt)
     return;
   const std::size_t Rank = this->rank(Members);
-  if (!this->TurnTaken && Rank > 0) {
-    this->TurnTaken = true;
-    this->DueAt = Now + this->Options.Interval / TurnPart *
-                            static_cast<int>(std::min(Rank, MostTurns));
+  if (!this->IsTurnScheduled && Rank > 0) {
+    this->IsTurnScheduled = true;
+    this->DueAt = Now + this->Options.Interval / TurnDivisor *
+                            static_cast<int>(std::min(Rank, MaxTurns));
     return;
   }
-  this->DueAt = Now + this->Options.Interval / RepeatPart;
+  this->DueAt = Now + this->Options.Interval / RepeatDivisor;
   if (!Log.isReachable(Now))
     return;
-  const auto Chunks =
-      chunksOf(Source.offset(), snapshotText(Source), this->Options.ChunkBytes);
+  const auto Chunks = splitIntoChunks(
+      Source.offset(), serializeSnapshot(Source), this->Options.ChunkBytes);
   for (const SnapshotChunk &Each : Chunks)
     Log.append(Each, Now, Out);
   Out.log(logEvent(events::SnapshotWritten)
@@ -65,7 +65,7 @@
 std::size_t SnapshotWriter::rank(const MembershipView *Members) const {
   if (!Members)
     return 0;
-  const std::string Round = "snapshot " + std::to_string(this->LastAt);
+  const std::string Round = "snapshot " + std::to_string(this->LastOffset);
   const std::uint64_t Own = rendezvousWeight(Round, this->Self.Value);
   const auto Live = Members->livePeers();
   return static_cast<std::size_t>(
--- a/src/plugins/catalogue/SnapshotWriter.h
+++ b/src/plugins/catalogue/SnapshotWriter.h
@@ -20,14 +20,14 @@
 /// only one writes; two at once do no harm.
 class SnapshotWriter {
 public:
-  SnapshotWriter(HostId Self, SnapshotWriterOptions Options, Random &Numbers)
-      : Self(std::move(Self)), Options(Options), Numbers(Numbers) {}
+  SnapshotWriter(HostId Self, SnapshotWriterOptions Options, Random &Rng)
+      : Self(std::move(Self)), Options(Options), Rng(Rng) {}
 
   /// The catalogue became complete; the first snapshot is planned.
-  void begin(Time Now);
+  void scheduleFirst(Time Now);
 
   /// A whole snapshot was read in the log.
-  void sawWhole(LogOffset AtOffset, Time Now);
+  void noteSnapshotRead(LogOffset AtOffset, Time Now);
 
   /// Appends a snapshot of \p Source when this host's turn has come.
   void writeWhenDue(const Catalogue &Source, const MembershipView *Members,
@@ -40,10 +40,10 @@
 
   HostId Self;
   SnapshotWriterOptions Options;
-  Random &Numbers;
-  LogOffset LastAt = 0;
+  Random &Rng;
+  LogOffset LastOffset = 0;
   Time DueAt = Never;
-  bool TurnTaken = false; ///< DueAt counts this host's rank already.
+  bool IsTurnScheduled = false; ///< DueAt counts this host's rank already.
 };
 
 } // namespace banyanpick
--- a/tests/auto/catalogueplugin/CatalogueBench.h
+++ b/tests/auto/catalogueplugin/CatalogueBench.h
@@ -12,22 +12,22 @@
 }
 
 inline std::string textOf(BenchHost &Host) {
-  return snapshotText(viewOf(Host).catalogue());
+  return serializeSnapshot(viewOf(Host).catalogue());
 }
 
 /// Puts a change set into the log, as some host would.
-inline LogOffset write(LogServiceModel &Log, ChangeSet Set) {
+inline LogOffset appendChangeSet(LogServiceModel &Log, ChangeSet Set) {
   return Log.append({LogRecord{{}, ConfigurationRecord{std::move(Set)}}});
 }
 
 /// Hands \p Host the message of another one.
-inline void tell(BenchHost &Host, std::string From, PeerMessageBody Body) {
+inline void deliver(BenchHost &Host, std::string From, PeerMessageBody Body) {
   Host.handle(PeerMessageReceived{
       {HostId(std::move(From)), Incarnation(7), std::move(Body)}});
 }
 
 /// What admission says to any request now.
-inline std::optional<NotRun> gate(BenchHost &Host) {
+inline std::optional<NotRun> checkAdmission(BenchHost &Host) {
   for (AdmissionGate *Each : Host.services().list<AdmissionGate>().all()) {
     if (auto Refusal = Each->check(Request(), Host.Now))
       return Refusal;
--- a/tests/auto/catalogueplugin/CurrencyTest.cpp
+++ b/tests/auto/catalogueplugin/CatalogueFreshnessTest.cpp
@@ -15,30 +15,31 @@
 }
 
 /// A ready host that is cut off from the log from the start of each test.
-struct CurrencyTest : testing::Test {
+struct CatalogueFreshnessTest : testing::Test {
   LogServiceModel Log;
   BenchHost Host{Log, "h1", 0xa1};
   Time CutAt{};
 
   void SetUp() override {
-    write(this->Log, declareOwner("c1", "ring"));
+    appendChangeSet(this->Log, declareOwner("c1", "ring"));
     this->Host.catchUp();
     this->CutAt = this->Host.Now;
-    ASSERT_EQ(gate(this->Host), std::nullopt);
+    ASSERT_EQ(checkAdmission(this->Host), std::nullopt);
   }
 
   /// Lets 5 s pass; each of \p Peers is heard all the while. \p Reaches: they
   /// reach the log.
-  void passWithPeers(const std::vector<std::string> &Heard, bool Reaches,
-                     const std::vector<std::string> &Silent = {}) {
+  void advanceWithPeers(const std::vector<std::string> &Heard,
+                        bool PeersReachLog,
+                        const std::vector<std::string> &Silent = {}) {
     for (int Step = 0; Step < 10; ++Step) {
       const Time Now = this->Host.Now;
-      const Time Confirmed = Reaches ? Now : this->CutAt;
+      const Time Confirmed = PeersReachLog ? Now : this->CutAt;
       this->Host.probe().Members.clear();
       for (const std::string &Each : Heard) {
         this->Host.probe().Members.push_back(
             peerHeard(Each, Now, Confirmed, 1));
-        tell(this->Host, Each, beat(1, Confirmed));
+        deliver(this->Host, Each, beat(1, Confirmed));
       }
       for (const std::string &Each : Silent)
         this->Host.probe().Members.push_back(
@@ -50,50 +51,52 @@
 
 } // namespace
 
-TEST_F(CurrencyTest, CutOffFromLogAndPeersStopsAdmittingWithinSixSeconds) {
-  this->passWithPeers({}, false, {"h2", "h3"});
+TEST_F(CatalogueFreshnessTest,
+       CutOffFromLogAndPeersStopsAdmittingWithinSixSeconds) {
+  this->advanceWithPeers({}, false, {"h2", "h3"});
   ASSERT_LE(this->Host.Now, this->CutAt + seconds(6));
-  EXPECT_EQ(gate(this->Host)->Reason, RefusalReason::NotCurrent);
+  EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CurrencyTest, CutOffFromTheLogOnlyStaysCurrentThroughPeers) {
-  this->passWithPeers({"h2"}, true, {"h3", "h4"});
-  EXPECT_EQ(gate(this->Host), std::nullopt);
+TEST_F(CatalogueFreshnessTest, CutOffFromTheLogOnlyStaysCurrentThroughPeers) {
+  this->advanceWithPeers({"h2"}, true, {"h3", "h4"});
+  EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
   EXPECT_GT(viewOf(this->Host).confirmedAt(), this->CutAt + seconds(3));
 }
 
-TEST_F(CurrencyTest, PeerThatIsAheadConfirmsNothing) {
+TEST_F(CatalogueFreshnessTest, PeerThatIsAheadConfirmsNothing) {
   for (int Step = 0; Step < 10; ++Step) {
-    tell(this->Host, "h2", beat(2, this->Host.Now));
+    deliver(this->Host, "h2", beat(2, this->Host.Now));
     this->Host.probe().Members = {
         peerHeard("h2", this->Host.Now, this->Host.Now, 2)};
     this->Host.advance(milliseconds(500));
   }
-  EXPECT_EQ(gate(this->Host)->Reason, RefusalReason::NotCurrent);
+  EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CurrencyTest, InACommonOutageEverythingStaysInForce) {
-  this->passWithPeers({"h2", "h3"}, false, {"h4"});
-  EXPECT_EQ(gate(this->Host), std::nullopt);
+TEST_F(CatalogueFreshnessTest, InACommonOutageEverythingStaysInForce) {
+  this->advanceWithPeers({"h2", "h3"}, false, {"h4"});
+  EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
   EXPECT_LE(viewOf(this->Host).confirmedAt(), this->CutAt)
       << "hosts without the log confirmed each other";
 }
 
-TEST_F(CurrencyTest, CutOffWithAMinorityStopsAdmitting) {
-  this->passWithPeers({"h2"}, false, {"h3", "h4"});
-  EXPECT_EQ(gate(this->Host)->Reason, RefusalReason::NotCurrent);
+TEST_F(CatalogueFreshnessTest, CutOffWithAMinorityStopsAdmitting) {
+  this->advanceWithPeers({"h2"}, false, {"h3", "h4"});
+  EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CurrencyTest, FreezeIsNoticedBeforeAnythingIsAdmitted) {
+TEST_F(CatalogueFreshnessTest, FreezeIsNoticedBeforeAnythingIsAdmitted) {
   this->Host.probe().Members = {peerHeard("h2", CutAt, CutAt, 1),
                                 peerHeard("h3", CutAt, CutAt, 1)};
   this->Host.Now += seconds(60);
-  EXPECT_EQ(gate(this->Host)->Reason, RefusalReason::NotCurrent);
+  EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
   this->Host.catchUp();
-  EXPECT_EQ(gate(this->Host), std::nullopt);
+  EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
 }
 
-TEST_F(CurrencyTest, AnswerThatArrivesLateConfirmsOnlyTheTimeOfAsking) {
+TEST_F(CatalogueFreshnessTest,
+       AnswerThatArrivesLateConfirmsOnlyTheTimeOfAsking) {
   this->Host.advance(milliseconds(50));
   const Time Asked = this->Host.Now;
   this->Host.Now += seconds(60);
--- a/tests/auto/catalogueplugin/SnapshotProperty.cpp
+++ b/tests/auto/catalogueplugin/SnapshotProperty.cpp
@@ -14,55 +14,55 @@
 public:
   RandomRun() {
     for (unsigned Host = 0; Host < 3; ++Host)
-      this->All.push_back(this->born(Host));
+      this->Hosts.push_back(this->makeHost(Host));
   }
 
   void step(unsigned Draw) {
     const unsigned Kind = Draw % 8;
     const unsigned Host = Draw / 8 % 3;
     const unsigned Pick = Draw / 32;
-    BenchHost &On = *this->All[Host];
-    On.advance(milliseconds(300));
+    BenchHost &Target = *this->Hosts[Host];
+    Target.advance(milliseconds(300));
     if (Kind < 2)
-      write(this->Log, this->someSet(Pick));
+      appendChangeSet(this->Log, this->makeChangeSet(Pick));
     else if (Kind < 5)
-      On.catchUp();
+      Target.catchUp();
     else if (Kind < 7)
-      On.settle();
+      Target.settle();
     else if (Pick % 4 == 0)
-      this->All[Host] = this->born(Host);
-    else if (this->someoneKnowsAll())
+      this->Hosts[Host] = this->makeHost(Host);
+    else if (this->isAnyHostUpToDate())
       this->Log.dropBefore(this->Log.end() > 40 ? this->Log.end() - 40 : 1);
     this->check();
   }
 
 private:
-  std::unique_ptr<BenchHost> born(unsigned Host) {
+  std::unique_ptr<BenchHost> makeHost(unsigned Host) {
     return std::make_unique<BenchHost>(
-        this->Log, "h" + std::to_string(Host), ++this->Lives,
+        this->Log, "h" + std::to_string(Host), ++this->Incarnations,
         std::map<std::string, std::string>{
             {"log.retention", "20s"}, {"catalogue.snapshot_chunk", "256"}});
   }
 
   /// A set about one of four owners, against a version that may be right; now
   /// and then a second copy of an earlier one.
-  ChangeSet someSet(unsigned Pick) {
-    if (Pick % 5 == 0 && !this->Sets.empty())
-      return this->Sets[Pick / 5 % this->Sets.size()];
+  ChangeSet makeChangeSet(unsigned Pick) {
+    if (Pick % 5 == 0 && !this->ChangeSets.empty())
+      return this->ChangeSets[Pick / 5 % this->ChangeSets.size()];
     const std::string Name = "o" + std::to_string(Pick % 4);
-    const EntryMap &Known = viewOf(*this->All[0]).catalogue().entries();
+    const EntryMap &Known = viewOf(*this->Hosts[0]).catalogue().entries();
     const auto Found = Known.find({EntryKind::Owner, Name});
     ChangeSet Result =
-        declareOwner("c" + std::to_string(this->Sets.size()), Name,
+        declareOwner("c" + std::to_string(this->ChangeSets.size()), Name,
                      Found == Known.end() ? 0 : Found->second.Version);
     if (Pick % 3 == 0)
       Result.Changes[0].Body.reset();
-    this->Sets.push_back(Result);
+    this->ChangeSets.push_back(Result);
     return Result;
   }
 
-  bool someoneKnowsAll() {
-    return std::any_of(this->All.begin(), this->All.end(), [&](auto &Each) {
+  bool isAnyHostUpToDate() {
+    return std::any_of(this->Hosts.begin(), this->Hosts.end(), [&](auto &Each) {
       return viewOf(*Each).isReady() &&
              viewOf(*Each).catalogue().offset() + 1 == this->Log.end();
     });
@@ -70,7 +70,7 @@
 
   void check() {
     std::map<LogOffset, std::string> ByOffset;
-    for (auto &Each : this->All) {
+    for (auto &Each : this->Hosts) {
       RC_ASSERT(Each->kernel().invariantsBroken() == 0u);
       if (!viewOf(*Each).isReady())
         continue;
@@ -81,9 +81,9 @@
   }
 
   LogServiceModel Log;
-  std::vector<std::unique_ptr<BenchHost>> All;
-  std::vector<ChangeSet> Sets;
-  std::uint64_t Lives = 0;
+  std::vector<std::unique_ptr<BenchHost>> Hosts;
+  std::vector<ChangeSet> ChangeSets;
+  std::uint64_t Incarnations = 0;
 };
 
 } // namespace
