--- a/src/plugins/catalogue/CatalogueFreshness.cpp
+++ b/src/plugins/catalogue/CatalogueFreshness.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/// A process that handled no event for so long was paused; messages that
-/// waited for it meanwhile are handled within the same time after.
+/// A process that handled no event for this long was paused. Messages that
+/// arrived during the pause are handled within the same time after it.
 constexpr Duration PauseLimit = seconds(1);
 
 } // namespace
@@ -51,11 +51,11 @@
     return false;
   std::size_t KnownCount = 1;
   std::size_t HeardCount = 1;
-  for (const Member &Each : Members->peers()) {
-    if (Each.State == MemberState::Leaving)
+  for (const Member &Peer : Members->peers()) {
+    if (Peer.State == MemberState::Leaving)
       continue;
     ++KnownCount;
-    if (Now <= Each.LastHeard + this->Window)
+    if (Now <= Peer.LastHeard + this->Window)
       ++HeardCount;
   }
   return HeardCount * 2 > KnownCount;
@@ -65,9 +65,9 @@
                                                 Time Now) const {
   if (!this->hearsMajority(&Members, Now))
     return false;
-  const auto ReachesLog = [&](const Member &Each) {
-    const bool IsHeard = Now <= Each.LastHeard + this->Window;
-    return IsHeard && Now <= Each.LogConfirmedAt + this->Window;
+  const auto ReachesLog = [&](const Member &Peer) {
+    const bool IsHeard = Now <= Peer.LastHeard + this->Window;
+    return IsHeard && Now <= Peer.LogConfirmedAt + this->Window;
   };
   const auto Peers = Members.peers();
   return std::none_of(Peers.begin(), Peers.end(), ReachesLog);
--- a/src/plugins/catalogue/CatalogueFreshness.h
+++ b/src/plugins/catalogue/CatalogueFreshness.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether this host can know that its catalogue is current.
+/// Determines whether this host knows that its catalogue is current.
 #pragma once
 
 #include "kernel/Services.h"
@@ -8,37 +8,39 @@
 
 namespace banyanpick {
 
-/// Follows when the end of the log was last seen, here or through peers.
+/// Tracks when the end of the log was last read, by this host or by peers.
 ///
-/// A host that saw the end of the log within the window is current; so is one
-/// that has all that a peer had when the peer saw it. When the log is away for
-/// everybody, nothing can be accepted, since an acceptance needs the log and
-/// contact with most hosts; a host that hears from most hosts, none of which
-/// reached the log within the window, therefore stays current. Only who was
-/// current all the while may rely on that: a host that was paused or cut off
-/// may have missed a change accepted before the outage. It is current again
-/// when the log, or a peer that is current, has nothing new for it.
+/// A host is current if it read the end of the log within the window, or if it
+/// has everything that a peer had when the peer read the end of the log.
+///
+/// While no host reaches the log, no change can be accepted, because acceptance
+/// needs the log and contact with most hosts. A host therefore stays current
+/// while it hears from most hosts and none of them reached the log within the
+/// window. This holds only for a host that was current throughout. A host that
+/// was paused or cut off may have missed a change accepted before the outage.
+/// It becomes current again when the log, or a current peer, has nothing new.
 class CatalogueFreshness {
 public:
   explicit CatalogueFreshness(Duration Window) : Window(Window) {}
 
-  /// This host had everything the log held at \p When.
+  /// Called when this host has everything that the log held at \p When.
   void confirm(Time When) {
     this->ConfirmedAt = std::max(this->ConfirmedAt, When);
   }
 
-  /// Takes in what a peer says of itself; \p Offset is in force here.
+  /// Handles the heartbeat of a peer. \p Offset is in force on this host.
   void handleHeartbeat(const Heartbeat &Beat, LogOffset Offset, Time Now);
 
-  /// Notes whether this host is current now; call it at each event, before
-  /// anything else.
+  /// Updates whether this host is current. Must be called at each event before
+  /// any other member.
   void update(const MembershipView *Members, Time Now);
 
-  /// \p Members may be null while there is no membership.
+  /// Whether the catalogue is current. \p Members may be null while there is no
+  /// membership.
   bool isCurrent(const MembershipView *Members, Time Now) const;
 
-  /// Whether this host heard from most of the hosts it knows within the
-  /// window, itself included.
+  /// Whether this host heard from most of the hosts that it knows, itself
+  /// included, within the window.
   bool hearsMajority(const MembershipView *Members, Time Now) const;
 
   Time confirmedAt() const { return this->ConfirmedAt; }
@@ -48,11 +50,12 @@
 
   Duration Window;
   Time ConfirmedAt{};
-  /// When this host last knew that it had not missed anything; Time{}: it may
-  /// have.
+  /// When this host last knew that it had missed nothing; Time{} if it may have
+  /// missed something.
   Time LastCurrentAt{};
   Time UpdatedAt{};
-  Time IgnoreHeartbeatsUntil{}; ///< After a pause: what is heard may be old.
+  /// Heartbeats handled before this may be old, because of a pause.
+  Time IgnoreHeartbeatsUntil{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -31,9 +31,9 @@
        return std::unique_ptr<Plugin>(std::make_unique<CataloguePlugin>());
      }});
 
-/// Snapshots made in the time the log keeps a record.
+/// Number of snapshots written during the retention time of the log.
 constexpr int SnapshotsPerRetention = 4;
-/// When refused callers come back.
+/// When refused callers retry.
 constexpr Duration RetryDelay = seconds(1);
 
 } // namespace
@@ -122,7 +122,8 @@
   if (this->MissingBefore > 0)
     return;
   if (this->isLogTooShort(EndOffset, Out)) {
-    // What was folded from it is not to be served; a peer has the catalogue.
+    // What was folded from this log must not be served. A peer has the
+    // catalogue.
     this->IsComplete = this->InForce.offset() >= EndOffset;
     return;
   }
@@ -177,7 +178,8 @@
     return;
   const bool IsRestored = this->restore(Relayed->AtOffset, Relayed->Text,
                                         Message.From.Value, Now, Out);
-  // What the log itself can still give is read there, for the other plug-ins.
+  // While the log is reachable, the records are read from it, since the other
+  // plug-ins need them too.
   if (IsRestored && !this->PluginServices->get<LogWriter>().isReachable(Now))
     this->Tail->skipTo(Relayed->AtOffset + 1, Now, Out);
 }
@@ -238,18 +240,18 @@
               .with("offset", AtOffset)
               .with("from", Source)
               .build());
-  for (const StoredRecord &Each : std::exchange(this->BufferedRecords, {})) {
-    if (Each.Offset > AtOffset)
+  for (const StoredRecord &Stored : std::exchange(this->BufferedRecords, {})) {
+    if (Stored.Offset > AtOffset)
       this->foldChangeSet(
-          Each, std::get<ConfigurationRecord>(Each.Record.Body).Set, Out);
+          Stored, std::get<ConfigurationRecord>(Stored.Record.Body).Set, Out);
   }
   return true;
 }
 
 bool CataloguePlugin::isLogTooShort(LogOffset EndOffset, Actions &Out) {
   const Time ReadAt = this->Tail->endReadAt();
-  const auto HasMore = [&](const Member &Each) {
-    return Each.InForce >= EndOffset && Each.LastHeard < ReadAt;
+  const auto HasMore = [&](const Member &Peer) {
+    return Peer.InForce >= EndOffset && Peer.LastHeard < ReadAt;
   };
   bool IsTooShort = this->InForce.offset() >= EndOffset;
   if (this->Members)
--- a/src/plugins/catalogue/CataloguePlugin.h
+++ b/src/plugins/catalogue/CataloguePlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in `catalogue`: what operators declared, folded from the log.
+/// The plug-in `catalogue`, which folds what operators declared from the log.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -14,13 +14,14 @@
 
 namespace banyanpick {
 
-/// Folds change sets into the catalogue in force, recovers it when the start
-/// of the log is gone, and refuses requests while it may be out of date.
+/// Folds change sets into the catalogue in force, recovers the catalogue when
+/// the log no longer holds its start, and refuses requests while the catalogue
+/// may be out of date.
 ///
-/// Ready means: everything the log held, or a whole snapshot or a peer's
-/// catalogue with every record after it, was folded, and there is at least one
-/// entry. An empty log that starts at offset 1 is a new deployment; it is
-/// ready once an operator has declared something.
+/// The catalogue is ready when it has at least one entry and holds either
+/// everything in the log, or a complete snapshot or a peer's catalogue together
+/// with every later record. An empty log that starts at offset 1 is a new
+/// deployment, which is ready once an operator has declared something.
 class CataloguePlugin : public Plugin,
                         public CatalogueView,
                         public ChangeAcceptance,
@@ -56,9 +57,9 @@
                      Actions &Out);
   bool restore(LogOffset AtOffset, std::string_view Text,
                std::string_view Source, Time Now, Actions &Out);
-  /// Whether this host, or a peer before this read, had more in force than
-  /// the log holds: the log service lost records, and what it shows may be the
-  /// start of another log.
+  /// Whether this host, or a peer heard before this read, has a higher offset
+  /// in force than the log holds. The log service has then lost records, and
+  /// its content may be the start of another log.
   bool isLogTooShort(LogOffset EndOffset, Actions &Out);
   void requestFromPeerWhenDue(Time Now, Actions &Out);
   void updateCurrent(Time Now, Actions &Out);
@@ -70,13 +71,13 @@
   std::optional<CatalogueFreshness> Freshness;
   std::optional<SnapshotWriter> Writer;
   SnapshotAssembler Assembler;
-  /// While the start of the log is gone and no snapshot was found: the change
-  /// sets read so far.
+  /// The change sets read while the start of the log is missing and no snapshot
+  /// was found yet.
   std::vector<StoredRecord> BufferedRecords;
-  LogOffset MissingBefore = 0;  ///< Records before it are needed; 0: none.
-  LogOffset RestoredOffset = 0; ///< Records up to it are in the snapshot.
-  LogOffset HighestOffset = 0;  ///< Of the offset in force; for the invariant.
-  bool IsComplete = false;      ///< Nothing that was in the log is missing.
+  LogOffset MissingBefore = 0;  ///< Earlier records are needed; 0: none.
+  LogOffset RestoredOffset = 0; ///< The last offset in the snapshot.
+  LogOffset HighestOffset = 0;  ///< Highest offset in force, for the invariant.
+  bool IsComplete = false;      ///< No record of the log is missing.
   bool WasCurrent = false;
   bool WasLogTooShort = false;
   Time NextPeerRequestAt{};
--- a/src/plugins/catalogue/ChangeAcceptance.h
+++ b/src/plugins/catalogue/ChangeAcceptance.h
@@ -1,5 +1,5 @@
 /// \file
-/// When an operator may be told that a change is in force.
+/// Interface that decides when a change may be reported as accepted.
 #pragma once
 
 #include "base/Time.h"
@@ -11,9 +11,10 @@
 public:
   virtual ~ChangeAcceptance() = default;
 
-  /// Whether a verdict read back now may be told as accepted: this host reads
-  /// the log and hears from most hosts, which therefore learn of the change
-  /// within the window or stop admitting.
+  /// Whether a verdict read back now may be reported as accepted. This requires
+  /// that this host reads the log and hears from most hosts. Those hosts then
+  /// learn of the change within the freshness window or stop admitting
+  /// requests.
   virtual bool mayAccept(Time Now) const = 0;
 };
 
--- a/src/plugins/catalogue/SnapshotAssembler.cpp
+++ b/src/plugins/catalogue/SnapshotAssembler.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Snapshots put together at one time; the oldest goes first.
+/// Snapshots assembled at the same time. The oldest is dropped first.
 constexpr std::size_t MaxPartials = 4;
-/// More chunks than any catalogue needs.
+/// An upper bound that no catalogue reaches.
 constexpr std::uint32_t MaxChunks = 16384;
 
 std::uint64_t checksum(std::string_view Text) {
--- a/src/plugins/catalogue/SnapshotAssembler.h
+++ b/src/plugins/catalogue/SnapshotAssembler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Puts snapshots together from the chunks read in the log.
+/// Assembles snapshots from the chunks read from the log.
 #pragma once
 
 #include "kernel/LogRecord.h"
@@ -10,20 +10,21 @@
 
 namespace banyanpick {
 
-/// A snapshot whose chunks were all read and whose checksum holds.
+/// A snapshot with all chunks read and a matching checksum.
 struct CompleteSnapshot {
   LogOffset AtOffset = 0;
   std::string Text;
 };
 
-/// Collects chunks by the offset their snapshot was taken at. Chunks of one
-/// snapshot may come from several writers, for all write the same bytes.
+/// Collects chunks by the offset at which their snapshot was taken. The chunks
+/// of one snapshot may come from several writers, since all write the same
+/// bytes.
 class SnapshotAssembler {
 public:
-  /// Takes in a chunk; gives the snapshot when this was its last one.
+  /// Adds a chunk. Returns the snapshot when this was its last missing chunk.
   std::optional<CompleteSnapshot> add(const SnapshotChunk &Chunk);
 
-  /// Snapshots that were complete but did not match their checksum.
+  /// Number of snapshots that were complete but did not match their checksum.
   std::uint64_t damaged() const { return this->Damaged; }
 
 private:
@@ -39,7 +40,7 @@
   std::uint64_t Damaged = 0;
 };
 
-/// The chunks of a snapshot text, at most \p ChunkBytes each.
+/// Splits a snapshot text into chunks of at most \p ChunkBytes bytes.
 std::vector<SnapshotChunk> splitIntoChunks(LogOffset AtOffset,
                                            std::string_view Text,
                                            std::size_t ChunkBytes);
--- a/src/plugins/catalogue/SnapshotText.cpp
+++ b/src/plugins/catalogue/SnapshotText.cpp
@@ -19,9 +19,9 @@
 
 std::string serializeSnapshot(const Catalogue &Source) {
   nlohmann::json Verdicts = nlohmann::json::array();
-  for (const KnownVerdict &Each : Source.verdicts())
+  for (const KnownVerdict &Verdict : Source.verdicts())
     Verdicts.push_back(
-        {{"id", Each.Id.Value}, {"verdict", toJson(Each.Verdict)}});
+        {{"id", Verdict.Id.Value}, {"verdict", toJson(Verdict.Verdict)}});
   return nlohmann::json{{"format", FormatVersion},
                         {"entries", toJson(Source.entries())},
                         {"verdicts", std::move(Verdicts)}}
@@ -34,9 +34,9 @@
     if (Parsed.at("format") != FormatVersion)
       throwUnreadable("its format is not known");
     SnapshotState Result{entryMapFromJson(Parsed.at("entries")), {}};
-    for (const nlohmann::json &Each : Parsed.at("verdicts"))
-      Result.Verdicts.push_back({ChangeId(Each.at("id").get<std::string>()),
-                                 changeVerdictFromJson(Each.at("verdict"))});
+    for (const nlohmann::json &Verdict : Parsed.at("verdicts"))
+      Result.Verdicts.push_back({ChangeId(Verdict.at("id").get<std::string>()),
+                                 changeVerdictFromJson(Verdict.at("verdict"))});
     return Result;
   } catch (const nlohmann::json::exception &Problem) {
     throwUnreadable(Problem.what());
--- a/src/plugins/catalogue/SnapshotText.h
+++ b/src/plugins/catalogue/SnapshotText.h
@@ -1,5 +1,6 @@
 /// \file
-/// The catalogue's state as canonical text: equal states, equal bytes.
+/// Converts the catalogue's state to and from canonical text. Equal states give
+/// equal bytes.
 #pragma once
 
 #include "catalogue/Fold.h"
@@ -10,16 +11,17 @@
 
 namespace banyanpick {
 
-/// What a snapshot holds beside its offset.
+/// The content of a snapshot except its offset.
 struct SnapshotState {
   EntryMap Entries;
   std::vector<KnownVerdict> Verdicts;
 };
 
-/// The text of everything that the fold of later records depends on.
+/// Returns the text of all state that the fold of later records depends on.
 std::string serializeSnapshot(const Catalogue &Source);
 
-/// The inverse. Throws Error(BadInput) on text that no host wrote.
+/// Parses the text of serializeSnapshot(). Throws Error(BadInput) on any other
+/// text.
 SnapshotState parseSnapshot(std::string_view Text);
 
 } // namespace banyanpick
--- a/src/plugins/catalogue/SnapshotWriter.cpp
+++ b/src/plugins/catalogue/SnapshotWriter.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-/// Part of the interval in which a new host plans its first snapshot.
+/// A new host writes its first snapshot within the interval divided by this.
 constexpr int FirstDelayDivisor = 8;
-/// Part of the interval between the turns of two hosts.
+/// The turns of two hosts are the interval divided by this apart.
 constexpr int TurnDivisor = 16;
-/// Later turns than this are taken together.
+/// All later turns coincide with this one.
 constexpr std::size_t MaxTurns = 8;
-/// Part of the interval after which an own snapshot not read back is repeated.
+/// A snapshot of this host that was not read back is repeated after the
+/// interval divided by this.
 constexpr int RepeatDivisor = 4;
 
 } // namespace
@@ -54,8 +55,8 @@
     return;
   const auto Chunks = splitIntoChunks(
       Source.offset(), serializeSnapshot(Source), this->Options.ChunkBytes);
-  for (const SnapshotChunk &Each : Chunks)
-    Log.append(Each, Now, Out);
+  for (const SnapshotChunk &Chunk : Chunks)
+    Log.append(Chunk, Now, Out);
   Out.log(logEvent(events::SnapshotWritten)
               .with("offset", Source.offset())
               .with("chunks", Chunks.size())
@@ -69,8 +70,8 @@
   const std::uint64_t Own = rendezvousWeight(Round, this->Self.Value);
   const auto Live = Members->livePeers();
   return static_cast<std::size_t>(
-      std::count_if(Live.begin(), Live.end(), [&](const HostId &Each) {
-        return rendezvousWeight(Round, Each.Value) > Own;
+      std::count_if(Live.begin(), Live.end(), [&](const HostId &Peer) {
+        return rendezvousWeight(Round, Peer.Value) > Own;
       }));
 }
 
--- a/src/plugins/catalogue/SnapshotWriter.h
+++ b/src/plugins/catalogue/SnapshotWriter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides when this host writes a snapshot of the catalogue to the log.
+/// Schedules the snapshots of the catalogue that this host writes to the log.
 #pragma once
 
 #include "base/Random.h"
@@ -9,27 +9,28 @@
 
 struct SnapshotWriterOptions {
   Duration Interval{};        ///< Between two snapshots of the deployment.
-  std::size_t ChunkBytes = 0; ///< Most bytes of one record.
+  std::size_t ChunkBytes = 0; ///< Maximum size of one record.
 };
 
-/// A snapshot is due when none was read for the interval, a quarter of the
-/// retention, so that several whole ones are always kept. Records carry no
-/// time, so the age of those read at the start is not known: a new host waits
-/// a random part of an eighth of the interval and then writes one unless it
-/// sees another's. Live hosts take turns by rendezvous rank, so that usually
-/// only one writes; two at once do no harm.
+/// A snapshot is due when none was read for the interval, which is a quarter of
+/// the retention, so that the log always holds several complete snapshots.
+/// Records carry no time, so the age of those read at the start is unknown. A
+/// new host therefore waits a random part of an eighth of the interval and then
+/// writes a snapshot unless it reads one from another host. Live hosts take
+/// turns by rendezvous rank, so usually only one writes. Two concurrent
+/// snapshots have no ill effect.
 class SnapshotWriter {
 public:
   SnapshotWriter(HostId Self, SnapshotWriterOptions Options, Random &Rng)
       : Self(std::move(Self)), Options(Options), Rng(Rng) {}
 
-  /// The catalogue became complete; the first snapshot is planned.
+  /// Schedules the first snapshot. Called when the catalogue became complete.
   void scheduleFirst(Time Now);
 
-  /// A whole snapshot was read in the log.
+  /// Called when a complete snapshot was read from the log.
   void noteSnapshotRead(LogOffset AtOffset, Time Now);
 
-  /// Appends a snapshot of \p Source when this host's turn has come.
+  /// Appends a snapshot of \p Source when it is this host's turn.
   void writeWhenDue(const Catalogue &Source, const MembershipView *Members,
                     LogWriter &Log, Time Now, Actions &Out);
 
@@ -43,7 +44,7 @@
   Random &Rng;
   LogOffset LastOffset = 0;
   Time DueAt = Never;
-  bool IsTurnScheduled = false; ///< DueAt counts this host's rank already.
+  bool IsTurnScheduled = false; ///< DueAt already includes this host's rank.
 };
 
 } // namespace banyanpick
--- a/tests/auto/catalogueplugin/CatalogueBench.h
+++ b/tests/auto/catalogueplugin/CatalogueBench.h
@@ -1,5 +1,5 @@
 /// \file
-/// Short words for the tests of the catalogue.
+/// Helpers for the tests of the catalogue.
 #pragma once
 
 #include "auto/log/LogBench.h"
@@ -15,21 +15,21 @@
   return serializeSnapshot(viewOf(Host).catalogue());
 }
 
-/// Puts a change set into the log, as some host would.
+/// Appends a change set to the log as a host does.
 inline LogOffset appendChangeSet(LogServiceModel &Log, ChangeSet Set) {
   return Log.append({LogRecord{{}, ConfigurationRecord{std::move(Set)}}});
 }
 
-/// Hands \p Host the message of another one.
+/// Delivers a message of the host \p From to \p Host.
 inline void deliver(BenchHost &Host, std::string From, PeerMessageBody Body) {
   Host.handle(PeerMessageReceived{
       {HostId(std::move(From)), Incarnation(7), std::move(Body)}});
 }
 
-/// What admission says to any request now.
+/// Returns why admission refuses any request now, or nothing if it admits.
 inline std::optional<NotRun> checkAdmission(BenchHost &Host) {
-  for (AdmissionGate *Each : Host.services().list<AdmissionGate>().all()) {
-    if (auto Refusal = Each->check(Request(), Host.Now))
+  for (AdmissionGate *Gate : Host.services().list<AdmissionGate>().all()) {
+    if (auto Refusal = Gate->check(Request(), Host.Now))
       return Refusal;
   }
   return std::nullopt;
--- a/tests/auto/catalogueplugin/CatalogueFreshnessTest.cpp
+++ b/tests/auto/catalogueplugin/CatalogueFreshnessTest.cpp
@@ -14,7 +14,9 @@
   return Result;
 }
 
-/// A ready host that is cut off from the log from the start of each test.
+/// A ready host that loses the connection to the log at the start of each test.
+/// The tests guard against a host that admits requests with an outdated
+/// catalogue after it was cut off or paused.
 struct CatalogueFreshnessTest : testing::Test {
   LogServiceModel Log;
   BenchHost Host{Log, "h1", 0xa1};
@@ -27,8 +29,9 @@
     ASSERT_EQ(checkAdmission(this->Host), std::nullopt);
   }
 
-  /// Lets 5 s pass; each of \p Peers is heard all the while. \p Reaches: they
-  /// reach the log.
+  /// Advances the clock by 5 s. The peers \p Heard send heartbeats throughout;
+  /// \p PeersReachLog says whether they reach the log. The peers \p Silent are
+  /// known but not heard.
   void advanceWithPeers(const std::vector<std::string> &Heard,
                         bool PeersReachLog,
                         const std::vector<std::string> &Silent = {}) {
@@ -36,14 +39,14 @@
       const Time Now = this->Host.Now;
       const Time Confirmed = PeersReachLog ? Now : this->CutAt;
       this->Host.probe().Members.clear();
-      for (const std::string &Each : Heard) {
+      for (const std::string &Peer : Heard) {
         this->Host.probe().Members.push_back(
-            peerHeard(Each, Now, Confirmed, 1));
-        deliver(this->Host, Each, beat(1, Confirmed));
+            peerHeard(Peer, Now, Confirmed, 1));
+        deliver(this->Host, Peer, beat(1, Confirmed));
       }
-      for (const std::string &Each : Silent)
+      for (const std::string &Peer : Silent)
         this->Host.probe().Members.push_back(
-            peerHeard(Each, this->CutAt, this->CutAt, 1));
+            peerHeard(Peer, this->CutAt, this->CutAt, 1));
       this->Host.advance(milliseconds(500));
     }
   }
@@ -58,13 +61,13 @@
   EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CatalogueFreshnessTest, CutOffFromTheLogOnlyStaysCurrentThroughPeers) {
+TEST_F(CatalogueFreshnessTest, CutOffOnlyFromTheLogStaysCurrentThroughPeers) {
   this->advanceWithPeers({"h2"}, true, {"h3", "h4"});
   EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
   EXPECT_GT(viewOf(this->Host).confirmedAt(), this->CutAt + seconds(3));
 }
 
-TEST_F(CatalogueFreshnessTest, PeerThatIsAheadConfirmsNothing) {
+TEST_F(CatalogueFreshnessTest, PeerWithAHigherOffsetConfirmsNothing) {
   for (int Step = 0; Step < 10; ++Step) {
     deliver(this->Host, "h2", beat(2, this->Host.Now));
     this->Host.probe().Members = {
@@ -74,7 +77,7 @@
   EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CatalogueFreshnessTest, InACommonOutageEverythingStaysInForce) {
+TEST_F(CatalogueFreshnessTest, CommonLogOutageKeepsTheCatalogueInForce) {
   this->advanceWithPeers({"h2", "h3"}, false, {"h4"});
   EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
   EXPECT_LE(viewOf(this->Host).confirmedAt(), this->CutAt)
@@ -86,7 +89,7 @@
   EXPECT_EQ(checkAdmission(this->Host)->Reason, RefusalReason::NotCurrent);
 }
 
-TEST_F(CatalogueFreshnessTest, FreezeIsNoticedBeforeAnythingIsAdmitted) {
+TEST_F(CatalogueFreshnessTest, PauseIsDetectedBeforeAnyRequestIsAdmitted) {
   this->Host.probe().Members = {peerHeard("h2", CutAt, CutAt, 1),
                                 peerHeard("h3", CutAt, CutAt, 1)};
   this->Host.Now += seconds(60);
@@ -95,13 +98,12 @@
   EXPECT_EQ(checkAdmission(this->Host), std::nullopt);
 }
 
-TEST_F(CatalogueFreshnessTest,
-       AnswerThatArrivesLateConfirmsOnlyTheTimeOfAsking) {
+TEST_F(CatalogueFreshnessTest, LateAnswerConfirmsOnlyTheTimeOfItsRequest) {
   this->Host.advance(milliseconds(50));
-  const Time Asked = this->Host.Now;
+  const Time RequestedAt = this->Host.Now;
   this->Host.Now += seconds(60);
   this->Host.answerRead();
-  EXPECT_LE(viewOf(this->Host).confirmedAt(), Asked);
+  EXPECT_LE(viewOf(this->Host).confirmedAt(), RequestedAt);
 }
 
 } // namespace banyanpick
--- a/tests/auto/catalogueplugin/CataloguePluginTest.cpp
+++ b/tests/auto/catalogueplugin/CataloguePluginTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A retention so short that snapshots come every 15 s, in small chunks.
+/// A retention so short that a snapshot is written every 15 s, in small chunks.
 const std::map<std::string, std::string> ShortRetention{
     {"log.retention", "60s"}, {"catalogue.snapshot_chunk", "64"}};
 
@@ -16,7 +16,7 @@
   LogServiceModel Log;
   BenchHost Host{Log, "h1", 0xa1, ShortRetention};
 
-  /// Lets the host write a snapshot, then drops everything before it.
+  /// Makes the host write a snapshot, then drops everything before it.
   void writeSnapshotAndDropLog() {
     for (int Second = 0; Second < 20; ++Second) {
       this->Host.advance(seconds(1));
@@ -37,7 +37,8 @@
 TEST_F(CatalogueTest, NewDeploymentIsReadyOnceSomethingIsDeclared) {
   this->Host.catchUp();
   EXPECT_FALSE(viewOf(Host).isReady());
-  EXPECT_TRUE(viewOf(Host).isCurrent(Host.Now)) << "operators can't begin";
+  EXPECT_TRUE(viewOf(Host).isCurrent(Host.Now))
+      << "operators can't make the first change";
   EXPECT_EQ(checkAdmission(Host)->Reason, RefusalReason::NotReady);
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   this->Host.catchUp();
@@ -45,7 +46,7 @@
   EXPECT_EQ(checkAdmission(Host), std::nullopt);
 }
 
-TEST_F(CatalogueTest, OfTwoConflictingSetsTheFirstWinsEverywhere) {
+TEST_F(CatalogueTest, FirstOfTwoConflictingSetsWinsOnAllHosts) {
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   appendChangeSet(this->Log, declareOwner("c2", "ring"));
   BenchHost Other(this->Log, "h2", 0xb1);
@@ -59,7 +60,7 @@
       std::holds_alternative<ChangeRefused>(*InForce.verdict(ChangeId("c2"))));
 }
 
-TEST_F(CatalogueTest, NewHostRecoversFromSnapshotAndTail) {
+TEST_F(CatalogueTest, NewHostRecoversFromSnapshotAndLaterRecords) {
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   appendChangeSet(this->Log, declareOwner("c2", "salon"));
   this->writeSnapshotAndDropLog();
@@ -73,28 +74,28 @@
   EXPECT_EQ(this->offset(NewHost), this->offset(Host));
 }
 
-TEST_F(CatalogueTest, SnapshotsComeBeforeHalfOfTheRetentionHasPassed) {
+TEST_F(CatalogueTest, SnapshotsAreWrittenWithinHalfOfTheRetention) {
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   this->Host.catchUp();
   std::vector<Time> Written;
   const Time Begin = this->Host.Now;
   while (this->Host.Now < Begin + seconds(300)) {
     this->Host.settle();
-    for (const WriteLogLine &Each : this->Host.take<WriteLogLine>()) {
-      if (Each.Line.Message == "snapshot written")
+    for (const WriteLogLine &Logged : this->Host.take<WriteLogLine>()) {
+      if (Logged.Line.Message == "snapshot written")
         Written.push_back(this->Host.Now);
     }
   }
   Time Last = Begin;
-  for (const Time Each : Written) {
-    EXPECT_LT(Each - Last, seconds(30));
-    Last = Each;
+  for (const Time At : Written) {
+    EXPECT_LT(At - Last, seconds(30));
+    Last = At;
   }
   EXPECT_GT(Last, Begin + seconds(270));
   EXPECT_LT(Written.size(), 40u) << "snapshots are written too often";
 }
 
-TEST_F(CatalogueTest, NeverServesWhenTheStartIsGoneAndNoSnapshotIsThere) {
+TEST_F(CatalogueTest, DoesNotServeWithoutTheStartOfTheLogOrASnapshot) {
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   appendChangeSet(this->Log, declareOwner("c2", "salon"));
   this->Log.dropBefore(2);
@@ -124,10 +125,11 @@
   deliver(NewHost, "h1", Answer[0].Body);
   this->Host.catchUp();
   EXPECT_TRUE(viewOf(NewHost).isReady());
-  EXPECT_EQ(textOf(NewHost), textOf(Host)) << "the set after it was not folded";
+  EXPECT_EQ(textOf(NewHost), textOf(Host))
+      << "the change set after the catalogue was not folded";
 }
 
-TEST_F(CatalogueTest, LeavesNoGapBehindAPeersCatalogue) {
+TEST_F(CatalogueTest, RejectsAPeersCatalogueThatLeavesAGap) {
   this->Log.append({});
   this->Log.append({});
   appendChangeSet(this->Log, declareOwner("c3", "gown"));
@@ -139,7 +141,7 @@
   EXPECT_FALSE(viewOf(Host).isReady()) << "offset 2 was never seen";
 }
 
-TEST_F(CatalogueTest, NeverGoesBackToAnOlderCatalogue) {
+TEST_F(CatalogueTest, NeverReturnsToAnOlderCatalogue) {
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
   appendChangeSet(this->Log, declareOwner("c2", "salon"));
   this->Host.catchUp();
@@ -152,7 +154,7 @@
   EXPECT_EQ(this->Host.kernel().invariantsBroken(), 0u);
 }
 
-TEST_F(CatalogueTest, DoesNotBelieveALogThatHoldsLessThanPeersHaveInForce) {
+TEST_F(CatalogueTest, DoesNotTrustALogThatHoldsLessThanPeersHaveInForce) {
   this->Host.probe().Members = {peerHeard("h0", this->Host.Now, {}, 40)};
   this->Host.advance(milliseconds(50));
   appendChangeSet(this->Log, declareOwner("c1", "ring"));
@@ -168,7 +170,7 @@
   EXPECT_EQ(viewOf(Host).confirmedAt(), Confirmed);
 }
 
-TEST_F(CatalogueTest, ForgetsVerdictsAlikeOnAllHosts) {
+TEST_F(CatalogueTest, AllHostsDropTheSameVerdicts) {
   Catalogue Complete;
   for (std::size_t Count = 0; Count < Catalogue::MostVerdicts + 10; ++Count)
     Complete.fold(declareOwner("c" + std::to_string(Count), "ring"), Count + 1);
@@ -180,18 +182,19 @@
   EXPECT_EQ(serializeSnapshot(Restored), serializeSnapshot(Complete));
 }
 
-TEST(SnapshotAssemblerTest, UsesOnlyWholeAndUndamagedSnapshots) {
+TEST(SnapshotAssemblerTest, UsesOnlyCompleteAndUndamagedSnapshots) {
   auto Chunks = splitIntoChunks(7, "one text in several pieces", 5);
   ASSERT_EQ(Chunks.size(), 6u);
   SnapshotAssembler Complete;
   for (std::size_t Index = Chunks.size(); Index-- > 1;)
     EXPECT_EQ(Complete.add(Chunks[Index]), std::nullopt);
-  EXPECT_EQ(Complete.add(Chunks[3]), std::nullopt) << "a piece counted twice";
+  EXPECT_EQ(Complete.add(Chunks[3]), std::nullopt)
+      << "a chunk was counted twice";
   EXPECT_EQ(Complete.add(Chunks[0])->Text, "one text in several pieces");
   Chunks[2].Bytes = "wrong";
   SnapshotAssembler Damaged;
-  for (const SnapshotChunk &Each : Chunks)
-    EXPECT_EQ(Damaged.add(Each), std::nullopt);
+  for (const SnapshotChunk &Chunk : Chunks)
+    EXPECT_EQ(Damaged.add(Chunk), std::nullopt);
   EXPECT_EQ(Damaged.damaged(), 1u);
   Chunks[0].Index = Chunks[0].Count;
   EXPECT_EQ(Damaged.add(Chunks[0]), std::nullopt);
--- a/tests/auto/catalogueplugin/SnapshotProperty.cpp
+++ b/tests/auto/catalogueplugin/SnapshotProperty.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Random change sets, copies of them, snapshots, retention and restarts:
-/// hosts at one offset have one catalogue, and no offset falls.
+/// Guards against hosts with different catalogues at the same offset, and
+/// against an offset in force that decreases. Hosts go through random change
+/// sets, copies of them, snapshots, retention and restarts.
 #include "auto/catalogueplugin/CatalogueBench.h"
 
 #include <gtest/gtest.h>
@@ -44,8 +45,8 @@
             {"log.retention", "20s"}, {"catalogue.snapshot_chunk", "256"}});
   }
 
-  /// A set about one of four owners, against a version that may be right; now
-  /// and then a second copy of an earlier one.
+  /// Returns a change set for one of four owners, whose base version may be
+  /// right, or sometimes a second copy of an earlier set.
   ChangeSet makeChangeSet(unsigned Pick) {
     if (Pick % 5 == 0 && !this->ChangeSets.empty())
       return this->ChangeSets[Pick / 5 % this->ChangeSets.size()];
@@ -62,21 +63,21 @@
   }
 
   bool isAnyHostUpToDate() {
-    return std::any_of(this->Hosts.begin(), this->Hosts.end(), [&](auto &Each) {
-      return viewOf(*Each).isReady() &&
-             viewOf(*Each).catalogue().offset() + 1 == this->Log.end();
+    return std::any_of(this->Hosts.begin(), this->Hosts.end(), [&](auto &Host) {
+      return viewOf(*Host).isReady() &&
+             viewOf(*Host).catalogue().offset() + 1 == this->Log.end();
     });
   }
 
   void check() {
     std::map<LogOffset, std::string> ByOffset;
-    for (auto &Each : this->Hosts) {
-      RC_ASSERT(Each->kernel().invariantsBroken() == 0u);
-      if (!viewOf(*Each).isReady())
+    for (auto &Host : this->Hosts) {
+      RC_ASSERT(Host->kernel().invariantsBroken() == 0u);
+      if (!viewOf(*Host).isReady())
         continue;
-      const LogOffset At = viewOf(*Each).catalogue().offset();
-      const auto [Known, First] = ByOffset.emplace(At, textOf(*Each));
-      RC_ASSERT(First || Known->second == textOf(*Each));
+      const LogOffset At = viewOf(*Host).catalogue().offset();
+      const auto [Known, First] = ByOffset.emplace(At, textOf(*Host));
+      RC_ASSERT(First || Known->second == textOf(*Host));
     }
   }
 
@@ -88,12 +89,12 @@
 
 } // namespace
 
-RC_GTEST_PROP(SnapshotProperty, HostsAtOneOffsetHaveOneCatalogue, ()) {
+RC_GTEST_PROP(SnapshotProperty, HostsAtTheSameOffsetHaveTheSameCatalogue, ()) {
   RandomRun Run;
   const auto Draws = *rc::gen::container<std::vector<unsigned>>(
       150, rc::gen::inRange<unsigned>(0, 1u << 20));
-  for (const unsigned Each : Draws)
-    Run.step(Each);
+  for (const unsigned Draw : Draws)
+    Run.step(Draw);
 }
 
 } // namespace banyanpick
