--- a/src/plugins/operators/ChangeCheck.h
+++ b/src/plugins/operators/ChangeValidation.h
@@ -11,6 +11,6 @@
 /// Why \p Set may not be applied, with the remedy, or empty. Checks who may
 /// change what, the entries themselves, and that what they refer to exists.
 /// The fold judges conflicts; nothing here depends on versions.
-std::string problemWith(const ChangeSet &Set, const Catalogue &InForce);
+std::string validateChangeSet(const ChangeSet &Set, const Catalogue &InForce);
 
 } // namespace banyanpick
--- a/src/plugins/operators/OperatorKeyring.cpp
+++ b/src/plugins/operators/OperatorAuthentication.cpp
@@ -1,5 +1,5 @@
 /// \file
-#include "plugins/operators/OperatorKeyring.h"
+#include "plugins/operators/OperatorAuthentication.h"
 
 #include "catalogue/KeyDigest.h"
 
@@ -21,12 +21,12 @@
   const OwnerId Owner{std::string(Presented->Name)};
   const std::string_view Secret = Presented->Secret;
   if (Owner.Value == RootOwner) {
-    const bool Right = !RootKey.empty() &&
-                       matchesDigest(Secret, digestOfKey(RootKey, RootSalt));
-    return Right ? std::optional(Owner) : std::nullopt;
+    const bool IsValid = !RootKey.empty() &&
+                         matchesDigest(Secret, digestOfKey(RootKey, RootSalt));
+    return IsValid ? std::optional(Owner) : std::nullopt;
   }
-  const OwnerEntry *Known = InForce.owner(Owner);
-  if (!Known || !matchesDigest(Secret, Known->Key))
+  const OwnerEntry *Entry = InForce.owner(Owner);
+  if (!Entry || !matchesDigest(Secret, Entry->Key))
     return std::nullopt;
   return Owner;
 }
--- a/src/plugins/operators/OperatorsPlugin.cpp
+++ b/src/plugins/operators/OperatorsPlugin.cpp
@@ -4,8 +4,8 @@
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
 #include "kernel/PluginRegistry.h"
-#include "plugins/operators/ChangeCheck.h"
-#include "plugins/operators/OperatorKeyring.h"
+#include "plugins/operators/ChangeValidation.h"
+#include "plugins/operators/OperatorAuthentication.h"
 #include "plugins/quarantine/QuarantinePlugin.h"
 
 #include <algorithm>
@@ -33,9 +33,9 @@
      }});
 
 /// Change sets on their way at one time.
-constexpr std::size_t MostWaiting = 1000;
+constexpr std::size_t MaxPendingChanges = 1000;
 /// Items of one answer about the history.
-constexpr std::size_t MostShown = 200;
+constexpr std::size_t MaxHistoryItems = 200;
 
 VerdictPending pendingAnswer(const ChangeId &Id) {
   return {"no verdict on change set " + Id.Value +
@@ -46,106 +46,111 @@
 
 void OperatorsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Self = Context.self().Host;
   this->RootKey = Values.text("operators", "root_key");
-  this->AnswerWithin = Values.span("operators", "answer_within");
-  this->MostHistory = Values.whole("operators", "history");
-  this->Log = &this->Offered->get<LogWriter>();
-  this->InForce = &this->Offered->get<CatalogueView>();
-  this->Acceptance = &this->Offered->get<ChangeAcceptance>();
-  this->Offered->list<LogObserver>().add(*this);
+  this->AnswerTimeout = Values.span("operators", "answer_within");
+  this->MaxHistory = Values.whole("operators", "history");
+  this->Log = &this->PluginServices->get<LogWriter>();
+  this->InForce = &this->PluginServices->get<CatalogueView>();
+  this->Acceptance = &this->PluginServices->get<ChangeAcceptance>();
+  this->PluginServices->list<LogObserver>().add(*this);
 }
 
-void OperatorsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Asked = std::get_if<OperatorRequest>(&What))
-    this->take(*Asked, Now, Out);
+void OperatorsPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  if (const auto *Received = std::get_if<OperatorRequest>(&Incoming))
+    this->handleQuestion(*Received, Now, Out);
   this->answerPending(Now, Out);
 }
 
 Time OperatorsPlugin::nextWake() const {
   Time Earliest = Never;
-  for (const auto &[Id, Each] : this->Waiting) {
+  for (const auto &[Id, Each] : this->PendingChanges) {
     if (!Each.Questions.empty())
-      Earliest = std::min(Earliest, Each.AnswerBy);
+      Earliest = std::min(Earliest, Each.AnswerDeadline);
   }
   return Earliest;
 }
 
-void OperatorsPlugin::recordRead(const StoredRecord &Read, Time, Actions &) {
-  const auto *Given = std::get_if<ConfigurationRecord>(&Read.Record.Body);
-  if (!Given)
+void OperatorsPlugin::recordRead(const StoredRecord &Stored, Time, Actions &) {
+  const auto *Configuration =
+      std::get_if<ConfigurationRecord>(&Stored.Record.Body);
+  if (!Configuration)
     return;
-  this->History.push_back({Read.Offset, Given->Set});
-  if (this->History.size() > this->MostHistory)
+  this->History.push_back({Stored.Offset, Configuration->Set});
+  if (this->History.size() > this->MaxHistory)
     this->History.pop_front();
 }
 
-void OperatorsPlugin::appendSettled(const RecordId &Id, bool Taken, Time,
+void OperatorsPlugin::appendSettled(const RecordId &Id, bool Appended, Time,
                                     Actions &Out) {
-  if (Taken)
+  if (Appended)
     return;
   const auto Found =
-      std::find_if(this->Waiting.begin(), this->Waiting.end(),
+      std::find_if(this->PendingChanges.begin(), this->PendingChanges.end(),
                    [&](const auto &Each) { return Each.second.Record == Id; });
-  if (Found == this->Waiting.end())
+  if (Found == this->PendingChanges.end())
     return;
   answerAll(Found->second,
             ChangesRejected{"nothing was written, the log takes no more now; "
                             "apply again later"},
             Out);
-  this->Waiting.erase(Found);
+  this->PendingChanges.erase(Found);
 }
 
-void OperatorsPlugin::take(const OperatorRequest &Asked, Time Now,
-                           Actions &Out) {
+void OperatorsPlugin::handleQuestion(const OperatorRequest &Received, Time Now,
+                                     Actions &Out) {
   const auto Owner = authenticatedOwner(this->InForce->catalogue(),
-                                        Asked.OperatorKey, this->RootKey);
+                                        Received.OperatorKey, this->RootKey);
   if (!Owner) {
     Out.count("operators_refused");
-    Out.add(AnswerOperator{Asked.Id, OperatorRefused{"the key is not valid"}});
+    Out.add(
+        AnswerOperator{Received.Id, OperatorRefused{"the key is not valid"}});
     return;
   }
-  if (const auto *Wanted = std::get_if<ApplyChanges>(&Asked.Question)) {
-    ChangeSet Set = Wanted->Set;
+  if (const auto *Apply = std::get_if<ApplyChanges>(&Received.Question)) {
+    ChangeSet Set = Apply->Set;
     Set.Author = *Owner;
-    this->apply(Asked.Id, std::move(Set), Now, Out);
+    this->apply(Received.Id, std::move(Set), Now, Out);
     return;
   }
-  Out.add(AnswerOperator{Asked.Id, this->answer(Asked.Question, Now, Out)});
+  Out.add(
+      AnswerOperator{Received.Id, this->answer(Received.Question, Now, Out)});
 }
 
 OperatorAnswer OperatorsPlugin::answer(const OperatorQuestion &Question,
                                        Time Now, Actions &Out) {
   return match(
       Question, [&](const ApplyChanges &) -> OperatorAnswer { return Done{}; },
-      [&](const QueryVerdict &Asked) { return this->verdict(Asked.Id, Now); },
+      [&](const QueryVerdict &Received) {
+        return this->verdict(Received.Id, Now);
+      },
       [&](const ShowCatalogue &) -> OperatorAnswer {
         const Catalogue &Shown = this->InForce->catalogue();
         return CatalogueShown{Shown.offset(), Shown.entries()};
       },
-      [&](const ShowHistory &Asked) -> OperatorAnswer {
-        return this->history(Asked.FromOffset);
+      [&](const ShowHistory &Received) -> OperatorAnswer {
+        return this->history(Received.FromOffset);
       },
       [&](const ShowStatus &) -> OperatorAnswer { return this->status(Now); },
-      [&](const ReleaseQuarantine &Asked) -> OperatorAnswer {
-        auto *Control = this->Offered->find<QuarantineControl>();
+      [&](const ReleaseQuarantine &Received) -> OperatorAnswer {
+        auto *Control = this->PluginServices->find<QuarantineControl>();
         if (!Control)
           return OperatorRefused{"this host keeps no quarantine; ask another"};
-        Control->release(Asked.Content, Now, Out);
+        Control->release(Received.Content, Now, Out);
         return Done{};
       });
 }
 
 void OperatorsPlugin::apply(const OperatorRequestId &Question, ChangeSet Set,
                             Time Now, Actions &Out) {
-  const auto Underway = this->Waiting.find(Set.Id);
-  if (Underway != this->Waiting.end() && Underway->second.Set == Set) {
-    Underway->second.Questions.push_back(Question);
-    Underway->second.AnswerBy = Now + this->AnswerWithin;
+  const auto Found = this->PendingChanges.find(Set.Id);
+  if (Found != this->PendingChanges.end() && Found->second.Set == Set) {
+    Found->second.Questions.push_back(Question);
+    Found->second.AnswerDeadline = Now + this->AnswerTimeout;
     return;
   }
-  const std::string Problem = this->problemWithState(Set, Now);
+  const std::string Problem = this->checkState(Set, Now);
   if (!Problem.empty()) {
     Out.add(AnswerOperator{Question, ChangesRejected{Problem}});
     return;
@@ -159,45 +164,44 @@
               .with("author", Set.Author.Value)
               .with("changes", Set.Changes.size())
               .build());
-  Pending Taken{{}, Set, {Question}, Now + this->AnswerWithin};
+  PendingChange NewPending{{}, Set, {Question}, Now + this->AnswerTimeout};
   if (!this->Log->isReachable(Now))
-    Taken.AnswerBy = Now;
-  Taken.Record = this->Log->append(ConfigurationRecord{Set}, Now, Out);
-  this->Waiting.emplace(Set.Id, std::move(Taken));
+    NewPending.AnswerDeadline = Now;
+  NewPending.Record = this->Log->append(ConfigurationRecord{Set}, Now, Out);
+  this->PendingChanges.emplace(Set.Id, std::move(NewPending));
 }
 
-std::string OperatorsPlugin::problemWithState(const ChangeSet &Set,
-                                              Time Now) const {
+std::string OperatorsPlugin::checkState(const ChangeSet &Set, Time Now) const {
   if (!this->InForce->isCurrent(Now))
     return "this host does not know the catalogue in force; apply at another "
            "host";
-  if (this->Waiting.size() >= MostWaiting)
+  if (this->PendingChanges.size() >= MaxPendingChanges)
     return "too many change sets wait for the log; apply again later";
-  if (this->isIdOfAnother(Set))
+  if (this->isIdReused(Set))
     return "the id " + Set.Id.Value +
            " was used for another change set; give a new one";
   if (this->InForce->catalogue().verdict(Set.Id))
     return {};
-  return problemWith(Set, this->InForce->catalogue());
+  return validateChangeSet(Set, this->InForce->catalogue());
 }
 
-bool OperatorsPlugin::isIdOfAnother(const ChangeSet &Set) const {
-  const auto Underway = this->Waiting.find(Set.Id);
-  if (Underway != this->Waiting.end())
-    return Underway->second.Set != Set;
-  const auto Read =
+bool OperatorsPlugin::isIdReused(const ChangeSet &Set) const {
+  const auto Found = this->PendingChanges.find(Set.Id);
+  if (Found != this->PendingChanges.end())
+    return Found->second.Set != Set;
+  const auto Stored =
       std::find_if(this->History.begin(), this->History.end(),
                    [&](const auto &Each) { return Each.Set.Id == Set.Id; });
-  return Read != this->History.end() && Read->Set != Set;
+  return Stored != this->History.end() && Stored->Set != Set;
 }
 
 OperatorAnswer OperatorsPlugin::verdict(const ChangeId &Id, Time Now) const {
-  const ChangeVerdict *Known = this->InForce->catalogue().verdict(Id);
-  if (!Known)
+  const ChangeVerdict *Verdict = this->InForce->catalogue().verdict(Id);
+  if (!Verdict)
     return pendingAnswer(Id);
-  if (const auto *Refused = std::get_if<ChangeRefused>(Known))
+  if (const auto *Refused = std::get_if<ChangeRefused>(Verdict))
     return ChangesRejected{Refused->Message};
-  const LogOffset Offset = std::get<ChangeAccepted>(*Known).Offset;
+  const LogOffset Offset = std::get<ChangeAccepted>(*Verdict).Offset;
   if (this->Acceptance->mayAccept(Now))
     return ChangesAccepted{Offset};
   return VerdictPending{"change set " + Id.Value + " stands at offset " +
@@ -209,11 +213,11 @@
 HistoryShown OperatorsPlugin::history(LogOffset From) const {
   HistoryShown Result;
   for (const HistoryEntry &Each : this->History) {
-    if (Each.Offset < From || Result.Items.size() >= MostShown)
+    if (Each.Offset < From || Result.Items.size() >= MaxHistoryItems)
       continue;
-    const auto *Known = this->InForce->catalogue().verdict(Each.Set.Id);
-    if (Known)
-      Result.Items.push_back({Each.Offset, Each.Set, *Known});
+    const auto *Verdict = this->InForce->catalogue().verdict(Each.Set.Id);
+    if (Verdict)
+      Result.Items.push_back({Each.Offset, Each.Set, *Verdict});
   }
   return Result;
 }
@@ -222,28 +226,28 @@
   StatusReport Result;
   Result.Host = this->Self;
   for (const StatusContributor *Each :
-       this->Offered->list<StatusContributor>().all())
+       this->PluginServices->list<StatusContributor>().all())
     Each->contribute(Result, Now);
   return Result;
 }
 
 void OperatorsPlugin::answerPending(Time Now, Actions &Out) {
-  for (auto &[Id, Of] : this->Waiting) {
+  for (auto &[Id, Of] : this->PendingChanges) {
     const OperatorAnswer Answer = this->verdict(Id, Now);
     const bool Decided = !std::holds_alternative<VerdictPending>(Answer);
-    if (!Decided && Now < Of.AnswerBy)
+    if (!Decided && Now < Of.AnswerDeadline)
       continue;
     answerAll(Of, Answer, Out);
     Of.Questions.clear();
   }
-  std::erase_if(this->Waiting, [&](const auto &Each) {
+  std::erase_if(this->PendingChanges, [&](const auto &Each) {
     return Each.second.Questions.empty() &&
            this->InForce->catalogue().verdict(Each.first);
   });
 }
 
-void OperatorsPlugin::answerAll(const Pending &Of, const OperatorAnswer &Answer,
-                                Actions &Out) {
+void OperatorsPlugin::answerAll(const PendingChange &Of,
+                                const OperatorAnswer &Answer, Actions &Out) {
   for (const OperatorRequestId &Each : Of.Questions)
     Out.add(AnswerOperator{Each, Answer});
 }
--- a/src/plugins/operators/OperatorsPlugin.h
+++ b/src/plugins/operators/OperatorsPlugin.h
@@ -17,49 +17,49 @@
 class OperatorsPlugin : public Plugin, public LogObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
-  void recordRead(const StoredRecord &Read, Time Now, Actions &Out) override;
-  void appendSettled(const RecordId &Id, bool Taken, Time Now,
+  void recordRead(const StoredRecord &Stored, Time Now, Actions &Out) override;
+  void appendSettled(const RecordId &Id, bool Appended, Time Now,
                      Actions &Out) override;
 
 private:
   /// A change set on its way, and the questions that wait for its verdict.
-  struct Pending {
+  struct PendingChange {
     RecordId Record;
     ChangeSet Set;
     std::vector<OperatorRequestId> Questions;
-    Time AnswerBy{};
+    Time AnswerDeadline{};
   };
   struct HistoryEntry {
     LogOffset Offset = 0;
     ChangeSet Set;
   };
 
-  void take(const OperatorRequest &Asked, Time Now, Actions &Out);
+  void handleQuestion(const OperatorRequest &Received, Time Now, Actions &Out);
   OperatorAnswer answer(const OperatorQuestion &Question, Time Now,
                         Actions &Out);
   void apply(const OperatorRequestId &Question, ChangeSet Set, Time Now,
              Actions &Out);
-  std::string problemWithState(const ChangeSet &Set, Time Now) const;
-  bool isIdOfAnother(const ChangeSet &Set) const;
+  std::string checkState(const ChangeSet &Set, Time Now) const;
+  bool isIdReused(const ChangeSet &Set) const;
   OperatorAnswer verdict(const ChangeId &Id, Time Now) const;
   HistoryShown history(LogOffset From) const;
   StatusReport status(Time Now) const;
   void answerPending(Time Now, Actions &Out);
-  static void answerAll(const Pending &Of, const OperatorAnswer &Answer,
+  static void answerAll(const PendingChange &Of, const OperatorAnswer &Answer,
                         Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   LogWriter *Log = nullptr;
   CatalogueView *InForce = nullptr;
   ChangeAcceptance *Acceptance = nullptr;
   HostId Self;
   std::string RootKey;
-  Duration AnswerWithin{};
-  std::size_t MostHistory = 0;
-  std::map<ChangeId, Pending> Waiting;
+  Duration AnswerTimeout{};
+  std::size_t MaxHistory = 0;
+  std::map<ChangeId, PendingChange> PendingChanges;
   std::deque<HistoryEntry> History;
 };
 
--- a/tests/auto/operators/OperatorJsonTest.cpp
+++ b/tests/auto/operators/OperatorJsonTest.cpp
@@ -21,25 +21,25 @@
 }
 
 /// JSON as it is after a way over the wire.
-json sent(const OperatorAnswer &Answer) {
+json toWire(const OperatorAnswer &Answer) {
   return json::parse(toJson(Answer).dump());
 }
 
 TEST(OperatorJson, KeepsAnswers) {
-  const json Status = sent(sampleStatus());
+  const json Status = toWire(sampleStatus());
   EXPECT_EQ(toJson(OperatorAnswer(statusFromJson(Status))), Status);
-  const json Shown = sent(CatalogueShown{9, sampleEntries()});
+  const json Shown = toWire(CatalogueShown{9, sampleEntries()});
   EXPECT_EQ(toJson(OperatorAnswer(catalogueShownFromJson(Shown))), Shown);
   const ChangeSet Set{ChangeId("c"), OwnerId("ring"), {}};
-  const json History = sent(HistoryShown{{{4, Set, ChangeRefused{"no"}}}});
+  const json History = toWire(HistoryShown{{{4, Set, ChangeRefused{"no"}}}});
   EXPECT_EQ(toJson(OperatorAnswer(historyFromJson(History))), History);
-  const json Pending = sent(VerdictPending{"wait"});
+  const json Pending = toWire(VerdictPending{"wait"});
   EXPECT_TRUE(
       std::holds_alternative<VerdictPending>(changeAnswerFromJson(Pending)));
 }
 
 TEST(OperatorJson, RefusesOtherShapes) {
-  json Status = sent(sampleStatus());
+  json Status = toWire(sampleStatus());
   Status["hosts"][0]["in_force"] = "x";
   try {
     statusFromJson(Status);
--- a/tests/auto/operators/OperatorsTest.cpp
+++ b/tests/auto/operators/OperatorsTest.cpp
@@ -13,8 +13,8 @@
 const std::string Ring = "ring.secret";
 
 /// One change of an entry of the owner `ring`.
-Change changeOf(EntryKind Kind, std::string Name,
-                std::optional<EntryBody> Body) {
+Change makeChange(EntryKind Kind, std::string Name,
+                  std::optional<EntryBody> Body) {
   Change Result;
   Result.Key = {Kind, std::move(Name)};
   Result.Owner = OwnerId("ring");
@@ -22,21 +22,21 @@
   return Result;
 }
 
-ChangeSet setOf(std::string Id, std::vector<Change> Changes) {
+ChangeSet makeChangeSet(std::string Id, std::vector<Change> Changes) {
   ChangeSet Result;
   Result.Id = ChangeId(std::move(Id));
   Result.Changes = std::move(Changes);
   return Result;
 }
 
-ModelEntry someModel() {
+ModelEntry makeModel() {
   ModelEntry Result;
   Result.Weights = "m-weights";
   Result.WeightBytes = 1;
   return Result;
 }
 
-TeamEntry someTeam(std::vector<ClassId> Classes) {
+TeamEntry makeTeam(std::vector<ClassId> Classes) {
   TeamEntry Result;
   Result.Key = digestOfKey("k", std::string(32, '1'));
   Result.Classes = std::move(Classes);
@@ -52,7 +52,7 @@
     this->Host.catchUp();
     this->ask(Root, ApplyChanges{declareOwner("c0", "ring")});
     this->Host.settle();
-    ASSERT_TRUE(this->answered<ChangesAccepted>());
+    ASSERT_TRUE(this->takeAnswer<ChangesAccepted>());
   }
 
   void ask(const std::string &Key, OperatorQuestion Question) {
@@ -62,23 +62,24 @@
 
   void apply(const std::string &Key, std::string Id,
              std::vector<Change> Changes) {
-    this->ask(Key, ApplyChanges{setOf(std::move(Id), std::move(Changes))});
+    this->ask(Key,
+              ApplyChanges{makeChangeSet(std::move(Id), std::move(Changes))});
   }
 
   /// The answer since the last call, when it is the only one and of this kind.
-  template <class Wanted> std::optional<Wanted> answered() {
+  template <class AnswerType> std::optional<AnswerType> takeAnswer() {
     const auto Answers = this->Host.take<AnswerOperator>();
     if (Answers.size() != 1 ||
-        !std::holds_alternative<Wanted>(Answers[0].Answer))
+        !std::holds_alternative<AnswerType>(Answers[0].Answer))
       return std::nullopt;
-    return std::get<Wanted>(Answers[0].Answer);
+    return std::get<AnswerType>(Answers[0].Answer);
   }
 
   /// Why the changes were turned down at once; empty when they were not.
   std::string rejection(const std::string &Key, std::vector<Change> Changes) {
     this->apply(Key, "c" + std::to_string(this->Questions + 1),
                 std::move(Changes));
-    const auto Rejected = this->answered<ChangesRejected>();
+    const auto Rejected = this->takeAnswer<ChangesRejected>();
     return Rejected ? Rejected->Message : std::string();
   }
 };
@@ -86,24 +87,24 @@
 } // namespace
 
 TEST_F(OperatorsTest, AcceptsOnlyWhatWasReadBack) {
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.answerAppend(AppendOutcome::Taken);
   EXPECT_TRUE(this->Host.take<AnswerOperator>().empty());
   this->Host.settle();
-  EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
+  EXPECT_EQ(this->takeAnswer<ChangesAccepted>()->Offset, 2u);
   this->ask(Ring, QueryVerdict{ChangeId("c1")});
-  EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
+  EXPECT_EQ(this->takeAnswer<ChangesAccepted>()->Offset, 2u);
 }
 
 TEST_F(OperatorsTest, TellsTheSecondOfTwoOperatorsWhoWasFirst) {
   BenchHost Other(this->Log, "h2", 0xb1, WithRoot);
   Other.catchUp();
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.answerAppend(AppendOutcome::Taken);
   Other.handle(OperatorRequest{
       OperatorRequestId(1), Ring,
-      ApplyChanges{
-          setOf("c2", {changeOf(EntryKind::Model, "m", someModel())})}});
+      ApplyChanges{makeChangeSet(
+          "c2", {makeChange(EntryKind::Model, "m", makeModel())})}});
   Other.settle();
   const auto Answers = Other.take<AnswerOperator>();
   ASSERT_EQ(Answers.size(), 1u);
@@ -112,10 +113,10 @@
 }
 
 TEST_F(OperatorsTest, LostAnswerOfTheLogIsSettledByReading) {
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.answerAppend(AppendOutcome::LostAnswer);
   this->Host.settle();
-  EXPECT_TRUE(this->answered<ChangesAccepted>());
+  EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
   EXPECT_EQ(this->Log.end(), 3u) << "it was appended twice";
 }
 
@@ -124,26 +125,26 @@
     this->Host.failRead();
     this->Host.advance(seconds(1));
   }
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
-  EXPECT_TRUE(this->answered<VerdictPending>());
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
+  EXPECT_TRUE(this->takeAnswer<VerdictPending>());
   this->Host.answerAppend(AppendOutcome::Refused);
   this->Host.settle();
   this->Host.settle();
   this->ask(Ring, QueryVerdict{ChangeId("c1")});
-  EXPECT_TRUE(this->answered<ChangesAccepted>());
+  EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
 }
 
 TEST_F(OperatorsTest, AcceptsNothingWithoutContactToMostHosts) {
   this->Host.probe().Members = {
       peerHeard("h2", this->Host.Now - seconds(60), {}, 1),
       peerHeard("h3", this->Host.Now - seconds(60), {}, 1)};
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   for (int Round = 0; Round < 8; ++Round)
     this->Host.settle();
-  EXPECT_TRUE(this->answered<VerdictPending>());
+  EXPECT_TRUE(this->takeAnswer<VerdictPending>());
   this->Host.probe().Members[0].LastHeard = this->Host.Now;
   this->ask(Ring, QueryVerdict{ChangeId("c1")});
-  EXPECT_TRUE(this->answered<ChangesAccepted>());
+  EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
 }
 
 TEST_F(OperatorsTest, WrongKeysAreRefusedAlikeAndNeverLogged) {
@@ -151,12 +152,12 @@
   for (const std::string Key : {"ring.wrong", "nobody.secret", "root.secret",
                                 "ring", "", "root.", ".secret"}) {
     this->ask(Key, ShowCatalogue{});
-    const auto Refused = this->answered<OperatorRefused>();
+    const auto Refused = this->takeAnswer<OperatorRefused>();
     ASSERT_TRUE(Refused) << Key;
     Messages.push_back(Refused->Message);
   }
   EXPECT_EQ(std::set(Messages.begin(), Messages.end()).size(), 1u);
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   for (const WriteLogLine &Line : this->Host.take<WriteLogLine>()) {
     for (const LogField &Field : Line.Line.Fields)
       EXPECT_EQ(Field.Value.find("secret"), std::string::npos) << Field.Key;
@@ -173,45 +174,46 @@
 
 TEST_F(OperatorsTest, OnlyOwnersChangeTheirEntries) {
   const OwnerEntry Key{digestOfKey("s", std::string(32, '2'))};
-  Change Owner = changeOf(EntryKind::Owner, "salon", Key);
+  Change Owner = makeChange(EntryKind::Owner, "salon", Key);
   EXPECT_NE(this->rejection(Ring, {Owner}), "");
-  Change Given = changeOf(EntryKind::Model, "m", someModel());
+  Change Given = makeChange(EntryKind::Model, "m", makeModel());
   Given.Owner = OwnerId("root");
   EXPECT_NE(this->rejection(Ring, {Given}), "");
   Owner.Owner = OwnerId("root");
   EXPECT_EQ(this->rejection(Root, {Owner}), "");
   this->Host.settle();
-  EXPECT_TRUE(this->answered<ChangesAccepted>());
-  this->apply(Ring, "c7", {changeOf(EntryKind::Model, "m", someModel())});
+  EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
+  this->apply(Ring, "c7", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.settle();
-  EXPECT_TRUE(this->answered<ChangesAccepted>());
-  Change Others = changeOf(EntryKind::Model, "m", std::nullopt);
+  EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
+  Change Others = makeChange(EntryKind::Model, "m", std::nullopt);
   Others.BaseVersion = this->Log.end() - 1;
   this->apply("salon.s", "c8", {Others});
   this->Host.settle();
-  EXPECT_NE(this->answered<ChangesRejected>()->Message.find("ring"),
+  EXPECT_NE(this->takeAnswer<ChangesRejected>()->Message.find("ring"),
             std::string::npos);
 }
 
 TEST_F(OperatorsTest, RejectsEntriesThatReferToNothing) {
   const Change Team =
-      changeOf(EntryKind::Team, "house", someTeam({ClassId("short")}));
+      makeChange(EntryKind::Team, "house", makeTeam({ClassId("short")}));
   EXPECT_NE(this->rejection(Ring, {Team}).find("short"), std::string::npos);
   const Change BadKey =
-      changeOf(EntryKind::Owner, "x", OwnerEntry{KeyDigest{"plain"}});
+      makeChange(EntryKind::Owner, "x", OwnerEntry{KeyDigest{"plain"}});
   EXPECT_NE(this->rejection(Root, {BadKey}).find("salt"), std::string::npos);
-  const Change Model = changeOf(EntryKind::Model, "m", someModel());
+  const Change Model = makeChange(EntryKind::Model, "m", makeModel());
   EXPECT_NE(this->rejection(Ring, {Model, Model}).find("twice"),
             std::string::npos);
   EXPECT_NE(this->rejection(Ring, {}), "");
   EXPECT_NE(
-      this->rejection(Ring, {changeOf(EntryKind::Team, "m", someModel())}), "");
+      this->rejection(Ring, {makeChange(EntryKind::Team, "m", makeModel())}),
+      "");
   ClassEntry Short;
   Short.TargetName = "m";
-  const Change Class = changeOf(EntryKind::Class, "short", Short);
+  const Change Class = makeChange(EntryKind::Class, "short", Short);
   EXPECT_NE(this->rejection(Ring, {Class}).find("unknown model m"),
             std::string::npos);
-  const Change Ringless = changeOf(EntryKind::Owner, "ring", std::nullopt);
+  const Change Ringless = makeChange(EntryKind::Owner, "ring", std::nullopt);
   EXPECT_EQ(this->rejection(Ring, {Class, Model}).find("unknown"),
             std::string::npos);
   EXPECT_EQ(this->rejection(Root, {Ringless}).find("unknown"),
@@ -219,28 +221,28 @@
 }
 
 TEST_F(OperatorsTest, AnIdStandsForOneChangeSet) {
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.settle();
-  ASSERT_TRUE(this->answered<ChangesAccepted>());
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "n", someModel())});
-  EXPECT_TRUE(this->answered<ChangesRejected>());
-  this->apply(Ring, "c1", {changeOf(EntryKind::Model, "m", someModel())});
-  EXPECT_EQ(this->answered<ChangesAccepted>()->Offset, 2u);
+  ASSERT_TRUE(this->takeAnswer<ChangesAccepted>());
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "n", makeModel())});
+  EXPECT_TRUE(this->takeAnswer<ChangesRejected>());
+  this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
+  EXPECT_EQ(this->takeAnswer<ChangesAccepted>()->Offset, 2u);
 }
 
 TEST_F(OperatorsTest, ShowsCatalogueHistoryAndStatus) {
   this->ask(Ring, ShowCatalogue{});
-  EXPECT_EQ(this->answered<CatalogueShown>()->Entries.size(), 1u);
+  EXPECT_EQ(this->takeAnswer<CatalogueShown>()->Entries.size(), 1u);
   this->ask(Ring, ShowHistory{1});
-  const auto History = this->answered<HistoryShown>();
+  const auto History = this->takeAnswer<HistoryShown>();
   ASSERT_EQ(History->Items.size(), 1u);
   EXPECT_EQ(History->Items[0].Set.Author, OwnerId("root"));
   this->ask(Ring, ShowStatus{});
-  const auto Status = this->answered<StatusReport>();
+  const auto Status = this->takeAnswer<StatusReport>();
   EXPECT_TRUE(Status->Ready && Status->Current);
   EXPECT_EQ(Status->InForce, 1u);
   this->ask(Ring, ReleaseQuarantine{Fingerprint(1)});
-  EXPECT_TRUE(this->answered<OperatorRefused>()) << "no quarantine is linked";
+  EXPECT_TRUE(this->takeAnswer<OperatorRefused>()) << "no quarantine is linked";
 }
 
 } // namespace banyanpick
