--- a/src/plugins/operators/ChangeValidation.cpp
+++ b/src/plugins/operators/ChangeValidation.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// Bounds of what one operator may hand in at once.
+/// Bounds of one change set.
 constexpr std::size_t MaxChanges = 4096;
 constexpr std::size_t MaxIdLength = 128;
 
-/// The entries as they would be if the change set took effect.
+/// The entries as they would be after the change set took effect.
 class ResultingCatalogue {
 public:
   ResultingCatalogue(const ChangeSet &Set, const EntryMap &InForce)
       : InForce(InForce) {
-    for (const Change &Each : Set.Changes)
-      this->Changed[Each.Key] = Each.Body ? &*Each.Body : nullptr;
+    for (const Change &Proposed : Set.Changes)
+      this->Changed[Proposed.Key] = Proposed.Body ? &*Proposed.Body : nullptr;
   }
 
   bool contains(const EntryKey &Key) const {
@@ -32,7 +32,8 @@
     return this->InForce.contains(Key);
   }
 
-  /// The first entry that would refer to the missing \p Gone, or empty.
+  /// Returns the first entry that would still refer to the missing
+  /// \p Removed, or an empty string.
   std::string findReference(const EntryKey &Removed) const {
     for (const auto &[Key, Body] : this->Changed) {
       if (Body && refersTo(*Body, Removed))
@@ -67,7 +68,8 @@
   std::map<EntryKey, const EntryBody *> Changed;
 };
 
-/// Who may make the change, apart from what the fold judges.
+/// Checks whether the author may make the change, except for the rules that the
+/// fold applies.
 std::string checkAuthor(const Change &Proposed, const OwnerId &Author,
                         const ResultingCatalogue &Resulting) {
   const bool IsRoot = Author.Value == RootOwner;
@@ -96,9 +98,9 @@
                                    "; change or remove that first";
   }
   if (const auto *Team = std::get_if<TeamEntry>(&*Proposed.Body)) {
-    for (const ClassId &Each : Team->Classes) {
-      if (!Resulting.contains({EntryKind::Class, Each.Value}))
-        return text(Proposed.Key) + " uses the unknown class " + Each.Value +
+    for (const ClassId &Name : Team->Classes) {
+      if (!Resulting.contains({EntryKind::Class, Name.Value}))
+        return text(Proposed.Key) + " uses the unknown class " + Name.Value +
                "; declare it or remove it from the team";
     }
   }
@@ -129,10 +131,10 @@
            "a unique one";
   if (Set.Changes.empty() || Set.Changes.size() > MaxChanges)
     return "a change set holds 1 to 4096 changes; split it";
-  std::set<EntryKey> Seen;
-  for (const Change &Each : Set.Changes) {
-    if (!Seen.insert(Each.Key).second)
-      return text(Each.Key) + " is changed twice; remove one of the two";
+  std::set<EntryKey> Keys;
+  for (const Change &Proposed : Set.Changes) {
+    if (!Keys.insert(Proposed.Key).second)
+      return text(Proposed.Key) + " is changed twice; remove one of the two";
   }
   return {};
 }
@@ -144,12 +146,12 @@
   if (!Problem.empty())
     return Problem;
   const ResultingCatalogue Resulting(Set, InForce.entries());
-  for (const Change &Each : Set.Changes) {
-    Problem = checkEntry(Each);
+  for (const Change &Proposed : Set.Changes) {
+    Problem = checkEntry(Proposed);
     if (Problem.empty())
-      Problem = checkAuthor(Each, Set.Author, Resulting);
+      Problem = checkAuthor(Proposed, Set.Author, Resulting);
     if (Problem.empty())
-      Problem = checkReferences(Each, Resulting);
+      Problem = checkReferences(Proposed, Resulting);
     if (!Problem.empty())
       return Problem;
   }
--- a/src/plugins/operators/ChangeValidation.h
+++ b/src/plugins/operators/ChangeValidation.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is checked of a change set before it goes to the log.
+/// Validates change sets before they are appended to the log.
 #pragma once
 
 #include "catalogue/Fold.h"
@@ -8,9 +8,10 @@
 
 namespace banyanpick {
 
-/// Why \p Set may not be applied, with the remedy, or empty. Checks who may
-/// change what, the entries themselves, and that what they refer to exists.
-/// The fold judges conflicts; nothing here depends on versions.
+/// Returns why \p Set may not be applied, together with the remedy, or an empty
+/// string. Checks the author's permissions, the entries themselves, and that
+/// the entries they refer to exist. Conflicts between versions are left to the
+/// fold.
 std::string validateChangeSet(const ChangeSet &Set, const Catalogue &InForce);
 
 } // namespace banyanpick
--- a/src/plugins/operators/OperatorAuthentication.cpp
+++ b/src/plugins/operators/OperatorAuthentication.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// The salt only makes the comparison's time independent of the key.
+/// The root key is compared by its salted digest, so that the time of the
+/// comparison does not depend on the key.
 constexpr std::string_view RootSalt = "00000000000000000000000000000000";
 
 } // namespace
--- a/src/plugins/operators/OperatorAuthentication.h
+++ b/src/plugins/operators/OperatorAuthentication.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who an operator is.
+/// Authenticates operators by their keys.
 #pragma once
 
 #include "catalogue/Fold.h"
@@ -9,8 +9,9 @@
 
 namespace banyanpick {
 
-/// The owner whose key \p OperatorKey (`owner.secret`) is, or nothing.
-/// \p RootKey is the secret of RootOwner; empty: there is none.
+/// Returns the owner that \p OperatorKey (`owner.secret`) belongs to, or
+/// nothing. \p RootKey is the secret of RootOwner. If it is empty, nobody is
+/// root.
 std::optional<OwnerId> authenticatedOwner(const Catalogue &InForce,
                                           std::string_view OperatorKey,
                                           std::string_view RootKey);
--- a/src/plugins/operators/OperatorsPlugin.cpp
+++ b/src/plugins/operators/OperatorsPlugin.cpp
@@ -32,9 +32,9 @@
        return std::unique_ptr<Plugin>(std::make_unique<OperatorsPlugin>());
      }});
 
-/// Change sets on their way at one time.
+/// Maximum number of change sets without a verdict.
 constexpr std::size_t MaxPendingChanges = 1000;
-/// Items of one answer about the history.
+/// Maximum number of items in one answer about the history.
 constexpr std::size_t MaxHistoryItems = 200;
 
 VerdictPending pendingAnswer(const ChangeId &Id) {
@@ -65,9 +65,9 @@
 
 Time OperatorsPlugin::nextWake() const {
   Time Earliest = Never;
-  for (const auto &[Id, Each] : this->PendingChanges) {
-    if (!Each.Questions.empty())
-      Earliest = std::min(Earliest, Each.AnswerDeadline);
+  for (const auto &[Id, Pending] : this->PendingChanges) {
+    if (!Pending.Questions.empty())
+      Earliest = std::min(Earliest, Pending.AnswerDeadline);
   }
   return Earliest;
 }
@@ -88,7 +88,7 @@
     return;
   const auto Found =
       std::find_if(this->PendingChanges.begin(), this->PendingChanges.end(),
-                   [&](const auto &Each) { return Each.second.Record == Id; });
+                   [&](const auto &Item) { return Item.second.Record == Id; });
   if (Found == this->PendingChanges.end())
     return;
   answerAll(Found->second,
@@ -122,22 +122,20 @@
                                        Time Now, Actions &Out) {
   return match(
       Question, [&](const ApplyChanges &) -> OperatorAnswer { return Done{}; },
-      [&](const QueryVerdict &Received) {
-        return this->verdict(Received.Id, Now);
-      },
+      [&](const QueryVerdict &Query) { return this->verdict(Query.Id, Now); },
       [&](const ShowCatalogue &) -> OperatorAnswer {
         const Catalogue &Shown = this->InForce->catalogue();
         return CatalogueShown{Shown.offset(), Shown.entries()};
       },
-      [&](const ShowHistory &Received) -> OperatorAnswer {
-        return this->history(Received.FromOffset);
+      [&](const ShowHistory &Query) -> OperatorAnswer {
+        return this->history(Query.FromOffset);
       },
       [&](const ShowStatus &) -> OperatorAnswer { return this->status(Now); },
-      [&](const ReleaseQuarantine &Received) -> OperatorAnswer {
+      [&](const ReleaseQuarantine &Query) -> OperatorAnswer {
         auto *Control = this->PluginServices->find<QuarantineControl>();
         if (!Control)
           return OperatorRefused{"this host keeps no quarantine; ask another"};
-        Control->release(Received.Content, Now, Out);
+        Control->release(Query.Content, Now, Out);
         return Done{};
       });
 }
@@ -189,10 +187,10 @@
   const auto Found = this->PendingChanges.find(Set.Id);
   if (Found != this->PendingChanges.end())
     return Found->second.Set != Set;
-  const auto Stored =
+  const auto Earlier =
       std::find_if(this->History.begin(), this->History.end(),
-                   [&](const auto &Each) { return Each.Set.Id == Set.Id; });
-  return Stored != this->History.end() && Stored->Set != Set;
+                   [&](const auto &Item) { return Item.Set.Id == Set.Id; });
+  return Earlier != this->History.end() && Earlier->Set != Set;
 }
 
 OperatorAnswer OperatorsPlugin::verdict(const ChangeId &Id, Time Now) const {
@@ -212,12 +210,12 @@
 
 HistoryShown OperatorsPlugin::history(LogOffset From) const {
   HistoryShown Result;
-  for (const HistoryEntry &Each : this->History) {
-    if (Each.Offset < From || Result.Items.size() >= MaxHistoryItems)
+  for (const HistoryEntry &Item : this->History) {
+    if (Item.Offset < From || Result.Items.size() >= MaxHistoryItems)
       continue;
-    const auto *Verdict = this->InForce->catalogue().verdict(Each.Set.Id);
+    const auto *Verdict = this->InForce->catalogue().verdict(Item.Set.Id);
     if (Verdict)
-      Result.Items.push_back({Each.Offset, Each.Set, *Verdict});
+      Result.Items.push_back({Item.Offset, Item.Set, *Verdict});
   }
   return Result;
 }
@@ -225,31 +223,31 @@
 StatusReport OperatorsPlugin::status(Time Now) const {
   StatusReport Result;
   Result.Host = this->Self;
-  for (const StatusContributor *Each :
+  for (const StatusContributor *Contributor :
        this->PluginServices->list<StatusContributor>().all())
-    Each->contribute(Result, Now);
+    Contributor->contribute(Result, Now);
   return Result;
 }
 
 void OperatorsPlugin::answerPending(Time Now, Actions &Out) {
-  for (auto &[Id, Of] : this->PendingChanges) {
+  for (auto &[Id, Pending] : this->PendingChanges) {
     const OperatorAnswer Answer = this->verdict(Id, Now);
-    const bool Decided = !std::holds_alternative<VerdictPending>(Answer);
-    if (!Decided && Now < Of.AnswerDeadline)
+    const bool IsDecided = !std::holds_alternative<VerdictPending>(Answer);
+    if (!IsDecided && Now < Pending.AnswerDeadline)
       continue;
-    answerAll(Of, Answer, Out);
-    Of.Questions.clear();
+    answerAll(Pending, Answer, Out);
+    Pending.Questions.clear();
   }
-  std::erase_if(this->PendingChanges, [&](const auto &Each) {
-    return Each.second.Questions.empty() &&
-           this->InForce->catalogue().verdict(Each.first);
+  std::erase_if(this->PendingChanges, [&](const auto &Item) {
+    return Item.second.Questions.empty() &&
+           this->InForce->catalogue().verdict(Item.first);
   });
 }
 
-void OperatorsPlugin::answerAll(const PendingChange &Of,
+void OperatorsPlugin::answerAll(const PendingChange &Pending,
                                 const OperatorAnswer &Answer, Actions &Out) {
-  for (const OperatorRequestId &Each : Of.Questions)
-    Out.add(AnswerOperator{Each, Answer});
+  for (const OperatorRequestId &Question : Pending.Questions)
+    Out.add(AnswerOperator{Question, Answer});
 }
 
 } // namespace banyanpick
--- a/src/plugins/operators/OperatorsPlugin.h
+++ b/src/plugins/operators/OperatorsPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in `operators`: answers what operators ask.
+/// The plug-in `operators`, which answers the questions of operators.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -11,9 +11,9 @@
 
 namespace banyanpick {
 
-/// Proves who asks, checks change sets and appends them to the log, and tells
-/// "accepted" only once the own record was read back, the fold took it, and
-/// most hosts are in contact.
+/// Authenticates operators, validates change sets and appends them to the log.
+/// Reports a change set as accepted only after its record was read back, the
+/// fold accepted it, and this host is in contact with most hosts.
 class OperatorsPlugin : public Plugin, public LogObserver {
 public:
   void initialize(PluginContext &Context) override;
@@ -25,7 +25,7 @@
                      Actions &Out) override;
 
 private:
-  /// A change set on its way, and the questions that wait for its verdict.
+  /// A change set without a verdict, and the questions that wait for one.
   struct PendingChange {
     RecordId Record;
     ChangeSet Set;
@@ -48,8 +48,8 @@
   HistoryShown history(LogOffset From) const;
   StatusReport status(Time Now) const;
   void answerPending(Time Now, Actions &Out);
-  static void answerAll(const PendingChange &Of, const OperatorAnswer &Answer,
-                        Actions &Out);
+  static void answerAll(const PendingChange &Pending,
+                        const OperatorAnswer &Answer, Actions &Out);
 
   Services *PluginServices = nullptr;
   LogWriter *Log = nullptr;
--- a/tests/auto/operators/OperatorJsonTest.cpp
+++ b/tests/auto/operators/OperatorJsonTest.cpp
@@ -20,12 +20,12 @@
   return Result;
 }
 
-/// JSON as it is after a way over the wire.
+/// Returns the JSON of the answer after it was serialized and parsed.
 json toWire(const OperatorAnswer &Answer) {
   return json::parse(toJson(Answer).dump());
 }
 
-TEST(OperatorJson, KeepsAnswers) {
+TEST(OperatorJson, AnswersSurviveSerialization) {
   const json Status = toWire(sampleStatus());
   EXPECT_EQ(toJson(OperatorAnswer(statusFromJson(Status))), Status);
   const json Shown = toWire(CatalogueShown{9, sampleEntries()});
@@ -38,7 +38,7 @@
       std::holds_alternative<VerdictPending>(changeAnswerFromJson(Pending)));
 }
 
-TEST(OperatorJson, RefusesOtherShapes) {
+TEST(OperatorJson, RejectsMalformedAnswers) {
   json Status = toWire(sampleStatus());
   Status["hosts"][0]["in_force"] = "x";
   try {
--- a/tests/auto/operators/OperatorsTest.cpp
+++ b/tests/auto/operators/OperatorsTest.cpp
@@ -12,7 +12,7 @@
 const std::string Root = "root.top";
 const std::string Ring = "ring.secret";
 
-/// One change of an entry of the owner `ring`.
+/// Returns one change of an entry of the owner `ring`.
 Change makeChange(EntryKind Kind, std::string Name,
                   std::optional<EntryBody> Body) {
   Change Result;
@@ -66,7 +66,8 @@
               ApplyChanges{makeChangeSet(std::move(Id), std::move(Changes))});
   }
 
-  /// The answer since the last call, when it is the only one and of this kind.
+  /// Returns the answer since the last call, if it is the only one and of this
+  /// type.
   template <class AnswerType> std::optional<AnswerType> takeAnswer() {
     const auto Answers = this->Host.take<AnswerOperator>();
     if (Answers.size() != 1 ||
@@ -75,7 +76,7 @@
     return std::get<AnswerType>(Answers[0].Answer);
   }
 
-  /// Why the changes were turned down at once; empty when they were not.
+  /// Returns why the changes were rejected at once; empty if they were not.
   std::string rejection(const std::string &Key, std::vector<Change> Changes) {
     this->apply(Key, "c" + std::to_string(this->Questions + 1),
                 std::move(Changes));
@@ -86,7 +87,7 @@
 
 } // namespace
 
-TEST_F(OperatorsTest, AcceptsOnlyWhatWasReadBack) {
+TEST_F(OperatorsTest, AcceptsOnlyChangesThatWereReadBack) {
   this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.answerAppend(AppendOutcome::Taken);
   EXPECT_TRUE(this->Host.take<AnswerOperator>().empty());
@@ -96,7 +97,7 @@
   EXPECT_EQ(this->takeAnswer<ChangesAccepted>()->Offset, 2u);
 }
 
-TEST_F(OperatorsTest, TellsTheSecondOfTwoOperatorsWhoWasFirst) {
+TEST_F(OperatorsTest, ConflictingChangeIsRejectedWithTheEarlierOwner) {
   BenchHost Other(this->Log, "h2", 0xb1, WithRoot);
   Other.catchUp();
   this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
@@ -117,10 +118,10 @@
   this->Host.answerAppend(AppendOutcome::LostAnswer);
   this->Host.settle();
   EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
-  EXPECT_EQ(this->Log.end(), 3u) << "it was appended twice";
+  EXPECT_EQ(this->Log.end(), 3u) << "the record was appended twice";
 }
 
-TEST_F(OperatorsTest, LogAwayIsPendingAndAcceptedWhenItIsBack) {
+TEST_F(OperatorsTest, ChangeStaysPendingWhileTheLogIsUnreachable) {
   for (int Round = 0; Round < 6; ++Round) {
     this->Host.failRead();
     this->Host.advance(seconds(1));
@@ -147,7 +148,7 @@
   EXPECT_TRUE(this->takeAnswer<ChangesAccepted>());
 }
 
-TEST_F(OperatorsTest, WrongKeysAreRefusedAlikeAndNeverLogged) {
+TEST_F(OperatorsTest, WrongKeysGetTheSameRefusalAndAreNeverLogged) {
   std::vector<std::string> Messages;
   for (const std::string Key : {"ring.wrong", "nobody.secret", "root.secret",
                                 "ring", "", "root.", ".secret"}) {
@@ -194,7 +195,7 @@
             std::string::npos);
 }
 
-TEST_F(OperatorsTest, RejectsEntriesThatReferToNothing) {
+TEST_F(OperatorsTest, RejectsEntriesWithMissingReferences) {
   const Change Team =
       makeChange(EntryKind::Team, "house", makeTeam({ClassId("short")}));
   EXPECT_NE(this->rejection(Ring, {Team}).find("short"), std::string::npos);
@@ -220,7 +221,7 @@
             std::string::npos);
 }
 
-TEST_F(OperatorsTest, AnIdStandsForOneChangeSet) {
+TEST_F(OperatorsTest, AnIdIdentifiesOneChangeSet) {
   this->apply(Ring, "c1", {makeChange(EntryKind::Model, "m", makeModel())});
   this->Host.settle();
   ASSERT_TRUE(this->takeAnswer<ChangesAccepted>());
@@ -242,7 +243,8 @@
   EXPECT_TRUE(Status->Ready && Status->Current);
   EXPECT_EQ(Status->InForce, 1u);
   this->ask(Ring, ReleaseQuarantine{Fingerprint(1)});
-  EXPECT_TRUE(this->takeAnswer<OperatorRefused>()) << "no quarantine is linked";
+  EXPECT_TRUE(this->takeAnswer<OperatorRefused>())
+      << "no quarantine plug-in is linked";
 }
 
 } // namespace banyanpick
