--- a/tests/auto/claims/ClaimsTest.cpp
+++ b/tests/auto/claims/ClaimsTest.cpp
@@ -221,7 +221,7 @@
   EXPECT_TRUE(isGranted(C, Fresh));
 }
 
-TEST_F(ClaimsTest, FreezeBeforeReadingBackGrantsNothingLate) {
+TEST_F(ClaimsTest, PauseBeforeReadingBackGrantsNothing) {
   this->A.advance(milliseconds(30));
   claim(this->A, this->First);
   this->A.answerAppend(AppendOutcome::Taken);
