--- a/src/plugins/orders/EngineOrders.h
+++ b/src/plugins/orders/EngineOrders.h
@@ -11,7 +11,7 @@
 /// How long an engine gets no further order.
 struct OrderTimeouts {
   Duration Answer{};   ///< After this the outcome is unknown.
-  Duration ReadBack{}; ///< The engine's report shows the effect within this.
+  Duration ReadBack{}; ///< The report should show the effect within this.
   Duration Failure{};  ///< After a failure or refusal.
 };
 
--- a/src/plugins/orders/LeaderLeases.cpp
+++ b/src/plugins/orders/LeaderLeases.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The holder uses its lease for the length divided by this.
+/// The holder uses its lease for the lease's length divided by this.
 constexpr int UsableDivisor = 2;
 
 } // namespace
