--- a/tests/auto/log/LogBench.h
+++ b/tests/auto/log/LogBench.h
@@ -68,8 +68,8 @@
 
   Identity Self;
   std::vector<Member> Members;
-  std::vector<Incarnation>
-      EndedIncarnations; ///< Incarnations known to have ended.
+  /// The incarnations that isDead() reports as dead.
+  std::vector<Incarnation> EndedIncarnations;
   std::vector<StoredRecord> Read;
   std::vector<std::pair<RecordId, bool>> Settled;
   LogOffset MissedUpTo = 0;
