--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -33,7 +33,7 @@
 
 /// Number of snapshots written during the retention time of the log.
 constexpr int SnapshotsPerRetention = 4;
-/// When refused callers retry.
+/// Delay after which refused callers retry.
 constexpr Duration RetryDelay = seconds(1);
 
 } // namespace
--- a/tests/auto/catalogueplugin/CataloguePluginTest.cpp
+++ b/tests/auto/catalogueplugin/CataloguePluginTest.cpp
@@ -161,11 +161,12 @@
   this->Host.settle();
   EXPECT_FALSE(viewOf(Host).isReady());
   const Time Confirmed = viewOf(Host).confirmedAt();
-  Catalogue Known;
-  Known.fold(declareOwner("c9", "salon"), 40);
-  deliver(this->Host, "h0", CatalogueRelayed{40, serializeSnapshot(Known)});
+  Catalogue PeerCatalogue;
+  PeerCatalogue.fold(declareOwner("c9", "salon"), 40);
+  deliver(this->Host, "h0",
+          CatalogueRelayed{40, serializeSnapshot(PeerCatalogue)});
   this->Host.settle();
-  EXPECT_EQ(textOf(Host), serializeSnapshot(Known));
+  EXPECT_EQ(textOf(Host), serializeSnapshot(PeerCatalogue));
   EXPECT_TRUE(viewOf(Host).isReady());
   EXPECT_EQ(viewOf(Host).confirmedAt(), Confirmed);
 }
--- a/tests/auto/catalogueplugin/SnapshotProperty.cpp
+++ b/tests/auto/catalogueplugin/SnapshotProperty.cpp
@@ -51,11 +51,11 @@
     if (Pick % 5 == 0 && !this->ChangeSets.empty())
       return this->ChangeSets[Pick / 5 % this->ChangeSets.size()];
     const std::string Name = "o" + std::to_string(Pick % 4);
-    const EntryMap &Known = viewOf(*this->Hosts[0]).catalogue().entries();
-    const auto Found = Known.find({EntryKind::Owner, Name});
+    const EntryMap &Entries = viewOf(*this->Hosts[0]).catalogue().entries();
+    const auto Found = Entries.find({EntryKind::Owner, Name});
     ChangeSet Result =
         declareOwner("c" + std::to_string(this->ChangeSets.size()), Name,
-                     Found == Known.end() ? 0 : Found->second.Version);
+                     Found == Entries.end() ? 0 : Found->second.Version);
     if (Pick % 3 == 0)
       Result.Changes[0].Body.reset();
     this->ChangeSets.push_back(Result);
@@ -76,8 +76,8 @@
       if (!viewOf(*Host).isReady())
         continue;
       const LogOffset At = viewOf(*Host).catalogue().offset();
-      const auto [Known, First] = ByOffset.emplace(At, textOf(*Host));
-      RC_ASSERT(First || Known->second == textOf(*Host));
+      const auto [Earlier, IsFirst] = ByOffset.emplace(At, textOf(*Host));
+      RC_ASSERT(IsFirst || Earlier->second == textOf(*Host));
     }
   }
 
