--- a/tests/auto/operators/OperatorsTest.cpp
+++ b/tests/auto/operators/OperatorsTest.cpp
@@ -177,9 +177,9 @@
   const OwnerEntry Key{digestOfKey("s", std::string(32, '2'))};
   Change Owner = makeChange(EntryKind::Owner, "salon", Key);
   EXPECT_NE(this->rejection(Ring, {Owner}), "");
-  Change Given = makeChange(EntryKind::Model, "m", makeModel());
-  Given.Owner = OwnerId("root");
-  EXPECT_NE(this->rejection(Ring, {Given}), "");
+  Change OwnedByRoot = makeChange(EntryKind::Model, "m", makeModel());
+  OwnedByRoot.Owner = OwnerId("root");
+  EXPECT_NE(this->rejection(Ring, {OwnedByRoot}), "");
   Owner.Owner = OwnerId("root");
   EXPECT_EQ(this->rejection(Root, {Owner}), "");
   this->Host.settle();
