--- a/src/plugins/claims/ClaimsPlugin.h
+++ b/src/plugins/claims/ClaimsPlugin.h
@@ -95,7 +95,7 @@
   Duration KeyWindow{};
   Duration ClockSkew{};
   Duration ClaimTimeout{};
-  Duration RetryLater{};
+  Duration RetryAfter{};
   std::size_t MaxResultBytes = 0;
   bool CaughtUp = false;
   Time StartedAt{};
