--- a/src/plugins/relays/RelayOrders.cpp
+++ b/src/plugins/relays/RelayOrders.cpp
@@ -13,7 +13,7 @@
   Result.MaxEventGap = Of.Terms.MaxEventGap;
   Result.Waited = Now - Of.ArrivedAt;
   Result.Left = Of.Deadline - Now;
-  Result.MayRetryLater = Of.IsFirstTry && Of.Sends == 0;
+  Result.MayRetryLater = Of.IsFirstCallerAttempt && Of.Sends == 0;
   Result.Excluded = Excluded;
   return Result;
 }
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -144,8 +144,9 @@
   Each.ArrivedAt = Now;
   Each.LastEvent = Head.LastEvent;
   const Duration Remaining = Head.Remaining.value_or(UnknownRemaining);
-  Each.IsFirstTry =
-      Head.Remaining && this->Firsts.isFirst(Route.Name, *Head.Remaining, Now);
+  Each.IsFirstCallerAttempt =
+      Head.Remaining &&
+      this->RetryDetector.isFirstAttempt(Route.Name, *Head.Remaining, Now);
   const bool Limited = Route.TimeLimit > Duration(0);
   Each.RouteEnds = Limited && Route.TimeLimit <= Remaining;
   Each.Deadline = Now + (Each.RouteEnds ? Route.TimeLimit : Remaining);
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -4,7 +4,7 @@
 
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
-#include "plugins/relays/FirstTries.h"
+#include "plugins/relays/CallerRetryDetector.h"
 #include "plugins/relays/RelayOrders.h"
 #include "plugins/relays/RetryAllowance.h"
 #include "plugins/relays/RunningRelay.h"
@@ -114,7 +114,7 @@
   Random *Numbers = nullptr;
   RelayTimes Times;
   RetryAllowance Allowance;
-  FirstTries Firsts;
+  CallerRetryDetector RetryDetector;
   std::map<UpstreamId, Time> Signs; ///< When each last gave something.
   RunningRelays Running;
   std::uint64_t Tries = 0;
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -27,7 +27,8 @@
   std::uint64_t ConfigurationVersion = 0;
   std::uint32_t Rank = 0;
   bool NeedsKey = false;
-  bool IsFirstTry = false; ///< Of its caller, see FirstTries.
+  bool IsFirstCallerAttempt =
+      false; ///< Of its caller, see CallerRetryDetector.
   Time ArrivedAt{};
   Time Deadline{};        ///< Of the caller or the route, whichever is first.
   bool RouteEnds = false; ///< The route's time limit is first.
