--- a/src/plugins/relays/TryVerdict.h
+++ b/src/plugins/relays/AttemptVerdict.h
@@ -7,22 +7,22 @@
 namespace banyanpick {
 
 /// The caller has its answer.
-struct RelayIsDone {};
+struct RelayCompleted {};
 /// Try another upstream, if the budget of repeats and the time allow it.
-struct TryAgain {
-  bool Arrived = false; ///< The upstream got it, so that the next one counts
-                        ///< as a repeat.
+struct RetryElsewhere {
+  bool ReachedUpstream = false; ///< The upstream got it, so that the next one
+                                ///< counts as a repeat.
 };
 /// Nothing more can be done; end it as it stands.
 struct GiveUp {
   RefusalKind Kind = RefusalKind::NotRun;
 };
 
-using TryVerdict = std::variant<RelayIsDone, TryAgain, GiveUp>;
+using AttemptVerdict = std::variant<RelayCompleted, RetryElsewhere, GiveUp>;
 
 /// Judges by what the request's kind allows. Notes in \p Of where it ran or
 /// did not.
-TryVerdict verdictOn(RunningRelay &Of, const RelayAttempt &Ended,
-                     const RelayOutcome &Outcome);
+AttemptVerdict judgeAttempt(RunningRelay &Relay, const RelayAttempt &Attempt,
+                            const RelayOutcome &Outcome);
 
 } // namespace banyanpick
--- /dev/null
+++ b/src/plugins/relays/RelayDispatch.cpp
@@ -0,0 +1,67 @@
+#include "plugins/relays/RelayDispatch.h"
+
+namespace banyanpick {
+
+EngineRequirements engineRequirements(const RunningRelay &Relay,
+                                      std::span<const UpstreamId> Excluded,
+                                      Time Now) {
+  EngineRequirements Result;
+  Result.Request = Relay.Head.Id;
+  Result.Service = Relay.Service;
+  Result.PromptTokens = Relay.Head.PromptTokens;
+  Result.OutputTokens = Relay.Head.MaxOutputTokens;
+  Result.Objective = Relay.Terms.Objective;
+  Result.MaxEventGap = Relay.Terms.MaxEventGap;
+  Result.Waited = Now - Relay.ArrivedAt;
+  Result.Left = Relay.Deadline - Now;
+  Result.MayRetryLater = Relay.IsFirstCallerAttempt && Relay.Sends == 0;
+  Result.Excluded = Excluded;
+  return Result;
+}
+
+RelayAttempt makeAttempt(const RunningRelay &Relay,
+                         const SelectedEngine &Chosen, const AttemptId &Id,
+                         Time Now) {
+  RelayAttempt Result;
+  Result.Id = Id;
+  Result.Request = Relay.Head.Id;
+  Result.Engine = Chosen.Engine;
+  Result.Service = Relay.Service;
+  Result.Helpers = Chosen.Helpers;
+  Result.PromptTokens = Relay.Head.PromptTokens;
+  Result.OutputTokens = Relay.Head.MaxOutputTokens;
+  Result.Content = Relay.Head.Content;
+  Result.SentAt = Now;
+  Result.Predicted = Chosen.Predicted;
+  Result.MaxEventGap = Relay.Terms.MaxEventGap;
+  return Result;
+}
+
+DispatchRelay makeDispatch(const RunningRelay &Relay,
+                           const RelayAttempt &Attempt,
+                           const SelectedEngine &Chosen, const Address &At,
+                           const StreamSilenceLimits &Limits) {
+  DispatchRelay Result;
+  Result.Attempt = Attempt.Id;
+  Result.Request = Relay.Head.Id;
+  Result.Engine = Chosen.Engine;
+  Result.At = At;
+  Result.Team = Relay.Team;
+  Result.DropKey = Relay.NeedsKey;
+  Result.Deadline = Relay.Deadline;
+  Result.Urgency = Chosen.Urgency;
+  Result.LastEvent = Relay.LastEvent;
+  Result.Helpers = Chosen.Helpers;
+  // A kept connection that its upstream closes meanwhile loses the request;
+  // only what may run twice can bear that.
+  Result.Fresh = !Relay.isIdempotent();
+  Result.Stream = Relay.Terms.Kind == RequestKind::Stream;
+  // Without another try there is nothing to gain by giving up.
+  const bool CanResume = Relay.RanOn.size() + 1 < Relay.Terms.Attempts;
+  if (Result.Stream && Relay.isIdempotent() && CanResume)
+    Result.MaxSilence =
+        Chosen.Helpers.empty() ? Limits.SinglePrefill : Limits.JointPrefill;
+  return Result;
+}
+
+} // namespace banyanpick
--- a/src/plugins/relays/RelayLines.cpp
+++ b/src/plugins/relays/RelayLog.cpp
@@ -1,4 +1,4 @@
-#include "plugins/relays/RelayLines.h"
+#include "plugins/relays/RelayLog.h"
 
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
@@ -31,17 +31,17 @@
 
 } // namespace
 
-void logReceived(const RunningRelay &Of, std::string_view RouteName, Time Now,
-                 Actions &Out) {
+void logReceived(const RunningRelay &Relay, std::string_view RouteName,
+                 Time Now, Actions &Out) {
   Out.log(logEvent(events::RelayReceived)
-              .with("request", Of.Head.Id.Value)
-              .with("caller_attempt", Of.Head.CallerAttempt)
+              .with("request", Relay.Head.Id.Value)
+              .with("caller_attempt", Relay.Head.CallerAttempt)
               .with("route", RouteName)
-              .with("service", Of.Service.Value)
-              .with("team", Of.Team.Value)
-              .with("prompt_tokens", Of.Head.PromptTokens)
-              .with("time_us", (Of.Deadline - Now).count())
-              .with("version", Of.ConfigurationVersion)
+              .with("service", Relay.Service.Value)
+              .with("team", Relay.Team.Value)
+              .with("prompt_tokens", Relay.Head.PromptTokens)
+              .with("time_us", (Relay.Deadline - Now).count())
+              .with("version", Relay.ConfigurationVersion)
               .build());
 }
 
@@ -59,48 +59,48 @@
               .build());
 }
 
-void logSent(const RunningRelay &Of, const RelayAttempt &Try,
+void logSent(const RunningRelay &Relay, const RelayAttempt &Attempt,
              const RegisteredEngine &Engine, const SelectedEngine &Chosen,
              Actions &Out) {
   Out.log(logEvent(events::RelaySent)
-              .with("request", Of.Head.Id.Value)
-              .with("try", Try.Id.Sequence)
-              .with("engine", Try.Engine.Value)
-              .with("helpers", Try.Helpers.size())
-              .with("sends", Of.Sends)
-              .with("after_event", Of.LastEvent.value_or(0))
+              .with("request", Relay.Head.Id.Value)
+              .with("try", Attempt.Id.Sequence)
+              .with("engine", Attempt.Engine.Value)
+              .with("helpers", Attempt.Helpers.size())
+              .with("sends", Relay.Sends)
+              .with("after_event", Relay.LastEvent.value_or(0))
               .with("standing", name(Engine.Standing))
               .with("offset", Engine.Offset)
               .with("at_limit", Chosen.AtLimit)
               .with("resting", Chosen.BackingOff)
-              .with("predicted_us", Try.Predicted.count())
+              .with("predicted_us", Attempt.Predicted.count())
               .build());
 }
 
-void logWaits(const RunningRelay &Of, Actions &Out) {
+void logWaiting(const RunningRelay &Relay, Actions &Out) {
   Out.count("relays_waited");
   Out.log(logEvent(events::RelayWaits)
-              .with("request", Of.Head.Id.Value)
-              .with("service", Of.Service.Value)
-              .with("ran_on", Of.RanOn.size())
-              .with("not_run_on", Of.NotRunOn.size())
+              .with("request", Relay.Head.Id.Value)
+              .with("service", Relay.Service.Value)
+              .with("ran_on", Relay.RanOn.size())
+              .with("not_run_on", Relay.NotRunOn.size())
               .build());
 }
 
-void logAwaitsTurn(const RunningRelay &Of, Actions &Out) {
+void logQueued(const RunningRelay &Relay, Actions &Out) {
   Out.count("relays_awaited_turn");
   Out.log(logEvent(events::RelayAwaitsTurn)
-              .with("request", Of.Head.Id.Value)
-              .with("service", Of.Service.Value)
-              .with("prompt_tokens", Of.Head.PromptTokens)
+              .with("request", Relay.Head.Id.Value)
+              .with("service", Relay.Service.Value)
+              .with("prompt_tokens", Relay.Head.PromptTokens)
               .build());
 }
 
-void logTryEnded(const RunningRelay &Of, const RelayAttempt &Ended,
-                 const RelayOutcome &Outcome, Time Now, Actions &Out) {
+void logAttemptEnded(const RunningRelay &Relay, const RelayAttempt &Ended,
+                     const RelayOutcome &Outcome, Time Now, Actions &Out) {
   Out.count("tries_ended", outcomeName(Outcome));
   Out.log(logEvent(events::RelayAttemptEnded)
-              .with("request", Of.Head.Id.Value)
+              .with("request", Relay.Head.Id.Value)
               .with("try", Ended.Id.Sequence)
               .with("engine", Ended.Engine.Value)
               .with("how", outcomeName(Outcome))
@@ -111,22 +111,23 @@
               .build());
 }
 
-void logEnd(const RunningRelay &Of, std::string_view How, std::string_view Why,
-            Time Now, Actions &Out) {
+void logEnd(const RunningRelay &Relay, std::string_view How,
+            std::string_view Why, Time Now, Actions &Out) {
   Out.count("relays_ended", How);
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Histogram, "relay_seconds",
-                            std::string(How), inSeconds(Now - Of.ArrivedAt)});
+                            std::string(How),
+                            inSeconds(Now - Relay.ArrivedAt)});
   Out.log(logEvent(events::RelayAnswered)
-              .with("request", Of.Head.Id.Value)
-              .with("caller_attempt", Of.Head.CallerAttempt)
+              .with("request", Relay.Head.Id.Value)
+              .with("caller_attempt", Relay.Head.CallerAttempt)
               .with("how", How)
               .with("why", Why)
-              .with("sends", Of.Sends)
-              .with("ran_on", Of.RanOn.size())
-              .with("prompt_tokens", Of.Head.PromptTokens)
-              .with("first_event_us", Of.FirstEvent.count())
-              .with("longest_pause_us", Of.MaxEventGap.count())
-              .with("after_us", (Now - Of.ArrivedAt).count())
+              .with("sends", Relay.Sends)
+              .with("ran_on", Relay.RanOn.size())
+              .with("prompt_tokens", Relay.Head.PromptTokens)
+              .with("first_event_us", Relay.FirstEvent.count())
+              .with("longest_pause_us", Relay.MaxEventGap.count())
+              .with("after_us", (Now - Relay.ArrivedAt).count())
               .build());
 }
 
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -3,7 +3,7 @@
 #include "base/Visitor.h"
 #include "gateway/PromptSize.h"
 #include "kernel/PluginRegistry.h"
-#include "plugins/relays/RelayLines.h"
+#include "plugins/relays/RelayLog.h"
 
 #include <algorithm>
 
@@ -25,11 +25,11 @@
 
 /// Whether the try is lost with the engine: it runs there, or parts of its
 /// prompt are read or kept there.
-bool dependsOn(const RelayAttempt &Try, const UpstreamId &Engine) {
-  if (Try.Engine == Engine)
+bool dependsOn(const RelayAttempt &Attempt, const UpstreamId &Engine) {
+  if (Attempt.Engine == Engine)
     return true;
-  return std::ranges::any_of(Try.Helpers, [&](const HelperEngine &Each) {
-    return Each.Engine == Engine && (!Try.Began || Each.Tokens > 0);
+  return std::ranges::any_of(Attempt.Helpers, [&](const HelperEngine &Each) {
+    return Each.Engine == Engine && (!Attempt.Began || Each.Tokens > 0);
   });
 }
 
@@ -174,7 +174,7 @@
   std::vector<UpstreamId> Excluded = Each.RanOn;
   Excluded.insert(Excluded.end(), Each.NotRunOn.begin(), Each.NotRunOn.end());
   match(
-      this->Selector->choose(wantedFor(Each, Excluded, Now), Now),
+      this->Selector->choose(engineRequirements(Each, Excluded, Now), Now),
       [&](const SelectedEngine &Chosen) { this->take(Each, Chosen, Now, Out); },
       [&](const AwaitTurn &Turn) {
         this->awaitTurn(Each, Turn.CheckAfter, Now, Out);
@@ -206,7 +206,7 @@
 void RelaysPlugin::awaitTurn(RunningRelay &Each, Duration CheckAfter, Time Now,
                              Actions &Out) {
   if (!Each.AwaitsTurn)
-    logAwaitsTurn(Each, Out);
+    logQueued(Each, Out);
   Each.AwaitsTurn = true;
   Each.NextTry = Now + CheckAfter;
   // Those that refused may take it at the next look.
@@ -244,17 +244,17 @@
   const RegisteredEngine *Engine = this->Directory->find(Chosen.Engine);
   Each.WaitingSince = Never;
   ++Each.Sends;
-  const RelayAttempt Try =
-      makeTry(Each, Chosen, {this->Own.Life, ++this->Tries}, Now);
+  const RelayAttempt Attempt =
+      makeAttempt(Each, Chosen, {this->Own.Life, ++this->Tries}, Now);
   Each.PatienceUntil =
       Each.isIdempotent() ? Now + this->patience(Each, Chosen) : Never;
-  Out.add(GatewayAction(
-      makeOrder(Each, Try, Chosen, Engine->Record.At, this->Times.Silence)));
-  logSent(Each, Try, *Engine, Chosen, Out);
-  Each.Live = Try;
-  this->Running.link(Try.Id, Each.Head.Id);
+  Out.add(GatewayAction(makeDispatch(Each, Attempt, Chosen, Engine->Record.At,
+                                     this->Times.Silence)));
+  logSent(Each, Attempt, *Engine, Chosen, Out);
+  Each.Live = Attempt;
+  this->Running.link(Attempt.Id, Each.Head.Id);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->attemptSent(Try, Now, Out);
+    Observer->attemptSent(Attempt, Now, Out);
   this->noteWake(Each, Now);
 }
 
@@ -262,7 +262,7 @@
   Each.AwaitsTurn = false;
   if (Each.WaitingSince == Never) {
     Each.WaitingSince = Now;
-    logWaits(Each, Out);
+    logWaiting(Each, Out);
   }
   const Duration Hold =
       std::max(this->Times.HoldShortest,
@@ -319,7 +319,7 @@
   Each.Live.reset();
   Each.PatienceUntil = Never;
   this->Memory->release(Each.Head.Id, Now, Out);
-  logTryEnded(Each, Ended, Outcome, Now, Out);
+  logAttemptEnded(Each, Ended, Outcome, Now, Out);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
     Observer->attemptEnded(Ended, Outcome, Now, Out);
   return Ended;
@@ -342,14 +342,14 @@
 void RelaysPlugin::follow(RunningRelay &Each, const RelayAttempt &Ended,
                           const RelayOutcome &Outcome, Time Now, Actions &Out) {
   match(
-      verdictOn(Each, Ended, Outcome),
-      [&](const RelayIsDone &) {
+      judgeAttempt(Each, Ended, Outcome),
+      [&](const RelayCompleted &) {
         logEnd(Each, "delivered", "", Now, Out);
         this->Running.remove(Each.Head.Id);
       },
-      [&](const TryAgain &Again) {
+      [&](const RetryElsewhere &Again) {
         const bool Allowed =
-            !Again.Arrived ||
+            !Again.ReachedUpstream ||
             this->Allowance.take(Each.Service, this->budgetShare(), Now);
         if (Allowed) {
           this->send(Each, Now, Out);
@@ -457,8 +457,8 @@
   Excluded.push_back(Each.Live->Engine);
   // A try is only given up for a better one.
   if (!OneMore ||
-      !leadsToAnother(
-          this->Selector->choose(wantedFor(Each, Excluded, Now), Now)) ||
+      !leadsToAnother(this->Selector->choose(
+          engineRequirements(Each, Excluded, Now), Now)) ||
       !this->Allowance.take(Each.Service, this->budgetShare(), Now)) {
     this->noteWake(Each, Now);
     return;
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -4,11 +4,11 @@
 
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
+#include "plugins/relays/AttemptVerdict.h"
 #include "plugins/relays/CallerRetryDetector.h"
-#include "plugins/relays/RelayOrders.h"
+#include "plugins/relays/RelayDispatch.h"
 #include "plugins/relays/RetryAllowance.h"
 #include "plugins/relays/RunningRelay.h"
-#include "plugins/relays/TryVerdict.h"
 
 namespace banyanpick {
 
@@ -23,7 +23,7 @@
   Duration PatienceMargin{};
   Duration SignOfLife{};
   Duration LongestPatience{};
-  StreamSilence Silence;
+  StreamSilenceLimits Silence;
   double PatienceFactor = 0;
   Duration RefuseAfterLeaving{};
   std::uint32_t MostSends = 0;
--- a/src/plugins/relays/RunningRelay.cpp
+++ b/src/plugins/relays/RunningRelay.cpp
@@ -12,13 +12,13 @@
   return Found == this->ById.end() ? nullptr : &Found->second;
 }
 
-RunningRelay *RunningRelays::owner(const AttemptId &Try) {
-  const auto Found = this->ByTry.find(Try);
+RunningRelay *RunningRelays::owner(const AttemptId &Attempt) {
+  const auto Found = this->ByTry.find(Attempt);
   return Found == this->ByTry.end() ? nullptr : this->find(Found->second);
 }
 
-void RunningRelays::link(const AttemptId &Try, const RequestId &Id) {
-  this->ByTry[Try] = Id;
+void RunningRelays::link(const AttemptId &Attempt, const RequestId &Id) {
+  this->ByTry[Attempt] = Id;
 }
 
 void RunningRelays::remove(const RequestId &Id) {
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -77,9 +77,9 @@
 public:
   RunningRelay &add(RunningRelay Each);
   RunningRelay *find(const RequestId &Id);
-  RunningRelay *owner(const AttemptId &Try);
-  void link(const AttemptId &Try, const RequestId &Id);
-  void unlink(const AttemptId &Try) { this->ByTry.erase(Try); }
+  RunningRelay *owner(const AttemptId &Attempt);
+  void link(const AttemptId &Attempt, const RequestId &Id);
+  void unlink(const AttemptId &Attempt) { this->ByTry.erase(Attempt); }
   void remove(const RequestId &Id);
   std::size_t size() const { return this->ById.size(); }
   /// Ids in their order, for loops that may remove.
