--- a/src/plugins/relays/RelayLog.cpp
+++ b/src/plugins/relays/RelayLog.cpp
@@ -125,7 +125,7 @@
               .with("sends", Relay.Sends)
               .with("ran_on", Relay.RanOn.size())
               .with("prompt_tokens", Relay.Head.PromptTokens)
-              .with("first_event_us", Relay.FirstEvent.count())
+              .with("first_event_us", Relay.FirstEventLatency.count())
               .with("longest_pause_us", Relay.MaxEventGap.count())
               .with("after_us", (Now - Relay.ArrivedAt).count())
               .build());
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -61,7 +61,7 @@
   Context.services().list<EngineObserver>().add(*this);
   this->Crashes = &Context.services().get<CrashView>();
   this->Numbers = &Context.random();
-  this->Times = relayTimes(Context.settings());
+  this->Options = readRelaySettings(Context.settings());
   this->Allowance = RetryAllowance(retryBudgetLimits(Context.settings()));
   Context.services().provide<RelayCount>(*this);
 }
@@ -80,7 +80,7 @@
             [&](const RelayBegan &Each) { this->began(Each, Now, Out); },
             [&](const RelayEnded &Each) { this->ended(Each, Now, Out); },
             [&](const SettingsReloaded &Each) {
-              this->Times = relayTimes(*Each.Values);
+              this->Options = readRelaySettings(*Each.Values);
               this->Allowance.setLimits(retryBudgetLimits(*Each.Values));
             },
             [](const auto &) {});
@@ -105,12 +105,12 @@
 void RelaysPlugin::receive(const RelayHead &Head, Time Now, Actions &Out) {
   const RouteTable *Routes = this->Declared->routes();
   if (!Routes) {
-    this->refuse(Head, RefusalKind::NotRun, this->Times.ComeBack,
+    this->refuse(Head, RefusalKind::NotRun, this->Options.DefaultRetryAfter,
                  "no configuration is known here yet", Out);
     return;
   }
   if (this->Declared->isStale(Now)) {
-    this->refuse(Head, RefusalKind::NotRun, this->Times.ComeBack,
+    this->refuse(Head, RefusalKind::NotRun, this->Options.DefaultRetryAfter,
                  "a newer configuration is on its way here", Out);
     return;
   }
@@ -148,8 +148,8 @@
       Head.Remaining &&
       this->RetryDetector.isFirstAttempt(Route.Name, *Head.Remaining, Now);
   const bool Limited = Route.TimeLimit > Duration(0);
-  Each.RouteEnds = Limited && Route.TimeLimit <= Remaining;
-  Each.Deadline = Now + (Each.RouteEnds ? Route.TimeLimit : Remaining);
+  Each.IsLimitedByRoute = Limited && Route.TimeLimit <= Remaining;
+  Each.Deadline = Now + (Each.IsLimitedByRoute ? Route.TimeLimit : Remaining);
   this->Allowance.noteRequest(Each.Service, Now);
   logReceived(Each, Route.Name, Now, Out);
   if (this->Crashes->isQuarantined(Head.Content, Now)) {
@@ -166,7 +166,7 @@
 }
 
 void RelaysPlugin::send(RunningRelay &Each, Time Now, Actions &Out) {
-  if (Each.Sends >= this->Times.MostSends ||
+  if (Each.Sends >= this->Options.MaxSends ||
       Each.Deadline - Now < ShortestTry) {
     this->finish(Each, Each.refusal(), "tries or time used up", Now, Out);
     return;
@@ -198,7 +198,7 @@
     this->dispatch(Each, Chosen, Now, Out);
     return;
   }
-  Each.Reserving = Chosen;
+  Each.PendingReservation = Chosen;
   this->Memory->acquire(Each.Head.Id, Chosen.Helpers, Now, Out);
   this->noteWake(Each, Now);
 }
@@ -208,7 +208,7 @@
   if (!Each.AwaitsTurn)
     logQueued(Each, Out);
   Each.AwaitsTurn = true;
-  Each.NextTry = Now + CheckAfter;
+  Each.NextAttemptAt = Now + CheckAfter;
   // Those that refused may take it at the next look.
   Each.NotRunOn.clear();
   this->noteWake(Each, Now);
@@ -218,12 +218,12 @@
                                  std::span<const HelperEngine> Shares, Time Now,
                                  Actions &Out) {
   RunningRelay *Each = this->Running.find(Id);
-  if (!Each || !Each->Reserving) {
+  if (!Each || !Each->PendingReservation) {
     this->Memory->release(Id, Now, Out);
     return;
   }
-  SelectedEngine Chosen = *Each->Reserving;
-  Each->Reserving.reset();
+  SelectedEngine Chosen = *Each->PendingReservation;
+  Each->PendingReservation.reset();
   // The choice is a moment old: engines may have gone, or want no more.
   const bool Gone =
       std::ranges::any_of(Chosen.Helpers, [&](const HelperEngine &One) {
@@ -231,7 +231,7 @@
       });
   if (Shares.empty() || Gone) {
     this->Memory->release(Id, Now, Out);
-    Each->NextTry = Now + this->Times.MemoryPause;
+    Each->NextAttemptAt = Now + this->Options.MemoryRetryDelay;
     this->wait(*Each, Now, Out);
     return;
   }
@@ -246,12 +246,12 @@
   ++Each.Sends;
   const RelayAttempt Attempt =
       makeAttempt(Each, Chosen, {this->Own.Life, ++this->Tries}, Now);
-  Each.PatienceUntil =
+  Each.AnswerTimeoutAt =
       Each.isIdempotent() ? Now + this->patience(Each, Chosen) : Never;
   Out.add(GatewayAction(makeDispatch(Each, Attempt, Chosen, Engine->Record.At,
-                                     this->Times.Silence)));
+                                     this->Options.SilenceLimits)));
   logSent(Each, Attempt, *Engine, Chosen, Out);
-  Each.Live = Attempt;
+  Each.LiveAttempt = Attempt;
   this->Running.link(Attempt.Id, Each.Head.Id);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
     Observer->attemptSent(Attempt, Now, Out);
@@ -265,9 +265,9 @@
     logWaiting(Each, Out);
   }
   const Duration Hold =
-      std::max(this->Times.HoldShortest,
+      std::max(this->Options.MinHold,
                fromSeconds(inSeconds(Each.Deadline - Each.ArrivedAt) *
-                           this->Times.HoldShare));
+                           this->Options.HoldShare));
   if (Now >= Each.WaitingSince + Hold) {
     this->finish(Each, Each.refusal(), "no engine could take it", Now, Out);
     return;
@@ -278,35 +278,36 @@
 }
 
 void RelaysPlugin::began(const RelayBegan &Is, Time Now, Actions &Out) {
-  RunningRelay *Each = this->Running.owner(Is.Attempt);
-  if (!Each || !Each->Live)
+  RunningRelay *Each = this->Running.findByAttempt(Is.Attempt);
+  if (!Each || !Each->LiveAttempt)
     return;
   if (!Each->Began)
-    Each->FirstEvent = Now - Each->ArrivedAt;
+    Each->FirstEventLatency = Now - Each->ArrivedAt;
   if (!Each->Began)
     Out.add(RecordMeasurement{
         RecordMeasurement::Kind::Histogram, "relay_first_event_seconds",
         std::string(name(promptSize(Each->Head.PromptTokens))),
         inSeconds(Now - Each->ArrivedAt)});
   Each->Began = true;
-  this->Signs[Each->Live->Engine] = Now;
-  Each->Live->Began = true;
-  Each->PatienceUntil = Never;
+  this->Signs[Each->LiveAttempt->Engine] = Now;
+  Each->LiveAttempt->Began = true;
+  Each->AnswerTimeoutAt = Never;
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->attemptBegan(*Each->Live, Now, Out);
+    Observer->attemptBegan(*Each->LiveAttempt, Now, Out);
 }
 
 void RelaysPlugin::ended(const RelayEnded &Is, Time Now, Actions &Out) {
-  RunningRelay *Each = this->Running.owner(Is.Attempt);
-  if (!Each || !Each->Live || Each->Live->Id != Is.Attempt)
+  RunningRelay *Each = this->Running.findByAttempt(Is.Attempt);
+  if (!Each || !Each->LiveAttempt || Each->LiveAttempt->Id != Is.Attempt)
     return;
   if (isSignOfLife(Is.Outcome))
-    this->Signs[Each->Live->Engine] = Now;
+    this->Signs[Each->LiveAttempt->Engine] = Now;
   if (const auto *Other = std::get_if<RelayNotRun>(&Is.Outcome))
     if (Other->OtherEngine)
-      this->Directory->addressTaken(
-          faultyEngine(*Other, Each->Live->Engine, Each->Live->Helpers), Now,
-          Out);
+      this->Directory->addressTaken(faultyEngine(*Other,
+                                                 Each->LiveAttempt->Engine,
+                                                 Each->LiveAttempt->Helpers),
+                                    Now, Out);
   const RelayAttempt Ended = this->endTry(*Each, Is.Outcome, Now, Out);
   this->follow(*Each, Ended, Is.Outcome, Now, Out);
 }
@@ -314,10 +315,10 @@
 RelayAttempt RelaysPlugin::endTry(RunningRelay &Each,
                                   const RelayOutcome &Outcome, Time Now,
                                   Actions &Out) {
-  RelayAttempt Ended = *Each.Live;
+  RelayAttempt Ended = *Each.LiveAttempt;
   this->Running.unlink(Ended.Id);
-  Each.Live.reset();
-  Each.PatienceUntil = Never;
+  Each.LiveAttempt.reset();
+  Each.AnswerTimeoutAt = Never;
   this->Memory->release(Each.Head.Id, Now, Out);
   logAttemptEnded(Each, Ended, Outcome, Now, Out);
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
@@ -329,9 +330,9 @@
                                    Actions &Out) {
   for (const RequestId &Request : this->Running.ids()) {
     RunningRelay *Each = this->Running.find(Request);
-    if (!Each || !Each->Live || !dependsOn(*Each->Live, Id))
+    if (!Each || !Each->LiveAttempt || !dependsOn(*Each->LiveAttempt, Id))
       continue;
-    Out.add(GatewayAction(CancelRelay{Each->Live->Id}));
+    Out.add(GatewayAction(CancelRelay{Each->LiveAttempt->Id}));
     const RelayOutcome Lost =
         RelayBroken{RelayBroken::Why::Reset, Each->Began, std::nullopt};
     const RelayAttempt Ended = this->endTry(*Each, Lost, Now, Out);
@@ -368,7 +369,7 @@
                           std::string_view Why, Time Now, Actions &Out,
                           std::optional<Duration> RetryAfter) {
   const RequestId Id = Each.Head.Id;
-  if (Each.Live)
+  if (Each.LiveAttempt)
     this->cancelTry(Each, Now, Out);
   this->Memory->release(Id, Now, Out);
   this->Selector->forget(Id, Now);
@@ -380,11 +381,12 @@
     Out.add(GatewayAction(DeliverFailure{Id, *Each.KeptFailure}));
   } else {
     logEnd(Each, name(Kind), Why, Now, Out);
-    Out.add(GatewayAction(RefuseRelay{
-        Id, Kind,
-        Kind == RefusalKind::NotRun ? RetryAfter.value_or(this->Times.ComeBack)
-                                    : Duration(0),
-        std::string(Why)}));
+    Out.add(GatewayAction(
+        RefuseRelay{Id, Kind,
+                    Kind == RefusalKind::NotRun
+                        ? RetryAfter.value_or(this->Options.DefaultRetryAfter)
+                        : Duration(0),
+                    std::string(Why)}));
   }
   this->Running.remove(Id);
 }
@@ -399,19 +401,19 @@
 }
 
 void RelaysPlugin::cancelTry(RunningRelay &Each, Time Now, Actions &Out) {
-  Out.add(GatewayAction(CancelRelay{Each.Live->Id}));
+  Out.add(GatewayAction(CancelRelay{Each.LiveAttempt->Id}));
   for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->attemptCancelled(*Each.Live, Now, Out);
-  this->Running.unlink(Each.Live->Id);
-  Each.Live.reset();
-  Each.PatienceUntil = Never;
+    Observer->attemptCancelled(*Each.LiveAttempt, Now, Out);
+  this->Running.unlink(Each.LiveAttempt->Id);
+  Each.LiveAttempt.reset();
+  Each.AnswerTimeoutAt = Never;
 }
 
 void RelaysPlugin::callerGone(const RequestId &Id, Time Now, Actions &Out) {
   RunningRelay *Each = this->Running.find(Id);
   if (!Each)
     return;
-  if (Each->Live)
+  if (Each->LiveAttempt)
     this->cancelTry(*Each, Now, Out);
   this->Memory->release(Id, Now, Out);
   this->Selector->forget(Id, Now);
@@ -420,23 +422,24 @@
 }
 
 void RelaysPlugin::look(RunningRelay &Each, Time Now, Actions &Out) {
-  const Duration Slack = Each.Live ? this->Times.GiveUpSlack : Duration(0);
+  const Duration Slack =
+      Each.LiveAttempt ? this->Options.DeadlineGrace : Duration(0);
   if (Now >= Each.Deadline + Slack) {
-    const bool Sent = Each.Live || Each.mayHaveRun();
+    const bool Sent = Each.LiveAttempt || Each.mayHaveRun();
     this->finish(Each, Sent ? RefusalKind::TimedOut : RefusalKind::NotRun,
-                 Each.RouteEnds ? "the route's time limit"
-                                : "the caller's time",
+                 Each.IsLimitedByRoute ? "the route's time limit"
+                                       : "the caller's time",
                  Now, Out);
     return;
   }
-  if (Each.Live && Now >= Each.PatienceUntil) {
+  if (Each.LiveAttempt && Now >= Each.AnswerTimeoutAt) {
     if (!this->isOnlySlow(Each, Now)) {
       this->loseLiveTry(Each, Now, Out);
       return;
     }
-    Each.PatienceUntil = Now + this->Times.SignOfLife;
+    Each.AnswerTimeoutAt = Now + this->Options.LivenessWindow;
   }
-  if (Each.awaitsSending() && Now >= Each.NextTry) {
+  if (Each.awaitsSending() && Now >= Each.NextAttemptAt) {
     this->send(Each, Now, Out);
     return;
   }
@@ -444,17 +447,17 @@
 }
 
 bool RelaysPlugin::isOnlySlow(const RunningRelay &Each, Time Now) const {
-  const auto Found = this->Signs.find(Each.Live->Engine);
+  const auto Found = this->Signs.find(Each.LiveAttempt->Engine);
   return Found != this->Signs.end() &&
-         Now < Found->second + this->Times.SignOfLife &&
-         Now < Each.Live->SentAt + this->Times.LongestPatience;
+         Now < Found->second + this->Options.LivenessWindow &&
+         Now < Each.LiveAttempt->SentAt + this->Options.MaxAnswerTimeout;
 }
 
 void RelaysPlugin::loseLiveTry(RunningRelay &Each, Time Now, Actions &Out) {
-  Each.PatienceUntil = Never;
+  Each.AnswerTimeoutAt = Never;
   const bool OneMore = Each.RanOn.size() + 1 < Each.Terms.Attempts;
   std::vector<UpstreamId> Excluded = Each.RanOn;
-  Excluded.push_back(Each.Live->Engine);
+  Excluded.push_back(Each.LiveAttempt->Engine);
   // A try is only given up for a better one.
   if (!OneMore ||
       !leadsToAnother(this->Selector->choose(
@@ -463,7 +466,7 @@
     this->noteWake(Each, Now);
     return;
   }
-  Out.add(GatewayAction(CancelRelay{Each.Live->Id}));
+  Out.add(GatewayAction(CancelRelay{Each.LiveAttempt->Id}));
   const RelayAttempt Lost = this->endTry(
       Each, RelayBroken{RelayBroken::Why::Silent, false, std::nullopt}, Now,
       Out);
@@ -472,10 +475,10 @@
 }
 
 Time RelaysPlugin::wakeOf(const RunningRelay &Each) const {
-  Time Result =
-      Each.Deadline + (Each.Live ? this->Times.GiveUpSlack : Duration(0));
-  if (Each.Live)
-    Result = std::min(Result, Each.PatienceUntil);
+  Time Result = Each.Deadline +
+                (Each.LiveAttempt ? this->Options.DeadlineGrace : Duration(0));
+  if (Each.LiveAttempt)
+    Result = std::min(Result, Each.AnswerTimeoutAt);
   return Result;
 }
 
@@ -483,21 +486,23 @@
   this->NextLook = std::min(this->NextLook, this->wakeOf(Each));
   if (!Each.awaitsSending())
     return;
-  const Time Pause = Each.AwaitsTurn ? Now : Now + this->Times.WaitPause;
-  this->NextLook = std::min(this->NextLook, std::max(Each.NextTry, Pause));
+  const Time Pause =
+      Each.AwaitsTurn ? Now : Now + this->Options.WaitRetryInterval;
+  this->NextLook =
+      std::min(this->NextLook, std::max(Each.NextAttemptAt, Pause));
 }
 
 Duration RelaysPlugin::patience(const RunningRelay &Each,
                                 const SelectedEngine &Chosen) const {
   const double Expected =
       std::max(inSeconds(Chosen.Predicted), inSeconds(Each.Terms.Objective));
-  return fromSeconds(Expected * this->Times.PatienceFactor) +
-         this->Times.PatienceMargin;
+  return fromSeconds(Expected * this->Options.AnswerTimeoutFactor) +
+         this->Options.AnswerTimeoutMargin;
 }
 
 bool RelaysPlugin::isLeavingLate(Time Now) const {
   return this->LeavingSince != Never &&
-         Now >= this->LeavingSince + this->Times.RefuseAfterLeaving;
+         Now >= this->LeavingSince + this->Options.RefuseAfterStopping;
 }
 
 double RelaysPlugin::budgetShare() const {
@@ -530,7 +535,7 @@
 }
 
 std::vector<SettingDeclaration> RelaysPlugin::settings() {
-  return relaysSettings();
+  return relaySettingDeclarations();
 }
 
 namespace {
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -13,20 +13,20 @@
 namespace banyanpick {
 
 /// The settings of section [relays].
-struct RelayTimes {
-  Duration HoldShortest{};
+struct RelaySettings {
+  Duration MinHold{};
   double HoldShare = 0;
-  Duration WaitPause{};
-  Duration MemoryPause{};
+  Duration WaitRetryInterval{};
+  Duration MemoryRetryDelay{};
   Duration RetryLater{};
-  Duration GiveUpSlack{};
-  Duration PatienceMargin{};
-  Duration SignOfLife{};
-  Duration LongestPatience{};
-  StreamSilenceLimits Silence;
-  double PatienceFactor = 0;
-  Duration RefuseAfterLeaving{};
-  std::uint32_t MostSends = 0;
+  Duration DeadlineGrace{};
+  Duration AnswerTimeoutMargin{};
+  Duration LivenessWindow{};
+  Duration MaxAnswerTimeout{};
+  StreamSilenceLimits SilenceLimits;
+  double AnswerTimeoutFactor = 0;
+  Duration RefuseAfterStopping{};
+  std::uint32_t MaxSends = 0;
 };
 
 /// What is not idempotent is sent on only where it surely did not run. Every
@@ -112,7 +112,7 @@
   const EngineGate *Gate = nullptr;
   const CrashView *Crashes = nullptr;
   Random *Numbers = nullptr;
-  RelayTimes Times;
+  RelaySettings Options;
   RetryAllowance Allowance;
   CallerRetryDetector RetryDetector;
   std::map<UpstreamId, Time> Signs; ///< When each last gave something.
@@ -123,8 +123,8 @@
 };
 
 /// The settings with their defaults.
-std::vector<SettingDeclaration> relaysSettings();
-RelayTimes relayTimes(const Settings &Values);
+std::vector<SettingDeclaration> relaySettingDeclarations();
+RelaySettings readRelaySettings(const Settings &Values);
 RetryBudgetLimits retryBudgetLimits(const Settings &Values);
 
 } // namespace banyanpick
--- a/src/plugins/relays/RelaysSettings.cpp
+++ b/src/plugins/relays/RelaysSettings.cpp
@@ -86,29 +86,29 @@
 
 } // namespace
 
-std::vector<SettingDeclaration> relaysSettings() {
+std::vector<SettingDeclaration> relaySettingDeclarations() {
   std::vector<SettingDeclaration> Result = waitingSettings();
   const std::vector<SettingDeclaration> More = boundSettings();
   Result.insert(Result.end(), More.begin(), More.end());
   return Result;
 }
 
-RelayTimes relayTimes(const Settings &Values) {
-  RelayTimes Result;
-  Result.HoldShortest = Values.span(Section, "hold_shortest");
+RelaySettings readRelaySettings(const Settings &Values) {
+  RelaySettings Result;
+  Result.MinHold = Values.span(Section, "hold_shortest");
   Result.HoldShare = Values.fraction(Section, "hold_share");
-  Result.WaitPause = Values.span(Section, "wait_pause");
-  Result.MemoryPause = Values.span(Section, "memory_pause");
-  Result.ComeBack = Values.span(Section, "come_back");
-  Result.GiveUpSlack = Values.span(Section, "give_up_slack");
-  Result.PatienceMargin = Values.span(Section, "patience_margin");
-  Result.SignOfLife = Values.span(Section, "sign_of_life");
-  Result.LongestPatience = Values.span(Section, "longest_patience");
-  Result.Silence = {Values.span(Section, "silence_swift"),
-                    Values.span(Section, "silence_long")};
-  Result.PatienceFactor = Values.fraction(Section, "patience_factor");
-  Result.RefuseAfterLeaving = Values.span(Section, "refuse_after_leaving");
-  Result.MostSends =
+  Result.WaitRetryInterval = Values.span(Section, "wait_pause");
+  Result.MemoryRetryDelay = Values.span(Section, "memory_pause");
+  Result.DefaultRetryAfter = Values.span(Section, "come_back");
+  Result.DeadlineGrace = Values.span(Section, "give_up_slack");
+  Result.AnswerTimeoutMargin = Values.span(Section, "patience_margin");
+  Result.LivenessWindow = Values.span(Section, "sign_of_life");
+  Result.MaxAnswerTimeout = Values.span(Section, "longest_patience");
+  Result.SilenceLimits = {Values.span(Section, "silence_swift"),
+                          Values.span(Section, "silence_long")};
+  Result.AnswerTimeoutFactor = Values.fraction(Section, "patience_factor");
+  Result.RefuseAfterStopping = Values.span(Section, "refuse_after_leaving");
+  Result.MaxSends =
       static_cast<std::uint32_t>(Values.whole(Section, "most_sends"));
   return Result;
 }
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -30,23 +30,23 @@
   bool IsFirstCallerAttempt =
       false; ///< Of its caller, see CallerRetryDetector.
   Time ArrivedAt{};
-  Time Deadline{};        ///< Of the caller or the route, whichever is first.
-  bool RouteEnds = false; ///< The route's time limit is first.
+  Time Deadline{}; ///< Of the caller or the route, whichever is first.
+  bool IsLimitedByRoute = false; ///< The route's time limit is first.
 
-  std::optional<RelayAttempt> Live;
-  Time PatienceUntil = Never;       ///< The live try is given up then.
+  std::optional<RelayAttempt> LiveAttempt;
+  Time AnswerTimeoutAt = Never;     ///< The live try is given up then.
   std::vector<UpstreamId> RanOn;    ///< Where it ran or may have run.
   std::vector<UpstreamId> NotRunOn; ///< Where it surely did not, of late.
   std::uint32_t Sends = 0;
   std::optional<SelectedEngine>
-      Reserving;      ///< Memory is being set aside for it.
-  bool Began = false; ///< A part of the answer went to the caller.
+      PendingReservation; ///< Memory is being set aside for it.
+  bool Began = false;     ///< A part of the answer went to the caller.
   std::optional<std::uint64_t> LastEvent; ///< The last event passed on.
   std::optional<AttemptId> KeptFailure;   ///< An upstream's failure to deliver
                                           ///< if nothing better comes.
-  Duration FirstEvent{};                  ///< From arrival; zero: not yet.
+  Duration FirstEventLatency{};           ///< From arrival; zero: not yet.
   Duration MaxEventGap{};                 ///< Between events.
-  Time NextTry{};                         ///< Not sooner.
+  Time NextAttemptAt{};                   ///< Not sooner.
   bool AwaitsTurn = false;                ///< Other prompts go before it.
   Time WaitingSince = Never;              ///< No upstream could take it since.
 
@@ -57,7 +57,7 @@
   }
   /// Whether it is with no upstream, and to be sent once one can take it.
   bool awaitsSending() const {
-    return !this->Live && !this->Reserving &&
+    return !this->LiveAttempt && !this->PendingReservation &&
            (this->AwaitsTurn || this->WaitingSince != Never);
   }
   bool mayHaveRun() const { return !this->RanOn.empty(); }
@@ -75,11 +75,11 @@
 /// The requests under way, by their ids and by their live tries.
 class RunningRelays {
 public:
-  RunningRelay &add(RunningRelay Each);
+  RunningRelay &add(RunningRelay Relay);
   RunningRelay *find(const RequestId &Id);
-  RunningRelay *owner(const AttemptId &Attempt);
+  RunningRelay *findByAttempt(const AttemptId &Attempt);
   void link(const AttemptId &Attempt, const RequestId &Id);
-  void unlink(const AttemptId &Attempt) { this->ByTry.erase(Attempt); }
+  void unlink(const AttemptId &Attempt) { this->ByAttempt.erase(Attempt); }
   void remove(const RequestId &Id);
   std::size_t size() const { return this->ById.size(); }
   /// Ids in their order, for loops that may remove.
@@ -87,7 +87,7 @@
 
 private:
   std::map<RequestId, RunningRelay> ById;
-  std::map<AttemptId, RequestId> ByTry;
+  std::map<AttemptId, RequestId> ByAttempt;
 };
 
 } // namespace banyanpick
