--- a/src/plugins/relays/RelayLog.cpp
+++ b/src/plugins/relays/RelayLog.cpp
@@ -45,8 +45,8 @@
               .build());
 }
 
-void logRefused(const RelayHead &Head, RefusalKind Kind, std::string_view Why,
-                std::uint64_t Version, Actions &Out) {
+void logRefused(const RelayHead &Head, RefusalKind Kind,
+                std::string_view Reason, std::uint64_t Version, Actions &Out) {
   Out.count("relays_ended", name(Kind));
   Out.log(logEvent(events::RelayAnswered)
               .with("request", Head.Id.Value)
@@ -54,7 +54,7 @@
               .with("host_name", Head.Host)
               .with("path", Head.Path)
               .with("how", name(Kind))
-              .with("why", Why)
+              .with("why", Reason)
               .with("version", Version)
               .build());
 }
@@ -112,7 +112,7 @@
 }
 
 void logEnd(const RunningRelay &Relay, std::string_view How,
-            std::string_view Why, Time Now, Actions &Out) {
+            std::string_view Reason, Time Now, Actions &Out) {
   Out.count("relays_ended", How);
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Histogram, "relay_seconds",
                             std::string(How),
@@ -121,7 +121,7 @@
               .with("request", Relay.Head.Id.Value)
               .with("caller_attempt", Relay.Head.CallerAttempt)
               .with("how", How)
-              .with("why", Why)
+              .with("why", Reason)
               .with("sends", Relay.Sends)
               .with("ran_on", Relay.RanOn.size())
               .with("prompt_tokens", Relay.Head.PromptTokens)
--- a/src/plugins/relays/RelayLog.h
+++ b/src/plugins/relays/RelayLog.h
@@ -12,8 +12,8 @@
 void logReceived(const RunningRelay &Relay, std::string_view RouteName,
                  Time Now, Actions &Out);
 /// A request that is refused before anything is tried.
-void logRefused(const RelayHead &Head, RefusalKind Kind, std::string_view Why,
-                std::uint64_t Version, Actions &Out);
+void logRefused(const RelayHead &Head, RefusalKind Kind,
+                std::string_view Reason, std::uint64_t Version, Actions &Out);
 /// \p AtLimit engines were passed over, as they take no more now.
 void logSent(const RunningRelay &Relay, const RelayAttempt &Attempt,
              const RegisteredEngine &Engine, const SelectedEngine &Chosen,
@@ -24,6 +24,6 @@
 void logAttemptEnded(const RunningRelay &Relay, const RelayAttempt &Ended,
                      const RelayOutcome &Outcome, Time Now, Actions &Out);
 void logEnd(const RunningRelay &Relay, std::string_view How,
-            std::string_view Why, Time Now, Actions &Out);
+            std::string_view Reason, Time Now, Actions &Out);
 
 } // namespace banyanpick
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -12,35 +12,35 @@
 namespace {
 
 /// Time that a caller waits who does not say how long.
-constexpr seconds UnknownRemaining(30);
+constexpr seconds DefaultRemaining(30);
 
 /// A request with less time left is not sent to another upstream: the way
 /// there and the shortest work.
-constexpr milliseconds ShortestTry(20);
+constexpr milliseconds MinAttemptTime(20);
 
 /// Part of the repeats that active hosts may send; the others have the rest,
 /// for callers that kept an earlier answer. No more, as a host that takes the
 /// place of a dead one has its part while the dead one's repeats still count.
-constexpr double ActiveBudget = 0.6;
+constexpr double ActiveHostsBudgetShare = 0.6;
 
 /// Whether the try is lost with the engine: it runs there, or parts of its
 /// prompt are read or kept there.
 bool dependsOn(const RelayAttempt &Attempt, const UpstreamId &Engine) {
   if (Attempt.Engine == Engine)
     return true;
-  return std::ranges::any_of(Attempt.Helpers, [&](const HelperEngine &Each) {
-    return Each.Engine == Engine && (!Attempt.Began || Each.Tokens > 0);
+  return std::ranges::any_of(Attempt.Helpers, [&](const HelperEngine &Helper) {
+    return Helper.Engine == Engine && (!Attempt.Began || Helper.Tokens > 0);
   });
 }
 
 /// Whether the request will be sent, now or in its turn.
-bool leadsToAnother(const EngineChoice &Choice) {
+bool willBeDispatched(const EngineChoice &Choice) {
   return std::holds_alternative<SelectedEngine>(Choice) ||
          std::holds_alternative<AwaitTurn>(Choice);
 }
 
 /// Whether the upstream gave an answer of any kind.
-bool isSignOfLife(const RelayOutcome &Outcome) {
+bool isAnswer(const RelayOutcome &Outcome) {
   return !std::holds_alternative<RelayNeverSent>(Outcome) &&
          !std::holds_alternative<RelayBroken>(Outcome);
 }
@@ -48,11 +48,11 @@
 } // namespace
 
 void RelaysPlugin::initialize(PluginContext &Context) {
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Own = Context.self();
   this->Members = &Context.services().get<MembershipView>();
   this->Active = &Context.services().get<ActiveHostsView>();
-  this->Declared = &Context.services().get<RouteView>();
+  this->RouteState = &Context.services().get<RouteView>();
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Selector = &Context.services().get<EngineSelector>();
   this->Memory = &Context.services().get<MemoryReserver>();
@@ -60,7 +60,7 @@
   Context.services().list<MemoryObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
   this->Crashes = &Context.services().get<CrashView>();
-  this->Numbers = &Context.random();
+  this->RandomSource = &Context.random();
   this->Options = readRelaySettings(Context.settings());
   this->Allowance = RetryAllowance(retryBudgetLimits(Context.settings()));
   Context.services().provide<RelayCount>(*this);
@@ -74,14 +74,14 @@
       [&](const GatewayEvent &Is) {
         match(
             Is,
-            [&](const RelayArrived &Each) {
-              this->receive(Each.Head, Now, Out);
+            [&](const RelayArrived &Arrival) {
+              this->receive(Arrival.Head, Now, Out);
             },
-            [&](const RelayBegan &Each) { this->began(Each, Now, Out); },
-            [&](const RelayEnded &Each) { this->ended(Each, Now, Out); },
-            [&](const SettingsReloaded &Each) {
-              this->Options = readRelaySettings(*Each.Values);
-              this->Allowance.setLimits(retryBudgetLimits(*Each.Values));
+            [&](const RelayBegan &Begin) { this->began(Begin, Now, Out); },
+            [&](const RelayEnded &End) { this->ended(End, Now, Out); },
+            [&](const SettingsReloaded &Reload) {
+              this->Options = readRelaySettings(*Reload.Values);
+              this->Allowance.setLimits(retryBudgetLimits(*Reload.Values));
             },
             [](const auto &) {});
       },
@@ -89,27 +89,27 @@
         this->callerGone(Is.Request, Now, Out);
       },
       [&](const StopRequest &) {
-        this->LeavingSince = std::min(this->LeavingSince, Now);
+        this->StoppingSince = std::min(this->StoppingSince, Now);
       },
       [](const auto &) {});
-  if (Now < this->NextLook)
+  if (Now < this->NextCheck)
     return;
-  this->NextLook = Never;
+  this->NextCheck = Never;
   for (const RequestId &Id : this->Running.ids())
-    if (RunningRelay *Each = this->Running.find(Id))
-      this->look(*Each, Now, Out);
+    if (RunningRelay *Relay = this->Running.find(Id))
+      this->check(*Relay, Now, Out);
 }
 
-Time RelaysPlugin::nextWake() const { return this->NextLook; }
+Time RelaysPlugin::nextWake() const { return this->NextCheck; }
 
 void RelaysPlugin::receive(const RelayHead &Head, Time Now, Actions &Out) {
-  const RouteTable *Routes = this->Declared->routes();
+  const RouteTable *Routes = this->RouteState->routes();
   if (!Routes) {
     this->refuse(Head, RefusalKind::NotRun, this->Options.DefaultRetryAfter,
                  "no configuration is known here yet", Out);
     return;
   }
-  if (this->Declared->isStale(Now)) {
+  if (this->RouteState->isStale(Now)) {
     this->refuse(Head, RefusalKind::NotRun, this->Options.DefaultRetryAfter,
                  "a newer configuration is on its way here", Out);
     return;
@@ -131,99 +131,102 @@
 
 void RelaysPlugin::admit(const RelayHead &Head, const RouteEntry &Route,
                          const KeyOwner *Owner, Time Now, Actions &Out) {
-  RunningRelay Each;
-  Each.Head = Head;
-  Each.Terms = {Route.Kind, Route.Resumable, Route.Attempts, Route.Objective,
-                Route.MaxEventGap};
-  Each.Service = this->serviceFor(Route);
-  Each.Rank = Owner && Owner->Rank ? *Owner->Rank : Route.Rank;
+  RunningRelay Relay;
+  Relay.Head = Head;
+  Relay.Terms = {Route.Kind, Route.Resumable, Route.Attempts, Route.Objective,
+                 Route.MaxEventGap};
+  Relay.Service = this->serviceFor(Route);
+  Relay.Rank = Owner && Owner->Rank ? *Owner->Rank : Route.Rank;
   if (Owner)
-    Each.Team = Owner->Team;
-  Each.NeedsKey = this->Declared->routes()->configuration().NeedsKeys;
-  Each.ConfigurationVersion = this->Declared->routes()->version();
-  Each.ArrivedAt = Now;
-  Each.LastEvent = Head.LastEvent;
-  const Duration Remaining = Head.Remaining.value_or(UnknownRemaining);
-  Each.IsFirstCallerAttempt =
+    Relay.Team = Owner->Team;
+  Relay.NeedsKey = this->RouteState->routes()->configuration().NeedsKeys;
+  Relay.ConfigurationVersion = this->RouteState->routes()->version();
+  Relay.ArrivedAt = Now;
+  Relay.LastEvent = Head.LastEvent;
+  const Duration Remaining = Head.Remaining.value_or(DefaultRemaining);
+  Relay.IsFirstCallerAttempt =
       Head.Remaining &&
       this->RetryDetector.isFirstAttempt(Route.Name, *Head.Remaining, Now);
   const bool Limited = Route.TimeLimit > Duration(0);
-  Each.IsLimitedByRoute = Limited && Route.TimeLimit <= Remaining;
-  Each.Deadline = Now + (Each.IsLimitedByRoute ? Route.TimeLimit : Remaining);
-  this->Allowance.noteRequest(Each.Service, Now);
-  logReceived(Each, Route.Name, Now, Out);
+  Relay.IsLimitedByRoute = Limited && Route.TimeLimit <= Remaining;
+  Relay.Deadline = Now + (Relay.IsLimitedByRoute ? Route.TimeLimit : Remaining);
+  this->Allowance.recordRequest(Relay.Service, Now);
+  logReceived(Relay, Route.Name, Now, Out);
   if (this->Crashes->isQuarantined(Head.Content, Now)) {
     this->refuse(Head, RefusalKind::NotRun, seconds(5),
                  "this content crashed engines and is not run", Out);
     return;
   }
-  if (this->isLeavingLate(Now)) {
+  if (this->refusesWhileStopping(Now)) {
     this->refuse(Head, RefusalKind::NotRun, milliseconds(10),
                  "this host stops; ask for another one", Out);
     return;
   }
-  this->send(this->Running.add(std::move(Each)), Now, Out);
+  this->send(this->Running.add(std::move(Relay)), Now, Out);
 }
 
-void RelaysPlugin::send(RunningRelay &Each, Time Now, Actions &Out) {
-  if (Each.Sends >= this->Options.MaxSends ||
-      Each.Deadline - Now < ShortestTry) {
-    this->finish(Each, Each.refusal(), "tries or time used up", Now, Out);
+void RelaysPlugin::send(RunningRelay &Relay, Time Now, Actions &Out) {
+  if (Relay.Sends >= this->Options.MaxSends ||
+      Relay.Deadline - Now < MinAttemptTime) {
+    this->finish(Relay, Relay.refusal(), "tries or time used up", Now, Out);
     return;
   }
-  std::vector<UpstreamId> Excluded = Each.RanOn;
-  Excluded.insert(Excluded.end(), Each.NotRunOn.begin(), Each.NotRunOn.end());
+  std::vector<UpstreamId> Excluded = Relay.RanOn;
+  Excluded.insert(Excluded.end(), Relay.NotRunOn.begin(), Relay.NotRunOn.end());
   match(
-      this->Selector->choose(engineRequirements(Each, Excluded, Now), Now),
-      [&](const SelectedEngine &Chosen) { this->take(Each, Chosen, Now, Out); },
+      this->Selector->choose(engineRequirements(Relay, Excluded, Now), Now),
+      [&](const SelectedEngine &Chosen) {
+        this->dispatchChoice(Relay, Chosen, Now, Out);
+      },
       [&](const AwaitTurn &Turn) {
-        this->awaitTurn(Each, Turn.CheckAfter, Now, Out);
+        this->awaitTurn(Relay, Turn.CheckAfter, Now, Out);
       },
       [&](const RetryLater &Is) {
-        this->finish(Each, Each.refusal(),
+        this->finish(Relay, Relay.refusal(),
                      Is.Is == RetryLater::Why::Blocked
                          ? "all engines are at rest or at limits; come back"
                          : "no engine can begin it in time; come back",
                      Now, Out, Is.After);
       },
-      [&](const NoEngine &) { this->wait(Each, Now, Out); });
+      [&](const NoEngine &) { this->wait(Relay, Now, Out); });
 }
 
-void RelaysPlugin::take(RunningRelay &Each, const SelectedEngine &Chosen,
-                        Time Now, Actions &Out) {
-  Each.AwaitsTurn = false;
+void RelaysPlugin::dispatchChoice(RunningRelay &Relay,
+                                  const SelectedEngine &Chosen, Time Now,
+                                  Actions &Out) {
+  Relay.AwaitsTurn = false;
   const bool NeedsMemory = std::ranges::any_of(
       Chosen.Helpers, [](const HelperEngine &One) { return One.Tokens > 0; });
   if (!NeedsMemory) {
-    this->dispatch(Each, Chosen, Now, Out);
+    this->dispatch(Relay, Chosen, Now, Out);
     return;
   }
-  Each.PendingReservation = Chosen;
-  this->Memory->acquire(Each.Head.Id, Chosen.Helpers, Now, Out);
-  this->noteWake(Each, Now);
+  Relay.PendingReservation = Chosen;
+  this->Memory->acquire(Relay.Head.Id, Chosen.Helpers, Now, Out);
+  this->scheduleCheck(Relay, Now);
 }
 
-void RelaysPlugin::awaitTurn(RunningRelay &Each, Duration CheckAfter, Time Now,
+void RelaysPlugin::awaitTurn(RunningRelay &Relay, Duration CheckAfter, Time Now,
                              Actions &Out) {
-  if (!Each.AwaitsTurn)
-    logQueued(Each, Out);
-  Each.AwaitsTurn = true;
-  Each.NextAttemptAt = Now + CheckAfter;
+  if (!Relay.AwaitsTurn)
+    logQueued(Relay, Out);
+  Relay.AwaitsTurn = true;
+  Relay.NextAttemptAt = Now + CheckAfter;
   // Those that refused may take it at the next look.
-  Each.NotRunOn.clear();
-  this->noteWake(Each, Now);
+  Relay.NotRunOn.clear();
+  this->scheduleCheck(Relay, Now);
 }
 
 void RelaysPlugin::memoryDecided(const RequestId &Id,
                                  std::span<const HelperEngine> Shares, Time Now,
                                  Actions &Out) {
-  RunningRelay *Each = this->Running.find(Id);
-  if (!Each || !Each->PendingReservation) {
+  RunningRelay *Relay = this->Running.find(Id);
+  if (!Relay || !Relay->PendingReservation) {
     this->Memory->release(Id, Now, Out);
     return;
   }
-  SelectedEngine Chosen = *Each->PendingReservation;
-  Each->PendingReservation.reset();
+  SelectedEngine Chosen = *Relay->PendingReservation;
+  Relay->PendingReservation.reset();
   // The choice is a moment old: engines may have gone, or want no more.
   const bool Gone =
       std::ranges::any_of(Chosen.Helpers, [&](const HelperEngine &One) {
@@ -231,97 +234,100 @@
       });
   if (Shares.empty() || Gone) {
     this->Memory->release(Id, Now, Out);
-    Each->NextAttemptAt = Now + this->Options.MemoryRetryDelay;
-    this->wait(*Each, Now, Out);
+    Relay->NextAttemptAt = Now + this->Options.MemoryRetryDelay;
+    this->wait(*Relay, Now, Out);
     return;
   }
   Chosen.Helpers.assign(Shares.begin(), Shares.end());
-  this->dispatch(*Each, Chosen, Now, Out);
+  this->dispatch(*Relay, Chosen, Now, Out);
 }
 
-void RelaysPlugin::dispatch(RunningRelay &Each, const SelectedEngine &Chosen,
+void RelaysPlugin::dispatch(RunningRelay &Relay, const SelectedEngine &Chosen,
                             Time Now, Actions &Out) {
   const RegisteredEngine *Engine = this->Directory->find(Chosen.Engine);
-  Each.WaitingSince = Never;
-  ++Each.Sends;
+  Relay.WaitingSince = Never;
+  ++Relay.Sends;
   const RelayAttempt Attempt =
-      makeAttempt(Each, Chosen, {this->Own.Life, ++this->Tries}, Now);
-  Each.AnswerTimeoutAt =
-      Each.isIdempotent() ? Now + this->patience(Each, Chosen) : Never;
-  Out.add(GatewayAction(makeDispatch(Each, Attempt, Chosen, Engine->Record.At,
+      makeAttempt(Relay, Chosen, {this->Own.Life, ++this->AttemptCount}, Now);
+  Relay.AnswerTimeoutAt =
+      Relay.isIdempotent() ? Now + this->answerTimeout(Relay, Chosen) : Never;
+  Out.add(GatewayAction(makeDispatch(Relay, Attempt, Chosen, Engine->Record.At,
                                      this->Options.SilenceLimits)));
-  logSent(Each, Attempt, *Engine, Chosen, Out);
-  Each.LiveAttempt = Attempt;
-  this->Running.link(Attempt.Id, Each.Head.Id);
-  for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
+  logSent(Relay, Attempt, *Engine, Chosen, Out);
+  Relay.LiveAttempt = Attempt;
+  this->Running.link(Attempt.Id, Relay.Head.Id);
+  for (RelayObserver *Observer :
+       this->PluginServices->list<RelayObserver>().all())
     Observer->attemptSent(Attempt, Now, Out);
-  this->noteWake(Each, Now);
+  this->scheduleCheck(Relay, Now);
 }
 
-void RelaysPlugin::wait(RunningRelay &Each, Time Now, Actions &Out) {
-  Each.AwaitsTurn = false;
-  if (Each.WaitingSince == Never) {
-    Each.WaitingSince = Now;
-    logWaiting(Each, Out);
+void RelaysPlugin::wait(RunningRelay &Relay, Time Now, Actions &Out) {
+  Relay.AwaitsTurn = false;
+  if (Relay.WaitingSince == Never) {
+    Relay.WaitingSince = Now;
+    logWaiting(Relay, Out);
   }
   const Duration Hold =
       std::max(this->Options.MinHold,
-               fromSeconds(inSeconds(Each.Deadline - Each.ArrivedAt) *
+               fromSeconds(inSeconds(Relay.Deadline - Relay.ArrivedAt) *
                            this->Options.HoldShare));
-  if (Now >= Each.WaitingSince + Hold) {
-    this->finish(Each, Each.refusal(), "no engine could take it", Now, Out);
+  if (Now >= Relay.WaitingSince + Hold) {
+    this->finish(Relay, Relay.refusal(), "no engine could take it", Now, Out);
     return;
   }
   // Those that refused may take it at the next look.
-  Each.NotRunOn.clear();
-  this->noteWake(Each, Now);
+  Relay.NotRunOn.clear();
+  this->scheduleCheck(Relay, Now);
 }
 
 void RelaysPlugin::began(const RelayBegan &Is, Time Now, Actions &Out) {
-  RunningRelay *Each = this->Running.findByAttempt(Is.Attempt);
-  if (!Each || !Each->LiveAttempt)
+  RunningRelay *Relay = this->Running.findByAttempt(Is.Attempt);
+  if (!Relay || !Relay->LiveAttempt)
     return;
-  if (!Each->Began)
-    Each->FirstEventLatency = Now - Each->ArrivedAt;
-  if (!Each->Began)
+  if (!Relay->Began)
+    Relay->FirstEventLatency = Now - Relay->ArrivedAt;
+  if (!Relay->Began)
     Out.add(RecordMeasurement{
         RecordMeasurement::Kind::Histogram, "relay_first_event_seconds",
-        std::string(name(promptSize(Each->Head.PromptTokens))),
-        inSeconds(Now - Each->ArrivedAt)});
-  Each->Began = true;
-  this->Signs[Each->LiveAttempt->Engine] = Now;
-  Each->LiveAttempt->Began = true;
-  Each->AnswerTimeoutAt = Never;
-  for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->attemptBegan(*Each->LiveAttempt, Now, Out);
+        std::string(name(promptSize(Relay->Head.PromptTokens))),
+        inSeconds(Now - Relay->ArrivedAt)});
+  Relay->Began = true;
+  this->LastAnswers[Relay->LiveAttempt->Engine] = Now;
+  Relay->LiveAttempt->Began = true;
+  Relay->AnswerTimeoutAt = Never;
+  for (RelayObserver *Observer :
+       this->PluginServices->list<RelayObserver>().all())
+    Observer->attemptBegan(*Relay->LiveAttempt, Now, Out);
 }
 
 void RelaysPlugin::ended(const RelayEnded &Is, Time Now, Actions &Out) {
-  RunningRelay *Each = this->Running.findByAttempt(Is.Attempt);
-  if (!Each || !Each->LiveAttempt || Each->LiveAttempt->Id != Is.Attempt)
+  RunningRelay *Relay = this->Running.findByAttempt(Is.Attempt);
+  if (!Relay || !Relay->LiveAttempt || Relay->LiveAttempt->Id != Is.Attempt)
     return;
-  if (isSignOfLife(Is.Outcome))
-    this->Signs[Each->LiveAttempt->Engine] = Now;
+  if (isAnswer(Is.Outcome))
+    this->LastAnswers[Relay->LiveAttempt->Engine] = Now;
   if (const auto *Other = std::get_if<RelayNotRun>(&Is.Outcome))
     if (Other->OtherEngine)
       this->Directory->addressTaken(faultyEngine(*Other,
-                                                 Each->LiveAttempt->Engine,
-                                                 Each->LiveAttempt->Helpers),
+                                                 Relay->LiveAttempt->Engine,
+                                                 Relay->LiveAttempt->Helpers),
                                     Now, Out);
-  const RelayAttempt Ended = this->endTry(*Each, Is.Outcome, Now, Out);
-  this->follow(*Each, Ended, Is.Outcome, Now, Out);
+  const RelayAttempt Ended = this->endAttempt(*Relay, Is.Outcome, Now, Out);
+  this->applyVerdict(*Relay, Ended, Is.Outcome, Now, Out);
 }
 
-RelayAttempt RelaysPlugin::endTry(RunningRelay &Each,
-                                  const RelayOutcome &Outcome, Time Now,
-                                  Actions &Out) {
-  RelayAttempt Ended = *Each.LiveAttempt;
+RelayAttempt RelaysPlugin::endAttempt(RunningRelay &Relay,
+                                      const RelayOutcome &Outcome, Time Now,
+                                      Actions &Out) {
+  RelayAttempt Ended = *Relay.LiveAttempt;
   this->Running.unlink(Ended.Id);
-  Each.LiveAttempt.reset();
-  Each.AnswerTimeoutAt = Never;
-  this->Memory->release(Each.Head.Id, Now, Out);
-  logAttemptEnded(Each, Ended, Outcome, Now, Out);
-  for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
+  Relay.LiveAttempt.reset();
+  Relay.AnswerTimeoutAt = Never;
+  this->Memory->release(Relay.Head.Id, Now, Out);
+  logAttemptEnded(Relay, Ended, Outcome, Now, Out);
+  for (RelayObserver *Observer :
+       this->PluginServices->list<RelayObserver>().all())
     Observer->attemptEnded(Ended, Outcome, Now, Out);
   return Ended;
 }
@@ -329,180 +335,183 @@
 void RelaysPlugin::engineRestarted(const UpstreamId &Id, Time Now,
                                    Actions &Out) {
   for (const RequestId &Request : this->Running.ids()) {
-    RunningRelay *Each = this->Running.find(Request);
-    if (!Each || !Each->LiveAttempt || !dependsOn(*Each->LiveAttempt, Id))
+    RunningRelay *Relay = this->Running.find(Request);
+    if (!Relay || !Relay->LiveAttempt || !dependsOn(*Relay->LiveAttempt, Id))
       continue;
-    Out.add(GatewayAction(CancelRelay{Each->LiveAttempt->Id}));
+    Out.add(GatewayAction(CancelRelay{Relay->LiveAttempt->Id}));
     const RelayOutcome Lost =
-        RelayBroken{RelayBroken::Why::Reset, Each->Began, std::nullopt};
-    const RelayAttempt Ended = this->endTry(*Each, Lost, Now, Out);
-    this->follow(*Each, Ended, Lost, Now, Out);
+        RelayBroken{RelayBroken::Why::Reset, Relay->Began, std::nullopt};
+    const RelayAttempt Ended = this->endAttempt(*Relay, Lost, Now, Out);
+    this->applyVerdict(*Relay, Ended, Lost, Now, Out);
   }
 }
 
-void RelaysPlugin::follow(RunningRelay &Each, const RelayAttempt &Ended,
-                          const RelayOutcome &Outcome, Time Now, Actions &Out) {
+void RelaysPlugin::applyVerdict(RunningRelay &Relay, const RelayAttempt &Ended,
+                                const RelayOutcome &Outcome, Time Now,
+                                Actions &Out) {
   match(
-      judgeAttempt(Each, Ended, Outcome),
+      judgeAttempt(Relay, Ended, Outcome),
       [&](const RelayCompleted &) {
-        logEnd(Each, "delivered", "", Now, Out);
-        this->Running.remove(Each.Head.Id);
+        logEnd(Relay, "delivered", "", Now, Out);
+        this->Running.remove(Relay.Head.Id);
       },
       [&](const RetryElsewhere &Again) {
         const bool Allowed =
             !Again.ReachedUpstream ||
-            this->Allowance.take(Each.Service, this->budgetShare(), Now);
+            this->Allowance.tryAcquire(Relay.Service, this->budgetShare(), Now);
         if (Allowed) {
-          this->send(Each, Now, Out);
+          this->send(Relay, Now, Out);
           return;
         }
-        Out.count("retries_refused", Each.Service.Value);
-        this->finish(Each, Each.refusal(), "the budget of repeats is used up",
+        Out.count("retries_refused", Relay.Service.Value);
+        this->finish(Relay, Relay.refusal(), "the budget of repeats is used up",
                      Now, Out);
       },
       [&](const GiveUp &End) {
-        this->finish(Each, End.Kind, "no other try is allowed", Now, Out);
+        this->finish(Relay, End.Kind, "no other try is allowed", Now, Out);
       });
 }
 
-void RelaysPlugin::finish(RunningRelay &Each, RefusalKind Kind,
-                          std::string_view Why, Time Now, Actions &Out,
+void RelaysPlugin::finish(RunningRelay &Relay, RefusalKind Kind,
+                          std::string_view Reason, Time Now, Actions &Out,
                           std::optional<Duration> RetryAfter) {
-  const RequestId Id = Each.Head.Id;
-  if (Each.LiveAttempt)
-    this->cancelTry(Each, Now, Out);
+  const RequestId Id = Relay.Head.Id;
+  if (Relay.LiveAttempt)
+    this->cancelAttempt(Relay, Now, Out);
   this->Memory->release(Id, Now, Out);
   this->Selector->forget(Id, Now);
-  if (Each.Began) {
-    logEnd(Each, "broken_off", Why, Now, Out);
+  if (Relay.Began) {
+    logEnd(Relay, "broken_off", Reason, Now, Out);
     Out.add(GatewayAction(BreakRelay{Id}));
-  } else if (Each.KeptFailure) {
-    logEnd(Each, "failure_delivered", Why, Now, Out);
-    Out.add(GatewayAction(DeliverFailure{Id, *Each.KeptFailure}));
+  } else if (Relay.KeptFailure) {
+    logEnd(Relay, "failure_delivered", Reason, Now, Out);
+    Out.add(GatewayAction(DeliverFailure{Id, *Relay.KeptFailure}));
   } else {
-    logEnd(Each, name(Kind), Why, Now, Out);
+    logEnd(Relay, name(Kind), Reason, Now, Out);
     Out.add(GatewayAction(
         RefuseRelay{Id, Kind,
                     Kind == RefusalKind::NotRun
                         ? RetryAfter.value_or(this->Options.DefaultRetryAfter)
                         : Duration(0),
-                    std::string(Why)}));
+                    std::string(Reason)}));
   }
   this->Running.remove(Id);
 }
 
 void RelaysPlugin::refuse(const RelayHead &Head, RefusalKind Kind,
-                          Duration RetryAfter, std::string_view Why,
+                          Duration RetryAfter, std::string_view Reason,
                           Actions &Out) {
-  const RouteTable *Routes = this->Declared->routes();
-  logRefused(Head, Kind, Why, Routes ? Routes->version() : 0, Out);
-  Out.add(
-      GatewayAction(RefuseRelay{Head.Id, Kind, RetryAfter, std::string(Why)}));
+  const RouteTable *Routes = this->RouteState->routes();
+  logRefused(Head, Kind, Reason, Routes ? Routes->version() : 0, Out);
+  Out.add(GatewayAction(
+      RefuseRelay{Head.Id, Kind, RetryAfter, std::string(Reason)}));
 }
 
-void RelaysPlugin::cancelTry(RunningRelay &Each, Time Now, Actions &Out) {
-  Out.add(GatewayAction(CancelRelay{Each.LiveAttempt->Id}));
-  for (RelayObserver *Observer : this->Offered->list<RelayObserver>().all())
-    Observer->attemptCancelled(*Each.LiveAttempt, Now, Out);
-  this->Running.unlink(Each.LiveAttempt->Id);
-  Each.LiveAttempt.reset();
-  Each.AnswerTimeoutAt = Never;
+void RelaysPlugin::cancelAttempt(RunningRelay &Relay, Time Now, Actions &Out) {
+  Out.add(GatewayAction(CancelRelay{Relay.LiveAttempt->Id}));
+  for (RelayObserver *Observer :
+       this->PluginServices->list<RelayObserver>().all())
+    Observer->attemptCancelled(*Relay.LiveAttempt, Now, Out);
+  this->Running.unlink(Relay.LiveAttempt->Id);
+  Relay.LiveAttempt.reset();
+  Relay.AnswerTimeoutAt = Never;
 }
 
 void RelaysPlugin::callerGone(const RequestId &Id, Time Now, Actions &Out) {
-  RunningRelay *Each = this->Running.find(Id);
-  if (!Each)
+  RunningRelay *Relay = this->Running.find(Id);
+  if (!Relay)
     return;
-  if (Each->LiveAttempt)
-    this->cancelTry(*Each, Now, Out);
+  if (Relay->LiveAttempt)
+    this->cancelAttempt(*Relay, Now, Out);
   this->Memory->release(Id, Now, Out);
   this->Selector->forget(Id, Now);
-  logEnd(*Each, "caller_gone", "", Now, Out);
+  logEnd(*Relay, "caller_gone", "", Now, Out);
   this->Running.remove(Id);
 }
 
-void RelaysPlugin::look(RunningRelay &Each, Time Now, Actions &Out) {
+void RelaysPlugin::check(RunningRelay &Relay, Time Now, Actions &Out) {
   const Duration Slack =
-      Each.LiveAttempt ? this->Options.DeadlineGrace : Duration(0);
-  if (Now >= Each.Deadline + Slack) {
-    const bool Sent = Each.LiveAttempt || Each.mayHaveRun();
-    this->finish(Each, Sent ? RefusalKind::TimedOut : RefusalKind::NotRun,
-                 Each.IsLimitedByRoute ? "the route's time limit"
-                                       : "the caller's time",
+      Relay.LiveAttempt ? this->Options.DeadlineGrace : Duration(0);
+  if (Now >= Relay.Deadline + Slack) {
+    const bool Sent = Relay.LiveAttempt || Relay.mayHaveRun();
+    this->finish(Relay, Sent ? RefusalKind::TimedOut : RefusalKind::NotRun,
+                 Relay.IsLimitedByRoute ? "the route's time limit"
+                                        : "the caller's time",
                  Now, Out);
     return;
   }
-  if (Each.LiveAttempt && Now >= Each.AnswerTimeoutAt) {
-    if (!this->isOnlySlow(Each, Now)) {
-      this->loseLiveTry(Each, Now, Out);
+  if (Relay.LiveAttempt && Now >= Relay.AnswerTimeoutAt) {
+    if (!this->isSlowButAlive(Relay, Now)) {
+      this->abandonLiveAttempt(Relay, Now, Out);
       return;
     }
-    Each.AnswerTimeoutAt = Now + this->Options.LivenessWindow;
+    Relay.AnswerTimeoutAt = Now + this->Options.LivenessWindow;
   }
-  if (Each.awaitsSending() && Now >= Each.NextAttemptAt) {
-    this->send(Each, Now, Out);
+  if (Relay.awaitsSending() && Now >= Relay.NextAttemptAt) {
+    this->send(Relay, Now, Out);
     return;
   }
-  this->noteWake(Each, Now);
+  this->scheduleCheck(Relay, Now);
 }
 
-bool RelaysPlugin::isOnlySlow(const RunningRelay &Each, Time Now) const {
-  const auto Found = this->Signs.find(Each.LiveAttempt->Engine);
-  return Found != this->Signs.end() &&
+bool RelaysPlugin::isSlowButAlive(const RunningRelay &Relay, Time Now) const {
+  const auto Found = this->LastAnswers.find(Relay.LiveAttempt->Engine);
+  return Found != this->LastAnswers.end() &&
          Now < Found->second + this->Options.LivenessWindow &&
-         Now < Each.LiveAttempt->SentAt + this->Options.MaxAnswerTimeout;
+         Now < Relay.LiveAttempt->SentAt + this->Options.MaxAnswerTimeout;
 }
 
-void RelaysPlugin::loseLiveTry(RunningRelay &Each, Time Now, Actions &Out) {
-  Each.AnswerTimeoutAt = Never;
-  const bool OneMore = Each.RanOn.size() + 1 < Each.Terms.Attempts;
-  std::vector<UpstreamId> Excluded = Each.RanOn;
-  Excluded.push_back(Each.LiveAttempt->Engine);
+void RelaysPlugin::abandonLiveAttempt(RunningRelay &Relay, Time Now,
+                                      Actions &Out) {
+  Relay.AnswerTimeoutAt = Never;
+  const bool OneMore = Relay.RanOn.size() + 1 < Relay.Terms.Attempts;
+  std::vector<UpstreamId> Excluded = Relay.RanOn;
+  Excluded.push_back(Relay.LiveAttempt->Engine);
   // A try is only given up for a better one.
   if (!OneMore ||
-      !leadsToAnother(this->Selector->choose(
-          engineRequirements(Each, Excluded, Now), Now)) ||
-      !this->Allowance.take(Each.Service, this->budgetShare(), Now)) {
-    this->noteWake(Each, Now);
+      !willBeDispatched(this->Selector->choose(
+          engineRequirements(Relay, Excluded, Now), Now)) ||
+      !this->Allowance.tryAcquire(Relay.Service, this->budgetShare(), Now)) {
+    this->scheduleCheck(Relay, Now);
     return;
   }
-  Out.add(GatewayAction(CancelRelay{Each.LiveAttempt->Id}));
-  const RelayAttempt Lost = this->endTry(
-      Each, RelayBroken{RelayBroken::Why::Silent, false, std::nullopt}, Now,
+  Out.add(GatewayAction(CancelRelay{Relay.LiveAttempt->Id}));
+  const RelayAttempt Lost = this->endAttempt(
+      Relay, RelayBroken{RelayBroken::Why::Silent, false, std::nullopt}, Now,
       Out);
-  Each.RanOn.push_back(Lost.Engine);
-  this->send(Each, Now, Out);
+  Relay.RanOn.push_back(Lost.Engine);
+  this->send(Relay, Now, Out);
 }
 
-Time RelaysPlugin::wakeOf(const RunningRelay &Each) const {
-  Time Result = Each.Deadline +
-                (Each.LiveAttempt ? this->Options.DeadlineGrace : Duration(0));
-  if (Each.LiveAttempt)
-    Result = std::min(Result, Each.AnswerTimeoutAt);
+Time RelaysPlugin::wakeTime(const RunningRelay &Relay) const {
+  Time Result = Relay.Deadline +
+                (Relay.LiveAttempt ? this->Options.DeadlineGrace : Duration(0));
+  if (Relay.LiveAttempt)
+    Result = std::min(Result, Relay.AnswerTimeoutAt);
   return Result;
 }
 
-void RelaysPlugin::noteWake(const RunningRelay &Each, Time Now) {
-  this->NextLook = std::min(this->NextLook, this->wakeOf(Each));
-  if (!Each.awaitsSending())
+void RelaysPlugin::scheduleCheck(const RunningRelay &Relay, Time Now) {
+  this->NextCheck = std::min(this->NextCheck, this->wakeTime(Relay));
+  if (!Relay.awaitsSending())
     return;
   const Time Pause =
-      Each.AwaitsTurn ? Now : Now + this->Options.WaitRetryInterval;
-  this->NextLook =
-      std::min(this->NextLook, std::max(Each.NextAttemptAt, Pause));
+      Relay.AwaitsTurn ? Now : Now + this->Options.WaitRetryInterval;
+  this->NextCheck =
+      std::min(this->NextCheck, std::max(Relay.NextAttemptAt, Pause));
 }
 
-Duration RelaysPlugin::patience(const RunningRelay &Each,
-                                const SelectedEngine &Chosen) const {
+Duration RelaysPlugin::answerTimeout(const RunningRelay &Relay,
+                                     const SelectedEngine &Chosen) const {
   const double Expected =
-      std::max(inSeconds(Chosen.Predicted), inSeconds(Each.Terms.Objective));
+      std::max(inSeconds(Chosen.Predicted), inSeconds(Relay.Terms.Objective));
   return fromSeconds(Expected * this->Options.AnswerTimeoutFactor) +
          this->Options.AnswerTimeoutMargin;
 }
 
-bool RelaysPlugin::isLeavingLate(Time Now) const {
-  return this->LeavingSince != Never &&
-         Now >= this->LeavingSince + this->Options.RefuseAfterStopping;
+bool RelaysPlugin::refusesWhileStopping(Time Now) const {
+  return this->StoppingSince != Never &&
+         Now >= this->StoppingSince + this->Options.RefuseAfterStopping;
 }
 
 double RelaysPlugin::budgetShare() const {
@@ -512,19 +521,19 @@
   const auto Active = static_cast<double>(this->Active->activeHosts().size());
   if (Active >= All)
     return 1 / All;
-  return this->Active->isActive() ? ActiveBudget / Active
-                                  : (1 - ActiveBudget) / All;
+  return this->Active->isActive() ? ActiveHostsBudgetShare / Active
+                                  : (1 - ActiveHostsBudgetShare) / All;
 }
 
 ServiceId RelaysPlugin::serviceFor(const RouteEntry &Route) {
   double Sum = 0;
-  for (const WeightedService &Each : Route.Split)
-    Sum += Each.Weight;
-  double Left = this->Numbers->fraction() * Sum;
-  for (const WeightedService &Each : Route.Split) {
-    if (Left < Each.Weight)
-      return Each.Service;
-    Left -= Each.Weight;
+  for (const WeightedService &Candidate : Route.Split)
+    Sum += Candidate.Weight;
+  double Left = this->RandomSource->fraction() * Sum;
+  for (const WeightedService &Candidate : Route.Split) {
+    if (Left < Candidate.Weight)
+      return Candidate.Service;
+    Left -= Candidate.Weight;
   }
   return Route.Split.empty() ? ServiceId() : Route.Split.front().Service;
 }
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -48,7 +48,7 @@
                      Time Now, Actions &Out) override;
 
   void engineRemoved(const UpstreamId &Id, Time, Actions &) override {
-    this->Signs.erase(Id);
+    this->LastAnswers.erase(Id);
   }
   /// Tries that the earlier life was reading or writing are over at once,
   /// instead of when their silence shows.
@@ -61,65 +61,65 @@
   void admit(const RelayHead &Head, const RouteEntry &Route,
              const KeyOwner *Owner, Time Now, Actions &Out);
   /// Sends it to an upstream, or lets it wait for one.
-  void send(RunningRelay &Each, Time Now, Actions &Out);
+  void send(RunningRelay &Relay, Time Now, Actions &Out);
   /// Sets memory aside where the choice needs it, and sends it.
-  void take(RunningRelay &Each, const SelectedEngine &Chosen, Time Now,
-            Actions &Out);
-  void awaitTurn(RunningRelay &Each, Duration CheckAfter, Time Now,
+  void dispatchChoice(RunningRelay &Relay, const SelectedEngine &Chosen,
+                      Time Now, Actions &Out);
+  void awaitTurn(RunningRelay &Relay, Duration CheckAfter, Time Now,
                  Actions &Out);
-  void dispatch(RunningRelay &Each, const SelectedEngine &Chosen, Time Now,
+  void dispatch(RunningRelay &Relay, const SelectedEngine &Chosen, Time Now,
                 Actions &Out);
-  void wait(RunningRelay &Each, Time Now, Actions &Out);
+  void wait(RunningRelay &Relay, Time Now, Actions &Out);
   void began(const RelayBegan &Is, Time Now, Actions &Out);
   void ended(const RelayEnded &Is, Time Now, Actions &Out);
   /// The live try is over; everybody is told how it ended.
-  RelayAttempt endTry(RunningRelay &Each, const RelayOutcome &Outcome, Time Now,
-                      Actions &Out);
-  void follow(RunningRelay &Each, const RelayAttempt &Ended,
-              const RelayOutcome &Outcome, Time Now, Actions &Out);
+  RelayAttempt endAttempt(RunningRelay &Relay, const RelayOutcome &Outcome,
+                          Time Now, Actions &Out);
+  void applyVerdict(RunningRelay &Relay, const RelayAttempt &Ended,
+                    const RelayOutcome &Outcome, Time Now, Actions &Out);
   /// Ends it without another try; \p RetryAfter: when to come back where it did
   /// not run, if that is known.
-  void finish(RunningRelay &Each, RefusalKind Kind, std::string_view Why,
+  void finish(RunningRelay &Relay, RefusalKind Kind, std::string_view Reason,
               Time Now, Actions &Out,
               std::optional<Duration> RetryAfter = std::nullopt);
   void refuse(const RelayHead &Head, RefusalKind Kind, Duration RetryAfter,
-              std::string_view Why, Actions &Out);
+              std::string_view Reason, Actions &Out);
   /// Drops the live try.
-  void cancelTry(RunningRelay &Each, Time Now, Actions &Out);
+  void cancelAttempt(RunningRelay &Relay, Time Now, Actions &Out);
   void callerGone(const RequestId &Id, Time Now, Actions &Out);
-  void look(RunningRelay &Each, Time Now, Actions &Out);
-  void loseLiveTry(RunningRelay &Each, Time Now, Actions &Out);
+  void check(RunningRelay &Relay, Time Now, Actions &Out);
+  void abandonLiveAttempt(RunningRelay &Relay, Time Now, Actions &Out);
   /// Whether the engine of the live try answers others: then it is slow, not
   /// dead, and what it has read would only be read again elsewhere.
-  bool isOnlySlow(const RunningRelay &Each, Time Now) const;
-  Time wakeOf(const RunningRelay &Each) const;
-  void noteWake(const RunningRelay &Each, Time Now);
-  Duration patience(const RunningRelay &Each,
-                    const SelectedEngine &Chosen) const;
-  bool isLeavingLate(Time Now) const;
+  bool isSlowButAlive(const RunningRelay &Relay, Time Now) const;
+  Time wakeTime(const RunningRelay &Relay) const;
+  void scheduleCheck(const RunningRelay &Relay, Time Now);
+  Duration answerTimeout(const RunningRelay &Relay,
+                         const SelectedEngine &Chosen) const;
+  bool refusesWhileStopping(Time Now) const;
   /// This host's part of the repeats that all hosts together may send.
   double budgetShare() const;
   ServiceId serviceFor(const RouteEntry &Route);
 
-  Services *Offered = nullptr;
+  Services *PluginServices = nullptr;
   Identity Own;
   const MembershipView *Members = nullptr;
   const ActiveHostsView *Active = nullptr;
-  const RouteView *Declared = nullptr;
+  const RouteView *RouteState = nullptr;
   EngineDirectory *Directory = nullptr;
   EngineSelector *Selector = nullptr;
   MemoryReserver *Memory = nullptr;
   const EngineGate *Gate = nullptr;
   const CrashView *Crashes = nullptr;
-  Random *Numbers = nullptr;
+  Random *RandomSource = nullptr;
   RelaySettings Options;
   RetryAllowance Allowance;
   CallerRetryDetector RetryDetector;
-  std::map<UpstreamId, Time> Signs; ///< When each last gave something.
+  std::map<UpstreamId, Time> LastAnswers; ///< When each last gave something.
   RunningRelays Running;
-  std::uint64_t Tries = 0;
-  Time LeavingSince = Never;
-  Time NextLook = Never;
+  std::uint64_t AttemptCount = 0;
+  Time StoppingSince = Never;
+  Time NextCheck = Never;
 };
 
 /// The settings with their defaults.
--- a/src/plugins/relays/RetryAllowance.cpp
+++ b/src/plugins/relays/RetryAllowance.cpp
@@ -10,7 +10,7 @@
 constexpr int SlicesPerWindow = 20;
 
 /// Kept unused, for repeats on their way while the window slides.
-constexpr double UsedShare = 0.9;
+constexpr double UsableShare = 0.9;
 
 } // namespace
 
@@ -26,11 +26,12 @@
   return All.back();
 }
 
-void RetryAllowance::noteRequest(const ServiceId &Service, Time Now) {
+void RetryAllowance::recordRequest(const ServiceId &Service, Time Now) {
   ++this->current(Service, Now).Requests;
 }
 
-bool RetryAllowance::take(const ServiceId &Service, double Share, Time Now) {
+bool RetryAllowance::tryAcquire(const ServiceId &Service, double Share,
+                                Time Now) {
   Slice &Latest = this->current(Service, Now);
   double Requests = 0;
   double Repeats = 0;
@@ -38,14 +39,14 @@
     Requests += Each.Requests;
     Repeats += Each.Repeats;
   }
-  const double Constant = this->Limits.Constant * UsedShare * Share;
-  if (Repeats + 1 > this->Limits.Ratio * UsedShare * Requests + Constant)
+  const double Constant = this->Limits.Constant * UsableShare * Share;
+  if (Repeats + 1 > this->Limits.Ratio * UsableShare * Requests + Constant)
     return false;
   ++Latest.Repeats;
   return true;
 }
 
-void RetryAllowance::giveBack(const ServiceId &Service, Time Now) {
+void RetryAllowance::refund(const ServiceId &Service, Time Now) {
   Slice &Latest = this->current(Service, Now);
   --Latest.Repeats;
 }
--- a/src/plugins/relays/RetryAllowance.h
+++ b/src/plugins/relays/RetryAllowance.h
@@ -24,13 +24,13 @@
   RetryAllowance() = default;
   explicit RetryAllowance(RetryBudgetLimits Limits) : Limits(Limits) {}
 
-  void noteRequest(const ServiceId &Service, Time Now);
+  void recordRequest(const ServiceId &Service, Time Now);
   /// Takes one repeat when there is one; \p Share of the constant part is this
   /// host's.
-  bool take(const ServiceId &Service, double Share, Time Now);
+  bool tryAcquire(const ServiceId &Service, double Share, Time Now);
   /// The repeat did not reach the service.
-  void giveBack(const ServiceId &Service, Time Now);
-  void setLimits(RetryBudgetLimits Given) { this->Limits = Given; }
+  void refund(const ServiceId &Service, Time Now);
+  void setLimits(RetryBudgetLimits NewLimits) { this->Limits = NewLimits; }
 
 private:
   struct Slice {
--- a/tests/auto/gateway/RetryAllowanceTest.cpp
+++ b/tests/auto/gateway/RetryAllowanceTest.cpp
@@ -17,7 +17,7 @@
 TEST(RetryAllowance, GivesItsShareOfTheConstantAndNoMore) {
   RetryAllowance Allowance(Limits);
   int Taken = 0;
-  while (Allowance.take(Desk, 1.0 / 5, Time(seconds(1))))
+  while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
     ++Taken;
   EXPECT_GE(Taken, 15);
   EXPECT_LE(Taken, 20);
@@ -26,9 +26,9 @@
 TEST(RetryAllowance, GrowsWithRequests) {
   RetryAllowance Allowance(Limits);
   for (int Each = 0; Each < 1000; ++Each)
-    Allowance.noteRequest(Desk, Time(seconds(1)));
+    Allowance.recordRequest(Desk, Time(seconds(1)));
   int Taken = 0;
-  while (Allowance.take(Desk, 1.0 / 100, Time(seconds(1))))
+  while (Allowance.tryAcquire(Desk, 1.0 / 100, Time(seconds(1))))
     ++Taken;
   EXPECT_GE(Taken, 150);
   EXPECT_LE(Taken, 201);
@@ -36,17 +36,18 @@
 
 TEST(RetryAllowance, IsThereAgainAfterTheWindow) {
   RetryAllowance Allowance(Limits);
-  while (Allowance.take(Desk, 1.0 / 5, Time(seconds(1))))
+  while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
     continue;
-  EXPECT_FALSE(Allowance.take(Desk, 1.0 / 5, Time(seconds(9))));
-  EXPECT_TRUE(Allowance.take(Desk, 1.0 / 5, Time(seconds(13))));
+  EXPECT_FALSE(Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(9))));
+  EXPECT_TRUE(Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(13))));
 }
 
 TEST(RetryAllowance, KeepsServicesApart) {
   RetryAllowance Allowance(Limits);
-  while (Allowance.take(Desk, 1.0 / 5, Time(seconds(1))))
+  while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
     continue;
-  EXPECT_TRUE(Allowance.take(ServiceId("ring"), 1.0 / 5, Time(seconds(1))));
+  EXPECT_TRUE(
+      Allowance.tryAcquire(ServiceId("ring"), 1.0 / 5, Time(seconds(1))));
 }
 
 RC_GTEST_PROP(RetryAllowanceProperty, NeverExceedsTheBudgetInAnyWindow, ()) {
@@ -58,9 +59,9 @@
   for (int Step = 0; Step < 400; ++Step) {
     Now += milliseconds(*rc::gen::inRange(0, 150));
     if (*rc::gen::inRange(0, 3) == 0) {
-      Allowance.noteRequest(Desk, Now);
+      Allowance.recordRequest(Desk, Now);
       Requests.push_back(Now);
-    } else if (Allowance.take(Desk, 1.0 / Hosts, Now)) {
+    } else if (Allowance.tryAcquire(Desk, 1.0 / Hosts, Now)) {
       Repeats.push_back(Now);
     }
   }
