--- a/src/plugins/relays/AttemptVerdict.cpp
+++ b/src/plugins/relays/AttemptVerdict.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The first status that stands for a failure of the upstream: another one
-/// may do better. Lower ones say that the request itself is wrong.
+/// The lowest HTTP status that reports a failure of the upstream, which another
+/// upstream may not have. Lower error statuses report an invalid request.
 constexpr std::uint32_t FirstServerError = 500;
 
 } // namespace
@@ -20,27 +20,27 @@
         Relay.NotRunOn.push_back(Attempt.Engine);
         return RetryElsewhere{false};
       },
-      [&](const RelayNotRun &Is) -> AttemptVerdict {
+      [&](const RelayNotRun &NotRun) -> AttemptVerdict {
         Relay.NotRunOn.push_back(
-            faultyEngine(Is, Attempt.Engine, Attempt.Helpers));
+            faultyEngine(NotRun, Attempt.Engine, Attempt.Helpers));
         return RetryElsewhere{true};
       },
-      [&](const RelayDelivered &Is) -> AttemptVerdict {
-        Relay.MaxEventGap = Is.MaxEventGap;
+      [&](const RelayDelivered &Delivered) -> AttemptVerdict {
+        Relay.MaxEventGap = Delivered.MaxEventGap;
         return RelayCompleted{};
       },
-      [&](const RelayFailed &Is) -> AttemptVerdict {
+      [&](const RelayFailed &Failed) -> AttemptVerdict {
         Relay.RanOn.push_back(Attempt.Engine);
         Relay.KeptFailure = Attempt.Id;
-        if (Is.Status >= FirstServerError && Relay.mayRunAgain())
+        if (Failed.Status >= FirstServerError && Relay.mayRunAgain())
           return RetryElsewhere{true};
         return GiveUp{RefusalKind::OutcomeUnknown};
       },
-      [&](const RelayBroken &Is) -> AttemptVerdict {
+      [&](const RelayBroken &Broken) -> AttemptVerdict {
         Relay.RanOn.push_back(Attempt.Engine);
-        Relay.Began = Relay.Began || Is.Began;
-        if (Is.LastEvent)
-          Relay.LastEvent = Is.LastEvent;
+        Relay.Began = Relay.Began || Broken.Began;
+        if (Broken.LastEvent)
+          Relay.LastEvent = Broken.LastEvent;
         if (Relay.mayRunAgain())
           return RetryElsewhere{true};
         return GiveUp{RefusalKind::OutcomeUnknown};
--- a/src/plugins/relays/AttemptVerdict.h
+++ b/src/plugins/relays/AttemptVerdict.h
@@ -1,27 +1,27 @@
 /// \file
-/// What follows from the way a try ended.
+/// Decides how a relayed request continues after the end of an attempt.
 #pragma once
 
 #include "plugins/relays/RunningRelay.h"
 
 namespace banyanpick {
 
-/// The caller has its answer.
+/// The answer was delivered to the caller.
 struct RelayCompleted {};
-/// Try another upstream, if the budget of repeats and the time allow it.
+/// Retry on another upstream if the retry budget and the deadline allow it.
 struct RetryElsewhere {
-  bool ReachedUpstream = false; ///< The upstream got it, so that the next one
-                                ///< counts as a repeat.
+  bool ReachedUpstream = false; ///< The upstream received the attempt, so the
+                                ///< next attempt counts against the budget.
 };
-/// Nothing more can be done; end it as it stands.
+/// No further attempt is allowed; the request ends in its current state.
 struct GiveUp {
   RefusalKind Kind = RefusalKind::NotRun;
 };
 
 using AttemptVerdict = std::variant<RelayCompleted, RetryElsewhere, GiveUp>;
 
-/// Judges by what the request's kind allows. Notes in \p Of where it ran or
-/// did not.
+/// Returns what the request's kind allows after \p Outcome. Records in
+/// \p Relay where the request ran or did not run.
 AttemptVerdict judgeAttempt(RunningRelay &Relay, const RelayAttempt &Attempt,
                             const RelayOutcome &Outcome);
 
--- a/src/plugins/relays/CallerRetryDetector.cpp
+++ b/src/plugins/relays/CallerRetryDetector.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-/// How long a caller's time is remembered: callers whose time was made shorter
-/// count as first again after twice that.
+/// Length of the window over which the longest remaining time is kept. When
+/// the callers of a route start with a shorter time, their first attempts are
+/// recognized again after two windows.
 constexpr seconds MaximumWindow(10);
 
-/// Callers of one route begin with times that differ by less; who is told to
-/// come back waits for longer.
+/// A request with at least this share of the route's longest remaining time is
+/// a first attempt. The initial times of one route's callers differ by less,
+/// and a caller that was told to retry later waits longer than the difference.
 constexpr double MinFirstAttemptShare = 0.85;
 
 } // namespace
--- a/src/plugins/relays/CallerRetryDetector.h
+++ b/src/plugins/relays/CallerRetryDetector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which requests are their caller's first try.
+/// Distinguishes first attempts of callers from their retries.
 #pragma once
 
 #include "base/Time.h"
@@ -10,20 +10,22 @@
 
 namespace banyanpick {
 
-/// Callers tell only how long they still wait. Those of one route begin with
-/// much the same time, so whoever has less has tried before, and may not come
-/// back once more when it is turned away.
+/// Recognizes retries of callers by their remaining time. A request only states
+/// how long its caller still waits. Callers of one route start with similar
+/// times, so a request with clearly less time is a retry; its caller may not
+/// have the time for another retry when it is refused.
 class CallerRetryDetector {
 public:
-  /// Notes the request; \p Remaining is the time that its caller says it has.
+  /// Records the request and returns whether it is a first attempt.
+  /// \p Remaining is the remaining time that the caller states.
   bool isFirstAttempt(std::string_view Route, Duration Remaining, Time Now);
 
 private:
-  /// The longest time that a caller of the route had, lately.
+  /// The longest remaining time of the route's recent requests.
   struct RouteMaximum {
-    Duration Previous{}; ///< In the span before the current one.
+    Duration Previous{}; ///< In the window before the current one.
     Duration Current{};
-    Time Since{};
+    Time Since{}; ///< Start of the current window.
   };
 
   std::map<std::string, RouteMaximum, std::less<>> ByRoute;
--- a/src/plugins/relays/RelayDispatch.cpp
+++ b/src/plugins/relays/RelayDispatch.cpp
@@ -39,24 +39,25 @@
 
 DispatchRelay makeDispatch(const RunningRelay &Relay,
                            const RelayAttempt &Attempt,
-                           const SelectedEngine &Chosen, const Address &At,
+                           const SelectedEngine &Chosen,
+                           const Address &EngineAddress,
                            const StreamSilenceLimits &Limits) {
   DispatchRelay Result;
   Result.Attempt = Attempt.Id;
   Result.Request = Relay.Head.Id;
   Result.Engine = Chosen.Engine;
-  Result.At = At;
+  Result.At = EngineAddress;
   Result.Team = Relay.Team;
   Result.DropKey = Relay.NeedsKey;
   Result.Deadline = Relay.Deadline;
   Result.Urgency = Chosen.Urgency;
   Result.LastEvent = Relay.LastEvent;
   Result.Helpers = Chosen.Helpers;
-  // A kept connection that its upstream closes meanwhile loses the request;
-  // only what may run twice can bear that.
+  // A request is lost when the upstream closes the reused connection at the
+  // same moment. Only idempotent requests may take this risk.
   Result.Fresh = !Relay.isIdempotent();
   Result.Stream = Relay.Terms.Kind == RequestKind::Stream;
-  // Without another try there is nothing to gain by giving up.
+  // Without a further attempt, cancelling a silent stream gains nothing.
   const bool CanResume = Relay.RanOn.size() + 1 < Relay.Terms.Attempts;
   if (Result.Stream && Relay.isIdempotent() && CanResume)
     Result.MaxSilence =
--- a/src/plugins/relays/RelayDispatch.h
+++ b/src/plugins/relays/RelayDispatch.h
@@ -1,5 +1,6 @@
 /// \file
-/// What is asked of the selector and ordered of the traffic for one try.
+/// Builds the engine selector's input, the attempt and the dispatch order of a
+/// relayed request.
 #pragma once
 
 #include "plugins/relays/RunningRelay.h"
@@ -8,14 +9,15 @@
 
 namespace banyanpick {
 
-/// How long a stream may give nothing once it has begun; then it goes on
-/// elsewhere.
+/// How long a stream that has begun may stay silent before it is resumed at
+/// another engine.
 struct StreamSilenceLimits {
-  Duration SinglePrefill{}; ///< After a prompt that one engine reads,
-  Duration JointPrefill{};  ///< and after one that several read.
+  Duration SinglePrefill{}; ///< After prefill on one engine.
+  Duration JointPrefill{};  ///< After prefill on several engines.
 };
 
-/// The upstream that the request wants now. \p Excluded must outlive it.
+/// Returns what the request needs from an engine now. The result refers to
+/// \p Excluded, which must outlive it.
 EngineRequirements engineRequirements(const RunningRelay &Relay,
                                       std::span<const UpstreamId> Excluded,
                                       Time Now);
@@ -24,10 +26,11 @@
                          const SelectedEngine &Chosen, const AttemptId &Id,
                          Time Now);
 
-/// The order to send the try to the upstream at \p At.
+/// Returns the order to send the attempt to the engine at \p EngineAddress.
 DispatchRelay makeDispatch(const RunningRelay &Relay,
                            const RelayAttempt &Attempt,
-                           const SelectedEngine &Chosen, const Address &At,
+                           const SelectedEngine &Chosen,
+                           const Address &EngineAddress,
                            const StreamSilenceLimits &Limits);
 
 } // namespace banyanpick
--- a/src/plugins/relays/RelayLog.cpp
+++ b/src/plugins/relays/RelayLog.cpp
@@ -10,22 +10,23 @@
 std::string_view outcomeName(const RelayOutcome &Outcome) {
   return match(
       Outcome,
-      [](const RelayNeverSent &Is) {
-        return std::string_view(Is.Withdrawn ? "taken_back" : "unsent");
+      [](const RelayNeverSent &NeverSent) {
+        return std::string_view(NeverSent.Withdrawn ? "taken_back" : "unsent");
       },
-      [](const RelayNotRun &Is) {
-        return std::string_view(Is.OtherEngine ? "other_engine" : "not_run");
+      [](const RelayNotRun &NotRun) {
+        return std::string_view(NotRun.OtherEngine ? "other_engine"
+                                                   : "not_run");
       },
       [](const RelayDelivered &) { return std::string_view("delivered"); },
       [](const RelayFailed &) { return std::string_view("failed"); },
-      [](const RelayBroken &Is) { return name(Is.Reason); });
+      [](const RelayBroken &Broken) { return name(Broken.Reason); });
 }
 
 std::uint32_t statusOf(const RelayOutcome &Outcome) {
   return match(
-      Outcome, [](const RelayNotRun &Is) { return Is.Status; },
-      [](const RelayDelivered &Is) { return Is.Status; },
-      [](const RelayFailed &Is) { return Is.Status; },
+      Outcome, [](const RelayNotRun &NotRun) { return NotRun.Status; },
+      [](const RelayDelivered &Delivered) { return Delivered.Status; },
+      [](const RelayFailed &Failed) { return Failed.Status; },
       [](const auto &) { return std::uint32_t(0); });
 }
 
--- a/src/plugins/relays/RelayLog.h
+++ b/src/plugins/relays/RelayLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// The log lines and counters of a relayed request's way, each with what
-/// decided it. docs/EVENTS.md lists the events.
+/// Writes the log lines and counters of relayed requests, each with the values
+/// behind the decision. docs/EVENTS.md lists the events.
 #pragma once
 
 #include "plugins/relays/RunningRelay.h"
@@ -11,10 +11,11 @@
 
 void logReceived(const RunningRelay &Relay, std::string_view RouteName,
                  Time Now, Actions &Out);
-/// A request that is refused before anything is tried.
+/// Logs a request that is refused before its first attempt.
 void logRefused(const RelayHead &Head, RefusalKind Kind,
                 std::string_view Reason, std::uint64_t Version, Actions &Out);
-/// \p AtLimit engines were passed over, as they take no more now.
+/// \p Chosen counts the engines that were skipped because they are at their
+/// limit.
 void logSent(const RunningRelay &Relay, const RelayAttempt &Attempt,
              const RegisteredEngine &Engine, const SelectedEngine &Chosen,
              Actions &Out);
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-/// Time that a caller waits who does not say how long.
+/// Remaining time of a request whose caller does not state one.
 constexpr seconds DefaultRemaining(30);
 
-/// A request with less time left is not sent to another upstream: the way
-/// there and the shortest work.
+/// A request with less time left is not sent to an upstream. It covers the
+/// network delay and the shortest processing time.
 constexpr milliseconds MinAttemptTime(20);
 
-/// Part of the repeats that active hosts may send; the others have the rest,
-/// for callers that kept an earlier answer. No more, as a host that takes the
-/// place of a dead one has its part while the dead one's repeats still count.
+/// Share of the retry budget's constant part that the active hosts may use. The
+/// other hosts have the rest, for callers that kept an earlier address. The
+/// share is not larger because a host that replaces a dead one gets its part
+/// while the dead host's retries are still in the window.
 constexpr double ActiveHostsBudgetShare = 0.6;
 
-/// Whether the try is lost with the engine: it runs there, or parts of its
-/// prompt are read or kept there.
+/// Whether the attempt is lost with the engine: it runs there, or the engine
+/// prefills or holds parts of its prompt.
 bool dependsOn(const RelayAttempt &Attempt, const UpstreamId &Engine) {
   if (Attempt.Engine == Engine)
     return true;
@@ -33,13 +34,13 @@
   });
 }
 
-/// Whether the request will be sent, now or in its turn.
+/// Whether the request will be sent, now or after queued requests.
 bool willBeDispatched(const EngineChoice &Choice) {
   return std::holds_alternative<SelectedEngine>(Choice) ||
          std::holds_alternative<AwaitTurn>(Choice);
 }
 
-/// Whether the upstream gave an answer of any kind.
+/// Whether the upstream sent an answer of any kind.
 bool isAnswer(const RelayOutcome &Outcome) {
   return !std::holds_alternative<RelayNeverSent>(Outcome) &&
          !std::holds_alternative<RelayBroken>(Outcome);
@@ -71,9 +72,9 @@
 void RelaysPlugin::handle(const Event &What, Time Now, Actions &Out) {
   match(
       What,
-      [&](const GatewayEvent &Is) {
+      [&](const GatewayEvent &Gateway) {
         match(
-            Is,
+            Gateway,
             [&](const RelayArrived &Arrival) {
               this->receive(Arrival.Head, Now, Out);
             },
@@ -85,8 +86,8 @@
             },
             [](const auto &) {});
       },
-      [&](const CallerDisconnected &Is) {
-        this->callerGone(Is.Request, Now, Out);
+      [&](const CallerDisconnected &Gone) {
+        this->callerGone(Gone.Request, Now, Out);
       },
       [&](const StopRequest &) {
         this->StoppingSince = std::min(this->StoppingSince, Now);
@@ -181,12 +182,12 @@
       [&](const AwaitTurn &Turn) {
         this->awaitTurn(Relay, Turn.CheckAfter, Now, Out);
       },
-      [&](const RetryLater &Is) {
+      [&](const RetryLater &Refusal) {
         this->finish(Relay, Relay.refusal(),
-                     Is.Is == RetryLater::Why::Blocked
+                     Refusal.Is == RetryLater::Why::Blocked
                          ? "all engines are at rest or at limits; come back"
                          : "no engine can begin it in time; come back",
-                     Now, Out, Is.After);
+                     Now, Out, Refusal.After);
       },
       [&](const NoEngine &) { this->wait(Relay, Now, Out); });
 }
@@ -195,8 +196,10 @@
                                   const SelectedEngine &Chosen, Time Now,
                                   Actions &Out) {
   Relay.AwaitsTurn = false;
-  const bool NeedsMemory = std::ranges::any_of(
-      Chosen.Helpers, [](const HelperEngine &One) { return One.Tokens > 0; });
+  const bool NeedsMemory =
+      std::ranges::any_of(Chosen.Helpers, [](const HelperEngine &Helper) {
+        return Helper.Tokens > 0;
+      });
   if (!NeedsMemory) {
     this->dispatch(Relay, Chosen, Now, Out);
     return;
@@ -212,7 +215,7 @@
     logQueued(Relay, Out);
   Relay.AwaitsTurn = true;
   Relay.NextAttemptAt = Now + CheckAfter;
-  // Those that refused may take it at the next look.
+  // Engines that refused the request may accept it at the next check.
   Relay.NotRunOn.clear();
   this->scheduleCheck(Relay, Now);
 }
@@ -227,12 +230,12 @@
   }
   SelectedEngine Chosen = *Relay->PendingReservation;
   Relay->PendingReservation.reset();
-  // The choice is a moment old: engines may have gone, or want no more.
-  const bool Gone =
-      std::ranges::any_of(Chosen.Helpers, [&](const HelperEngine &One) {
-        return this->Gate->blocked(One.Engine, Now).has_value();
+  // Since the choice, engines may have been removed or closed.
+  const bool Unavailable =
+      std::ranges::any_of(Chosen.Helpers, [&](const HelperEngine &Helper) {
+        return this->Gate->blocked(Helper.Engine, Now).has_value();
       });
-  if (Shares.empty() || Gone) {
+  if (Shares.empty() || Unavailable) {
     this->Memory->release(Id, Now, Out);
     Relay->NextAttemptAt = Now + this->Options.MemoryRetryDelay;
     this->wait(*Relay, Now, Out);
@@ -276,13 +279,13 @@
     this->finish(Relay, Relay.refusal(), "no engine could take it", Now, Out);
     return;
   }
-  // Those that refused may take it at the next look.
+  // Engines that refused the request may accept it at the next check.
   Relay.NotRunOn.clear();
   this->scheduleCheck(Relay, Now);
 }
 
-void RelaysPlugin::began(const RelayBegan &Is, Time Now, Actions &Out) {
-  RunningRelay *Relay = this->Running.findByAttempt(Is.Attempt);
+void RelaysPlugin::began(const RelayBegan &Begin, Time Now, Actions &Out) {
+  RunningRelay *Relay = this->Running.findByAttempt(Begin.Attempt);
   if (!Relay || !Relay->LiveAttempt)
     return;
   if (!Relay->Began)
@@ -301,20 +304,20 @@
     Observer->attemptBegan(*Relay->LiveAttempt, Now, Out);
 }
 
-void RelaysPlugin::ended(const RelayEnded &Is, Time Now, Actions &Out) {
-  RunningRelay *Relay = this->Running.findByAttempt(Is.Attempt);
-  if (!Relay || !Relay->LiveAttempt || Relay->LiveAttempt->Id != Is.Attempt)
+void RelaysPlugin::ended(const RelayEnded &End, Time Now, Actions &Out) {
+  RunningRelay *Relay = this->Running.findByAttempt(End.Attempt);
+  if (!Relay || !Relay->LiveAttempt || Relay->LiveAttempt->Id != End.Attempt)
     return;
-  if (isAnswer(Is.Outcome))
+  if (isAnswer(End.Outcome))
     this->LastAnswers[Relay->LiveAttempt->Engine] = Now;
-  if (const auto *Other = std::get_if<RelayNotRun>(&Is.Outcome))
-    if (Other->OtherEngine)
-      this->Directory->addressTaken(faultyEngine(*Other,
+  if (const auto *NotRun = std::get_if<RelayNotRun>(&End.Outcome))
+    if (NotRun->OtherEngine)
+      this->Directory->addressTaken(faultyEngine(*NotRun,
                                                  Relay->LiveAttempt->Engine,
                                                  Relay->LiveAttempt->Helpers),
                                     Now, Out);
-  const RelayAttempt Ended = this->endAttempt(*Relay, Is.Outcome, Now, Out);
-  this->applyVerdict(*Relay, Ended, Is.Outcome, Now, Out);
+  const RelayAttempt Ended = this->endAttempt(*Relay, End.Outcome, Now, Out);
+  this->applyVerdict(*Relay, Ended, End.Outcome, Now, Out);
 }
 
 RelayAttempt RelaysPlugin::endAttempt(RunningRelay &Relay,
@@ -467,7 +470,7 @@
   const bool OneMore = Relay.RanOn.size() + 1 < Relay.Terms.Attempts;
   std::vector<UpstreamId> Excluded = Relay.RanOn;
   Excluded.push_back(Relay.LiveAttempt->Engine);
-  // A try is only given up for a better one.
+  // An attempt is only abandoned if the request can run elsewhere.
   if (!OneMore ||
       !willBeDispatched(this->Selector->choose(
           engineRequirements(Relay, Excluded, Now), Now)) ||
@@ -515,14 +518,15 @@
 }
 
 double RelaysPlugin::budgetShare() const {
-  // The dead are counted while they are remembered: what they repeated is
-  // still in the window.
-  const auto All = static_cast<double>(this->Members->peers().size() + 1);
-  const auto Active = static_cast<double>(this->Active->activeHosts().size());
-  if (Active >= All)
-    return 1 / All;
-  return this->Active->isActive() ? ActiveHostsBudgetShare / Active
-                                  : (1 - ActiveHostsBudgetShare) / All;
+  // Dead hosts count while they are known, because their retries are still in
+  // the window.
+  const auto AllHosts = static_cast<double>(this->Members->peers().size() + 1);
+  const auto ActiveHosts =
+      static_cast<double>(this->Active->activeHosts().size());
+  if (ActiveHosts >= AllHosts)
+    return 1 / AllHosts;
+  return this->Active->isActive() ? ActiveHostsBudgetShare / ActiveHosts
+                                  : (1 - ActiveHostsBudgetShare) / AllHosts;
 }
 
 ServiceId RelaysPlugin::serviceFor(const RouteEntry &Route) {
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that takes relayed requests from their arrival to their end.
+/// The plug-in that handles relayed requests from arrival to final answer.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -29,8 +29,10 @@
   std::uint32_t MaxSends = 0;
 };
 
-/// What is not idempotent is sent on only where it surely did not run. Every
-/// request gets its final answer at once when nothing more can be done for it.
+/// Dispatches relayed requests to engines, retries them and ends them. A
+/// request that is not idempotent is retried only if it certainly did not run
+/// before. Every request gets its final answer as soon as no further attempt is
+/// possible.
 class RelaysPlugin : public Plugin,
                      public RelayCount,
                      public EngineObserver,
@@ -50,8 +52,8 @@
   void engineRemoved(const UpstreamId &Id, Time, Actions &) override {
     this->LastAnswers.erase(Id);
   }
-  /// Tries that the earlier life was reading or writing are over at once,
-  /// instead of when their silence shows.
+  /// Ends the attempts that the earlier incarnation was prefilling or decoding
+  /// at once, instead of after their timeout.
   void engineRestarted(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
@@ -60,9 +62,9 @@
   void receive(const RelayHead &Head, Time Now, Actions &Out);
   void admit(const RelayHead &Head, const RouteEntry &Route,
              const KeyOwner *Owner, Time Now, Actions &Out);
-  /// Sends it to an upstream, or lets it wait for one.
+  /// Sends the request to an upstream, or lets it wait for one.
   void send(RunningRelay &Relay, Time Now, Actions &Out);
-  /// Sets memory aside where the choice needs it, and sends it.
+  /// Sends the request, after a memory reservation if the choice needs one.
   void dispatchChoice(RunningRelay &Relay, const SelectedEngine &Chosen,
                       Time Now, Actions &Out);
   void awaitTurn(RunningRelay &Relay, Duration CheckAfter, Time Now,
@@ -70,34 +72,37 @@
   void dispatch(RunningRelay &Relay, const SelectedEngine &Chosen, Time Now,
                 Actions &Out);
   void wait(RunningRelay &Relay, Time Now, Actions &Out);
-  void began(const RelayBegan &Is, Time Now, Actions &Out);
-  void ended(const RelayEnded &Is, Time Now, Actions &Out);
-  /// The live try is over; everybody is told how it ended.
+  void began(const RelayBegan &Begin, Time Now, Actions &Out);
+  void ended(const RelayEnded &End, Time Now, Actions &Out);
+  /// Removes the live attempt, notifies the observers and returns the attempt.
   RelayAttempt endAttempt(RunningRelay &Relay, const RelayOutcome &Outcome,
                           Time Now, Actions &Out);
   void applyVerdict(RunningRelay &Relay, const RelayAttempt &Ended,
                     const RelayOutcome &Outcome, Time Now, Actions &Out);
-  /// Ends it without another try; \p RetryAfter: when to come back where it did
-  /// not run, if that is known.
+  /// Ends the request without a further attempt. \p RetryAfter is the delay
+  /// that is sent to the caller if the request did not run; by default, that of
+  /// the settings.
   void finish(RunningRelay &Relay, RefusalKind Kind, std::string_view Reason,
               Time Now, Actions &Out,
               std::optional<Duration> RetryAfter = std::nullopt);
   void refuse(const RelayHead &Head, RefusalKind Kind, Duration RetryAfter,
               std::string_view Reason, Actions &Out);
-  /// Drops the live try.
+  /// Cancels the live attempt.
   void cancelAttempt(RunningRelay &Relay, Time Now, Actions &Out);
   void callerGone(const RequestId &Id, Time Now, Actions &Out);
+  /// Applies the deadline, the answer timeout and a due dispatch.
   void check(RunningRelay &Relay, Time Now, Actions &Out);
+  /// Sends the request to another engine if one can take it.
   void abandonLiveAttempt(RunningRelay &Relay, Time Now, Actions &Out);
-  /// Whether the engine of the live try answers others: then it is slow, not
-  /// dead, and what it has read would only be read again elsewhere.
+  /// Whether the live attempt's engine answers other requests. It is then slow
+  /// and not dead, and another engine would only repeat its prefill.
   bool isSlowButAlive(const RunningRelay &Relay, Time Now) const;
   Time wakeTime(const RunningRelay &Relay) const;
   void scheduleCheck(const RunningRelay &Relay, Time Now);
   Duration answerTimeout(const RunningRelay &Relay,
                          const SelectedEngine &Chosen) const;
   bool refusesWhileStopping(Time Now) const;
-  /// This host's part of the repeats that all hosts together may send.
+  /// This host's share of the constant part of the retry budget.
   double budgetShare() const;
   ServiceId serviceFor(const RouteEntry &Route);
 
@@ -115,14 +120,15 @@
   RelaySettings Options;
   RetryAllowance Allowance;
   CallerRetryDetector RetryDetector;
-  std::map<UpstreamId, Time> LastAnswers; ///< When each last gave something.
+  /// Time of each engine's last answer.
+  std::map<UpstreamId, Time> LastAnswers;
   RunningRelays Running;
   std::uint64_t AttemptCount = 0;
   Time StoppingSince = Never;
   Time NextCheck = Never;
 };
 
-/// The settings with their defaults.
+/// Declares the settings with their defaults.
 std::vector<SettingDeclaration> relaySettingDeclarations();
 RelaySettings readRelaySettings(const Settings &Values);
 RetryBudgetLimits retryBudgetLimits(const Settings &Values);
--- a/src/plugins/relays/RelaysSettings.cpp
+++ b/src/plugins/relays/RelaysSettings.cpp
@@ -7,7 +7,8 @@
 constexpr std::string_view Section = "relays";
 constexpr std::string_view BudgetSection = "retry_budget";
 
-/// How long a request waits for an upstream, and a try for its answer.
+/// Declares how long a request waits for an upstream, and an attempt for its
+/// answer.
 std::vector<SettingDeclaration> waitingSettings() {
   constexpr auto Span = SettingKind::Span;
   constexpr auto Fraction = SettingKind::Fraction;
@@ -59,7 +60,7 @@
   };
 }
 
-/// How much is done for one request, and for all that are tried again.
+/// Declares the bounds on one request and the retry budget.
 std::vector<SettingDeclaration> boundSettings() {
   constexpr auto Span = SettingKind::Span;
   constexpr auto Whole = SettingKind::Whole;
--- a/src/plugins/relays/RetryAllowance.cpp
+++ b/src/plugins/relays/RetryAllowance.cpp
@@ -6,10 +6,12 @@
 
 namespace {
 
-/// Slices of a window: a repeat leaves the window late by one slice at most.
+/// Number of slices in a window. A retry leaves the window at most one slice
+/// late.
 constexpr int SlicesPerWindow = 20;
 
-/// Kept unused, for repeats on their way while the window slides.
+/// Share of the budget that is used. The rest covers retries that are in
+/// transit while the window slides.
 constexpr double UsableShare = 0.9;
 
 } // namespace
@@ -18,7 +20,7 @@
                                                Time Now) {
   std::deque<Slice> &All = this->Slices[Service];
   const Duration Length = this->Limits.Window / SlicesPerWindow;
-  // One slice more than the window, so that the sum is never short.
+  // Keeps one slice more than the window, so that the sum is never too small.
   while (!All.empty() && All.front().From + this->Limits.Window + Length < Now)
     All.pop_front();
   if (All.empty() || Now >= All.back().From + Length)
--- a/src/plugins/relays/RetryAllowance.h
+++ b/src/plugins/relays/RetryAllowance.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many requests a service may get more than once.
+/// Limits how many requests are sent to a service more than once.
 #pragma once
 
 #include "gateway/Configuration.h"
@@ -9,26 +9,27 @@
 
 namespace banyanpick {
 
-/// The budget of all hosts, and this host's part of it.
+/// The retry budget of all hosts together.
 struct RetryBudgetLimits {
-  double Ratio = 0;    ///< Repeats against requests, in any window.
-  double Constant = 0; ///< More repeats in a window, over all hosts.
+  double Ratio = 0;    ///< Retries per request, in any window.
+  double Constant = 0; ///< Additional retries per window, over all hosts.
   Duration Window{};
 };
 
-/// A sliding window over this host's requests and repeats, for each service.
-/// The constant part is divided among hosts; the share that grows with
-/// requests needs no agreement, as the sum over hosts keeps it.
+/// Enforces this host's part of the retry budget with a sliding window over its
+/// requests and retries, for each service. The constant part of the budget is
+/// divided among the hosts. The part that is proportional to requests needs no
+/// coordination: if every host keeps it, the sum over all hosts does too.
 class RetryAllowance {
 public:
   RetryAllowance() = default;
   explicit RetryAllowance(RetryBudgetLimits Limits) : Limits(Limits) {}
 
   void recordRequest(const ServiceId &Service, Time Now);
-  /// Takes one repeat when there is one; \p Share of the constant part is this
-  /// host's.
+  /// Takes one retry from the budget; returns false when none is left.
+  /// \p Share is this host's share of the constant part.
   bool tryAcquire(const ServiceId &Service, double Share, Time Now);
-  /// The repeat did not reach the service.
+  /// Returns a retry that did not reach the service.
   void refund(const ServiceId &Service, Time Now);
   void setLimits(RetryBudgetLimits NewLimits) { this->Limits = NewLimits; }
 
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -1,5 +1,5 @@
 /// \file
-/// One relayed request while it is under way here.
+/// The state of the relayed requests that run on this host.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -9,16 +9,16 @@
 
 namespace banyanpick {
 
-/// What its route allows, as it was when the request came.
+/// The terms of the request's route at the time of its arrival.
 struct RelayTerms {
   RequestKind Kind = RequestKind::AtMostOnce;
-  bool Resumable = false;     ///< A stream may go on at another upstream.
-  std::uint32_t Attempts = 1; ///< Upstreams that it may run on.
-  Duration Objective{};       ///< To the whole answer or the first event.
-  Duration MaxEventGap{};     ///< Between events; zero: not declared.
+  bool Resumable = false;     ///< A stream may resume at another upstream.
+  std::uint32_t Attempts = 1; ///< Number of upstreams that it may run on.
+  Duration Objective{};       ///< For the complete answer or the first event.
+  Duration MaxEventGap{};     ///< Inter-event gap; zero: not declared.
 };
 
-/// A request with what is known of its tries.
+/// A relayed request and the state of its attempts.
 struct RunningRelay {
   RelayHead Head;
   RelayTerms Terms;
@@ -27,52 +27,51 @@
   std::uint64_t ConfigurationVersion = 0;
   std::uint32_t Rank = 0;
   bool NeedsKey = false;
-  bool IsFirstCallerAttempt =
-      false; ///< Of its caller, see CallerRetryDetector.
+  bool IsFirstCallerAttempt = false; ///< See CallerRetryDetector.
   Time ArrivedAt{};
-  Time Deadline{}; ///< Of the caller or the route, whichever is first.
-  bool IsLimitedByRoute = false; ///< The route's time limit is first.
+  Time Deadline{}; ///< The earlier one of the caller's and the route's.
+  bool IsLimitedByRoute = false; ///< The deadline is the route's time limit.
 
   std::optional<RelayAttempt> LiveAttempt;
-  Time AnswerTimeoutAt = Never;     ///< The live try is given up then.
-  std::vector<UpstreamId> RanOn;    ///< Where it ran or may have run.
-  std::vector<UpstreamId> NotRunOn; ///< Where it surely did not, of late.
+  Time AnswerTimeoutAt = Never;     ///< When the live attempt is abandoned.
+  std::vector<UpstreamId> RanOn;    ///< Engines where it ran or may have run.
+  std::vector<UpstreamId> NotRunOn; ///< Engines that recently did not run it.
   std::uint32_t Sends = 0;
-  std::optional<SelectedEngine>
-      PendingReservation; ///< Memory is being set aside for it.
-  bool Began = false;     ///< A part of the answer went to the caller.
+  /// Set while memory is being reserved.
+  std::optional<SelectedEngine> PendingReservation;
+  bool Began = false; ///< Part of the answer was sent to the caller.
   std::optional<std::uint64_t> LastEvent; ///< The last event passed on.
-  std::optional<AttemptId> KeptFailure;   ///< An upstream's failure to deliver
-                                          ///< if nothing better comes.
-  Duration FirstEventLatency{};           ///< From arrival; zero: not yet.
-  Duration MaxEventGap{};                 ///< Between events.
-  Time NextAttemptAt{};                   ///< Not sooner.
-  bool AwaitsTurn = false;                ///< Other prompts go before it.
-  Time WaitingSince = Never;              ///< No upstream could take it since.
+  std::optional<AttemptId> KeptFailure;   ///< The attempt whose failure is
+                                          ///< delivered if no other succeeds.
+  Duration FirstEventLatency{};           ///< From arrival; zero: no event yet.
+  Duration MaxEventGap{};                 ///< Inter-event gap.
+  Time NextAttemptAt{};                   ///< Not before this time.
+  bool AwaitsTurn = false;   ///< Other prompts are dispatched first.
+  Time WaitingSince = Never; ///< Since when no upstream accepts it.
 
-  /// Whether a second run does no harm.
+  /// Whether the request may run more than once.
   bool isIdempotent() const {
     return this->Terms.Kind == RequestKind::Repeatable ||
            (this->Terms.Kind == RequestKind::Stream && this->Terms.Resumable);
   }
-  /// Whether it is with no upstream, and to be sent once one can take it.
+  /// Whether the request has no upstream and waits to be sent to one.
   bool awaitsSending() const {
     return !this->LiveAttempt && !this->PendingReservation &&
            (this->AwaitsTurn || this->WaitingSince != Never);
   }
   bool mayHaveRun() const { return !this->RanOn.empty(); }
-  /// How it ends when nothing more can be done for it.
+  /// The refusal with which the request ends when no attempt is left.
   RefusalKind refusal() const {
     return this->mayHaveRun() ? RefusalKind::OutcomeUnknown
                               : RefusalKind::NotRun;
   }
-  /// Whether another upstream may run it, too.
+  /// Whether the request may run on a further upstream.
   bool mayRunAgain() const {
     return this->isIdempotent() && this->RanOn.size() < this->Terms.Attempts;
   }
 };
 
-/// The requests under way, by their ids and by their live tries.
+/// The running requests, indexed by id and by live attempt.
 class RunningRelays {
 public:
   RunningRelay &add(RunningRelay Relay);
@@ -82,7 +81,7 @@
   void unlink(const AttemptId &Attempt) { this->ByAttempt.erase(Attempt); }
   void remove(const RequestId &Id);
   std::size_t size() const { return this->ById.size(); }
-  /// Ids in their order, for loops that may remove.
+  /// Returns a copy of the sorted ids, for loops that remove requests.
   std::vector<RequestId> ids() const;
 
 private:
--- a/tests/auto/gateway/CallerRetryDetectorTest.cpp
+++ b/tests/auto/gateway/CallerRetryDetectorTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Callers who come back are known by the time that they have left.
+/// Guards against retries of callers that are taken for first attempts, and the
+/// reverse. Only the remaining time of a request tells the two apart.
 #include "plugins/relays/CallerRetryDetector.h"
 
 #include <gtest/gtest.h>
@@ -7,9 +8,9 @@
 namespace banyanpick {
 namespace {
 
-Time at(int S) { return Time(seconds(100) + seconds(S)); }
+Time at(int Second) { return Time(seconds(100) + seconds(Second)); }
 
-TEST(CallerRetryDetector, WhoHasLessTimeThanOthersHasTriedBefore) {
+TEST(CallerRetryDetector, ARequestWithLessTimeThanOthersIsARetry) {
   CallerRetryDetector RetryDetector;
   EXPECT_TRUE(RetryDetector.isFirstAttempt("a", seconds(10), at(0)));
   EXPECT_TRUE(RetryDetector.isFirstAttempt("a", milliseconds(8600), at(1)));
@@ -17,13 +18,13 @@
   EXPECT_TRUE(RetryDetector.isFirstAttempt("b", seconds(3), at(1)));
 }
 
-TEST(CallerRetryDetector, AShorterTimeOfAllCallersIsLearnt) {
+TEST(CallerRetryDetector, AdaptsToAShorterTimeOfAllCallers) {
   CallerRetryDetector RetryDetector;
   EXPECT_TRUE(RetryDetector.isFirstAttempt("a", seconds(10), at(0)));
-  bool IsFirst = false;
-  for (int Now = 1; Now <= 25; ++Now)
-    IsFirst = RetryDetector.isFirstAttempt("a", seconds(4), at(Now));
-  EXPECT_TRUE(IsFirst);
+  bool Result = false;
+  for (int Second = 1; Second <= 25; ++Second)
+    Result = RetryDetector.isFirstAttempt("a", seconds(4), at(Second));
+  EXPECT_TRUE(Result);
 }
 
 } // namespace
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -1,5 +1,8 @@
 /// \file
-/// What may run again does, what may not never does, and every request ends.
+/// Guards against a request that may run once and runs twice, against retries
+/// that are allowed and not made, and against requests without a final answer.
+/// These come about when an engine fails, is silent, restarts or backs off, and
+/// when a caller disconnects.
 #include "auto/gateway/GatewayBench.h"
 
 #include <gtest/gtest.h>
@@ -27,14 +30,14 @@
   GatewayBench Bench;
 };
 
-TEST(RelaysAtStart, AreRefusedAsNotRunWithoutAConfiguration) {
+TEST(RelaysAtStart, AreRefusedAsNotRunWithoutConfiguration) {
   GatewayBench Bench;
   Bench.arrive("/safe/1");
   EXPECT_EQ(Bench.last<RefuseRelay>().Kind, RefusalKind::NotRun);
   EXPECT_GT(Bench.last<RefuseRelay>().RetryAfter, Duration(0));
 }
 
-TEST_F(Relays, UnknownPathsAndKeysAreRefusedAndNeverSent) {
+TEST_F(Relays, WithUnknownPathOrKeyAreRefusedAndNotSent) {
   this->Bench.arrive("/nowhere/1");
   EXPECT_EQ(this->refused().Kind, RefusalKind::NoSuchRoute);
   RelayHead Head;
@@ -47,21 +50,21 @@
   EXPECT_EQ(this->sends(), 0U);
 }
 
-TEST_F(Relays, NameTheTeamAndTheEngineAndDropTheKey) {
+TEST_F(Relays, AreSentWithTeamAndEngineAndWithoutKey) {
   this->Bench.arrive("/safe/1");
   EXPECT_EQ(this->sent().Team, TeamId("house"));
   EXPECT_TRUE(this->sent().DropKey);
   EXPECT_FALSE(this->sent().Engine.Value.empty());
 }
 
-TEST_F(Relays, WhatMayRunOnceIsNotSentAgainAfterALostAnswer) {
+TEST_F(Relays, AtMostOnceIsNotRetriedAfterALostAnswer) {
   this->Bench.arrive("/once/1");
   this->Bench.endAttempt(this->sent().Attempt, reset());
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->refused().Kind, RefusalKind::OutcomeUnknown);
 }
 
-TEST_F(Relays, WhatMayRunOnceIsSentAgainWhereItDidNotRun) {
+TEST_F(Relays, AtMostOnceIsRetriedWhenItDidNotRun) {
   this->Bench.arrive("/once/1");
   const UpstreamId First = this->sent().Engine;
   this->Bench.endAttempt(this->sent().Attempt, RelayNeverSent{});
@@ -72,7 +75,7 @@
   EXPECT_TRUE(this->sent().Fresh);
 }
 
-TEST_F(Relays, ASilentEngineDoesNotMakeWhatMayRunOnceRunAgain) {
+TEST_F(Relays, AtMostOnceIsNotRetriedAfterASilentEngine) {
   this->Bench.arrive("/once/1");
   this->Bench.advance(seconds(3));
   EXPECT_EQ(this->sends(), 1U);
@@ -80,7 +83,7 @@
   EXPECT_EQ(this->Bench.all<CancelRelay>().size(), 1U);
 }
 
-TEST_F(Relays, WhatMayRepeatIsTriedOnASecondEngineAndNoThird) {
+TEST_F(Relays, RepeatableIsRetriedOnASecondEngineAndNoThird) {
   this->Bench.arrive("/safe/1");
   const UpstreamId First = this->sent().Engine;
   this->Bench.endAttempt(this->sent().Attempt, reset());
@@ -91,7 +94,7 @@
   EXPECT_EQ(this->refused().Kind, RefusalKind::OutcomeUnknown);
 }
 
-TEST_F(Relays, AnEnginesFailureIsDeliveredWhenTheSecondFailsToo) {
+TEST_F(Relays, DeliverTheFailureWhenTheSecondEngineFailsToo) {
   const RequestId Id = this->Bench.arrive("/safe/1");
   this->Bench.endAttempt(this->sent().Attempt, RelayFailed{500});
   const AttemptId Second = this->sent().Attempt;
@@ -100,14 +103,14 @@
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
 }
 
-TEST_F(Relays, AnEnginesRefusalOfTheRequestItselfIsDeliveredAtOnce) {
+TEST_F(Relays, DeliverAClientErrorOfAnEngineWithoutRetry) {
   this->Bench.arrive("/safe/1");
   this->Bench.endAttempt(this->sent().Attempt, RelayFailed{422});
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->Bench.all<DeliverFailure>().size(), 1U);
 }
 
-TEST_F(Relays, ASilentEngineIsGivenUpForAnotherWhereThatIsAllowed) {
+TEST_F(Relays, RepeatableIsMovedFromASilentEngineToAnother) {
   this->Bench.arrive("/safe/1");
   const DispatchRelay First = this->sent();
   this->Bench.advance(milliseconds(1600));
@@ -115,7 +118,7 @@
   EXPECT_EQ(this->Bench.last<CancelRelay>().Attempt, First.Attempt);
 }
 
-TEST_F(Relays, ALiveTryIsNotGivenUpForARefusal) {
+TEST_F(Relays, LiveAttemptIsNotAbandonedWhenNoOtherEngineIsOpen) {
   this->Bench.arrive("/safe/1");
   const UpstreamId Live = this->sent().Engine;
   for (const char *Engine : {"e1", "e2", "e3"})
@@ -127,7 +130,7 @@
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
 }
 
-TEST_F(Relays, WhileAllEnginesRestAreSentBackAtOnceUntilTheFirstOpens) {
+TEST_F(Relays, AreRefusedUntilTheFirstOfAllEnginesEndsItsBackoff) {
   this->Bench.requestBackoff(UpstreamId("e1"), seconds(3));
   this->Bench.requestBackoff(UpstreamId("e2"), milliseconds(500));
   this->Bench.requestBackoff(UpstreamId("e3"), seconds(2));
@@ -135,11 +138,12 @@
   EXPECT_EQ(this->sends(), 0U);
   ASSERT_EQ(this->refused().Kind, RefusalKind::NotRun);
   EXPECT_GE(this->refused().RetryAfter, milliseconds(500));
-  // Callers wait for a third of their time at most, here of the route's limit.
+  // The delay is at most a third of the remaining time, here of the route's
+  // time limit.
   EXPECT_LE(this->refused().RetryAfter, Duration(seconds(2)) / 3);
 }
 
-TEST_F(Relays, ARestThatOutlastsTheCallerIsRefusedAtOnceWithItsEnd) {
+TEST_F(Relays, AreRefusedWithTheBackoffsEndWhenItOutlastsTheCaller) {
   for (const char *Engine : {"e1", "e2", "e3"})
     this->Bench.requestBackoff(UpstreamId(Engine), seconds(60));
   this->Bench.arrive("/safe/1");
@@ -148,35 +152,35 @@
   EXPECT_LE(this->refused().RetryAfter, seconds(75));
 }
 
-TEST_F(Relays, GoToAnEngineAgainWhenItsRestIsOver) {
+TEST_F(Relays, AreSentToAnEngineAgainAfterItsBackoff) {
   this->Bench.requestBackoff(UpstreamId("e1"), seconds(3));
   this->Bench.requestBackoff(UpstreamId("e1"), seconds(1));
   this->Bench.requestBackoff(UpstreamId("e2"), seconds(60));
   this->Bench.requestBackoff(UpstreamId("e3"), seconds(60));
   this->Bench.advance(milliseconds(2900));
   this->Bench.arrive("/safe/1");
-  EXPECT_EQ(this->sends(), 0U) << "an answer that asks for less ends none";
+  EXPECT_EQ(this->sends(), 0U) << "a shorter backoff does not end a longer one";
   this->Bench.advance(milliseconds(200));
   this->Bench.arrive("/safe/2");
   ASSERT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->sent().Engine, UpstreamId("e1"));
 }
 
-TEST_F(Relays,
-       GoToAnEngineThatAnotherHostWasAskedToLeaveAloneWhenNoOtherIsThere) {
-  EngineSignals Told;
+TEST_F(Relays, AreSentToAnEngineThatBacksOffFromAPeerWhenNoOtherIsOpen) {
+  EngineSignals Signals;
   for (const char *Engine : {"e1", "e2"})
-    Told.Backoffs.push_back({UpstreamId(Engine), 5000});
-  this->Bench.receive("h2", Told);
+    Signals.Backoffs.push_back({UpstreamId(Engine), 5000});
+  this->Bench.receive("h2", Signals);
   this->Bench.arrive("/safe/1");
-  EXPECT_EQ(this->sent().Engine, UpstreamId("e3")) << "better elsewhere";
+  EXPECT_EQ(this->sent().Engine, UpstreamId("e3"))
+      << "the engine without a reported backoff is preferred";
   this->Bench.requestBackoff(UpstreamId("e3"), seconds(60));
   this->Bench.arrive("/safe/2");
   EXPECT_NE(this->sent().Engine, UpstreamId("e3"));
   EXPECT_EQ(this->sends(), 2U);
 }
 
-TEST_F(Relays, TheCallersCloseCancelsTheTry) {
+TEST_F(Relays, AreCancelledWhenTheCallerDisconnects) {
   const RequestId Id = this->Bench.arrive("/safe/1");
   this->Bench.send(Event(CallerDisconnected{Id}));
   EXPECT_EQ(this->Bench.last<CancelRelay>().Attempt, this->sent().Attempt);
@@ -192,7 +196,7 @@
   EXPECT_EQ(this->refused().Kind, RefusalKind::TimedOut);
 }
 
-TEST_F(Relays, WithoutAnyEngineTheyWaitAndAreThenRefusedAsNotRun) {
+TEST_F(Relays, WaitWithoutAnyEngineAndAreThenRefusedAsNotRun) {
   this->Bench.arrive("/stream/1", 5000);
   EXPECT_EQ(this->sends(), 0U);
   this->Bench.advance(seconds(2));
@@ -200,14 +204,14 @@
   EXPECT_GT(this->refused().RetryAfter, Duration(0));
 }
 
-TEST_F(Relays, AnEngineThatComesTakesWhatWaits) {
+TEST_F(Relays, ThatWaitAreSentToANewEngine) {
   this->Bench.arrive("/stream/1", 5000);
   this->Bench.registerEngines("ring", 1, 50);
   this->Bench.advance(milliseconds(100));
   EXPECT_EQ(this->sends(), 1U);
 }
 
-TEST_F(Relays, AStreamGoesOnElsewhereAfterItsLastEvent) {
+TEST_F(Relays, StreamResumesAtAnotherEngineAfterItsLastEvent) {
   this->Bench.registerEngines("ring", 3, 50);
   this->Bench.arrive("/stream/1", 5000);
   this->Bench.send(GatewayEvent(RelayBegan{this->sent().Attempt}));
@@ -217,7 +221,7 @@
   EXPECT_EQ(this->sent().LastEvent, 7U);
 }
 
-TEST_F(Relays, AStreamThatCanGoOnNowhereIsBrokenOff) {
+TEST_F(Relays, StreamIsBrokenOffWhenItCannotResume) {
   this->Bench.registerEngines("ring", 3, 50);
   const RequestId Id = this->Bench.arrive("/stream/1", 5000);
   for (int Each = 0; Each < 2; ++Each) {
@@ -230,7 +234,7 @@
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
 }
 
-TEST_F(Relays, AnEngineWhoseAddressAnotherHasGetsNothingMore) {
+TEST_F(Relays, AreNotSentToAnEngineWhoseAddressIsTaken) {
   this->Bench.arrive("/once/1");
   const UpstreamId Old = this->sent().Engine;
   RelayNotRun Other;
@@ -243,7 +247,7 @@
   }
 }
 
-TEST_F(Relays, AStoppingHostServesOnRefusesLateAndEndsWhenIdle) {
+TEST_F(Relays, AreServedByAStoppingHostUntilItIsIdle) {
   this->Bench.send(Event(StopRequest{}));
   EXPECT_EQ(this->Bench.all<CloseCallers>().size(), 1U);
   this->Bench.advance(seconds(2));
@@ -256,7 +260,7 @@
   EXPECT_TRUE(this->Bench.hasStopped());
 }
 
-TEST_F(Relays, AContentThatCrashedThreeEnginesIsNotRunAgain) {
+TEST_F(Relays, ContentThatCrashedThreeEnginesIsNotRun) {
   for (const char *Engine : {"x1", "x2", "x3"}) {
     QuarantineNotice Notice;
     Notice.Content = Fingerprint(5);
@@ -296,8 +300,9 @@
          !std::holds_alternative<RelayNotRun>(Outcome);
 }
 
-/// How often each request may have run, whatever became of its tries.
-RC_GTEST_PROP(RelaysProperty, AtMostOnceAndOneFinalAnswerHoldWhateverEnds, ()) {
+/// Guards against a second run and a second final answer of an at-most-once
+/// request under random outcomes of its attempts.
+RC_GTEST_PROP(RelaysProperty, RunAtMostOnceAndGetOneFinalAnswer, ()) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("desk", 4);
@@ -322,7 +327,7 @@
     int Answers = 0;
     for (const RefuseRelay &Each : Bench.all<RefuseRelay>()) {
       Answers += Each.Request == Id ? 1 : 0;
-      // A promise that it did not run must be true.
+      // A request that is refused as not run must not have run.
       if (Each.Request == Id && Each.Kind == RefusalKind::NotRun)
         RC_ASSERT(Runs[Id] == 0);
     }
@@ -332,7 +337,7 @@
   }
 }
 
-TEST_F(Relays, OfAnEngineThatStartedAnewGoOnElsewhereAtOnce) {
+TEST_F(Relays, OfARestartedEngineAreRetriedElsewhereAtOnce) {
   this->Bench.arrive("/safe/1");
   const DispatchRelay First = this->sent();
   this->Bench.report(UpstreamId(First.Engine.Value + "@5000"));
@@ -341,14 +346,14 @@
   EXPECT_NE(this->sent().Engine, First.Engine);
 }
 
-TEST_F(Relays, ThatMayRunOnceEndAtOnceWithAnEngineThatStartedAnew) {
+TEST_F(Relays, AtMostOnceEndsAtOnceWithARestartedEngine) {
   this->Bench.arrive("/once/1");
   this->Bench.report(UpstreamId(this->sent().Engine.Value + "@5000"));
   EXPECT_EQ(this->sends(), 1U);
   EXPECT_EQ(this->refused().Kind, RefusalKind::OutcomeUnknown);
 }
 
-TEST_F(Relays, WhosePromptAnEngineThatStartedAnewHelpedToReadAreSentAgain) {
+TEST_F(Relays, AreRetriedWhenAHelperOfTheirPrefillRestarts) {
   this->Bench.registerEngines("ring", 6, 10);
   this->Bench.arrive("/review/1", 300'000, seconds(30));
   const DispatchRelay First = this->sent();
@@ -360,7 +365,8 @@
     EXPECT_NE(Each.Engine, Helper);
 }
 
-/// The load: long prompts that come at the same moment.
+/// Guards against long prompts that delay each other more than needed: several
+/// arrive at the same moment and share the engines for prefill.
 class LongPrompts : public testing::Test {
 protected:
   LongPrompts() {
@@ -377,11 +383,11 @@
   GatewayBench Bench;
 };
 
-TEST_F(LongPrompts, AreReadOneAfterTheOtherEachOnAllEngines) {
+TEST_F(LongPrompts, ArePrefilledOneAfterTheOtherOnAllEngines) {
   const RequestId First = this->Bench.arrive("/stream/1", 150'000);
   this->Bench.arrive("/stream/2", 150'000);
   this->Bench.arrive("/stream/3", 150'000);
-  ASSERT_EQ(this->sent().size(), 1U) << "the others wait for their turn";
+  ASSERT_EQ(this->sent().size(), 1U) << "the other prompts must stay queued";
   EXPECT_EQ(this->sent().front().Request, First);
   EXPECT_EQ(this->sent().front().Helpers.size(), 5U);
   this->beginLast();
@@ -392,7 +398,7 @@
   EXPECT_EQ(this->sent().size(), 3U);
 }
 
-TEST_F(LongPrompts, OfThoseThatWaitTheOneThatBringsMostIsSentFirst) {
+TEST_F(LongPrompts, TheQueuedOneWithTheHighestBenefitIsSentFirst) {
   this->Bench.arrive("/stream/1", 150'000);
   this->Bench.arrive("/stream/2", 300'000);
   const RequestId Shorter = this->Bench.arrive("/stream/3", 60'000);
@@ -402,26 +408,27 @@
   EXPECT_EQ(this->sent().back().Request, Shorter);
 }
 
-TEST_F(LongPrompts, WhoseCallersLeaveHoldUpNobody) {
+TEST_F(LongPrompts, WhoseCallersDisconnectDelayNoOther) {
   this->Bench.arrive("/stream/1", 150'000);
-  const RequestId Left = this->Bench.arrive("/stream/2", 60'000);
-  const RequestId Stays = this->Bench.arrive("/stream/3", 200'000);
-  this->Bench.send(Event(CallerDisconnected{Left}));
+  const RequestId Abandoned = this->Bench.arrive("/stream/2", 60'000);
+  const RequestId Remaining = this->Bench.arrive("/stream/3", 200'000);
+  this->Bench.send(Event(CallerDisconnected{Abandoned}));
   this->beginLast();
   this->Bench.advance(milliseconds(50));
   ASSERT_EQ(this->sent().size(), 2U);
-  EXPECT_EQ(this->sent().back().Request, Stays);
+  EXPECT_EQ(this->sent().back().Request, Remaining);
 }
 
-TEST_F(LongPrompts, ThatPeersHaveWaitingGoFirstWhereTheyBringMore) {
+TEST_F(LongPrompts, QueuedAtPeersGoFirstWhenTheirBenefitIsHigher) {
   this->Bench.arrive("/stream/1", 150'000);
   this->Bench.arrive("/review/2", 300'000, seconds(30));
-  EngineWork Theirs;
-  Theirs.QueuedPrompts = {{7, 60'000, 680, 120, 250}};
-  this->Bench.receive("h2", Theirs);
+  EngineWork PeerWork;
+  PeerWork.QueuedPrompts = {{7, 60'000, 680, 120, 250}};
+  this->Bench.receive("h2", PeerWork);
   this->beginLast();
   this->Bench.advance(milliseconds(100));
-  EXPECT_EQ(this->sent().size(), 1U) << "it is the peer's turn";
+  EXPECT_EQ(this->sent().size(), 1U)
+      << "the prompt queued at the peer goes first";
   this->Bench.receive("h2", EngineWork{});
   this->Bench.advance(milliseconds(50));
   EXPECT_EQ(this->sent().size(), 2U);
--- a/tests/auto/gateway/RetryAllowanceTest.cpp
+++ b/tests/auto/gateway/RetryAllowanceTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Repeats stay within the budget in every window, over all hosts.
+/// Guards against retries beyond the budget in any window, over all hosts. A
+/// service that fails would otherwise get a multiple of its load.
 #include "plugins/relays/RetryAllowance.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 const ServiceId Desk("desk");
 const RetryBudgetLimits Limits{0.2, 100, seconds(10)};
 
-TEST(RetryAllowance, GivesItsShareOfTheConstantAndNoMore) {
+TEST(RetryAllowance, GrantsItsShareOfTheConstantAndNoMore) {
   RetryAllowance Allowance(Limits);
   int Taken = 0;
   while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
@@ -23,7 +24,7 @@
   EXPECT_LE(Taken, 20);
 }
 
-TEST(RetryAllowance, GrowsWithRequests) {
+TEST(RetryAllowance, GrowsWithTheRequests) {
   RetryAllowance Allowance(Limits);
   for (int Each = 0; Each < 1000; ++Each)
     Allowance.recordRequest(Desk, Time(seconds(1)));
@@ -34,7 +35,7 @@
   EXPECT_LE(Taken, 201);
 }
 
-TEST(RetryAllowance, IsThereAgainAfterTheWindow) {
+TEST(RetryAllowance, IsAvailableAgainAfterTheWindow) {
   RetryAllowance Allowance(Limits);
   while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
     continue;
@@ -42,7 +43,7 @@
   EXPECT_TRUE(Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(13))));
 }
 
-TEST(RetryAllowance, KeepsServicesApart) {
+TEST(RetryAllowance, CountsServicesSeparately) {
   RetryAllowance Allowance(Limits);
   while (Allowance.tryAcquire(Desk, 1.0 / 5, Time(seconds(1))))
     continue;
@@ -69,7 +70,8 @@
     return std::ranges::count_if(
         Of, [&](Time At) { return At >= From && At < From + Limits.Window; });
   };
-  // The service's bound counts the requests of the window or of the one before.
+  // The service's bound counts the requests of the window or of the one half a
+  // window earlier, whichever are more.
   for (const Time From : Repeats) {
     const auto Counted = std::max(Within(Requests, From),
                                   Within(Requests, From - Limits.Window / 2));
