--- a/src/plugins/requests/AttemptEnding.cpp
+++ b/src/plugins/requests/AttemptEndHandler.cpp
@@ -1,4 +1,4 @@
-#include "plugins/requests/AttemptEnding.h"
+#include "plugins/requests/AttemptEndHandler.h"
 
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
@@ -37,8 +37,8 @@
 
 } // namespace
 
-void AttemptEnding::progressed(const AttemptProgressed &Progress, Time Now,
-                               Actions &Out) {
+void AttemptEndHandler::progressed(const AttemptProgressed &Progress, Time Now,
+                                   Actions &Out) {
   RunningRequest *Found = this->Table.findByAttempt(Progress.Attempt);
   if (!Found) {
     Out.count("stale_progress");
@@ -55,11 +55,11 @@
   if (Now > Found->Asked.FirstTokenBy)
     Out.count("first_token_promises_missed", Found->Asked.Head.Class.Value);
   const Attempt Running = *Found->attempt();
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->firstToken(Found->Asked, Running, Now, Out);
 }
 
-void AttemptEnding::ended(const AttemptEnded &End, Time Now, Actions &Out) {
+void AttemptEndHandler::ended(const AttemptEnded &End, Time Now, Actions &Out) {
   RunningRequest *Found = this->Table.findByAttempt(End.Attempt);
   if (!Found) {
     Out.count("stale_attempt_ends");
@@ -73,10 +73,10 @@
   if (!std::holds_alternative<AttemptComplete>(End.Outcome))
     logFailure(*Found, Ended, End.Outcome, Out);
   if (!surelyNotStarted(End.Outcome))
-    this->Uses.Groups.release(Found->Asked.id(), Now, Out);
+    this->Dependencies.Groups.release(Found->Asked.id(), Now, Out);
   this->cancelIfRunning(Ended, End.Outcome, Found->Asked.Deadline, Now, Out);
   Found->Excluded.insert(Ended.Upstream);
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->attemptEnded(Found->Asked, Ended, End.Outcome, Now, Out);
   match(
       End.Outcome,
@@ -93,74 +93,76 @@
       [&](const AttemptFailed &How) { this->failed(*Found, How, Now, Out); });
 }
 
-void AttemptEnding::upstreamDied(const UpstreamId &Id, Incarnation Life,
-                                 Time Now, Actions &Out) {
+void AttemptEndHandler::upstreamDied(const UpstreamId &Id, Incarnation Life,
+                                     Time Now, Actions &Out) {
   for (const AttemptId &Each : this->Table.attemptsOn(Id, Life))
     this->ended(AttemptEnded{Each, AttemptBroken{}}, Now, Out);
 }
 
-void AttemptEnding::cancelIfRunning(const Attempt &Ended,
-                                    const AttemptOutcome &Outcome,
-                                    Time Deadline, Time Now, Actions &Out) {
+void AttemptEndHandler::cancelIfRunning(const Attempt &Ended,
+                                        const AttemptOutcome &Outcome,
+                                        Time Deadline, Time Now, Actions &Out) {
   const auto *Broken = std::get_if<AttemptBroken>(&Outcome);
-  const Upstream *Where = this->Uses.Fleet.find(Ended.Upstream);
+  const Upstream *Where = this->Dependencies.Fleet.find(Ended.Upstream);
   if (!Broken || Broken->UpstreamDied || !Where ||
       Where->Listing.Kind != UpstreamKind::Engine)
     return;
-  this->Uses.Canceller.cancel(Ended.Id, Ended.Upstream, Deadline, Now, Out);
+  this->Dependencies.Canceller.cancel(Ended.Id, Ended.Upstream, Deadline, Now,
+                                      Out);
 }
 
-void AttemptEnding::complete(RunningRequest &Of, const AttemptComplete &End,
-                             Time Now, Actions &Out) {
+void AttemptEndHandler::complete(RunningRequest &Of, const AttemptComplete &End,
+                                 Time Now, Actions &Out) {
   if (!Of.Asked.Class.Idempotent)
-    this->Uses.Claims.finish(Of.Asked, OutcomeRecord::Kind::Done, End.Result,
-                             Now, Out);
-  this->Ending.conclude(Of.Asked.id(), CompleteAnswer{End.Count, End.Result},
-                        Now, Out);
+    this->Dependencies.Claims.finish(Of.Asked, OutcomeRecord::Kind::Done,
+                                     End.Result, Now, Out);
+  this->Finisher.conclude(Of.Asked.id(), CompleteAnswer{End.Count, End.Result},
+                          Now, Out);
 }
 
-void AttemptEnding::notStarted(RunningRequest &Of, bool FirstTry, Time Now,
-                               Actions &Out) {
-  this->Uses.Groups.release(Of.Asked.id(), Now, Out);
+void AttemptEndHandler::notStarted(RunningRequest &Of, bool FirstTry, Time Now,
+                                   Actions &Out) {
+  this->Dependencies.Groups.release(Of.Asked.id(), Now, Out);
   if (FirstTry || !Of.Asked.Class.Idempotent)
     Of.MayHaveRun = false;
   this->retryOrGiveUp(Of, "no upstream took it", Now, Out);
 }
 
-void AttemptEnding::broken(RunningRequest &Of, Time Now, Actions &Out) {
+void AttemptEndHandler::broken(RunningRequest &Of, Time Now, Actions &Out) {
   if (!Of.Asked.Class.Idempotent) {
-    this->Ending.giveUp(Of.Asked.id(), "the upstream's answer was lost", Now,
-                        Out);
+    this->Finisher.giveUp(Of.Asked.id(), "the upstream's answer was lost", Now,
+                          Out);
     return;
   }
   this->retryOrGiveUp(Of, "the upstream's answer was cut", Now, Out);
 }
 
-void AttemptEnding::failed(RunningRequest &Of, const AttemptFailed &End,
-                           Time Now, Actions &Out) {
+void AttemptEndHandler::failed(RunningRequest &Of, const AttemptFailed &End,
+                               Time Now, Actions &Out) {
   if (Of.Asked.Class.Idempotent) {
     this->retryOrGiveUp(Of, "the upstream failed: " + End.Message, Now, Out);
     return;
   }
-  this->Uses.Claims.finish(Of.Asked, OutcomeRecord::Kind::Failed, End.Message,
-                           Now, Out);
-  this->Ending.conclude(
+  this->Dependencies.Claims.finish(Of.Asked, OutcomeRecord::Kind::Failed,
+                                   End.Message, Now, Out);
+  this->Finisher.conclude(
       Of.Asked.id(),
       FailedAnswer{"the upstream ran it and failed: " + End.Message +
                        "; ask with a new operation_key to run it anew",
-                   this->Uses.comeBackAfter()},
+                   this->Dependencies.comeBackAfter()},
       Now, Out);
 }
 
-void AttemptEnding::retryOrGiveUp(RunningRequest &Of, std::string_view Why,
-                                  Time Now, Actions &Out) {
+void AttemptEndHandler::retryOrGiveUp(RunningRequest &Of, std::string_view Why,
+                                      Time Now, Actions &Out) {
   const bool Quarantined =
-      this->Uses.Poison.isQuarantined(Of.Asked.Head.Content, Now);
-  const bool Allowed = !Of.Adopted && !Quarantined && Now < Of.Asked.Deadline &&
-                       Of.Tries < this->Uses.Values.MostTries &&
-                       this->Uses.Retries.mayRetry(Of.Asked, Of.Tries, Now);
+      this->Dependencies.Poison.isQuarantined(Of.Asked.Head.Content, Now);
+  const bool Allowed =
+      !Of.Adopted && !Quarantined && Now < Of.Asked.Deadline &&
+      Of.Tries < this->Dependencies.Values.MostTries &&
+      this->Dependencies.Retries.mayRetry(Of.Asked, Of.Tries, Now);
   if (!Allowed) {
-    this->Ending.giveUp(Of.Asked.id(), Why, Now, Out);
+    this->Finisher.giveUp(Of.Asked.id(), Why, Now, Out);
     return;
   }
   Out.count("requests_retried");
@@ -169,7 +171,7 @@
               .with("tries", Of.Tries)
               .with("next_index", Of.NextIndex)
               .build());
-  this->Dispatching.enqueue(Of, Now);
+  this->RequestDispatcher.enqueue(Of, Now);
 }
 
 } // namespace banyanpick
--- a/src/plugins/requests/AttemptEnding.h
+++ b/src/plugins/requests/AttemptEndHandler.h
@@ -6,11 +6,12 @@
 
 namespace banyanpick {
 
-class AttemptEnding {
+class AttemptEndHandler {
 public:
-  AttemptEnding(RequestServices &Uses, RunningRequests &Table,
-                RequestEnding &Ending, Dispatcher &Dispatching)
-      : Uses(Uses), Table(Table), Ending(Ending), Dispatching(Dispatching) {}
+  AttemptEndHandler(RequestServices &Dependencies, RunningRequests &Table,
+                    RequestFinisher &Finisher, Dispatcher &RequestDispatcher)
+      : Dependencies(Dependencies), Table(Table), Finisher(Finisher),
+        RequestDispatcher(RequestDispatcher) {}
 
   /// Tries that are not live (late, cancelled, another life's) are counted
   /// and ignored.
@@ -33,10 +34,10 @@
   void retryOrGiveUp(RunningRequest &Of, std::string_view Why, Time Now,
                      Actions &Out);
 
-  RequestServices &Uses;
+  RequestServices &Dependencies;
   RunningRequests &Table;
-  RequestEnding &Ending;
-  Dispatcher &Dispatching;
+  RequestFinisher &Finisher;
+  Dispatcher &RequestDispatcher;
 };
 
 } // namespace banyanpick
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -6,39 +6,39 @@
 
 void Dispatcher::enqueue(RunningRequest &Of, Time Now) {
   this->Table.setPhase(Of, InQueue{});
-  this->Uses.Queue.push(Of.Asked, Now);
+  this->Dependencies.Queue.push(Of.Asked, Now);
 }
 
 void Dispatcher::sweep(Time Now, Actions &Out) {
   this->SweptAt = Now;
   const auto Most =
-      static_cast<std::size_t>(this->Uses.Values.CandidatesPerSweep);
-  for (const RequestId &Id : this->Uses.Queue.candidates(Most, Now)) {
+      static_cast<std::size_t>(this->Dependencies.Values.CandidatesPerSweep);
+  for (const RequestId &Id : this->Dependencies.Queue.candidates(Most, Now)) {
     RunningRequest *Waiting = this->Table.find(Id);
     if (Waiting)
       this->tryOne(*Waiting, Now, Out);
     else
-      this->Uses.Queue.remove(Id);
+      this->Dependencies.Queue.remove(Id);
   }
 }
 
 Time Dispatcher::nextSweep() const {
-  if (this->Uses.Queue.size() == 0)
+  if (this->Dependencies.Queue.size() == 0)
     return Never;
-  return this->SweptAt + this->Uses.Values.SweepInterval;
+  return this->SweptAt + this->Dependencies.Values.SweepInterval;
 }
 
 void Dispatcher::tryOne(RunningRequest &Of, Time Now, Actions &Out) {
-  if (this->Uses.Poison.isQuarantined(Of.Asked.Head.Content, Now)) {
-    this->Ending.giveUp(Of.Asked.id(), "its content is quarantined", Now, Out,
-                        RefusalReason::Quarantined);
+  if (this->Dependencies.Poison.isQuarantined(Of.Asked.Head.Content, Now)) {
+    this->Finisher.giveUp(Of.Asked.id(), "its content is quarantined", Now, Out,
+                          RefusalReason::Quarantined);
     return;
   }
   SelectionLimits Limits;
   Limits.Excluded = Of.Excluded;
-  Limits.Isolated = this->Uses.Poison.isSuspect(Of.Asked, Now);
+  Limits.Isolated = this->Dependencies.Poison.isSuspect(Of.Asked, Now);
   const Selection Chosen =
-      this->Uses.Selector.select(Of.Asked, Limits, Now, Out);
+      this->Dependencies.Selector.select(Of.Asked, Limits, Now, Out);
   match(
       Chosen,
       [&](const Selected &Choice) { this->takeSelected(Of, Choice, Now, Out); },
@@ -49,13 +49,13 @@
 
 void Dispatcher::takeSelected(RunningRequest &Of, const Selected &Choice,
                               Time Now, Actions &Out) {
-  this->Uses.Queue.remove(Of.Asked.id());
+  this->Dependencies.Queue.remove(Of.Asked.id());
   if (Choice.Group.empty()) {
     this->dispatch(Of, Choice, {}, Now, Out);
     return;
   }
   this->Table.setPhase(Of, AwaitingGroup{Choice});
-  this->Uses.Groups.acquire(Of.Asked, Choice, Now, Out);
+  this->Dependencies.Groups.acquire(Of.Asked, Choice, Now, Out);
 }
 
 void Dispatcher::keepWaiting(RunningRequest &Of, const NothingFits &Reason,
@@ -67,19 +67,19 @@
     return;
   }
   if (Reason.Permanent) {
-    this->Ending.giveUp(Of.Asked.id(), "no upstream that lives can take it",
-                        Now, Out, RefusalReason::NoUpstream);
+    this->Finisher.giveUp(Of.Asked.id(), "no upstream that lives can take it",
+                          Now, Out, RefusalReason::NoUpstream);
     return;
   }
   if (Of.MayHaveRun)
     return;
-  for (AdmissionGate *Gate : this->Uses.Gates.all()) {
+  for (AdmissionGate *Gate : this->Dependencies.Gates.all()) {
     const auto Refusal = Gate->reconsider(Of.Asked, Now);
     if (!Refusal)
       continue;
     if (!Of.Asked.Class.Idempotent)
-      this->Uses.Claims.abandon(Of.Asked, Now, Out);
-    this->Ending.conclude(Of.Asked.id(), *Refusal, Now, Out);
+      this->Dependencies.Claims.abandon(Of.Asked, Now, Out);
+    this->Finisher.conclude(Of.Asked.id(), *Refusal, Now, Out);
     return;
   }
 }
@@ -91,7 +91,7 @@
   const auto *Waiting =
       Found ? std::get_if<AwaitingGroup>(&Found->Phase) : nullptr;
   if (!Waiting) {
-    this->Uses.Groups.release(Id, Now, Out);
+    this->Dependencies.Groups.release(Id, Now, Out);
     return;
   }
   const Selected Choice = Waiting->Choice;
@@ -104,9 +104,9 @@
 void Dispatcher::dispatch(RunningRequest &Of, const Selected &Choice,
                           std::span<const HoldId> Holds, Time Now,
                           Actions &Out) {
-  const Upstream *Where = this->Uses.Fleet.find(Choice.Upstream);
+  const Upstream *Where = this->Dependencies.Fleet.find(Choice.Upstream);
   if (!Where) {
-    this->Uses.Groups.release(Of.Asked.id(), Now, Out);
+    this->Dependencies.Groups.release(Of.Asked.id(), Now, Out);
     this->enqueue(Of, Now);
     return;
   }
@@ -128,7 +128,7 @@
 
 void Dispatcher::attach(RunningRequest &Of, const StreamHandover &Stream,
                         Time Now, Actions &Out) {
-  const Upstream *Where = this->Uses.Fleet.find(Stream.Upstream);
+  const Upstream *Where = this->Dependencies.Fleet.find(Stream.Upstream);
   if (!Where)
     return;
   Attempt Try;
@@ -146,7 +146,7 @@
 
 void Dispatcher::start(RunningRequest &Of, Attempt Try, DispatchAttempt Wanted,
                        Time Now, Actions &Out) {
-  Try.Id = {this->Uses.Self.Life, ++this->AttemptsMade};
+  Try.Id = {this->Dependencies.Self.Life, ++this->AttemptsMade};
   Try.Request = Of.Asked.id();
   Try.Upstream = Wanted.Upstream;
   Try.SentAt = Now;
@@ -165,7 +165,7 @@
   Of.MayHaveRun = true;
   this->Table.setAttempt(Of, Try);
   Out.add(std::move(Wanted));
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->dispatched(Of.Asked, Try, Now, Out);
 }
 
--- a/src/plugins/requests/Dispatcher.h
+++ b/src/plugins/requests/Dispatcher.h
@@ -2,15 +2,15 @@
 /// Takes waiting requests to upstreams.
 #pragma once
 
-#include "plugins/requests/RequestEnding.h"
+#include "plugins/requests/RequestFinisher.h"
 
 namespace banyanpick {
 
 class Dispatcher {
 public:
-  Dispatcher(RequestServices &Uses, RunningRequests &Table,
-             RequestEnding &Ending)
-      : Uses(Uses), Table(Table), Ending(Ending) {}
+  Dispatcher(RequestServices &Dependencies, RunningRequests &Table,
+             RequestFinisher &Finisher)
+      : Dependencies(Dependencies), Table(Table), Finisher(Finisher) {}
 
   /// Puts the request in the queue; it is tried by the next sweep.
   void enqueue(RunningRequest &Of, Time Now);
@@ -42,9 +42,9 @@
   void start(RunningRequest &Of, Attempt Try, DispatchAttempt Wanted, Time Now,
              Actions &Out);
 
-  RequestServices &Uses;
+  RequestServices &Dependencies;
   RunningRequests &Table;
-  RequestEnding &Ending;
+  RequestFinisher &Finisher;
   std::uint64_t AttemptsMade = 0;
   Time SweptAt{};
 };
--- a/src/plugins/requests/RequestEnding.cpp
+++ b/src/plugins/requests/RequestFinisher.cpp
@@ -1,4 +1,4 @@
-#include "plugins/requests/RequestEnding.h"
+#include "plugins/requests/RequestFinisher.h"
 
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
@@ -35,8 +35,8 @@
       [](const InProgress &) { return "in-progress"; });
 }
 
-void RequestEnding::refuse(const RequestId &Id, const ClassId &Class,
-                           const NotRun &Refusal, Actions &Out) const {
+void RequestFinisher::refuse(const RequestId &Id, const ClassId &Class,
+                             const NotRun &Refusal, Actions &Out) const {
   Out.add(AnswerRequest{Id, Refusal});
   Out.count("requests_refused", name(Refusal.Reason));
   Out.log(logEvent(events::RequestRefused)
@@ -47,15 +47,15 @@
               .build());
 }
 
-void RequestEnding::conclude(const RequestId &Id, const FinalAnswer &Answer,
-                             Time Now, Actions &Out) {
+void RequestFinisher::conclude(const RequestId &Id, const FinalAnswer &Answer,
+                               Time Now, Actions &Out) {
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
   const RunningRequest Ended = *Found;
-  this->Uses.Queue.remove(Id);
+  this->Dependencies.Queue.remove(Id);
   this->cancelRunning(Ended, Now, Out);
-  this->Uses.Groups.release(Id, Now, Out);
+  this->Dependencies.Groups.release(Id, Now, Out);
   this->Table.remove(Id);
   Out.add(AnswerRequest{Id, Answer});
   Out.count("requests_ended", kindName(Answer));
@@ -70,47 +70,49 @@
   this->notifyEnded(Ended.Asked, Answer, Now, Out);
 }
 
-void RequestEnding::giveUp(const RequestId &Id, std::string_view Why, Time Now,
-                           Actions &Out, RefusalReason Reason) {
+void RequestFinisher::giveUp(const RequestId &Id, std::string_view Why,
+                             Time Now, Actions &Out, RefusalReason Reason) {
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
   const bool Claimed = !Found->Asked.Class.Idempotent;
   if (Claimed && Found->MayHaveRun)
-    this->Uses.Claims.finish(Found->Asked, OutcomeRecord::Kind::Unknown, "",
-                             Now, Out);
+    this->Dependencies.Claims.finish(Found->Asked, OutcomeRecord::Kind::Unknown,
+                                     "", Now, Out);
   else if (Claimed)
-    this->Uses.Claims.abandon(Found->Asked, Now, Out);
-  this->conclude(
-      Id, answerWhenGivenUp(*Found, Why, Reason, this->Uses.comeBackAfter()),
-      Now, Out);
+    this->Dependencies.Claims.abandon(Found->Asked, Now, Out);
+  this->conclude(Id,
+                 answerWhenGivenUp(*Found, Why, Reason,
+                                   this->Dependencies.comeBackAfter()),
+                 Now, Out);
 }
 
-void RequestEnding::release(const RequestId &Id, Time Now, Actions &Out) {
+void RequestFinisher::release(const RequestId &Id, Time Now, Actions &Out) {
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
   const Request Asked = Found->Asked;
-  this->Uses.Queue.remove(Id);
+  this->Dependencies.Queue.remove(Id);
   this->Table.remove(Id);
   this->notifyEnded(Asked, FailedAnswer{"handed over to a peer", {}}, Now, Out);
 }
 
-void RequestEnding::notifyEnded(const Request &Asked, const FinalAnswer &Answer,
-                                Time Now, Actions &Out) {
-  for (RequestObserver *Each : this->Uses.Observers.all())
+void RequestFinisher::notifyEnded(const Request &Asked,
+                                  const FinalAnswer &Answer, Time Now,
+                                  Actions &Out) {
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->ended(Asked, Answer, Now, Out);
 }
 
-void RequestEnding::cancelRunning(const RunningRequest &Of, Time Now,
-                                  Actions &Out) {
+void RequestFinisher::cancelRunning(const RunningRequest &Of, Time Now,
+                                    Actions &Out) {
   const Attempt *Running = Of.attempt();
   if (!Running)
     return;
-  this->Uses.Canceller.cancel(Running->Id, Running->Upstream, Of.Asked.Deadline,
-                              Now, Out);
+  this->Dependencies.Canceller.cancel(Running->Id, Running->Upstream,
+                                      Of.Asked.Deadline, Now, Out);
   // The observers' books are closed as if the try had been cut here.
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->attemptEnded(Of.Asked, *Running, AttemptBroken{Of.NextIndex, false},
                        Now, Out);
 }
--- a/src/plugins/requests/RequestEnding.h
+++ b/src/plugins/requests/RequestFinisher.h
@@ -7,10 +7,10 @@
 
 namespace banyanpick {
 
-class RequestEnding {
+class RequestFinisher {
 public:
-  RequestEnding(RequestServices &Uses, RunningRequests &Table)
-      : Uses(Uses), Table(Table) {}
+  RequestFinisher(RequestServices &Dependencies, RunningRequests &Table)
+      : Dependencies(Dependencies), Table(Table) {}
 
   /// Answers a request that was never admitted.
   void refuse(const RequestId &Id, const ClassId &Class, const NotRun &Refusal,
@@ -34,7 +34,7 @@
                    Actions &Out);
   void cancelRunning(const RunningRequest &Of, Time Now, Actions &Out);
 
-  RequestServices &Uses;
+  RequestServices &Dependencies;
   RunningRequests &Table;
 };
 
--- a/src/plugins/requests/Reception.cpp
+++ b/src/plugins/requests/RequestIntake.cpp
@@ -1,4 +1,4 @@
-#include "plugins/requests/Reception.h"
+#include "plugins/requests/RequestIntake.h"
 
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
@@ -26,47 +26,52 @@
 
 } // namespace
 
-Reception::Reception(RequestServices &Uses, RunningRequests &Table,
-                     RequestEnding &Ending, Dispatcher &Dispatching)
-    : Uses(Uses), Table(Table), Ending(Ending), Dispatching(Dispatching),
-      TokenSecret(randomHex(Uses.Numbers)) {}
+RequestIntake::RequestIntake(RequestServices &Dependencies,
+                             RunningRequests &Table, RequestFinisher &Finisher,
+                             Dispatcher &RequestDispatcher)
+    : Dependencies(Dependencies), Table(Table), Finisher(Finisher),
+      RequestDispatcher(RequestDispatcher),
+      TokenSecret(randomHex(Dependencies.Numbers)) {}
 
-void Reception::arrived(const RequestArrived &Arrival, Time Now, Actions &Out) {
+void RequestIntake::arrived(const RequestArrived &Arrival, Time Now,
+                            Actions &Out) {
   const RequestHead &Head = Arrival.Head;
-  if (!this->Uses.CatalogueInForce.isReady()) {
-    this->Ending.refuse(Head.Id, Head.Class,
-                        {RefusalReason::NotReady, this->Uses.comeBackAfter(),
-                         "this host does not know the catalogue yet; ask "
-                         "another host"},
-                        Out);
+  if (!this->Dependencies.CatalogueInForce.isReady()) {
+    this->Finisher.refuse(Head.Id, Head.Class,
+                          {RefusalReason::NotReady,
+                           this->Dependencies.comeBackAfter(),
+                           "this host does not know the catalogue yet; ask "
+                           "another host"},
+                          Out);
     return;
   }
-  const auto Built = RequestBuilder(this->Uses.CatalogueInForce.catalogue())
-                         .from(Head)
-                         .at(Now)
-                         .build();
+  const auto Built =
+      RequestBuilder(this->Dependencies.CatalogueInForce.catalogue())
+          .from(Head)
+          .at(Now)
+          .build();
   match(
       Built,
       [&](const NotRun &Refusal) {
-        this->Ending.refuse(Head.Id, Head.Class, Refusal, Out);
+        this->Finisher.refuse(Head.Id, Head.Class, Refusal, Out);
       },
       [&](const Request &Asked) {
         if (const auto Refusal = this->refusalOf(Asked, Now))
-          this->Ending.refuse(Head.Id, Head.Class, *Refusal, Out);
+          this->Finisher.refuse(Head.Id, Head.Class, *Refusal, Out);
         else
           this->admit(Asked, Now, Out);
       });
 }
 
-std::optional<NotRun> Reception::refusalOf(const Request &Asked, Time Now) {
-  for (AdmissionGate *Gate : this->Uses.Gates.all()) {
+std::optional<NotRun> RequestIntake::refusalOf(const Request &Asked, Time Now) {
+  for (AdmissionGate *Gate : this->Dependencies.Gates.all()) {
     if (auto Refusal = Gate->check(Asked, Now))
       return Refusal;
   }
   return std::nullopt;
 }
 
-void Reception::admit(Request Asked, Time Now, Actions &Out) {
+void RequestIntake::admit(Request Asked, Time Now, Actions &Out) {
   RunningRequest Admitted;
   Admitted.Asked = std::move(Asked);
   if (Admitted.Asked.Head.Streamed)
@@ -81,36 +86,38 @@
               .with("prompt_tokens", Kept.Asked.Head.PromptTokens)
               .with("deadline_us", (Kept.Asked.Deadline - Now).count())
               .build());
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->admitted(Kept.Asked, Now, Out);
   if (Kept.Asked.Class.Idempotent) {
-    this->Dispatching.enqueue(Kept, Now);
+    this->RequestDispatcher.enqueue(Kept, Now);
     return;
   }
   // The claim may be decided before the call returns; the request may be gone.
   const Request Claimed = Kept.Asked;
   Kept.Phase = AwaitingClaim{};
-  this->Uses.Claims.claim(Claimed, Now, Out);
+  this->Dependencies.Claims.claim(Claimed, Now, Out);
 }
 
-void Reception::callerGone(const CallerDisconnected &Gone, Time Now,
-                           Actions &Out) {
+void RequestIntake::callerGone(const CallerDisconnected &Gone, Time Now,
+                               Actions &Out) {
   RunningRequest *Found = this->Table.find(Gone.Request);
   if (!Found)
     return;
   if (!Found->Asked.Class.Idempotent && Found->MayHaveRun)
     return;
   if (Found->ResumeToken.empty()) {
-    this->Ending.giveUp(Gone.Request, "the caller hung up", Now, Out);
+    this->Finisher.giveUp(Gone.Request, "the caller hung up", Now, Out);
     return;
   }
-  this->Table.setAbandonedAt(*Found, Now + this->Uses.Values.ResumeWindow);
+  this->Table.setAbandonedAt(*Found,
+                             Now + this->Dependencies.Values.ResumeWindow);
 }
 
-void Reception::resumeAsked(const ResumeRequest &Asked, Time, Actions &Out) {
+void RequestIntake::resumeAsked(const ResumeRequest &Asked, Time,
+                                Actions &Out) {
   RunningRequest *Found = this->Table.findByToken(Asked.ResumeToken);
-  const auto Team =
-      authenticatedTeam(this->Uses.CatalogueInForce.catalogue(), Asked.TeamKey);
+  const auto Team = authenticatedTeam(
+      this->Dependencies.CatalogueInForce.catalogue(), Asked.TeamKey);
   if (!Found || !Team || *Team != Found->Asked.Team) {
     Out.add(AnswerRequest{Asked.Request, unknownToken()});
     Out.count("resumes_refused");
@@ -121,7 +128,8 @@
   Out.count("streams_resumed");
 }
 
-void Reception::adopt(const StreamHandover &Stream, Time Now, Actions &Out) {
+void RequestIntake::adopt(const StreamHandover &Stream, Time Now,
+                          Actions &Out) {
   if (this->Table.findByToken(Stream.ResumeToken))
     return;
   RunningRequest Adopted;
@@ -134,21 +142,22 @@
   Adopted.Asked.FirstTokenBy = Stream.Deadline;
   Adopted.Asked.Deadline = Stream.Deadline;
   if (const ClassEntry *Class =
-          this->Uses.CatalogueInForce.catalogue().classOf(Stream.Class))
+          this->Dependencies.CatalogueInForce.catalogue().classOf(Stream.Class))
     Adopted.Asked.Class = *Class;
   Adopted.Asked.OutputTokens = Adopted.Asked.Class.MaxOutputTokens;
   Adopted.NextIndex = Stream.NextIndex;
   Adopted.FirstTokenSeen = true;
   Adopted.ResumeToken = Stream.ResumeToken;
   RunningRequest &Kept = this->Table.add(std::move(Adopted));
-  this->Table.setAbandonedAt(Kept, Now + this->Uses.Values.ResumeWindow);
+  this->Table.setAbandonedAt(Kept,
+                             Now + this->Dependencies.Values.ResumeWindow);
   Out.count("streams_adopted");
-  for (RequestObserver *Each : this->Uses.Observers.all())
+  for (RequestObserver *Each : this->Dependencies.Observers.all())
     Each->admitted(Kept.Asked, Now, Out);
-  this->Dispatching.attach(Kept, Stream, Now, Out);
+  this->RequestDispatcher.attach(Kept, Stream, Now, Out);
 }
 
-std::string Reception::makeResumeToken() {
+std::string RequestIntake::makeResumeToken() {
   // A keyed digest: tokens seen give no way to those of others.
   const std::string Text =
       fmt::format("{}:{}", this->TokenSecret, ++this->TokensMade);
--- a/src/plugins/requests/Reception.h
+++ b/src/plugins/requests/RequestIntake.h
@@ -6,10 +6,10 @@
 
 namespace banyanpick {
 
-class Reception {
+class RequestIntake {
 public:
-  Reception(RequestServices &Uses, RunningRequests &Table,
-            RequestEnding &Ending, Dispatcher &Dispatching);
+  RequestIntake(RequestServices &Dependencies, RunningRequests &Table,
+                RequestFinisher &Finisher, Dispatcher &RequestDispatcher);
 
   /// Admits the request or answers it with a refusal at once.
   void arrived(const RequestArrived &Arrival, Time Now, Actions &Out);
@@ -25,10 +25,10 @@
   void admit(Request Asked, Time Now, Actions &Out);
   std::string makeResumeToken();
 
-  RequestServices &Uses;
+  RequestServices &Dependencies;
   RunningRequests &Table;
-  RequestEnding &Ending;
-  Dispatcher &Dispatching;
+  RequestFinisher &Finisher;
+  Dispatcher &RequestDispatcher;
   std::string TokenSecret;
   std::uint64_t TokensMade = 0;
   std::uint64_t Adoptions = 0;
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -19,14 +19,17 @@
 } // namespace
 
 void RequestsPlugin::initialize(PluginContext &Context) {
-  this->Uses = std::make_unique<RequestServices>(Context);
-  this->Ending = std::make_unique<RequestEnding>(*this->Uses, this->Table);
-  this->Dispatching =
-      std::make_unique<Dispatcher>(*this->Uses, this->Table, *this->Ending);
-  this->Attempts = std::make_unique<AttemptEnding>(
-      *this->Uses, this->Table, *this->Ending, *this->Dispatching);
-  this->Receiving = std::make_unique<Reception>(
-      *this->Uses, this->Table, *this->Ending, *this->Dispatching);
+  this->Dependencies = std::make_unique<RequestServices>(Context);
+  this->Finisher =
+      std::make_unique<RequestFinisher>(*this->Dependencies, this->Table);
+  this->RequestDispatcher = std::make_unique<Dispatcher>(
+      *this->Dependencies, this->Table, *this->Finisher);
+  this->Attempts = std::make_unique<AttemptEndHandler>(
+      *this->Dependencies, this->Table, *this->Finisher,
+      *this->RequestDispatcher);
+  this->Intake = std::make_unique<RequestIntake>(*this->Dependencies,
+                                                 this->Table, *this->Finisher,
+                                                 *this->RequestDispatcher);
   Context.services().provide<RequestTable>(*this);
   Context.services().list<ClaimObserver>().add(*this);
   Context.services().list<GroupObserver>().add(*this);
@@ -38,13 +41,11 @@
   this->endDue(Now, Out);
   match(
       What,
-      [&](const RequestArrived &Is) { this->Receiving->arrived(Is, Now, Out); },
+      [&](const RequestArrived &Is) { this->Intake->arrived(Is, Now, Out); },
       [&](const CallerDisconnected &Is) {
-        this->Receiving->callerGone(Is, Now, Out);
-      },
-      [&](const ResumeRequest &Is) {
-        this->Receiving->resumeAsked(Is, Now, Out);
+        this->Intake->callerGone(Is, Now, Out);
       },
+      [&](const ResumeRequest &Is) { this->Intake->resumeAsked(Is, Now, Out); },
       [&](const AttemptProgressed &Is) {
         this->Attempts->progressed(Is, Now, Out);
       },
@@ -56,13 +57,13 @@
   const bool Freed = std::holds_alternative<RequestArrived>(What) ||
                      std::holds_alternative<AttemptEnded>(What) ||
                      std::holds_alternative<LogRead>(What);
-  if (this->Uses->Queue.size() != 0 &&
-      (Freed || Now >= this->Dispatching->nextSweep()))
-    this->Dispatching->sweep(Now, Out);
+  if (this->Dependencies->Queue.size() != 0 &&
+      (Freed || Now >= this->RequestDispatcher->nextSweep()))
+    this->RequestDispatcher->sweep(Now, Out);
 }
 
 Time RequestsPlugin::nextWake() const {
-  return std::min(this->Table.nextDue(), this->Dispatching->nextSweep());
+  return std::min(this->Table.nextDue(), this->RequestDispatcher->nextSweep());
 }
 
 void RequestsPlugin::checkInvariants(InvariantMonitor &Monitor,
@@ -103,12 +104,12 @@
     return;
   Out.add(RedirectCaller{Id, To, Found->ResumeToken});
   Out.count("streams_handed_over");
-  this->Ending->release(Id, Now, Out);
+  this->Finisher->release(Id, Now, Out);
 }
 
 void RequestsPlugin::adopt(const StreamHandover &Stream, Time Now,
                            Actions &Out) {
-  this->Receiving->adopt(Stream, Now, Out);
+  this->Intake->adopt(Stream, Now, Out);
 }
 
 void RequestsPlugin::claimDecided(const RequestId &Id,
@@ -119,16 +120,18 @@
     return;
   match(
       Verdict,
-      [&](const ClaimGranted &) { this->Dispatching->enqueue(*Found, Now); },
+      [&](const ClaimGranted &) {
+        this->RequestDispatcher->enqueue(*Found, Now);
+      },
       [&](const ClaimDenied &Denied) {
-        this->Ending->conclude(Id, Denied.Answer, Now, Out);
+        this->Finisher->conclude(Id, Denied.Answer, Now, Out);
       });
 }
 
 void RequestsPlugin::groupDecided(const RequestId &Id,
                                   std::span<const HoldId> Holds, Time Now,
                                   Actions &Out) {
-  this->Dispatching->groupDecided(Id, Holds, Now, Out);
+  this->RequestDispatcher->groupDecided(Id, Holds, Now, Out);
 }
 
 void RequestsPlugin::upstreamChanged(const Upstream &Changed, Time, Actions &) {
@@ -145,7 +148,7 @@
 
 void RequestsPlugin::endDue(Time Now, Actions &Out) {
   for (const RequestId &Id : this->Table.due(Now))
-    this->Ending->giveUp(Id, "its promised time is over", Now, Out);
+    this->Finisher->giveUp(Id, "its promised time is over", Now, Out);
 }
 
 } // namespace banyanpick
--- a/src/plugins/requests/RequestsPlugin.h
+++ b/src/plugins/requests/RequestsPlugin.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "kernel/Plugin.h"
-#include "plugins/requests/AttemptEnding.h"
-#include "plugins/requests/Reception.h"
+#include "plugins/requests/AttemptEndHandler.h"
+#include "plugins/requests/RequestIntake.h"
 
 #include <memory>
 
@@ -58,11 +58,11 @@
 
   RunningRequests Table;
   std::vector<DeadLife> Dead; ///< Since the last event.
-  std::unique_ptr<RequestServices> Uses;
-  std::unique_ptr<RequestEnding> Ending;
-  std::unique_ptr<Dispatcher> Dispatching;
-  std::unique_ptr<AttemptEnding> Attempts;
-  std::unique_ptr<Reception> Receiving;
+  std::unique_ptr<RequestServices> Dependencies;
+  std::unique_ptr<RequestFinisher> Finisher;
+  std::unique_ptr<Dispatcher> RequestDispatcher;
+  std::unique_ptr<AttemptEndHandler> Attempts;
+  std::unique_ptr<RequestIntake> Intake;
 };
 
 } // namespace banyanpick
