--- a/src/plugins/requests/AttemptEndHandler.cpp
+++ b/src/plugins/requests/AttemptEndHandler.cpp
@@ -24,14 +24,14 @@
          std::holds_alternative<AttemptNeverSent>(Outcome);
 }
 
-void logFailure(const RunningRequest &Of, const Attempt &Try,
+void logFailure(const RunningRequest &Entry, const Attempt &Failed,
                 const AttemptOutcome &Outcome, Actions &Out) {
   Out.count("attempts_failed", outcomeName(Outcome));
   Out.log(logEvent(events::AttemptFailed)
-              .with("request", Of.Asked.id().Value)
-              .with("upstream", Try.Upstream.Value)
+              .with("request", Entry.Original.id().Value)
+              .with("upstream", Failed.Upstream.Value)
               .with("outcome", outcomeName(Outcome))
-              .with("next_index", Of.NextIndex)
+              .with("next_index", Entry.NextIndex)
               .build());
 }
 
@@ -48,15 +48,15 @@
   if (Found->FirstTokenSeen)
     return;
   Found->FirstTokenSeen = true;
-  const Duration Took = Now - Found->Asked.ArrivedAt;
+  const Duration Took = Now - Found->Original.ArrivedAt;
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Histogram,
                             "time_to_first_token_seconds",
-                            Found->Asked.Head.Class.Value, inSeconds(Took)});
-  if (Now > Found->Asked.FirstTokenBy)
-    Out.count("first_token_promises_missed", Found->Asked.Head.Class.Value);
+                            Found->Original.Head.Class.Value, inSeconds(Took)});
+  if (Now > Found->Original.FirstTokenBy)
+    Out.count("first_token_promises_missed", Found->Original.Head.Class.Value);
   const Attempt Running = *Found->attempt();
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->firstToken(Found->Asked, Running, Now, Out);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->firstToken(Found->Original, Running, Now, Out);
 }
 
 void AttemptEndHandler::ended(const AttemptEnded &End, Time Now, Actions &Out) {
@@ -66,28 +66,28 @@
     return;
   }
   const Attempt Ended = *Found->attempt();
-  const bool FirstTry = Found->Tries == 1;
+  const bool IsFirstAttempt = Found->AttemptCount == 1;
   this->Table.setPhase(*Found, InQueue{});
   if (const auto *Broken = std::get_if<AttemptBroken>(&End.Outcome))
     Found->NextIndex = std::max(Found->NextIndex, Broken->NextIndex);
   if (!std::holds_alternative<AttemptComplete>(End.Outcome))
     logFailure(*Found, Ended, End.Outcome, Out);
   if (!surelyNotStarted(End.Outcome))
-    this->Dependencies.Groups.release(Found->Asked.id(), Now, Out);
-  this->cancelIfRunning(Ended, End.Outcome, Found->Asked.Deadline, Now, Out);
+    this->Dependencies.Groups.release(Found->Original.id(), Now, Out);
+  this->cancelIfRunning(Ended, End.Outcome, Found->Original.Deadline, Now, Out);
   Found->Excluded.insert(Ended.Upstream);
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->attemptEnded(Found->Asked, Ended, End.Outcome, Now, Out);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->attemptEnded(Found->Original, Ended, End.Outcome, Now, Out);
   match(
       End.Outcome,
       [&](const AttemptComplete &How) {
         this->complete(*Found, How, Now, Out);
       },
       [&](const AttemptRefused &) {
-        this->notStarted(*Found, FirstTry, Now, Out);
+        this->notStarted(*Found, IsFirstAttempt, Now, Out);
       },
       [&](const AttemptNeverSent &) {
-        this->notStarted(*Found, FirstTry, Now, Out);
+        this->notStarted(*Found, IsFirstAttempt, Now, Out);
       },
       [&](const AttemptBroken &) { this->broken(*Found, Now, Out); },
       [&](const AttemptFailed &How) { this->failed(*Found, How, Now, Out); });
@@ -103,75 +103,78 @@
                                         const AttemptOutcome &Outcome,
                                         Time Deadline, Time Now, Actions &Out) {
   const auto *Broken = std::get_if<AttemptBroken>(&Outcome);
-  const Upstream *Where = this->Dependencies.Fleet.find(Ended.Upstream);
-  if (!Broken || Broken->UpstreamDied || !Where ||
-      Where->Listing.Kind != UpstreamKind::Engine)
+  const Upstream *Target = this->Dependencies.Fleet.find(Ended.Upstream);
+  if (!Broken || Broken->UpstreamDied || !Target ||
+      Target->Listing.Kind != UpstreamKind::Engine)
     return;
   this->Dependencies.Canceller.cancel(Ended.Id, Ended.Upstream, Deadline, Now,
                                       Out);
 }
 
-void AttemptEndHandler::complete(RunningRequest &Of, const AttemptComplete &End,
-                                 Time Now, Actions &Out) {
-  if (!Of.Asked.Class.Idempotent)
-    this->Dependencies.Claims.finish(Of.Asked, OutcomeRecord::Kind::Done,
+void AttemptEndHandler::complete(RunningRequest &Entry,
+                                 const AttemptComplete &End, Time Now,
+                                 Actions &Out) {
+  if (!Entry.Original.Class.Idempotent)
+    this->Dependencies.Claims.finish(Entry.Original, OutcomeRecord::Kind::Done,
                                      End.Result, Now, Out);
-  this->Finisher.conclude(Of.Asked.id(), CompleteAnswer{End.Count, End.Result},
-                          Now, Out);
+  this->Finisher.conclude(Entry.Original.id(),
+                          CompleteAnswer{End.Count, End.Result}, Now, Out);
 }
 
-void AttemptEndHandler::notStarted(RunningRequest &Of, bool FirstTry, Time Now,
-                                   Actions &Out) {
-  this->Dependencies.Groups.release(Of.Asked.id(), Now, Out);
-  if (FirstTry || !Of.Asked.Class.Idempotent)
-    Of.MayHaveRun = false;
-  this->retryOrGiveUp(Of, "no upstream took it", Now, Out);
+void AttemptEndHandler::notStarted(RunningRequest &Entry, bool IsFirstAttempt,
+                                   Time Now, Actions &Out) {
+  this->Dependencies.Groups.release(Entry.Original.id(), Now, Out);
+  if (IsFirstAttempt || !Entry.Original.Class.Idempotent)
+    Entry.MayHaveRun = false;
+  this->retryOrGiveUp(Entry, "no upstream took it", Now, Out);
 }
 
-void AttemptEndHandler::broken(RunningRequest &Of, Time Now, Actions &Out) {
-  if (!Of.Asked.Class.Idempotent) {
-    this->Finisher.giveUp(Of.Asked.id(), "the upstream's answer was lost", Now,
-                          Out);
+void AttemptEndHandler::broken(RunningRequest &Entry, Time Now, Actions &Out) {
+  if (!Entry.Original.Class.Idempotent) {
+    this->Finisher.giveUp(Entry.Original.id(), "the upstream's answer was lost",
+                          Now, Out);
     return;
   }
-  this->retryOrGiveUp(Of, "the upstream's answer was cut", Now, Out);
+  this->retryOrGiveUp(Entry, "the upstream's answer was cut", Now, Out);
 }
 
-void AttemptEndHandler::failed(RunningRequest &Of, const AttemptFailed &End,
+void AttemptEndHandler::failed(RunningRequest &Entry, const AttemptFailed &End,
                                Time Now, Actions &Out) {
-  if (Of.Asked.Class.Idempotent) {
-    this->retryOrGiveUp(Of, "the upstream failed: " + End.Message, Now, Out);
+  if (Entry.Original.Class.Idempotent) {
+    this->retryOrGiveUp(Entry, "the upstream failed: " + End.Message, Now, Out);
     return;
   }
-  this->Dependencies.Claims.finish(Of.Asked, OutcomeRecord::Kind::Failed,
+  this->Dependencies.Claims.finish(Entry.Original, OutcomeRecord::Kind::Failed,
                                    End.Message, Now, Out);
   this->Finisher.conclude(
-      Of.Asked.id(),
+      Entry.Original.id(),
       FailedAnswer{"the upstream ran it and failed: " + End.Message +
                        "; ask with a new operation_key to run it anew",
-                   this->Dependencies.comeBackAfter()},
+                   this->Dependencies.retryAfter()},
       Now, Out);
 }
 
-void AttemptEndHandler::retryOrGiveUp(RunningRequest &Of, std::string_view Why,
-                                      Time Now, Actions &Out) {
+void AttemptEndHandler::retryOrGiveUp(RunningRequest &Entry,
+                                      std::string_view Why, Time Now,
+                                      Actions &Out) {
   const bool Quarantined =
-      this->Dependencies.Poison.isQuarantined(Of.Asked.Head.Content, Now);
+      this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content, Now);
   const bool Allowed =
-      !Of.Adopted && !Quarantined && Now < Of.Asked.Deadline &&
-      Of.Tries < this->Dependencies.Values.MostTries &&
-      this->Dependencies.Retries.mayRetry(Of.Asked, Of.Tries, Now);
+      !Entry.Adopted && !Quarantined && Now < Entry.Original.Deadline &&
+      Entry.AttemptCount < this->Dependencies.Options.MaxAttempts &&
+      this->Dependencies.Retries.mayRetry(Entry.Original, Entry.AttemptCount,
+                                          Now);
   if (!Allowed) {
-    this->Finisher.giveUp(Of.Asked.id(), Why, Now, Out);
+    this->Finisher.giveUp(Entry.Original.id(), Why, Now, Out);
     return;
   }
   Out.count("requests_retried");
   Out.log(logEvent(events::RequestRetried)
-              .with("request", Of.Asked.id().Value)
-              .with("tries", Of.Tries)
-              .with("next_index", Of.NextIndex)
+              .with("request", Entry.Original.id().Value)
+              .with("tries", Entry.AttemptCount)
+              .with("next_index", Entry.NextIndex)
               .build());
-  this->RequestDispatcher.enqueue(Of, Now);
+  this->RequestDispatcher.enqueue(Entry, Now);
 }
 
 } // namespace banyanpick
--- a/src/plugins/requests/AttemptEndHandler.h
+++ b/src/plugins/requests/AttemptEndHandler.h
@@ -25,13 +25,14 @@
 private:
   void cancelIfRunning(const Attempt &Ended, const AttemptOutcome &Outcome,
                        Time Deadline, Time Now, Actions &Out);
-  void complete(RunningRequest &Of, const AttemptComplete &End, Time Now,
+  void complete(RunningRequest &Entry, const AttemptComplete &End, Time Now,
                 Actions &Out);
-  void notStarted(RunningRequest &Of, bool FirstTry, Time Now, Actions &Out);
-  void broken(RunningRequest &Of, Time Now, Actions &Out);
-  void failed(RunningRequest &Of, const AttemptFailed &End, Time Now,
+  void notStarted(RunningRequest &Entry, bool IsFirstAttempt, Time Now,
+                  Actions &Out);
+  void broken(RunningRequest &Entry, Time Now, Actions &Out);
+  void failed(RunningRequest &Entry, const AttemptFailed &End, Time Now,
               Actions &Out);
-  void retryOrGiveUp(RunningRequest &Of, std::string_view Why, Time Now,
+  void retryOrGiveUp(RunningRequest &Entry, std::string_view Why, Time Now,
                      Actions &Out);
 
   RequestServices &Dependencies;
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -4,15 +4,15 @@
 
 namespace banyanpick {
 
-void Dispatcher::enqueue(RunningRequest &Of, Time Now) {
-  this->Table.setPhase(Of, InQueue{});
-  this->Dependencies.Queue.push(Of.Asked, Now);
+void Dispatcher::enqueue(RunningRequest &Entry, Time Now) {
+  this->Table.setPhase(Entry, InQueue{});
+  this->Dependencies.Queue.push(Entry.Original, Now);
 }
 
 void Dispatcher::sweep(Time Now, Actions &Out) {
   this->SweptAt = Now;
   const auto Most =
-      static_cast<std::size_t>(this->Dependencies.Values.CandidatesPerSweep);
+      static_cast<std::size_t>(this->Dependencies.Options.CandidatesPerSweep);
   for (const RequestId &Id : this->Dependencies.Queue.candidates(Most, Now)) {
     RunningRequest *Waiting = this->Table.find(Id);
     if (Waiting)
@@ -25,61 +25,65 @@
 Time Dispatcher::nextSweep() const {
   if (this->Dependencies.Queue.size() == 0)
     return Never;
-  return this->SweptAt + this->Dependencies.Values.SweepInterval;
+  return this->SweptAt + this->Dependencies.Options.SweepInterval;
 }
 
-void Dispatcher::tryOne(RunningRequest &Of, Time Now, Actions &Out) {
-  if (this->Dependencies.Poison.isQuarantined(Of.Asked.Head.Content, Now)) {
-    this->Finisher.giveUp(Of.Asked.id(), "its content is quarantined", Now, Out,
-                          RefusalReason::Quarantined);
+void Dispatcher::tryOne(RunningRequest &Entry, Time Now, Actions &Out) {
+  if (this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content,
+                                              Now)) {
+    this->Finisher.giveUp(Entry.Original.id(), "its content is quarantined",
+                          Now, Out, RefusalReason::Quarantined);
     return;
   }
   SelectionLimits Limits;
-  Limits.Excluded = Of.Excluded;
-  Limits.Isolated = this->Dependencies.Poison.isSuspect(Of.Asked, Now);
+  Limits.Excluded = Entry.Excluded;
+  Limits.Isolated = this->Dependencies.Poison.isSuspect(Entry.Original, Now);
   const Selection Chosen =
-      this->Dependencies.Selector.select(Of.Asked, Limits, Now, Out);
+      this->Dependencies.Selector.select(Entry.Original, Limits, Now, Out);
   match(
       Chosen,
-      [&](const Selected &Choice) { this->takeSelected(Of, Choice, Now, Out); },
+      [&](const Selected &Choice) {
+        this->takeSelected(Entry, Choice, Now, Out);
+      },
       [&](const NothingFits &Reason) {
-        this->keepWaiting(Of, Reason, Now, Out);
+        this->keepWaiting(Entry, Reason, Now, Out);
       });
 }
 
-void Dispatcher::takeSelected(RunningRequest &Of, const Selected &Choice,
+void Dispatcher::takeSelected(RunningRequest &Entry, const Selected &Choice,
                               Time Now, Actions &Out) {
-  this->Dependencies.Queue.remove(Of.Asked.id());
+  this->Dependencies.Queue.remove(Entry.Original.id());
   if (Choice.Group.empty()) {
-    this->dispatch(Of, Choice, {}, Now, Out);
+    this->dispatch(Entry, Choice, {}, Now, Out);
     return;
   }
-  this->Table.setPhase(Of, AwaitingGroup{Choice});
-  this->Dependencies.Groups.acquire(Of.Asked, Choice, Now, Out);
+  this->Table.setPhase(Entry, AwaitingGroup{Choice});
+  this->Dependencies.Groups.acquire(Entry.Original, Choice, Now, Out);
 }
 
-void Dispatcher::keepWaiting(RunningRequest &Of, const NothingFits &Reason,
+void Dispatcher::keepWaiting(RunningRequest &Entry, const NothingFits &Reason,
                              Time Now, Actions &Out) {
-  if (!Of.Excluded.empty()) {
+  if (!Entry.Excluded.empty()) {
     // Every upstream that could take it now was tried; the next sweep begins
     // anew with all. At once it would only use the tries up.
-    Of.Excluded.clear();
+    Entry.Excluded.clear();
     return;
   }
   if (Reason.Permanent) {
-    this->Finisher.giveUp(Of.Asked.id(), "no upstream that lives can take it",
-                          Now, Out, RefusalReason::NoUpstream);
+    this->Finisher.giveUp(Entry.Original.id(),
+                          "no upstream that lives can take it", Now, Out,
+                          RefusalReason::NoUpstream);
     return;
   }
-  if (Of.MayHaveRun)
+  if (Entry.MayHaveRun)
     return;
   for (AdmissionGate *Gate : this->Dependencies.Gates.all()) {
-    const auto Refusal = Gate->reconsider(Of.Asked, Now);
+    const auto Refusal = Gate->reconsider(Entry.Original, Now);
     if (!Refusal)
       continue;
-    if (!Of.Asked.Class.Idempotent)
-      this->Dependencies.Claims.abandon(Of.Asked, Now, Out);
-    this->Finisher.conclude(Of.Asked.id(), *Refusal, Now, Out);
+    if (!Entry.Original.Class.Idempotent)
+      this->Dependencies.Claims.abandon(Entry.Original, Now, Out);
+    this->Finisher.conclude(Entry.Original.id(), *Refusal, Now, Out);
     return;
   }
 }
@@ -101,72 +105,72 @@
     this->dispatch(*Found, Choice, Holds, Now, Out);
 }
 
-void Dispatcher::dispatch(RunningRequest &Of, const Selected &Choice,
+void Dispatcher::dispatch(RunningRequest &Entry, const Selected &Choice,
                           std::span<const HoldId> Holds, Time Now,
                           Actions &Out) {
-  const Upstream *Where = this->Dependencies.Fleet.find(Choice.Upstream);
-  if (!Where) {
-    this->Dependencies.Groups.release(Of.Asked.id(), Now, Out);
-    this->enqueue(Of, Now);
+  const Upstream *Target = this->Dependencies.Fleet.find(Choice.Upstream);
+  if (!Target) {
+    this->Dependencies.Groups.release(Entry.Original.id(), Now, Out);
+    this->enqueue(Entry, Now);
     return;
   }
-  Attempt Try;
-  Try.UpstreamLife = Where->Listing.Life;
-  Try.StartIndex = Of.NextIndex;
-  Try.NextIndex = Of.NextIndex;
-  Try.UncachedTokens = Choice.UncachedTokens;
-  Try.Priority = Choice.Priority;
-  Try.Group = Choice.Group;
-
-  DispatchAttempt Wanted;
-  Wanted.Upstream = Choice.Upstream;
-  Wanted.At = Where->Listing.At;
-  Wanted.Kind = Where->Listing.Kind;
-  Wanted.Holds.assign(Holds.begin(), Holds.end());
-  this->start(Of, std::move(Try), std::move(Wanted), Now, Out);
+  Attempt NewAttempt;
+  NewAttempt.UpstreamLife = Target->Listing.Life;
+  NewAttempt.StartIndex = Entry.NextIndex;
+  NewAttempt.NextIndex = Entry.NextIndex;
+  NewAttempt.UncachedTokens = Choice.UncachedTokens;
+  NewAttempt.Priority = Choice.Priority;
+  NewAttempt.Group = Choice.Group;
+
+  DispatchAttempt Order;
+  Order.Upstream = Choice.Upstream;
+  Order.At = Target->Listing.At;
+  Order.Kind = Target->Listing.Kind;
+  Order.Holds.assign(Holds.begin(), Holds.end());
+  this->start(Entry, std::move(NewAttempt), std::move(Order), Now, Out);
 }
 
-void Dispatcher::attach(RunningRequest &Of, const StreamHandover &Stream,
+void Dispatcher::attach(RunningRequest &Entry, const StreamHandover &Stream,
                         Time Now, Actions &Out) {
-  const Upstream *Where = this->Dependencies.Fleet.find(Stream.Upstream);
-  if (!Where)
+  const Upstream *Target = this->Dependencies.Fleet.find(Stream.Upstream);
+  if (!Target)
     return;
-  Attempt Try;
-  Try.UpstreamLife = Where->Listing.Life;
-  Try.StartIndex = Stream.NextIndex;
-  Try.NextIndex = Stream.NextIndex;
-
-  DispatchAttempt Wanted;
-  Wanted.Upstream = Stream.Upstream;
-  Wanted.At = Where->Listing.At;
-  Wanted.Kind = Where->Listing.Kind;
-  Wanted.AttachTo = Stream.Attempt;
-  this->start(Of, std::move(Try), std::move(Wanted), Now, Out);
+  Attempt NewAttempt;
+  NewAttempt.UpstreamLife = Target->Listing.Life;
+  NewAttempt.StartIndex = Stream.NextIndex;
+  NewAttempt.NextIndex = Stream.NextIndex;
+
+  DispatchAttempt Order;
+  Order.Upstream = Stream.Upstream;
+  Order.At = Target->Listing.At;
+  Order.Kind = Target->Listing.Kind;
+  Order.AttachTo = Stream.Attempt;
+  this->start(Entry, std::move(NewAttempt), std::move(Order), Now, Out);
 }
 
-void Dispatcher::start(RunningRequest &Of, Attempt Try, DispatchAttempt Wanted,
-                       Time Now, Actions &Out) {
-  Try.Id = {this->Dependencies.Self.Life, ++this->AttemptsMade};
-  Try.Request = Of.Asked.id();
-  Try.Upstream = Wanted.Upstream;
-  Try.SentAt = Now;
-
-  Wanted.Attempt = Try.Id;
-  Wanted.Request = Of.Asked.id();
-  Wanted.TargetName = Of.Asked.Class.TargetName;
-  Wanted.Priority = Try.Priority;
-  Wanted.MaxOutputTokens = Of.Asked.OutputTokens;
-  Wanted.NextIndex = Of.NextIndex;
-  Wanted.Deadline = Of.Asked.Deadline;
-
-  ++Of.Tries;
+void Dispatcher::start(RunningRequest &Entry, Attempt NewAttempt,
+                       DispatchAttempt Order, Time Now, Actions &Out) {
+  NewAttempt.Id = {this->Dependencies.Self.Life, ++this->AttemptsMade};
+  NewAttempt.Request = Entry.Original.id();
+  NewAttempt.Upstream = Order.Upstream;
+  NewAttempt.SentAt = Now;
+
+  Order.Attempt = NewAttempt.Id;
+  Order.Request = Entry.Original.id();
+  Order.TargetName = Entry.Original.Class.TargetName;
+  Order.Priority = NewAttempt.Priority;
+  Order.MaxOutputTokens = Entry.Original.OutputTokens;
+  Order.NextIndex = Entry.NextIndex;
+  Order.Deadline = Entry.Original.Deadline;
+
+  ++Entry.AttemptCount;
   // From here on only the upstream's or the transport's word can show that it
   // did not run.
-  Of.MayHaveRun = true;
-  this->Table.setAttempt(Of, Try);
-  Out.add(std::move(Wanted));
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->dispatched(Of.Asked, Try, Now, Out);
+  Entry.MayHaveRun = true;
+  this->Table.setAttempt(Entry, NewAttempt);
+  Out.add(std::move(Order));
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->dispatched(Entry.Original, NewAttempt, Now, Out);
 }
 
 } // namespace banyanpick
--- a/src/plugins/requests/Dispatcher.h
+++ b/src/plugins/requests/Dispatcher.h
@@ -13,7 +13,7 @@
       : Dependencies(Dependencies), Table(Table), Finisher(Finisher) {}
 
   /// Puts the request in the queue; it is tried by the next sweep.
-  void enqueue(RunningRequest &Of, Time Now);
+  void enqueue(RunningRequest &Entry, Time Now);
 
   /// Tries waiting requests, those most entitled first, and ends those that
   /// can't keep their promise any more.
@@ -25,22 +25,22 @@
                     Time Now, Actions &Out);
 
   /// Attaches to the running attempt of a stream that a peer handed over.
-  void attach(RunningRequest &Of, const StreamHandover &Stream, Time Now,
+  void attach(RunningRequest &Entry, const StreamHandover &Stream, Time Now,
               Actions &Out);
 
   /// When the next sweep is due at the latest.
   Time nextSweep() const;
 
 private:
-  void tryOne(RunningRequest &Of, Time Now, Actions &Out);
-  void takeSelected(RunningRequest &Of, const Selected &Choice, Time Now,
+  void tryOne(RunningRequest &Entry, Time Now, Actions &Out);
+  void takeSelected(RunningRequest &Entry, const Selected &Choice, Time Now,
                     Actions &Out);
-  void keepWaiting(RunningRequest &Of, const NothingFits &Reason, Time Now,
+  void keepWaiting(RunningRequest &Entry, const NothingFits &Reason, Time Now,
                    Actions &Out);
-  void dispatch(RunningRequest &Of, const Selected &Choice,
+  void dispatch(RunningRequest &Entry, const Selected &Choice,
                 std::span<const HoldId> Holds, Time Now, Actions &Out);
-  void start(RunningRequest &Of, Attempt Try, DispatchAttempt Wanted, Time Now,
-             Actions &Out);
+  void start(RunningRequest &Entry, Attempt NewAttempt, DispatchAttempt Order,
+             Time Now, Actions &Out);
 
   RequestServices &Dependencies;
   RunningRequests &Table;
--- a/src/plugins/requests/RequestBuilder.cpp
+++ b/src/plugins/requests/RequestBuilder.cpp
@@ -55,24 +55,25 @@
 
 } // namespace
 
-std::optional<TeamId> authenticatedTeam(const Catalogue &InForce,
+std::optional<TeamId> authenticatedTeam(const Catalogue &CurrentCatalogue,
                                         std::string_view TeamKey) {
   const auto Presented = splitKey(TeamKey);
   if (!Presented)
     return std::nullopt;
   const TeamId Team{std::string(Presented->Name)};
-  const TeamEntry *Entry = InForce.team(Team);
+  const TeamEntry *Entry = CurrentCatalogue.team(Team);
   if (!Entry || !matchesDigest(Presented->Secret, Entry->Key))
     return std::nullopt;
   return Team;
 }
 
 std::variant<Request, NotRun> RequestBuilder::build() const {
-  const auto Team = authenticatedTeam(this->InForce, this->Head.TeamKey);
+  const auto Team =
+      authenticatedTeam(this->CurrentCatalogue, this->Head.TeamKey);
   if (!Team)
     return notAllowed();
-  const TeamEntry &Entry = *this->InForce.team(*Team);
-  const ClassEntry *Class = this->InForce.classOf(this->Head.Class);
+  const TeamEntry &Entry = *this->CurrentCatalogue.team(*Team);
+  const ClassEntry *Class = this->CurrentCatalogue.classOf(this->Head.Class);
   if (!Class || !mayUse(Entry, this->Head.Class))
     return notAllowed();
   if (auto Flaw = flawOf(this->Head, *Class))
--- a/src/plugins/requests/RequestBuilder.h
+++ b/src/plugins/requests/RequestBuilder.h
@@ -12,7 +12,8 @@
 /// `RequestBuilder(Catalogue).from(Head).at(Now).build()`.
 class RequestBuilder {
 public:
-  explicit RequestBuilder(const Catalogue &InForce) : InForce(InForce) {}
+  explicit RequestBuilder(const Catalogue &CurrentCatalogue)
+      : CurrentCatalogue(CurrentCatalogue) {}
 
   RequestBuilder &from(const RequestHead &Sent) {
     this->Head = Sent;
@@ -28,13 +29,13 @@
   std::variant<Request, NotRun> build() const;
 
 private:
-  const Catalogue &InForce;
+  const Catalogue &CurrentCatalogue;
   RequestHead Head;
   Time Arrival{};
 };
 
 /// The team whose key this is, or nothing.
-std::optional<TeamId> authenticatedTeam(const Catalogue &InForce,
+std::optional<TeamId> authenticatedTeam(const Catalogue &CurrentCatalogue,
                                         std::string_view TeamKey);
 
 } // namespace banyanpick
--- a/src/plugins/requests/RequestFinisher.cpp
+++ b/src/plugins/requests/RequestFinisher.cpp
@@ -12,12 +12,12 @@
 
 /// The answer to a request that is given up now: as much as is known of
 /// whether it ran.
-FinalAnswer answerWhenGivenUp(const RunningRequest &Of, std::string_view Why,
+FinalAnswer answerWhenGivenUp(const RunningRequest &Entry, std::string_view Why,
                               RefusalReason Reason, Duration RetryAfter) {
-  if (!Of.MayHaveRun)
+  if (!Entry.MayHaveRun)
     return NotRun{Reason, RetryAfter,
                   std::string(Why) + "; ask again after the time given"};
-  if (Of.Asked.Class.Idempotent)
+  if (Entry.Original.Class.Idempotent)
     return FailedAnswer{std::string(Why) + "; ask again after the time given",
                         RetryAfter};
   return OutcomeUnknown{std::string(Why) + "; " + std::string(ReadTheOutcome),
@@ -61,13 +61,13 @@
   Out.count("requests_ended", kindName(Answer));
   Out.log(logEvent(events::RequestEnded)
               .with("request", Id.Value)
-              .with("team", Ended.Asked.Team.Value)
-              .with("class", Ended.Asked.Head.Class.Value)
+              .with("team", Ended.Original.Team.Value)
+              .with("class", Ended.Original.Head.Class.Value)
               .with("answer", kindName(Answer))
-              .with("tries", Ended.Tries)
-              .with("took_us", (Now - Ended.Asked.ArrivedAt).count())
+              .with("tries", Ended.AttemptCount)
+              .with("took_us", (Now - Ended.Original.ArrivedAt).count())
               .build());
-  this->notifyEnded(Ended.Asked, Answer, Now, Out);
+  this->notifyEnded(Ended.Original, Answer, Now, Out);
 }
 
 void RequestFinisher::giveUp(const RequestId &Id, std::string_view Why,
@@ -75,46 +75,47 @@
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
-  const bool Claimed = !Found->Asked.Class.Idempotent;
+  const bool Claimed = !Found->Original.Class.Idempotent;
   if (Claimed && Found->MayHaveRun)
-    this->Dependencies.Claims.finish(Found->Asked, OutcomeRecord::Kind::Unknown,
-                                     "", Now, Out);
+    this->Dependencies.Claims.finish(
+        Found->Original, OutcomeRecord::Kind::Unknown, "", Now, Out);
   else if (Claimed)
-    this->Dependencies.Claims.abandon(Found->Asked, Now, Out);
-  this->conclude(Id,
-                 answerWhenGivenUp(*Found, Why, Reason,
-                                   this->Dependencies.comeBackAfter()),
-                 Now, Out);
+    this->Dependencies.Claims.abandon(Found->Original, Now, Out);
+  this->conclude(
+      Id,
+      answerWhenGivenUp(*Found, Why, Reason, this->Dependencies.retryAfter()),
+      Now, Out);
 }
 
 void RequestFinisher::release(const RequestId &Id, Time Now, Actions &Out) {
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
-  const Request Asked = Found->Asked;
+  const Request Original = Found->Original;
   this->Dependencies.Queue.remove(Id);
   this->Table.remove(Id);
-  this->notifyEnded(Asked, FailedAnswer{"handed over to a peer", {}}, Now, Out);
+  this->notifyEnded(Original, FailedAnswer{"handed over to a peer", {}}, Now,
+                    Out);
 }
 
-void RequestFinisher::notifyEnded(const Request &Asked,
+void RequestFinisher::notifyEnded(const Request &Original,
                                   const FinalAnswer &Answer, Time Now,
                                   Actions &Out) {
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->ended(Asked, Answer, Now, Out);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->ended(Original, Answer, Now, Out);
 }
 
-void RequestFinisher::cancelRunning(const RunningRequest &Of, Time Now,
+void RequestFinisher::cancelRunning(const RunningRequest &Entry, Time Now,
                                     Actions &Out) {
-  const Attempt *Running = Of.attempt();
+  const Attempt *Running = Entry.attempt();
   if (!Running)
     return;
   this->Dependencies.Canceller.cancel(Running->Id, Running->Upstream,
-                                      Of.Asked.Deadline, Now, Out);
+                                      Entry.Original.Deadline, Now, Out);
   // The observers' books are closed as if the try had been cut here.
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->attemptEnded(Of.Asked, *Running, AttemptBroken{Of.NextIndex, false},
-                       Now, Out);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->attemptEnded(Entry.Original, *Running,
+                           AttemptBroken{Entry.NextIndex, false}, Now, Out);
 }
 
 } // namespace banyanpick
--- a/src/plugins/requests/RequestFinisher.h
+++ b/src/plugins/requests/RequestFinisher.h
@@ -30,9 +30,9 @@
   void release(const RequestId &Id, Time Now, Actions &Out);
 
 private:
-  void notifyEnded(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void notifyEnded(const Request &Original, const FinalAnswer &Answer, Time Now,
                    Actions &Out);
-  void cancelRunning(const RunningRequest &Of, Time Now, Actions &Out);
+  void cancelRunning(const RunningRequest &Entry, Time Now, Actions &Out);
 
   RequestServices &Dependencies;
   RunningRequests &Table;
--- a/src/plugins/requests/RequestIntake.cpp
+++ b/src/plugins/requests/RequestIntake.cpp
@@ -14,9 +14,9 @@
 /// Ids of adopted streams; traffic threads count their own from 1.
 constexpr std::uint64_t FirstAdoptedId = std::uint64_t(1) << 63;
 
-std::string randomHex(Random &Numbers) {
-  return fmt::format("{:016x}{:016x}", Numbers.below(~std::uint64_t(0)),
-                     Numbers.below(~std::uint64_t(0)));
+std::string randomHex(Random &RandomSource) {
+  return fmt::format("{:016x}{:016x}", RandomSource.below(~std::uint64_t(0)),
+                     RandomSource.below(~std::uint64_t(0)));
 }
 
 NotRun unknownToken() {
@@ -31,22 +31,22 @@
                              Dispatcher &RequestDispatcher)
     : Dependencies(Dependencies), Table(Table), Finisher(Finisher),
       RequestDispatcher(RequestDispatcher),
-      TokenSecret(randomHex(Dependencies.Numbers)) {}
+      TokenSecret(randomHex(Dependencies.RandomSource)) {}
 
 void RequestIntake::arrived(const RequestArrived &Arrival, Time Now,
                             Actions &Out) {
   const RequestHead &Head = Arrival.Head;
-  if (!this->Dependencies.CatalogueInForce.isReady()) {
+  if (!this->Dependencies.CurrentCatalogue.isReady()) {
     this->Finisher.refuse(Head.Id, Head.Class,
                           {RefusalReason::NotReady,
-                           this->Dependencies.comeBackAfter(),
+                           this->Dependencies.retryAfter(),
                            "this host does not know the catalogue yet; ask "
                            "another host"},
                           Out);
     return;
   }
   const auto Built =
-      RequestBuilder(this->Dependencies.CatalogueInForce.catalogue())
+      RequestBuilder(this->Dependencies.CurrentCatalogue.catalogue())
           .from(Head)
           .at(Now)
           .build();
@@ -55,46 +55,47 @@
       [&](const NotRun &Refusal) {
         this->Finisher.refuse(Head.Id, Head.Class, Refusal, Out);
       },
-      [&](const Request &Asked) {
-        if (const auto Refusal = this->refusalOf(Asked, Now))
+      [&](const Request &Original) {
+        if (const auto Refusal = this->refusalOf(Original, Now))
           this->Finisher.refuse(Head.Id, Head.Class, *Refusal, Out);
         else
-          this->admit(Asked, Now, Out);
+          this->admit(Original, Now, Out);
       });
 }
 
-std::optional<NotRun> RequestIntake::refusalOf(const Request &Asked, Time Now) {
+std::optional<NotRun> RequestIntake::refusalOf(const Request &Original,
+                                               Time Now) {
   for (AdmissionGate *Gate : this->Dependencies.Gates.all()) {
-    if (auto Refusal = Gate->check(Asked, Now))
+    if (auto Refusal = Gate->check(Original, Now))
       return Refusal;
   }
   return std::nullopt;
 }
 
-void RequestIntake::admit(Request Asked, Time Now, Actions &Out) {
+void RequestIntake::admit(Request Original, Time Now, Actions &Out) {
   RunningRequest Admitted;
-  Admitted.Asked = std::move(Asked);
-  if (Admitted.Asked.Head.Streamed)
+  Admitted.Original = std::move(Original);
+  if (Admitted.Original.Head.Streamed)
     Admitted.ResumeToken = this->makeResumeToken();
-  RunningRequest &Kept = this->Table.add(std::move(Admitted));
-  Out.add(AcceptRequest{Kept.Asked.id(), Kept.ResumeToken});
-  Out.count("requests_admitted", Kept.Asked.Head.Class.Value);
+  RunningRequest &Entry = this->Table.add(std::move(Admitted));
+  Out.add(AcceptRequest{Entry.Original.id(), Entry.ResumeToken});
+  Out.count("requests_admitted", Entry.Original.Head.Class.Value);
   Out.log(logEvent(events::RequestAdmitted)
-              .with("request", Kept.Asked.id().Value)
-              .with("team", Kept.Asked.Team.Value)
-              .with("class", Kept.Asked.Head.Class.Value)
-              .with("prompt_tokens", Kept.Asked.Head.PromptTokens)
-              .with("deadline_us", (Kept.Asked.Deadline - Now).count())
+              .with("request", Entry.Original.id().Value)
+              .with("team", Entry.Original.Team.Value)
+              .with("class", Entry.Original.Head.Class.Value)
+              .with("prompt_tokens", Entry.Original.Head.PromptTokens)
+              .with("deadline_us", (Entry.Original.Deadline - Now).count())
               .build());
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->admitted(Kept.Asked, Now, Out);
-  if (Kept.Asked.Class.Idempotent) {
-    this->RequestDispatcher.enqueue(Kept, Now);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->admitted(Entry.Original, Now, Out);
+  if (Entry.Original.Class.Idempotent) {
+    this->RequestDispatcher.enqueue(Entry, Now);
     return;
   }
   // The claim may be decided before the call returns; the request may be gone.
-  const Request Claimed = Kept.Asked;
-  Kept.Phase = AwaitingClaim{};
+  const Request Claimed = Entry.Original;
+  Entry.Phase = AwaitingClaim{};
   this->Dependencies.Claims.claim(Claimed, Now, Out);
 }
 
@@ -103,28 +104,29 @@
   RunningRequest *Found = this->Table.find(Gone.Request);
   if (!Found)
     return;
-  if (!Found->Asked.Class.Idempotent && Found->MayHaveRun)
+  if (!Found->Original.Class.Idempotent && Found->MayHaveRun)
     return;
   if (Found->ResumeToken.empty()) {
     this->Finisher.giveUp(Gone.Request, "the caller hung up", Now, Out);
     return;
   }
-  this->Table.setAbandonedAt(*Found,
-                             Now + this->Dependencies.Values.ResumeWindow);
+  this->Table.setAbandonAt(*Found,
+                           Now + this->Dependencies.Options.ResumeWindow);
 }
 
-void RequestIntake::resumeAsked(const ResumeRequest &Asked, Time,
+void RequestIntake::resumeAsked(const ResumeRequest &Original, Time,
                                 Actions &Out) {
-  RunningRequest *Found = this->Table.findByToken(Asked.ResumeToken);
+  RunningRequest *Found = this->Table.findByToken(Original.ResumeToken);
   const auto Team = authenticatedTeam(
-      this->Dependencies.CatalogueInForce.catalogue(), Asked.TeamKey);
-  if (!Found || !Team || *Team != Found->Asked.Team) {
-    Out.add(AnswerRequest{Asked.Request, unknownToken()});
+      this->Dependencies.CurrentCatalogue.catalogue(), Original.TeamKey);
+  if (!Found || !Team || *Team != Found->Original.Team) {
+    Out.add(AnswerRequest{Original.Request, unknownToken()});
     Out.count("resumes_refused");
     return;
   }
-  this->Table.setAbandonedAt(*Found, std::nullopt);
-  Out.add(JoinStream{Asked.Request, Found->Asked.id(), Asked.NextIndex});
+  this->Table.setAbandonAt(*Found, std::nullopt);
+  Out.add(
+      JoinStream{Original.Request, Found->Original.id(), Original.NextIndex});
   Out.count("streams_resumed");
 }
 
@@ -134,27 +136,27 @@
     return;
   RunningRequest Adopted;
   Adopted.Adopted = true;
-  Adopted.Asked.Head.Id = RequestId(FirstAdoptedId + ++this->Adoptions);
-  Adopted.Asked.Head.Class = Stream.Class;
-  Adopted.Asked.Head.Streamed = true;
-  Adopted.Asked.Team = Stream.Team;
-  Adopted.Asked.ArrivedAt = Now;
-  Adopted.Asked.FirstTokenBy = Stream.Deadline;
-  Adopted.Asked.Deadline = Stream.Deadline;
+  Adopted.Original.Head.Id = RequestId(FirstAdoptedId + ++this->Adoptions);
+  Adopted.Original.Head.Class = Stream.Class;
+  Adopted.Original.Head.Streamed = true;
+  Adopted.Original.Team = Stream.Team;
+  Adopted.Original.ArrivedAt = Now;
+  Adopted.Original.FirstTokenBy = Stream.Deadline;
+  Adopted.Original.Deadline = Stream.Deadline;
   if (const ClassEntry *Class =
-          this->Dependencies.CatalogueInForce.catalogue().classOf(Stream.Class))
-    Adopted.Asked.Class = *Class;
-  Adopted.Asked.OutputTokens = Adopted.Asked.Class.MaxOutputTokens;
+          this->Dependencies.CurrentCatalogue.catalogue().classOf(Stream.Class))
+    Adopted.Original.Class = *Class;
+  Adopted.Original.OutputTokens = Adopted.Original.Class.MaxOutputTokens;
   Adopted.NextIndex = Stream.NextIndex;
   Adopted.FirstTokenSeen = true;
   Adopted.ResumeToken = Stream.ResumeToken;
-  RunningRequest &Kept = this->Table.add(std::move(Adopted));
-  this->Table.setAbandonedAt(Kept,
-                             Now + this->Dependencies.Values.ResumeWindow);
+  RunningRequest &Entry = this->Table.add(std::move(Adopted));
+  this->Table.setAbandonAt(Entry,
+                           Now + this->Dependencies.Options.ResumeWindow);
   Out.count("streams_adopted");
-  for (RequestObserver *Each : this->Dependencies.Observers.all())
-    Each->admitted(Kept.Asked, Now, Out);
-  this->RequestDispatcher.attach(Kept, Stream, Now, Out);
+  for (RequestObserver *Observer : this->Dependencies.Observers.all())
+    Observer->admitted(Entry.Original, Now, Out);
+  this->RequestDispatcher.attach(Entry, Stream, Now, Out);
 }
 
 std::string RequestIntake::makeResumeToken() {
--- a/src/plugins/requests/RequestIntake.h
+++ b/src/plugins/requests/RequestIntake.h
@@ -16,13 +16,13 @@
   /// A stream waits for its caller for a while; everything else is given up,
   /// but for a non-idempotent call that may have started.
   void callerGone(const CallerDisconnected &Gone, Time Now, Actions &Out);
-  void resumeAsked(const ResumeRequest &Asked, Time Now, Actions &Out);
+  void resumeAsked(const ResumeRequest &Original, Time Now, Actions &Out);
   /// Serves a peer's stream from its running attempt.
   void adopt(const StreamHandover &Stream, Time Now, Actions &Out);
 
 private:
-  std::optional<NotRun> refusalOf(const Request &Asked, Time Now);
-  void admit(Request Asked, Time Now, Actions &Out);
+  std::optional<NotRun> refusalOf(const Request &Original, Time Now);
+  void admit(Request Original, Time Now, Actions &Out);
   std::string makeResumeToken();
 
   RequestServices &Dependencies;
--- a/src/plugins/requests/RequestServices.h
+++ b/src/plugins/requests/RequestServices.h
@@ -12,7 +12,7 @@
   Duration SweepInterval{}; ///< How often waiting requests are judged again.
   Duration RetryAfter{};    ///< Hint when nothing better is known.
   std::uint64_t CandidatesPerSweep = 0; ///< Waiting requests tried at once.
-  std::uint32_t MostTries = 0;
+  std::uint32_t MaxAttempts = 0;
 
   static std::vector<SettingDeclaration> declarations();
   static RequestsSettings from(const Settings &Values);
@@ -22,9 +22,9 @@
 struct RequestServices {
   explicit RequestServices(PluginContext &Context)
       : Self(Context.self()),
-        Values(RequestsSettings::from(Context.settings())),
-        Numbers(Context.random()),
-        CatalogueInForce(Context.services().get<CatalogueView>()),
+        Options(RequestsSettings::from(Context.settings())),
+        RandomSource(Context.random()),
+        CurrentCatalogue(Context.services().get<CatalogueView>()),
         Fleet(Context.services().get<FleetView>()),
         Selector(Context.services().get<UpstreamSelector>()),
         Queue(Context.services().get<DispatchQueue>()),
@@ -37,9 +37,9 @@
         Observers(Context.services().list<RequestObserver>()) {}
 
   const Identity &Self;
-  RequestsSettings Values;
-  Random &Numbers;
-  CatalogueView &CatalogueInForce;
+  RequestsSettings Options;
+  Random &RandomSource;
+  CatalogueView &CurrentCatalogue;
   FleetView &Fleet;
   UpstreamSelector &Selector;
   DispatchQueue &Queue;
@@ -52,9 +52,9 @@
   ServiceList<RequestObserver> &Observers;
 
   /// The come-back hint, spread so that callers do not return in step.
-  Duration comeBackAfter() {
-    const auto Base = this->Values.RetryAfter;
-    return Base + fromSeconds(inSeconds(Base) * this->Numbers.fraction());
+  Duration retryAfter() {
+    const auto Base = this->Options.RetryAfter;
+    return Base + fromSeconds(inSeconds(Base) * this->RandomSource.fraction());
   }
 };
 
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -74,7 +74,7 @@
 
 const Request *RequestsPlugin::find(const RequestId &Id) const {
   const RunningRequest *Found = this->Table.find(Id);
-  return Found ? &Found->Asked : nullptr;
+  return Found ? &Found->Original : nullptr;
 }
 
 const Attempt *RequestsPlugin::attemptOf(const RequestId &Id) const {
@@ -84,7 +84,7 @@
 
 const Request *RequestsPlugin::owner(const AttemptId &Id) const {
   const RunningRequest *Found = this->Table.findByAttempt(Id);
-  return Found ? &Found->Asked : nullptr;
+  return Found ? &Found->Original : nullptr;
 }
 
 std::string RequestsPlugin::resumeToken(const RequestId &Id) const {
--- a/src/plugins/requests/RequestsSettings.cpp
+++ b/src/plugins/requests/RequestsSettings.cpp
@@ -35,7 +35,7 @@
   Result.SweepInterval = Values.span(Section, "sweep_interval");
   Result.RetryAfter = Values.span(Section, "come_back_after");
   Result.CandidatesPerSweep = Values.whole(Section, "candidates_per_sweep");
-  Result.MostTries =
+  Result.MaxAttempts =
       static_cast<std::uint32_t>(Values.whole(Section, "most_tries"));
   return Result;
 }
--- a/src/plugins/requests/RunningRequest.h
+++ b/src/plugins/requests/RunningRequest.h
@@ -21,7 +21,7 @@
 };
 /// Runs on an upstream.
 struct OnUpstream {
-  Attempt Try;
+  Attempt Current;
 };
 
 using RequestPhase =
@@ -29,9 +29,9 @@
 
 /// An admitted request until its final answer.
 struct RunningRequest {
-  Request Asked;
+  Request Original;
   RequestPhase Phase = InQueue{};
-  std::uint32_t Tries = 0;
+  std::uint32_t AttemptCount = 0;
   /// A try may have started on an upstream: "not run" is no longer true.
   bool MayHaveRun = false;
   bool FirstTokenSeen = false;
@@ -39,14 +39,14 @@
   std::set<UpstreamId> Excluded;
   std::string ResumeToken;
   /// Set while no caller is connected: when the stream is given up.
-  std::optional<Time> AbandonedAt;
+  std::optional<Time> AbandonAt;
   /// A stream of a peer: its prompt is not here, so it can't be tried anew.
   bool Adopted = false;
 
   /// The attempt that runs now, or null.
   const Attempt *attempt() const {
     const auto *Running = std::get_if<OnUpstream>(&this->Phase);
-    return Running ? &Running->Try : nullptr;
+    return Running ? &Running->Current : nullptr;
   }
 };
 
--- a/src/plugins/requests/RunningRequests.cpp
+++ b/src/plugins/requests/RunningRequests.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// When the request ends at the latest.
-Time limitOf(const RunningRequest &Of) {
-  return std::min(Of.Asked.Deadline, Of.AbandonedAt.value_or(Never));
+Time limitOf(const RunningRequest &Entry) {
+  return std::min(Entry.Original.Deadline, Entry.AbandonAt.value_or(Never));
 }
 
 } // namespace
 
 RunningRequest &RunningRequests::add(RunningRequest Admitted) {
-  const RequestId Id = Admitted.Asked.id();
+  const RequestId Id = Admitted.Original.id();
   this->Limits.emplace(limitOf(Admitted), Id);
   if (!Admitted.ResumeToken.empty())
     this->Tokens.emplace(Admitted.ResumeToken, Id);
@@ -70,23 +70,23 @@
   return Found == this->Tokens.end() ? nullptr : this->find(Found->second);
 }
 
-void RunningRequests::setAttempt(RunningRequest &Of, Attempt Started) {
+void RunningRequests::setAttempt(RunningRequest &Entry, Attempt Started) {
   const AttemptId Id = Started.Id;
-  this->setPhase(Of, OnUpstream{std::move(Started)});
-  this->Attempts.emplace(Id, Of.Asked.id());
+  this->setPhase(Entry, OnUpstream{std::move(Started)});
+  this->Attempts.emplace(Id, Entry.Original.id());
 }
 
-void RunningRequests::setPhase(RunningRequest &Of, RequestPhase Phase) {
-  if (const Attempt *Running = Of.attempt())
+void RunningRequests::setPhase(RunningRequest &Entry, RequestPhase Phase) {
+  if (const Attempt *Running = Entry.attempt())
     this->Attempts.erase(Running->Id);
-  Of.Phase = std::move(Phase);
+  Entry.Phase = std::move(Phase);
 }
 
-void RunningRequests::setAbandonedAt(RunningRequest &Of,
-                                     std::optional<Time> When) {
-  this->Limits.erase({limitOf(Of), Of.Asked.id()});
-  Of.AbandonedAt = When;
-  this->Limits.emplace(limitOf(Of), Of.Asked.id());
+void RunningRequests::setAbandonAt(RunningRequest &Entry,
+                                   std::optional<Time> When) {
+  this->Limits.erase({limitOf(Entry), Entry.Original.id()});
+  Entry.AbandonAt = When;
+  this->Limits.emplace(limitOf(Entry), Entry.Original.id());
 }
 
 std::vector<RequestId> RunningRequests::due(Time Now) const {
--- a/src/plugins/requests/RunningRequests.h
+++ b/src/plugins/requests/RunningRequests.h
@@ -28,11 +28,11 @@
   RunningRequest *findByToken(const std::string &ResumeToken);
 
   /// The request now runs as this attempt; forgets an earlier one.
-  void setAttempt(RunningRequest &Of, Attempt Started);
+  void setAttempt(RunningRequest &Entry, Attempt Started);
   /// The request runs nowhere and is in this phase.
-  void setPhase(RunningRequest &Of, RequestPhase Phase);
+  void setPhase(RunningRequest &Entry, RequestPhase Phase);
   /// Nobody is connected; gives up at \p When. Nothing: somebody is.
-  void setAbandonedAt(RunningRequest &Of, std::optional<Time> When);
+  void setAbandonAt(RunningRequest &Entry, std::optional<Time> When);
 
   /// The requests whose deadline or abandonment has come, earliest first.
   std::vector<RequestId> due(Time Now) const;
