--- a/src/plugins/requests/AttemptEndHandler.cpp
+++ b/src/plugins/requests/AttemptEndHandler.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Whether it is certain that the upstream did not begin.
-bool surelyNotStarted(const AttemptOutcome &Outcome) {
+bool certainlyNotStarted(const AttemptOutcome &Outcome) {
   return std::holds_alternative<AttemptRefused>(Outcome) ||
          std::holds_alternative<AttemptNeverSent>(Outcome);
 }
@@ -48,10 +48,10 @@
   if (Found->FirstTokenSeen)
     return;
   Found->FirstTokenSeen = true;
-  const Duration Took = Now - Found->Original.ArrivedAt;
-  Out.add(RecordMeasurement{RecordMeasurement::Kind::Histogram,
-                            "time_to_first_token_seconds",
-                            Found->Original.Head.Class.Value, inSeconds(Took)});
+  const Duration Latency = Now - Found->Original.ArrivedAt;
+  Out.add(RecordMeasurement{
+      RecordMeasurement::Kind::Histogram, "time_to_first_token_seconds",
+      Found->Original.Head.Class.Value, inSeconds(Latency)});
   if (Now > Found->Original.FirstTokenBy)
     Out.count("first_token_promises_missed", Found->Original.Head.Class.Value);
   const Attempt Running = *Found->attempt();
@@ -72,7 +72,7 @@
     Found->NextIndex = std::max(Found->NextIndex, Broken->NextIndex);
   if (!std::holds_alternative<AttemptComplete>(End.Outcome))
     logFailure(*Found, Ended, End.Outcome, Out);
-  if (!surelyNotStarted(End.Outcome))
+  if (!certainlyNotStarted(End.Outcome))
     this->Dependencies.Groups.release(Found->Original.id(), Now, Out);
   this->cancelIfRunning(Ended, End.Outcome, Found->Original.Deadline, Now, Out);
   Found->Excluded.insert(Ended.Upstream);
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -16,7 +16,7 @@
   for (const RequestId &Id : this->Dependencies.Queue.candidates(Most, Now)) {
     RunningRequest *Waiting = this->Table.find(Id);
     if (Waiting)
-      this->tryOne(*Waiting, Now, Out);
+      this->dispatchWaiting(*Waiting, Now, Out);
     else
       this->Dependencies.Queue.remove(Id);
   }
@@ -28,7 +28,8 @@
   return this->SweptAt + this->Dependencies.Options.SweepInterval;
 }
 
-void Dispatcher::tryOne(RunningRequest &Entry, Time Now, Actions &Out) {
+void Dispatcher::dispatchWaiting(RunningRequest &Entry, Time Now,
+                                 Actions &Out) {
   if (this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content,
                                               Now)) {
     this->Finisher.giveUp(Entry.Original.id(), "its content is quarantined",
@@ -43,15 +44,15 @@
   match(
       Chosen,
       [&](const Selected &Choice) {
-        this->takeSelected(Entry, Choice, Now, Out);
+        this->dispatchSelected(Entry, Choice, Now, Out);
       },
       [&](const NothingFits &Reason) {
-        this->keepWaiting(Entry, Reason, Now, Out);
+        this->handleNothingFits(Entry, Reason, Now, Out);
       });
 }
 
-void Dispatcher::takeSelected(RunningRequest &Entry, const Selected &Choice,
-                              Time Now, Actions &Out) {
+void Dispatcher::dispatchSelected(RunningRequest &Entry, const Selected &Choice,
+                                  Time Now, Actions &Out) {
   this->Dependencies.Queue.remove(Entry.Original.id());
   if (Choice.Group.empty()) {
     this->dispatch(Entry, Choice, {}, Now, Out);
@@ -61,8 +62,9 @@
   this->Dependencies.Groups.acquire(Entry.Original, Choice, Now, Out);
 }
 
-void Dispatcher::keepWaiting(RunningRequest &Entry, const NothingFits &Reason,
-                             Time Now, Actions &Out) {
+void Dispatcher::handleNothingFits(RunningRequest &Entry,
+                                   const NothingFits &Reason, Time Now,
+                                   Actions &Out) {
   if (!Entry.Excluded.empty()) {
     // Every upstream that could take it now was tried; the next sweep begins
     // anew with all. At once it would only use the tries up.
@@ -150,7 +152,7 @@
 
 void Dispatcher::start(RunningRequest &Entry, Attempt NewAttempt,
                        DispatchAttempt Order, Time Now, Actions &Out) {
-  NewAttempt.Id = {this->Dependencies.Self.Life, ++this->AttemptsMade};
+  NewAttempt.Id = {this->Dependencies.Self.Life, ++this->AttemptsStarted};
   NewAttempt.Request = Entry.Original.id();
   NewAttempt.Upstream = Order.Upstream;
   NewAttempt.SentAt = Now;
--- a/src/plugins/requests/Dispatcher.h
+++ b/src/plugins/requests/Dispatcher.h
@@ -32,11 +32,11 @@
   Time nextSweep() const;
 
 private:
-  void tryOne(RunningRequest &Entry, Time Now, Actions &Out);
-  void takeSelected(RunningRequest &Entry, const Selected &Choice, Time Now,
-                    Actions &Out);
-  void keepWaiting(RunningRequest &Entry, const NothingFits &Reason, Time Now,
-                   Actions &Out);
+  void dispatchWaiting(RunningRequest &Entry, Time Now, Actions &Out);
+  void dispatchSelected(RunningRequest &Entry, const Selected &Choice, Time Now,
+                        Actions &Out);
+  void handleNothingFits(RunningRequest &Entry, const NothingFits &Reason,
+                         Time Now, Actions &Out);
   void dispatch(RunningRequest &Entry, const Selected &Choice,
                 std::span<const HoldId> Holds, Time Now, Actions &Out);
   void start(RunningRequest &Entry, Attempt NewAttempt, DispatchAttempt Order,
@@ -45,7 +45,7 @@
   RequestServices &Dependencies;
   RunningRequests &Table;
   RequestFinisher &Finisher;
-  std::uint64_t AttemptsMade = 0;
+  std::uint64_t AttemptsStarted = 0;
   Time SweptAt{};
 };
 
--- a/src/plugins/requests/RequestBuilder.cpp
+++ b/src/plugins/requests/RequestBuilder.cpp
@@ -24,7 +24,8 @@
 }
 
 /// What is wrong with the request's shape under its class.
-std::optional<NotRun> flawOf(const RequestHead &Head, const ClassEntry &Class) {
+std::optional<NotRun> validationError(const RequestHead &Head,
+                                      const ClassEntry &Class) {
   if (Class.MaxPromptTokens != 0 && Head.PromptTokens > Class.MaxPromptTokens)
     return badRequest("the prompt has " + std::to_string(Head.PromptTokens) +
                       " tokens and the class allows " +
@@ -36,7 +37,8 @@
   return std::nullopt;
 }
 
-std::uint64_t outputBound(const RequestHead &Head, const ClassEntry &Class) {
+std::uint64_t maxOutputTokens(const RequestHead &Head,
+                              const ClassEntry &Class) {
   if (Head.MaxOutputTokens == 0)
     return Class.MaxOutputTokens;
   return std::min(Head.MaxOutputTokens, Class.MaxOutputTokens);
@@ -76,8 +78,8 @@
   const ClassEntry *Class = this->CurrentCatalogue.classOf(this->Head.Class);
   if (!Class || !mayUse(Entry, this->Head.Class))
     return notAllowed();
-  if (auto Flaw = flawOf(this->Head, *Class))
-    return *Flaw;
+  if (auto Error = validationError(this->Head, *Class))
+    return *Error;
 
   Request Result;
   Result.Head = this->Head;
@@ -86,7 +88,7 @@
   Result.Class = *Class;
   Result.TeamWeight = Entry.Weight;
   Result.ArrivedAt = this->Arrival;
-  Result.OutputTokens = outputBound(this->Head, *Class);
+  Result.OutputTokens = maxOutputTokens(this->Head, *Class);
   Result.FirstTokenBy =
       this->Arrival + firstTokenPromise(*Class, this->Head.PromptTokens);
   Result.Deadline =
--- a/src/plugins/requests/RequestFinisher.cpp
+++ b/src/plugins/requests/RequestFinisher.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-constexpr std::string_view ReadTheOutcome =
+constexpr std::string_view OutcomeAdvice =
     "ask the service itself; the operation is never run again";
 
 /// The answer to a request that is given up now: as much as is known of
 /// whether it ran.
-FinalAnswer answerWhenGivenUp(const RunningRequest &Entry, std::string_view Why,
-                              RefusalReason Reason, Duration RetryAfter) {
+FinalAnswer answerOnGiveUp(const RunningRequest &Entry, std::string_view Why,
+                           RefusalReason Reason, Duration RetryAfter) {
   if (!Entry.MayHaveRun)
     return NotRun{Reason, RetryAfter,
                   std::string(Why) + "; ask again after the time given"};
   if (Entry.Original.Class.Idempotent)
     return FailedAnswer{std::string(Why) + "; ask again after the time given",
                         RetryAfter};
-  return OutcomeUnknown{std::string(Why) + "; " + std::string(ReadTheOutcome),
+  return OutcomeUnknown{std::string(Why) + "; " + std::string(OutcomeAdvice),
                         RetryAfter};
 }
 
@@ -82,8 +82,7 @@
   else if (Claimed)
     this->Dependencies.Claims.abandon(Found->Original, Now, Out);
   this->conclude(
-      Id,
-      answerWhenGivenUp(*Found, Why, Reason, this->Dependencies.retryAfter()),
+      Id, answerOnGiveUp(*Found, Why, Reason, this->Dependencies.retryAfter()),
       Now, Out);
 }
 
--- a/src/plugins/requests/RequestIntake.cpp
+++ b/src/plugins/requests/RequestIntake.cpp
@@ -136,7 +136,7 @@
     return;
   RunningRequest Adopted;
   Adopted.Adopted = true;
-  Adopted.Original.Head.Id = RequestId(FirstAdoptedId + ++this->Adoptions);
+  Adopted.Original.Head.Id = RequestId(FirstAdoptedId + ++this->AdoptionCount);
   Adopted.Original.Head.Class = Stream.Class;
   Adopted.Original.Head.Streamed = true;
   Adopted.Original.Team = Stream.Team;
@@ -162,7 +162,7 @@
 std::string RequestIntake::makeResumeToken() {
   // A keyed digest: tokens seen give no way to those of others.
   const std::string Text =
-      fmt::format("{}:{}", this->TokenSecret, ++this->TokensMade);
+      fmt::format("{}:{}", this->TokenSecret, ++this->ResumeTokenCount);
   const KeyDigest Digest = digestOfKey(Text, this->TokenSecret);
   constexpr std::size_t TokenDigits = 32;
   return Digest.Text.substr(Digest.Text.size() - TokenDigits);
--- a/src/plugins/requests/RequestIntake.h
+++ b/src/plugins/requests/RequestIntake.h
@@ -30,8 +30,8 @@
   RequestFinisher &Finisher;
   Dispatcher &RequestDispatcher;
   std::string TokenSecret;
-  std::uint64_t TokensMade = 0;
-  std::uint64_t Adoptions = 0;
+  std::uint64_t ResumeTokenCount = 0;
+  std::uint64_t AdoptionCount = 0;
 };
 
 } // namespace banyanpick
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -24,7 +24,7 @@
       std::make_unique<RequestFinisher>(*this->Dependencies, this->Table);
   this->RequestDispatcher = std::make_unique<Dispatcher>(
       *this->Dependencies, this->Table, *this->Finisher);
-  this->Attempts = std::make_unique<AttemptEndHandler>(
+  this->AttemptEnds = std::make_unique<AttemptEndHandler>(
       *this->Dependencies, this->Table, *this->Finisher,
       *this->RequestDispatcher);
   this->Intake = std::make_unique<RequestIntake>(*this->Dependencies,
@@ -37,8 +37,8 @@
 }
 
 void RequestsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  this->endOnDead(Now, Out);
-  this->endDue(Now, Out);
+  this->endAttemptsOnDead(Now, Out);
+  this->endExpired(Now, Out);
   match(
       What,
       [&](const RequestArrived &Is) { this->Intake->arrived(Is, Now, Out); },
@@ -47,28 +47,29 @@
       },
       [&](const ResumeRequest &Is) { this->Intake->resumeAsked(Is, Now, Out); },
       [&](const AttemptProgressed &Is) {
-        this->Attempts->progressed(Is, Now, Out);
+        this->AttemptEnds->progressed(Is, Now, Out);
       },
-      [&](const AttemptEnded &Is) { this->Attempts->ended(Is, Now, Out); },
+      [&](const AttemptEnded &Is) { this->AttemptEnds->ended(Is, Now, Out); },
       [](const auto &) {});
-  this->endOnDead(Now, Out);
+  this->endAttemptsOnDead(Now, Out);
   // Arrivals are tried at once; whatever else changed is seen by the sweep
   // that comes soon after, so that a burst of reports costs one sweep.
-  const bool Freed = std::holds_alternative<RequestArrived>(What) ||
-                     std::holds_alternative<AttemptEnded>(What) ||
-                     std::holds_alternative<LogRead>(What);
+  const bool SweepsNow = std::holds_alternative<RequestArrived>(What) ||
+                         std::holds_alternative<AttemptEnded>(What) ||
+                         std::holds_alternative<LogRead>(What);
   if (this->Dependencies->Queue.size() != 0 &&
-      (Freed || Now >= this->RequestDispatcher->nextSweep()))
+      (SweepsNow || Now >= this->RequestDispatcher->nextSweep()))
     this->RequestDispatcher->sweep(Now, Out);
 }
 
 Time RequestsPlugin::nextWake() const {
-  return std::min(this->Table.nextDue(), this->RequestDispatcher->nextSweep());
+  return std::min(this->Table.nextExpiry(),
+                  this->RequestDispatcher->nextSweep());
 }
 
 void RequestsPlugin::checkInvariants(InvariantMonitor &Monitor,
                                      Time Now) const {
-  Monitor.require(this->Table.nextDue() > Now,
+  Monitor.require(this->Table.nextExpiry() > Now,
                   "no admitted request outlives its deadline");
 }
 
@@ -138,16 +139,16 @@
   // The fleet may find this out in the middle of the end of another try; what
   // follows waits until that is done.
   if (Changed.State == UpstreamState::Dead)
-    this->Dead.push_back({Changed.Listing.Id, Changed.Listing.Life});
+    this->DeadUpstreams.push_back({Changed.Listing.Id, Changed.Listing.Life});
 }
 
-void RequestsPlugin::endOnDead(Time Now, Actions &Out) {
-  for (const DeadLife &Each : std::exchange(this->Dead, {}))
-    this->Attempts->upstreamDied(Each.Upstream, Each.Life, Now, Out);
+void RequestsPlugin::endAttemptsOnDead(Time Now, Actions &Out) {
+  for (const DeadIncarnation &Each : std::exchange(this->DeadUpstreams, {}))
+    this->AttemptEnds->upstreamDied(Each.Upstream, Each.Life, Now, Out);
 }
 
-void RequestsPlugin::endDue(Time Now, Actions &Out) {
-  for (const RequestId &Id : this->Table.due(Now))
+void RequestsPlugin::endExpired(Time Now, Actions &Out) {
+  for (const RequestId &Id : this->Table.expired(Now))
     this->Finisher->giveUp(Id, "its promised time is over", Now, Out);
 }
 
--- a/src/plugins/requests/RequestsPlugin.h
+++ b/src/plugins/requests/RequestsPlugin.h
@@ -48,20 +48,20 @@
 
 private:
   /// A life of an upstream that is taken for dead.
-  struct DeadLife {
+  struct DeadIncarnation {
     UpstreamId Upstream;
     Incarnation Life;
   };
 
-  void endOnDead(Time Now, Actions &Out);
-  void endDue(Time Now, Actions &Out);
+  void endAttemptsOnDead(Time Now, Actions &Out);
+  void endExpired(Time Now, Actions &Out);
 
   RunningRequests Table;
-  std::vector<DeadLife> Dead; ///< Since the last event.
+  std::vector<DeadIncarnation> DeadUpstreams; ///< Since the last event.
   std::unique_ptr<RequestServices> Dependencies;
   std::unique_ptr<RequestFinisher> Finisher;
   std::unique_ptr<Dispatcher> RequestDispatcher;
-  std::unique_ptr<AttemptEndHandler> Attempts;
+  std::unique_ptr<AttemptEndHandler> AttemptEnds;
   std::unique_ptr<RequestIntake> Intake;
 };
 
--- a/src/plugins/requests/RunningRequests.cpp
+++ b/src/plugins/requests/RunningRequests.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// When the request ends at the latest.
-Time limitOf(const RunningRequest &Entry) {
+Time expiryOf(const RunningRequest &Entry) {
   return std::min(Entry.Original.Deadline, Entry.AbandonAt.value_or(Never));
 }
 
@@ -15,49 +15,49 @@
 
 RunningRequest &RunningRequests::add(RunningRequest Admitted) {
   const RequestId Id = Admitted.Original.id();
-  this->Limits.emplace(limitOf(Admitted), Id);
+  this->Expiries.emplace(expiryOf(Admitted), Id);
   if (!Admitted.ResumeToken.empty())
-    this->Tokens.emplace(Admitted.ResumeToken, Id);
-  return this->Requests.emplace(Id, std::move(Admitted)).first->second;
+    this->ByResumeToken.emplace(Admitted.ResumeToken, Id);
+  return this->ById.emplace(Id, std::move(Admitted)).first->second;
 }
 
 void RunningRequests::remove(const RequestId &Id) {
-  const auto Found = this->Requests.find(Id);
-  if (Found == this->Requests.end())
+  const auto Found = this->ById.find(Id);
+  if (Found == this->ById.end())
     return;
   RunningRequest &Removed = Found->second;
   if (const Attempt *Running = Removed.attempt())
-    this->Attempts.erase(Running->Id);
-  this->Tokens.erase(Removed.ResumeToken);
-  this->Limits.erase({limitOf(Removed), Id});
-  this->Requests.erase(Found);
+    this->ByAttempt.erase(Running->Id);
+  this->ByResumeToken.erase(Removed.ResumeToken);
+  this->Expiries.erase({expiryOf(Removed), Id});
+  this->ById.erase(Found);
 }
 
 RunningRequest *RunningRequests::find(const RequestId &Id) {
-  const auto Found = this->Requests.find(Id);
-  return Found == this->Requests.end() ? nullptr : &Found->second;
+  const auto Found = this->ById.find(Id);
+  return Found == this->ById.end() ? nullptr : &Found->second;
 }
 
 const RunningRequest *RunningRequests::find(const RequestId &Id) const {
-  const auto Found = this->Requests.find(Id);
-  return Found == this->Requests.end() ? nullptr : &Found->second;
+  const auto Found = this->ById.find(Id);
+  return Found == this->ById.end() ? nullptr : &Found->second;
 }
 
 RunningRequest *RunningRequests::findByAttempt(const AttemptId &Id) {
-  const auto Found = this->Attempts.find(Id);
-  return Found == this->Attempts.end() ? nullptr : this->find(Found->second);
+  const auto Found = this->ByAttempt.find(Id);
+  return Found == this->ByAttempt.end() ? nullptr : this->find(Found->second);
 }
 
 const RunningRequest *
 RunningRequests::findByAttempt(const AttemptId &Id) const {
-  const auto Found = this->Attempts.find(Id);
-  return Found == this->Attempts.end() ? nullptr : this->find(Found->second);
+  const auto Found = this->ByAttempt.find(Id);
+  return Found == this->ByAttempt.end() ? nullptr : this->find(Found->second);
 }
 
 std::vector<AttemptId> RunningRequests::attemptsOn(const UpstreamId &Id,
                                                    Incarnation Life) const {
   std::vector<AttemptId> Result;
-  for (const auto &[Request, Each] : this->Requests) {
+  for (const auto &[Request, Each] : this->ById) {
     const Attempt *Running = Each.attempt();
     if (Running && Running->Upstream == Id && Running->UpstreamLife == Life)
       Result.push_back(Running->Id);
@@ -66,32 +66,33 @@
 }
 
 RunningRequest *RunningRequests::findByToken(const std::string &ResumeToken) {
-  const auto Found = this->Tokens.find(ResumeToken);
-  return Found == this->Tokens.end() ? nullptr : this->find(Found->second);
+  const auto Found = this->ByResumeToken.find(ResumeToken);
+  return Found == this->ByResumeToken.end() ? nullptr
+                                            : this->find(Found->second);
 }
 
 void RunningRequests::setAttempt(RunningRequest &Entry, Attempt Started) {
   const AttemptId Id = Started.Id;
   this->setPhase(Entry, OnUpstream{std::move(Started)});
-  this->Attempts.emplace(Id, Entry.Original.id());
+  this->ByAttempt.emplace(Id, Entry.Original.id());
 }
 
 void RunningRequests::setPhase(RunningRequest &Entry, RequestPhase Phase) {
   if (const Attempt *Running = Entry.attempt())
-    this->Attempts.erase(Running->Id);
+    this->ByAttempt.erase(Running->Id);
   Entry.Phase = std::move(Phase);
 }
 
 void RunningRequests::setAbandonAt(RunningRequest &Entry,
                                    std::optional<Time> When) {
-  this->Limits.erase({limitOf(Entry), Entry.Original.id()});
+  this->Expiries.erase({expiryOf(Entry), Entry.Original.id()});
   Entry.AbandonAt = When;
-  this->Limits.emplace(limitOf(Entry), Entry.Original.id());
+  this->Expiries.emplace(expiryOf(Entry), Entry.Original.id());
 }
 
-std::vector<RequestId> RunningRequests::due(Time Now) const {
+std::vector<RequestId> RunningRequests::expired(Time Now) const {
   std::vector<RequestId> Result;
-  for (const auto &[When, Id] : this->Limits) {
+  for (const auto &[When, Id] : this->Expiries) {
     if (When > Now)
       break;
     Result.push_back(Id);
@@ -99,14 +100,14 @@
   return Result;
 }
 
-Time RunningRequests::nextDue() const {
-  return this->Limits.empty() ? Never : this->Limits.begin()->first;
+Time RunningRequests::nextExpiry() const {
+  return this->Expiries.empty() ? Never : this->Expiries.begin()->first;
 }
 
 std::vector<RequestId> RunningRequests::ids() const {
   std::vector<RequestId> Result;
-  Result.reserve(this->Requests.size());
-  for (const auto &[Id, Running] : this->Requests)
+  Result.reserve(this->ById.size());
+  for (const auto &[Id, Running] : this->ById)
     Result.push_back(Id);
   return Result;
 }
--- a/src/plugins/requests/RunningRequests.h
+++ b/src/plugins/requests/RunningRequests.h
@@ -35,20 +35,20 @@
   void setAbandonAt(RunningRequest &Entry, std::optional<Time> When);
 
   /// The requests whose deadline or abandonment has come, earliest first.
-  std::vector<RequestId> due(Time Now) const;
+  std::vector<RequestId> expired(Time Now) const;
   /// The earliest deadline or abandonment.
-  Time nextDue() const;
+  Time nextExpiry() const;
 
-  std::size_t size() const { return this->Requests.size(); }
+  std::size_t size() const { return this->ById.size(); }
   std::vector<RequestId> ids() const;
 
 private:
-  using Limit = std::pair<Time, RequestId>;
+  using Expiry = std::pair<Time, RequestId>;
 
-  std::map<RequestId, RunningRequest> Requests;
-  std::unordered_map<AttemptId, RequestId> Attempts;
-  std::unordered_map<std::string, RequestId> Tokens;
-  std::set<Limit> Limits;
+  std::map<RequestId, RunningRequest> ById;
+  std::unordered_map<AttemptId, RequestId> ByAttempt;
+  std::unordered_map<std::string, RequestId> ByResumeToken;
+  std::set<Expiry> Expiries;
 };
 
 } // namespace banyanpick
--- a/tests/auto/groups/GroupsTest.cpp
+++ b/tests/auto/groups/GroupsTest.cpp
@@ -19,7 +19,7 @@
       Upstream Engine;
       Engine.Listing.Id = UpstreamId(Name);
       Engine.State = UpstreamState::Live;
-      this->Fleet.Known.push_back(Engine);
+      this->Fleet.Upstreams.push_back(Engine);
     }
     this->Self.Life = Incarnation(7);
     this->Offered.provide<FleetView>(this->Fleet);
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -16,26 +16,26 @@
 class RequestsTest : public testing::Test {
 protected:
   RequestsTest()
-      : Selector(Fleet), Numbers(7),
+      : Selector(Fleet), RandomSource(7),
         Values(Settings::defaults(RequestsSettings::declarations())),
         Self{HostId("h1"), Incarnation(11), ZoneId("z1"), {}, {}},
-        Context(Self, Values, Offered, Numbers) {
+        Context(Self, Values, PluginServices, RandomSource) {
     this->declareCatalogue();
     this->Values.set("requests", "resume_window", "500ms");
     for (const char *Name : {"e1", "e2"}) {
       Upstream Engine;
       Engine.Listing.Id = UpstreamId(Name);
-      this->Fleet.Known.push_back(Engine);
+      this->Fleet.Upstreams.push_back(Engine);
     }
-    this->Offered.provide<CatalogueView>(this->InForce);
-    this->Offered.provide<FleetView>(this->Fleet);
-    this->Offered.provide<UpstreamSelector>(this->Selector);
-    this->Offered.provide<DispatchQueue>(this->Queue);
-    this->Offered.provide<PoisonView>(this->Poison);
-    this->Offered.provide<RetryPolicy>(this->Retries);
-    this->Offered.provide<ClaimKeeper>(this->Claims);
-    this->Offered.provide<GroupHolder>(this->Groups);
-    this->Offered.provide<AttemptCanceller>(this->Canceller);
+    this->PluginServices.provide<CatalogueView>(this->InForce);
+    this->PluginServices.provide<FleetView>(this->Fleet);
+    this->PluginServices.provide<UpstreamSelector>(this->Selector);
+    this->PluginServices.provide<DispatchQueue>(this->Queue);
+    this->PluginServices.provide<PoisonView>(this->Poison);
+    this->PluginServices.provide<RetryPolicy>(this->Retries);
+    this->PluginServices.provide<ClaimKeeper>(this->Claims);
+    this->PluginServices.provide<GroupHolder>(this->Groups);
+    this->PluginServices.provide<AttemptCanceller>(this->Canceller);
     this->Tested.initialize(this->Context);
   }
 
@@ -77,12 +77,12 @@
   void handle(const Event &What, Duration After = Duration(0)) {
     Actions Out;
     this->Tested.handle(What, Start + After, Out);
-    this->Last = Out.take();
+    this->LastActions = Out.take();
   }
 
   template <class Kind> std::vector<Kind> actions() const {
     std::vector<Kind> Found;
-    for (const Action &Each : this->Last)
+    for (const Action &Each : this->LastActions)
       if (const auto *Is = std::get_if<Kind>(&Each))
         Found.push_back(*Is);
     return Found;
@@ -114,13 +114,13 @@
   fakes::FakeClaims Claims;
   fakes::FakeGroups Groups;
   fakes::FakeCanceller Canceller;
-  Random Numbers;
+  Random RandomSource;
   Settings Values;
-  Services Offered;
+  Services PluginServices;
   Identity Self;
   PluginContext Context;
   RequestsPlugin Tested;
-  std::vector<Action> Last;
+  std::vector<Action> LastActions;
 };
 
 TEST_F(RequestsTest, ServesARequest) {
@@ -210,7 +210,7 @@
   this->handle(AttemptEnded{this->dispatched(), AttemptBroken{0, true}});
   EXPECT_TRUE(this->answeredWith<OutcomeUnknown>());
   EXPECT_TRUE(this->actions<DispatchAttempt>().empty());
-  EXPECT_EQ(this->Claims.Said.back(),
+  EXPECT_EQ(this->Claims.Calls.back(),
             "finish " +
                 std::to_string(static_cast<int>(OutcomeRecord::Kind::Unknown)));
 }
@@ -223,7 +223,7 @@
   this->Retries.Allowed = false;
   this->handle(AttemptEnded{this->dispatched(), AttemptRefused{}});
   EXPECT_TRUE(this->answeredWith<NotRun>());
-  EXPECT_EQ(this->Claims.Said.back(), "abandon");
+  EXPECT_EQ(this->Claims.Calls.back(), "abandon");
 }
 
 TEST_F(RequestsTest, KeepsAStartedOperationWhenItsCallerHangsUp) {
@@ -233,7 +233,7 @@
   this->handle(CallerDisconnected{RequestId(1)});
   EXPECT_TRUE(this->Canceller.Cancelled.empty());
   this->handle(AttemptEnded{Try, AttemptComplete{1, "done"}});
-  EXPECT_EQ(this->Claims.Said.back(),
+  EXPECT_EQ(this->Claims.Calls.back(),
             "finish " +
                 std::to_string(static_cast<int>(OutcomeRecord::Kind::Done)));
 }
--- a/tests/auto/requests/ServiceFakes.h
+++ b/tests/auto/requests/ServiceFakes.h
@@ -18,9 +18,11 @@
 };
 
 struct FakeFleet : FleetView {
-  std::vector<Upstream> Known;
+  std::vector<Upstream> Upstreams;
 
-  std::span<const Upstream> upstreams() const override { return this->Known; }
+  std::span<const Upstream> upstreams() const override {
+    return this->Upstreams;
+  }
   std::span<const std::uint32_t> enginesWith(const ModelId &) const override {
     return {};
   }
@@ -29,7 +31,7 @@
     return {};
   }
   const Upstream *find(const UpstreamId &Id) const override {
-    for (const Upstream &Each : this->Known)
+    for (const Upstream &Each : this->Upstreams)
       if (Each.Listing.Id == Id)
         return &Each;
     return nullptr;
@@ -48,7 +50,7 @@
                    Actions &) override {
     if (this->Full)
       return NothingFits{false, milliseconds(5)};
-    for (const Upstream &Each : this->Fleet.Known) {
+    for (const Upstream &Each : this->Fleet.Upstreams) {
       if (Limits.Excluded.contains(Each.Listing.Id))
         continue;
       Selected Choice;
@@ -56,7 +58,7 @@
       Choice.Group = this->Group;
       return Choice;
     }
-    return NothingFits{this->Fleet.Known.empty(), milliseconds(5)};
+    return NothingFits{this->Fleet.Upstreams.empty(), milliseconds(5)};
   }
 };
 
@@ -92,17 +94,17 @@
 
 /// Notes what is said of claims; the test decides them.
 struct FakeClaims : ClaimKeeper {
-  std::vector<std::string> Said;
+  std::vector<std::string> Calls;
 
   void claim(const Request &, Time, Actions &) override {
-    this->Said.emplace_back("claim");
+    this->Calls.emplace_back("claim");
   }
   void abandon(const Request &, Time, Actions &) override {
-    this->Said.emplace_back("abandon");
+    this->Calls.emplace_back("abandon");
   }
   void finish(const Request &, OutcomeRecord::Kind Ended, std::string_view,
               Time, Actions &) override {
-    this->Said.push_back("finish " + std::to_string(static_cast<int>(Ended)));
+    this->Calls.push_back("finish " + std::to_string(static_cast<int>(Ended)));
   }
 };
 
