--- a/src/plugins/requests/AttemptEndHandler.cpp
+++ b/src/plugins/requests/AttemptEndHandler.cpp
@@ -18,7 +18,7 @@
       [](const AttemptFailed &) { return "failed"; });
 }
 
-/// Whether it is certain that the upstream did not begin.
+/// Whether the upstream certainly did not start the request.
 bool certainlyNotStarted(const AttemptOutcome &Outcome) {
   return std::holds_alternative<AttemptRefused>(Outcome) ||
          std::holds_alternative<AttemptNeverSent>(Outcome);
@@ -80,8 +80,8 @@
     Observer->attemptEnded(Found->Original, Ended, End.Outcome, Now, Out);
   match(
       End.Outcome,
-      [&](const AttemptComplete &How) {
-        this->complete(*Found, How, Now, Out);
+      [&](const AttemptComplete &Complete) {
+        this->complete(*Found, Complete, Now, Out);
       },
       [&](const AttemptRefused &) {
         this->notStarted(*Found, IsFirstAttempt, Now, Out);
@@ -90,13 +90,15 @@
         this->notStarted(*Found, IsFirstAttempt, Now, Out);
       },
       [&](const AttemptBroken &) { this->broken(*Found, Now, Out); },
-      [&](const AttemptFailed &How) { this->failed(*Found, How, Now, Out); });
+      [&](const AttemptFailed &Failed) {
+        this->failed(*Found, Failed, Now, Out);
+      });
 }
 
 void AttemptEndHandler::upstreamDied(const UpstreamId &Id, Incarnation Life,
                                      Time Now, Actions &Out) {
-  for (const AttemptId &Each : this->Table.attemptsOn(Id, Life))
-    this->ended(AttemptEnded{Each, AttemptBroken{}}, Now, Out);
+  for (const AttemptId &Lost : this->Table.attemptsOn(Id, Life))
+    this->ended(AttemptEnded{Lost, AttemptBroken{}}, Now, Out);
 }
 
 void AttemptEndHandler::cancelIfRunning(const Attempt &Ended,
@@ -155,7 +157,7 @@
 }
 
 void AttemptEndHandler::retryOrGiveUp(RunningRequest &Entry,
-                                      std::string_view Why, Time Now,
+                                      std::string_view Reason, Time Now,
                                       Actions &Out) {
   const bool Quarantined =
       this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content, Now);
@@ -165,7 +167,7 @@
       this->Dependencies.Retries.mayRetry(Entry.Original, Entry.AttemptCount,
                                           Now);
   if (!Allowed) {
-    this->Finisher.giveUp(Entry.Original.id(), Why, Now, Out);
+    this->Finisher.giveUp(Entry.Original.id(), Reason, Now, Out);
     return;
   }
   Out.count("requests_retried");
--- a/src/plugins/requests/AttemptEndHandler.h
+++ b/src/plugins/requests/AttemptEndHandler.h
@@ -1,11 +1,12 @@
 /// \file
-/// What follows from the end of a try: the answer, another try, or giving up.
+/// Handles the end of an attempt: answers, retries or gives up the request.
 #pragma once
 
 #include "plugins/requests/Dispatcher.h"
 
 namespace banyanpick {
 
+/// Handles progress and ends of attempts.
 class AttemptEndHandler {
 public:
   AttemptEndHandler(RequestServices &Dependencies, RunningRequests &Table,
@@ -13,12 +14,12 @@
       : Dependencies(Dependencies), Table(Table), Finisher(Finisher),
         RequestDispatcher(RequestDispatcher) {}
 
-  /// Tries that are not live (late, cancelled, another life's) are counted
-  /// and ignored.
+  /// Reports of attempts that do not run (late, cancelled or of another
+  /// incarnation) are counted and ignored.
   void progressed(const AttemptProgressed &Progress, Time Now, Actions &Out);
   void ended(const AttemptEnded &End, Time Now, Actions &Out);
-  /// Every try on that life of the upstream is over. It may only be silent, so
-  /// what it may still run is cancelled.
+  /// Ends every attempt on that incarnation of the upstream. The upstream may
+  /// only be silent, so attempts that may still run there are cancelled.
   void upstreamDied(const UpstreamId &Id, Incarnation Life, Time Now,
                     Actions &Out);
 
@@ -32,7 +33,7 @@
   void broken(RunningRequest &Entry, Time Now, Actions &Out);
   void failed(RunningRequest &Entry, const AttemptFailed &End, Time Now,
               Actions &Out);
-  void retryOrGiveUp(RunningRequest &Entry, std::string_view Why, Time Now,
+  void retryOrGiveUp(RunningRequest &Entry, std::string_view Reason, Time Now,
                      Actions &Out);
 
   RequestServices &Dependencies;
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -11,9 +11,10 @@
 
 void Dispatcher::sweep(Time Now, Actions &Out) {
   this->SweptAt = Now;
-  const auto Most =
+  const auto MaxCandidates =
       static_cast<std::size_t>(this->Dependencies.Options.CandidatesPerSweep);
-  for (const RequestId &Id : this->Dependencies.Queue.candidates(Most, Now)) {
+  for (const RequestId &Id :
+       this->Dependencies.Queue.candidates(MaxCandidates, Now)) {
     RunningRequest *Waiting = this->Table.find(Id);
     if (Waiting)
       this->dispatchWaiting(*Waiting, Now, Out);
@@ -66,8 +67,9 @@
                                    const NothingFits &Reason, Time Now,
                                    Actions &Out) {
   if (!Entry.Excluded.empty()) {
-    // Every upstream that could take it now was tried; the next sweep begins
-    // anew with all. At once it would only use the tries up.
+    // Every upstream that can accept the request now was tried. The next sweep
+    // considers all of them again; an immediate retry would only use up the
+    // attempts.
     Entry.Excluded.clear();
     return;
   }
@@ -166,8 +168,8 @@
   Order.Deadline = Entry.Original.Deadline;
 
   ++Entry.AttemptCount;
-  // From here on only the upstream's or the transport's word can show that it
-  // did not run.
+  // From here on, only the upstream or the transport can confirm that the
+  // request did not run.
   Entry.MayHaveRun = true;
   this->Table.setAttempt(Entry, NewAttempt);
   Out.add(std::move(Order));
--- a/src/plugins/requests/Dispatcher.h
+++ b/src/plugins/requests/Dispatcher.h
@@ -1,26 +1,27 @@
 /// \file
-/// Takes waiting requests to upstreams.
+/// Dispatches waiting requests to upstreams.
 #pragma once
 
 #include "plugins/requests/RequestFinisher.h"
 
 namespace banyanpick {
 
+/// Selects upstreams for waiting requests and starts their attempts.
 class Dispatcher {
 public:
   Dispatcher(RequestServices &Dependencies, RunningRequests &Table,
              RequestFinisher &Finisher)
       : Dependencies(Dependencies), Table(Table), Finisher(Finisher) {}
 
-  /// Puts the request in the queue; it is tried by the next sweep.
+  /// Adds the request to the queue. The next sweep tries to dispatch it.
   void enqueue(RunningRequest &Entry, Time Now);
 
-  /// Tries waiting requests, those most entitled first, and ends those that
-  /// can't keep their promise any more.
+  /// Tries to dispatch waiting requests in the order of the queue, and ends
+  /// those that can no longer meet their promise.
   void sweep(Time Now, Actions &Out);
 
-  /// The group of engines for a request was decided; \p Holds is empty when
-  /// it could not be had.
+  /// Called when the group of engines for a request is decided. \p Holds is
+  /// empty when the group is not available.
   void groupDecided(const RequestId &Id, std::span<const HoldId> Holds,
                     Time Now, Actions &Out);
 
@@ -28,7 +29,7 @@
   void attach(RunningRequest &Entry, const StreamHandover &Stream, Time Now,
               Actions &Out);
 
-  /// When the next sweep is due at the latest.
+  /// Returns the latest time of the next sweep.
   Time nextSweep() const;
 
 private:
--- a/src/plugins/requests/RequestBuilder.cpp
+++ b/src/plugins/requests/RequestBuilder.cpp
@@ -23,7 +23,7 @@
   return std::find(Classes.begin(), Classes.end(), Class) != Classes.end();
 }
 
-/// What is wrong with the request's shape under its class.
+/// Returns why the request is invalid for its class, or nothing.
 std::optional<NotRun> validationError(const RequestHead &Head,
                                       const ClassEntry &Class) {
   if (Class.MaxPromptTokens != 0 && Head.PromptTokens > Class.MaxPromptTokens)
--- a/src/plugins/requests/RequestBuilder.h
+++ b/src/plugins/requests/RequestBuilder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Makes a request with its promise from what a caller sent.
+/// Builds a request with its latency promise from a caller's request head.
 #pragma once
 
 #include "kernel/Request.h"
@@ -9,7 +9,7 @@
 
 namespace banyanpick {
 
-/// `RequestBuilder(Catalogue).from(Head).at(Now).build()`.
+/// Usage: `RequestBuilder(Catalogue).from(Head).at(Now).build()`.
 class RequestBuilder {
 public:
   explicit RequestBuilder(const Catalogue &CurrentCatalogue)
@@ -24,8 +24,8 @@
     return *this;
   }
 
-  /// The request, or why it may not run. All failures of authentication give
-  /// one and the same refusal.
+  /// Returns the request, or the reason why it may not run. All authentication
+  /// failures give the same refusal.
   std::variant<Request, NotRun> build() const;
 
 private:
@@ -34,7 +34,7 @@
   Time Arrival{};
 };
 
-/// The team whose key this is, or nothing.
+/// Returns the team that the key belongs to, or nothing.
 std::optional<TeamId> authenticatedTeam(const Catalogue &CurrentCatalogue,
                                         std::string_view TeamKey);
 
--- a/src/plugins/requests/RequestFinisher.cpp
+++ b/src/plugins/requests/RequestFinisher.cpp
@@ -10,17 +10,17 @@
 constexpr std::string_view OutcomeAdvice =
     "ask the service itself; the operation is never run again";
 
-/// The answer to a request that is given up now: as much as is known of
-/// whether it ran.
-FinalAnswer answerOnGiveUp(const RunningRequest &Entry, std::string_view Why,
-                           RefusalReason Reason, Duration RetryAfter) {
+/// Returns the answer to a request that is given up now. It states what is
+/// known about whether the request ran.
+FinalAnswer answerOnGiveUp(const RunningRequest &Entry, std::string_view Reason,
+                           RefusalReason NotRunReason, Duration RetryAfter) {
   if (!Entry.MayHaveRun)
-    return NotRun{Reason, RetryAfter,
-                  std::string(Why) + "; ask again after the time given"};
+    return NotRun{NotRunReason, RetryAfter,
+                  std::string(Reason) + "; ask again after the time given"};
   if (Entry.Original.Class.Idempotent)
-    return FailedAnswer{std::string(Why) + "; ask again after the time given",
-                        RetryAfter};
-  return OutcomeUnknown{std::string(Why) + "; " + std::string(OutcomeAdvice),
+    return FailedAnswer{
+        std::string(Reason) + "; ask again after the time given", RetryAfter};
+  return OutcomeUnknown{std::string(Reason) + "; " + std::string(OutcomeAdvice),
                         RetryAfter};
 }
 
@@ -70,8 +70,9 @@
   this->notifyEnded(Ended.Original, Answer, Now, Out);
 }
 
-void RequestFinisher::giveUp(const RequestId &Id, std::string_view Why,
-                             Time Now, Actions &Out, RefusalReason Reason) {
+void RequestFinisher::giveUp(const RequestId &Id, std::string_view Reason,
+                             Time Now, Actions &Out,
+                             RefusalReason NotRunReason) {
   const RunningRequest *Found = this->Table.find(Id);
   if (!Found)
     return;
@@ -81,9 +82,10 @@
         Found->Original, OutcomeRecord::Kind::Unknown, "", Now, Out);
   else if (Claimed)
     this->Dependencies.Claims.abandon(Found->Original, Now, Out);
-  this->conclude(
-      Id, answerOnGiveUp(*Found, Why, Reason, this->Dependencies.retryAfter()),
-      Now, Out);
+  this->conclude(Id,
+                 answerOnGiveUp(*Found, Reason, NotRunReason,
+                                this->Dependencies.retryAfter()),
+                 Now, Out);
 }
 
 void RequestFinisher::release(const RequestId &Id, Time Now, Actions &Out) {
@@ -111,7 +113,7 @@
     return;
   this->Dependencies.Canceller.cancel(Running->Id, Running->Upstream,
                                       Entry.Original.Deadline, Now, Out);
-  // The observers' books are closed as if the try had been cut here.
+  // Observers see the attempt end as if its connection broke now.
   for (RequestObserver *Observer : this->Dependencies.Observers.all())
     Observer->attemptEnded(Entry.Original, *Running,
                            AttemptBroken{Entry.NextIndex, false}, Now, Out);
--- a/src/plugins/requests/RequestFinisher.h
+++ b/src/plugins/requests/RequestFinisher.h
@@ -1,5 +1,5 @@
 /// \file
-/// The end of a request: its one final answer, and everything let go.
+/// Ends requests: sends the final answer and releases all resources.
 #pragma once
 
 #include "plugins/requests/RequestServices.h"
@@ -7,6 +7,7 @@
 
 namespace banyanpick {
 
+/// Gives every request exactly one final answer.
 class RequestFinisher {
 public:
   RequestFinisher(RequestServices &Dependencies, RunningRequests &Table)
@@ -16,17 +17,18 @@
   void refuse(const RequestId &Id, const ClassId &Class, const NotRun &Refusal,
               Actions &Out) const;
 
-  /// Gives the final answer at once, cancels what still runs and forgets the
+  /// Sends the final answer, cancels the running attempt and removes the
   /// request.
   void conclude(const RequestId &Id, const FinalAnswer &Answer, Time Now,
                 Actions &Out);
 
-  /// Ends a request whose time is over, or whose caller is gone for good.
-  /// \p Reason is told when it surely did not run.
-  void giveUp(const RequestId &Id, std::string_view Why, Time Now, Actions &Out,
-              RefusalReason Reason = RefusalReason::Overloaded);
+  /// Ends a request whose deadline has passed, or whose caller does not return.
+  /// \p NotRunReason is sent if the request certainly did not run.
+  void giveUp(const RequestId &Id, std::string_view Reason, Time Now,
+              Actions &Out,
+              RefusalReason NotRunReason = RefusalReason::Overloaded);
 
-  /// Forgets a request that a peer serves from here on; nothing is cancelled.
+  /// Removes a request that a peer now serves. Nothing is cancelled.
   void release(const RequestId &Id, Time Now, Actions &Out);
 
 private:
@@ -38,7 +40,7 @@
   RunningRequests &Table;
 };
 
-/// The name of a final answer's kind, as in docs/PROTOCOLS.md.
+/// Returns the name of a final answer's kind, as in docs/PROTOCOLS.md.
 std::string_view kindName(const FinalAnswer &Answer);
 
 } // namespace banyanpick
--- a/src/plugins/requests/RequestIntake.cpp
+++ b/src/plugins/requests/RequestIntake.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Ids of adopted streams; traffic threads count their own from 1.
+/// First id of adopted streams. Traffic threads count their own ids from 1.
 constexpr std::uint64_t FirstAdoptedId = std::uint64_t(1) << 63;
 
 std::string randomHex(Random &RandomSource) {
@@ -93,7 +93,7 @@
     this->RequestDispatcher.enqueue(Entry, Now);
     return;
   }
-  // The claim may be decided before the call returns; the request may be gone.
+  // The claim may be decided, and the request removed, before the call returns.
   const Request Claimed = Entry.Original;
   Entry.Phase = AwaitingClaim{};
   this->Dependencies.Claims.claim(Claimed, Now, Out);
@@ -114,19 +114,18 @@
                            Now + this->Dependencies.Options.ResumeWindow);
 }
 
-void RequestIntake::resumeAsked(const ResumeRequest &Original, Time,
+void RequestIntake::resumeAsked(const ResumeRequest &Resume, Time,
                                 Actions &Out) {
-  RunningRequest *Found = this->Table.findByToken(Original.ResumeToken);
+  RunningRequest *Found = this->Table.findByToken(Resume.ResumeToken);
   const auto Team = authenticatedTeam(
-      this->Dependencies.CurrentCatalogue.catalogue(), Original.TeamKey);
+      this->Dependencies.CurrentCatalogue.catalogue(), Resume.TeamKey);
   if (!Found || !Team || *Team != Found->Original.Team) {
-    Out.add(AnswerRequest{Original.Request, unknownToken()});
+    Out.add(AnswerRequest{Resume.Request, unknownToken()});
     Out.count("resumes_refused");
     return;
   }
   this->Table.setAbandonAt(*Found, std::nullopt);
-  Out.add(
-      JoinStream{Original.Request, Found->Original.id(), Original.NextIndex});
+  Out.add(JoinStream{Resume.Request, Found->Original.id(), Resume.NextIndex});
   Out.count("streams_resumed");
 }
 
@@ -160,7 +159,8 @@
 }
 
 std::string RequestIntake::makeResumeToken() {
-  // A keyed digest: tokens seen give no way to those of others.
+  // The digest is keyed, so that known tokens do not reveal other callers'
+  // tokens.
   const std::string Text =
       fmt::format("{}:{}", this->TokenSecret, ++this->ResumeTokenCount);
   const KeyDigest Digest = digestOfKey(Text, this->TokenSecret);
--- a/src/plugins/requests/RequestIntake.h
+++ b/src/plugins/requests/RequestIntake.h
@@ -1,23 +1,25 @@
 /// \file
-/// Takes in requests, callers that come back, and streams of peers.
+/// Accepts new requests, resumed streams and streams handed over by peers.
 #pragma once
 
 #include "plugins/requests/Dispatcher.h"
 
 namespace banyanpick {
 
+/// Admits or refuses what callers and peers send.
 class RequestIntake {
 public:
   RequestIntake(RequestServices &Dependencies, RunningRequests &Table,
                 RequestFinisher &Finisher, Dispatcher &RequestDispatcher);
 
-  /// Admits the request or answers it with a refusal at once.
+  /// Admits the request, or answers it with a refusal at once.
   void arrived(const RequestArrived &Arrival, Time Now, Actions &Out);
-  /// A stream waits for its caller for a while; everything else is given up,
-  /// but for a non-idempotent call that may have started.
+  /// Called when the caller disconnects. A stream waits for its caller for the
+  /// resume window. Other requests are given up, except non-idempotent ones
+  /// that may have started.
   void callerGone(const CallerDisconnected &Gone, Time Now, Actions &Out);
-  void resumeAsked(const ResumeRequest &Original, Time Now, Actions &Out);
-  /// Serves a peer's stream from its running attempt.
+  void resumeAsked(const ResumeRequest &Resume, Time Now, Actions &Out);
+  /// Takes over a peer's stream by attaching to its running attempt.
   void adopt(const StreamHandover &Stream, Time Now, Actions &Out);
 
 private:
--- a/src/plugins/requests/RequestServices.h
+++ b/src/plugins/requests/RequestServices.h
@@ -1,24 +1,24 @@
 /// \file
-/// What the life cycle of requests uses of other plug-ins, and its settings.
+/// The settings of the requests plug-in and the services that it uses.
 #pragma once
 
 #include "kernel/Plugin.h"
 
 namespace banyanpick {
 
-/// Settings of the section [requests].
+/// The settings of section [requests].
 struct RequestsSettings {
-  Duration ResumeWindow{};  ///< How long a cut stream waits for its caller.
-  Duration SweepInterval{}; ///< How often waiting requests are judged again.
-  Duration RetryAfter{};    ///< Hint when nothing better is known.
-  std::uint64_t CandidatesPerSweep = 0; ///< Waiting requests tried at once.
+  Duration ResumeWindow{};  ///< How long a disconnected stream is kept.
+  Duration SweepInterval{}; ///< Longest time between two sweeps.
+  Duration RetryAfter{};    ///< Retry delay if no better one is known.
+  std::uint64_t CandidatesPerSweep = 0; ///< Waiting requests per sweep.
   std::uint32_t MaxAttempts = 0;
 
   static std::vector<SettingDeclaration> declarations();
   static RequestsSettings from(const Settings &Values);
 };
 
-/// References to the services; they live as long as the kernel.
+/// References to the services. They remain valid as long as the kernel.
 struct RequestServices {
   explicit RequestServices(PluginContext &Context)
       : Self(Context.self()),
@@ -51,7 +51,8 @@
   ServiceList<AdmissionGate> &Gates;
   ServiceList<RequestObserver> &Observers;
 
-  /// The come-back hint, spread so that callers do not return in step.
+  /// Returns the default retry delay, randomized so that callers do not retry
+  /// at the same time.
   Duration retryAfter() {
     const auto Base = this->Options.RetryAfter;
     return Base + fromSeconds(inSeconds(Base) * this->RandomSource.fraction());
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -41,19 +41,23 @@
   this->endExpired(Now, Out);
   match(
       What,
-      [&](const RequestArrived &Is) { this->Intake->arrived(Is, Now, Out); },
-      [&](const CallerDisconnected &Is) {
-        this->Intake->callerGone(Is, Now, Out);
+      [&](const RequestArrived &Arrival) {
+        this->Intake->arrived(Arrival, Now, Out);
       },
-      [&](const ResumeRequest &Is) { this->Intake->resumeAsked(Is, Now, Out); },
-      [&](const AttemptProgressed &Is) {
-        this->AttemptEnds->progressed(Is, Now, Out);
+      [&](const CallerDisconnected &Gone) {
+        this->Intake->callerGone(Gone, Now, Out);
       },
-      [&](const AttemptEnded &Is) { this->AttemptEnds->ended(Is, Now, Out); },
+      [&](const ResumeRequest &Resume) {
+        this->Intake->resumeAsked(Resume, Now, Out);
+      },
+      [&](const AttemptProgressed &Progress) {
+        this->AttemptEnds->progressed(Progress, Now, Out);
+      },
+      [&](const AttemptEnded &End) { this->AttemptEnds->ended(End, Now, Out); },
       [](const auto &) {});
   this->endAttemptsOnDead(Now, Out);
-  // Arrivals are tried at once; whatever else changed is seen by the sweep
-  // that comes soon after, so that a burst of reports costs one sweep.
+  // Arrivals and ended attempts start a sweep at once. Other changes wait for
+  // the next regular sweep, so that a burst of reports costs one sweep.
   const bool SweepsNow = std::holds_alternative<RequestArrived>(What) ||
                          std::holds_alternative<AttemptEnded>(What) ||
                          std::holds_alternative<LogRead>(What);
@@ -136,15 +140,15 @@
 }
 
 void RequestsPlugin::upstreamChanged(const Upstream &Changed, Time, Actions &) {
-  // The fleet may find this out in the middle of the end of another try; what
-  // follows waits until that is done.
+  // The fleet may detect this while the end of another attempt is handled. The
+  // attempts on the upstream are ended after that.
   if (Changed.State == UpstreamState::Dead)
     this->DeadUpstreams.push_back({Changed.Listing.Id, Changed.Listing.Life});
 }
 
 void RequestsPlugin::endAttemptsOnDead(Time Now, Actions &Out) {
-  for (const DeadIncarnation &Each : std::exchange(this->DeadUpstreams, {}))
-    this->AttemptEnds->upstreamDied(Each.Upstream, Each.Life, Now, Out);
+  for (const DeadIncarnation &Died : std::exchange(this->DeadUpstreams, {}))
+    this->AttemptEnds->upstreamDied(Died.Upstream, Died.Life, Now, Out);
 }
 
 void RequestsPlugin::endExpired(Time Now, Actions &Out) {
--- a/src/plugins/requests/RequestsPlugin.h
+++ b/src/plugins/requests/RequestsPlugin.h
@@ -1,5 +1,6 @@
 /// \file
-/// The life cycle of requests: arrival, claim, queue, tries, final answer.
+/// The plug-in that handles requests from arrival through claim, queue and
+/// attempts to the final answer.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -10,6 +11,8 @@
 
 namespace banyanpick {
 
+/// Provides the table of running requests and connects the parts that handle
+/// their events.
 class RequestsPlugin final : public Plugin,
                              public RequestTable,
                              public ClaimObserver,
@@ -47,7 +50,7 @@
                        Actions &Out) override;
 
 private:
-  /// A life of an upstream that is taken for dead.
+  /// An incarnation of an upstream that is considered dead.
   struct DeadIncarnation {
     UpstreamId Upstream;
     Incarnation Life;
@@ -57,7 +60,7 @@
   void endExpired(Time Now, Actions &Out);
 
   RunningRequests Table;
-  std::vector<DeadIncarnation> DeadUpstreams; ///< Since the last event.
+  std::vector<DeadIncarnation> DeadUpstreams; ///< Found since the last event.
   std::unique_ptr<RequestServices> Dependencies;
   std::unique_ptr<RequestFinisher> Finisher;
   std::unique_ptr<Dispatcher> RequestDispatcher;
--- a/src/plugins/requests/RunningRequest.h
+++ b/src/plugins/requests/RunningRequest.h
@@ -11,7 +11,7 @@
 
 namespace banyanpick {
 
-/// Waits for the log to say whose operation it is.
+/// Waits for the log to decide which host owns the operation.
 struct AwaitingClaim {};
 /// Waits in the dispatch queue.
 struct InQueue {};
@@ -32,18 +32,20 @@
   Request Original;
   RequestPhase Phase = InQueue{};
   std::uint32_t AttemptCount = 0;
-  /// A try may have started on an upstream: "not run" is no longer true.
+  /// An attempt may have started on an upstream, so the request may no longer
+  /// be answered as not run.
   bool MayHaveRun = false;
   bool FirstTokenSeen = false;
   std::uint64_t NextIndex = 0; ///< First chunk not yet delivered.
   std::set<UpstreamId> Excluded;
   std::string ResumeToken;
-  /// Set while no caller is connected: when the stream is given up.
+  /// When the stream is given up. Set while no caller is connected.
   std::optional<Time> AbandonAt;
-  /// A stream of a peer: its prompt is not here, so it can't be tried anew.
+  /// The stream was handed over by a peer. It can't be retried because its
+  /// prompt is not on this host.
   bool Adopted = false;
 
-  /// The attempt that runs now, or null.
+  /// Returns the running attempt, or null.
   const Attempt *attempt() const {
     const auto *Running = std::get_if<OnUpstream>(&this->Phase);
     return Running ? &Running->Current : nullptr;
--- a/src/plugins/requests/RunningRequests.cpp
+++ b/src/plugins/requests/RunningRequests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// When the request ends at the latest.
+/// Returns the time at which the request ends at the latest.
 Time expiryOf(const RunningRequest &Entry) {
   return std::min(Entry.Original.Deadline, Entry.AbandonAt.value_or(Never));
 }
@@ -57,8 +57,8 @@
 std::vector<AttemptId> RunningRequests::attemptsOn(const UpstreamId &Id,
                                                    Incarnation Life) const {
   std::vector<AttemptId> Result;
-  for (const auto &[Request, Each] : this->ById) {
-    const Attempt *Running = Each.attempt();
+  for (const auto &[Request, Entry] : this->ById) {
+    const Attempt *Running = Entry.attempt();
     if (Running && Running->Upstream == Id && Running->UpstreamLife == Life)
       Result.push_back(Running->Id);
   }
--- a/src/plugins/requests/RunningRequests.h
+++ b/src/plugins/requests/RunningRequests.h
@@ -1,6 +1,6 @@
 /// \file
-/// All admitted requests of this host, found by id, attempt, resume token and
-/// time limit.
+/// All admitted requests of this host, indexed by id, attempt, resume token and
+/// expiry.
 #pragma once
 
 #include "plugins/requests/RunningRequest.h"
@@ -12,6 +12,7 @@
 
 namespace banyanpick {
 
+/// The table of admitted requests.
 class RunningRequests {
 public:
   /// References stay valid until the request is removed.
@@ -22,21 +23,24 @@
   const RunningRequest *find(const RequestId &Id) const;
   RunningRequest *findByAttempt(const AttemptId &Id);
   const RunningRequest *findByAttempt(const AttemptId &Id) const;
-  /// The tries that run on that life of the upstream, in their order.
+  /// Returns the attempts that run on that incarnation of the upstream, in the
+  /// order of their requests' ids.
   std::vector<AttemptId> attemptsOn(const UpstreamId &Id,
                                     Incarnation Life) const;
   RunningRequest *findByToken(const std::string &ResumeToken);
 
-  /// The request now runs as this attempt; forgets an earlier one.
+  /// Sets the running attempt and removes an earlier one.
   void setAttempt(RunningRequest &Entry, Attempt Started);
-  /// The request runs nowhere and is in this phase.
+  /// Sets the phase and removes the running attempt.
   void setPhase(RunningRequest &Entry, RequestPhase Phase);
-  /// Nobody is connected; gives up at \p When. Nothing: somebody is.
+  /// Sets when the stream is given up because no caller is connected, or
+  /// nothing if a caller is.
   void setAbandonAt(RunningRequest &Entry, std::optional<Time> When);
 
-  /// The requests whose deadline or abandonment has come, earliest first.
+  /// Returns the requests that have expired, earliest first. A request expires
+  /// at its deadline or when its stream is given up.
   std::vector<RequestId> expired(Time Now) const;
-  /// The earliest deadline or abandonment.
+  /// Returns the earliest expiry.
   Time nextExpiry() const;
 
   std::size_t size() const { return this->ById.size(); }
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -1,5 +1,7 @@
 /// \file
-/// The life cycle of requests against hand-written fakes.
+/// Guards against requests that run twice, end without an answer or are
+/// answered wrongly as not run. Attempts that end late or are cut, callers that
+/// disconnect, and lost upstreams cause these. The services are fakes.
 #include "ServiceFakes.h"
 
 #include "catalogue/KeyDigest.h"
@@ -27,7 +29,7 @@
       Engine.Listing.Id = UpstreamId(Name);
       this->Fleet.Upstreams.push_back(Engine);
     }
-    this->PluginServices.provide<CatalogueView>(this->InForce);
+    this->PluginServices.provide<CatalogueView>(this->CurrentCatalogue);
     this->PluginServices.provide<FleetView>(this->Fleet);
     this->PluginServices.provide<UpstreamSelector>(this->Selector);
     this->PluginServices.provide<DispatchQueue>(this->Queue);
@@ -53,7 +55,7 @@
     TeamEntry Other = House;
     Other.Key = digestOfKey("secret", Salt);
     const OwnerId Ring("ring");
-    this->InForce.InForce.restore(
+    this->CurrentCatalogue.Current.restore(
         {{{EntryKind::Class, "short"}, {Ring, Short, 1}},
          {{EntryKind::Class, "confirm"}, {Ring, Confirm, 1}},
          {{EntryKind::Team, "house"}, {Ring, House, 1}},
@@ -73,7 +75,7 @@
     return Head;
   }
 
-  /// Handles the event and keeps its actions.
+  /// Handles the event and stores its actions.
   void handle(const Event &What, Duration After = Duration(0)) {
     Actions Out;
     this->Tested.handle(What, Start + After, Out);
@@ -83,8 +85,8 @@
   template <class Kind> std::vector<Kind> actions() const {
     std::vector<Kind> Found;
     for (const Action &Each : this->LastActions)
-      if (const auto *Is = std::get_if<Kind>(&Each))
-        Found.push_back(*Is);
+      if (const auto *Match = std::get_if<Kind>(&Each))
+        Found.push_back(*Match);
     return Found;
   }
 
@@ -105,7 +107,7 @@
     this->handle(LogRead{});
   }
 
-  fakes::FakeCatalogue InForce;
+  fakes::FakeCatalogue CurrentCatalogue;
   fakes::FakeFleet Fleet;
   fakes::FakeSelector Selector;
   fakes::FakeQueue Queue;
@@ -125,14 +127,14 @@
 
 TEST_F(RequestsTest, ServesARequest) {
   this->handle(RequestArrived{this->head(1)});
-  const AttemptId Try = this->dispatched();
-  EXPECT_EQ(Try.Maker, Incarnation(11));
-  this->handle(AttemptEnded{Try, AttemptComplete{5, ""}});
+  const AttemptId Started = this->dispatched();
+  EXPECT_EQ(Started.Maker, Incarnation(11));
+  this->handle(AttemptEnded{Started, AttemptComplete{5, ""}});
   EXPECT_TRUE(this->answeredWith<CompleteAnswer>());
   EXPECT_EQ(this->Tested.running(), 0u);
 }
 
-TEST_F(RequestsTest, RefusesWrongKeysAndForeignClassesAlike) {
+TEST_F(RequestsTest, RefusesWrongKeysAndUnknownClassesAlike) {
   RequestHead Wrong = this->head(1);
   Wrong.TeamKey = "house.guess";
   this->handle(RequestArrived{Wrong});
@@ -143,13 +145,13 @@
   EXPECT_EQ(First, Second);
 }
 
-TEST_F(RequestsTest, NeverServesWithoutACatalogue) {
-  this->InForce.Ready = false;
+TEST_F(RequestsTest, RefusesRequestsWithoutACatalogue) {
+  this->CurrentCatalogue.Ready = false;
   this->handle(RequestArrived{this->head(1)});
   EXPECT_TRUE(this->answeredWith<NotRun>());
 }
 
-TEST_F(RequestsTest, DropsEndsOfTriesThatAreNotLive) {
+TEST_F(RequestsTest, IgnoresEndsOfAttemptsThatDoNotRun) {
   this->handle(RequestArrived{this->head(1)});
   const AttemptId First = this->dispatched();
   this->handle(AttemptEnded{First, AttemptBroken{3, true}});
@@ -162,7 +164,7 @@
   EXPECT_TRUE(this->answeredWith<CompleteAnswer>());
 }
 
-TEST_F(RequestsTest, BeginsAnewWhenEveryUpstreamWasTried) {
+TEST_F(RequestsTest, RetriesAllUpstreamsAfterEachWasTried) {
   this->handle(RequestArrived{this->head(1)});
   this->handle(AttemptEnded{this->dispatched(), AttemptBroken{1, false}});
   this->handle(AttemptEnded{this->dispatched(), AttemptBroken{2, false}});
@@ -171,7 +173,7 @@
   EXPECT_EQ(this->actions<DispatchAttempt>().size(), 1u);
 }
 
-TEST_F(RequestsTest, NeverDispatchesWhatWasQuarantinedWhileItWaited) {
+TEST_F(RequestsTest, DoesNotDispatchContentQuarantinedWhileQueued) {
   this->Selector.Full = true;
   this->handle(RequestArrived{this->head(1)});
   this->Selector.Full = false;
@@ -183,28 +185,28 @@
 
 TEST_F(RequestsTest, GivesUpAtTheDeadlineAndCancels) {
   this->handle(RequestArrived{this->head(1)});
-  const AttemptId Try = this->dispatched();
+  const AttemptId Started = this->dispatched();
   EXPECT_LE(this->Tested.nextWake(), Start + seconds(2));
   this->handle(Tick{}, seconds(2));
   EXPECT_TRUE(this->answeredWith<FailedAnswer>());
-  EXPECT_EQ(this->Canceller.Cancelled, std::vector{Try});
+  EXPECT_EQ(this->Canceller.Cancelled, std::vector{Started});
 }
 
-TEST_F(RequestsTest, SaysNotRunOnlyWhenNothingWasSent) {
+TEST_F(RequestsTest, AnswersNotRunWhenNothingWasSent) {
   this->Selector.Full = true;
   this->handle(RequestArrived{this->head(1)});
   this->handle(Tick{}, seconds(2));
   EXPECT_TRUE(this->answeredWith<NotRun>());
 }
 
-TEST_F(RequestsTest, ClaimsBeforeItDispatchesAnOperation) {
+TEST_F(RequestsTest, ClaimsAnOperationBeforeItsDispatch) {
   this->handle(RequestArrived{this->head(1, "confirm")});
   EXPECT_TRUE(this->actions<DispatchAttempt>().empty());
   this->grantClaim(1);
   EXPECT_EQ(this->actions<DispatchAttempt>().size(), 1u);
 }
 
-TEST_F(RequestsTest, NeverRunsAnOperationAgainAfterItsAnswerWasLost) {
+TEST_F(RequestsTest, DoesNotRetryAnOperationWhoseAnswerWasLost) {
   this->handle(RequestArrived{this->head(1, "confirm")});
   this->grantClaim(1);
   this->handle(AttemptEnded{this->dispatched(), AttemptBroken{0, true}});
@@ -215,7 +217,7 @@
                 std::to_string(static_cast<int>(OutcomeRecord::Kind::Unknown)));
 }
 
-TEST_F(RequestsTest, TriesAnOperationElsewhereWhenItSurelyDidNotStart) {
+TEST_F(RequestsTest, RetriesAnOperationThatDidNotStart) {
   this->handle(RequestArrived{this->head(1, "confirm")});
   this->grantClaim(1);
   this->handle(AttemptEnded{this->dispatched(), AttemptNeverSent{}});
@@ -226,13 +228,13 @@
   EXPECT_EQ(this->Claims.Calls.back(), "abandon");
 }
 
-TEST_F(RequestsTest, KeepsAStartedOperationWhenItsCallerHangsUp) {
+TEST_F(RequestsTest, KeepsAStartedOperationWhenItsCallerDisconnects) {
   this->handle(RequestArrived{this->head(1, "confirm")});
   this->grantClaim(1);
-  const AttemptId Try = this->dispatched();
+  const AttemptId Started = this->dispatched();
   this->handle(CallerDisconnected{RequestId(1)});
   EXPECT_TRUE(this->Canceller.Cancelled.empty());
-  this->handle(AttemptEnded{Try, AttemptComplete{1, "done"}});
+  this->handle(AttemptEnded{Started, AttemptComplete{1, "done"}});
   EXPECT_EQ(this->Claims.Calls.back(),
             "finish " +
                 std::to_string(static_cast<int>(OutcomeRecord::Kind::Done)));
@@ -252,7 +254,7 @@
   EXPECT_EQ(Joined[0].Stream, RequestId(1));
 }
 
-TEST_F(RequestsTest, GivesAnAbandonedStreamUpAfterTheWindow) {
+TEST_F(RequestsTest, GivesUpAnAbandonedStreamAfterTheResumeWindow) {
   this->handle(RequestArrived{this->head(1)});
   this->handle(CallerDisconnected{RequestId(1)});
   EXPECT_EQ(this->Tested.nextWake(), Start + milliseconds(500));
@@ -263,7 +265,7 @@
   EXPECT_EQ(this->Tested.running(), 0u);
 }
 
-TEST_F(RequestsTest, ReleasesAGroupThatComesTooLate) {
+TEST_F(RequestsTest, ReleasesAGroupDecidedAfterTheDeadline) {
   this->Selector.Group = {UpstreamId("e2")};
   this->handle(RequestArrived{this->head(1)});
   EXPECT_EQ(this->Groups.Acquired, 1);
--- a/tests/auto/requests/ServiceFakes.h
+++ b/tests/auto/requests/ServiceFakes.h
@@ -1,5 +1,5 @@
 /// \file
-/// Hand-written fakes of the services that the life cycle of requests uses.
+/// Hand-written fakes of the services that the requests plug-in uses.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -9,10 +9,10 @@
 namespace banyanpick::fakes {
 
 struct FakeCatalogue : CatalogueView {
-  Catalogue InForce;
+  Catalogue Current;
   bool Ready = true;
 
-  const Catalogue &catalogue() const override { return this->InForce; }
+  const Catalogue &catalogue() const override { return this->Current; }
   bool isReady() const override { return this->Ready; }
   bool isCurrent(Time) const override { return true; }
 };
@@ -92,7 +92,7 @@
   }
 };
 
-/// Notes what is said of claims; the test decides them.
+/// Records the calls; the test decides the claims.
 struct FakeClaims : ClaimKeeper {
   std::vector<std::string> Calls;
 
