--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -69,9 +69,9 @@
 
 void RelaysPlugin::start(Time, Actions &) {}
 
-void RelaysPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void RelaysPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
+      Incoming,
       [&](const GatewayEvent &Gateway) {
         match(
             Gateway,
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -40,7 +40,7 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
--- a/src/plugins/relays/RelaysSettings.cpp
+++ b/src/plugins/relays/RelaysSettings.cpp
@@ -12,48 +12,48 @@
 std::vector<SettingDeclaration> waitingSettings() {
   constexpr auto Span = SettingKind::Span;
   constexpr auto Fraction = SettingKind::Fraction;
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "hold_shortest", Span, "500ms",
+      {SectionName, "hold_shortest", Span, "500ms",
        "A request that no upstream can take waits at least so long for one: "
        "a restart of an upstream shows within it.",
        0, 60e6},
-      {In, "hold_share", Fraction, "0.1",
+      {SectionName, "hold_share", Fraction, "0.1",
        "It waits no longer than this share of the time it has; at four times "
        "that, callers came back too late for their second try.",
        0, 1},
-      {In, "wait_pause", Span, "40ms",
+      {SectionName, "wait_pause", Span, "40ms",
        "How often a waiting request looks for an upstream.", 1e3, 10e6},
-      {In, "memory_pause", Span, "40ms",
+      {SectionName, "memory_pause", Span, "40ms",
        "How soon a request tries again, on other engines, whose memory could "
        "not be had; each try costs the engines orders.",
        1e3, 60e6},
-      {In, "come_back", Span, "300ms",
+      {SectionName, "come_back", Span, "300ms",
        "When callers whose requests did not run should come back.", 0, 60e6},
-      {In, "give_up_slack", Span, "30ms",
+      {SectionName, "give_up_slack", Span, "30ms",
        "How long after a deadline an upstream's own answer to it is still "
        "awaited: the way from the upstream.",
        0, 10e6},
-      {In, "patience_margin", Span, "700ms",
+      {SectionName, "patience_margin", Span, "700ms",
        "An idempotent request is tried elsewhere when its answer has not begun "
        "so long after its prediction times patience_factor.",
        1e3, 60e6},
-      {In, "sign_of_life", Span, "700ms",
+      {SectionName, "sign_of_life", Span, "700ms",
        "An engine that gave anything to anybody so lately is slow, not dead; "
        "giving its tries up would make an overloaded fleet read prompts twice.",
        0, 60e6},
-      {In, "longest_patience", Span, "4s",
+      {SectionName, "longest_patience", Span, "4s",
        "A try on an engine that is only slow is given up after so long.", 0,
        600e6},
-      {In, "silence_swift", Span, "3s",
+      {SectionName, "silence_swift", Span, "3s",
        "A stream after a short or middle prompt that gives nothing for so long "
        "goes on at another engine; beside large reads pauses of 2.4 s were "
        "seen.",
        100e3, 600e6},
-      {In, "silence_long", Span, "8s",
+      {SectionName, "silence_long", Span, "8s",
        "The same after a long prompt, which takes seconds to read again.",
        100e3, 600e6},
-      {In, "patience_factor", Fraction, "2.5",
+      {SectionName, "patience_factor", Fraction, "2.5",
        "How many times longer than predicted the beginning of an answer may "
        "take.",
        1, 100},
@@ -64,14 +64,14 @@
 std::vector<SettingDeclaration> boundSettings() {
   constexpr auto Span = SettingKind::Span;
   constexpr auto Whole = SettingKind::Whole;
-  const std::string In(Section);
+  const std::string SectionName(Section);
   const std::string Budget(BudgetSection);
   return {
-      {In, "refuse_after_leaving", Span, "6s",
+      {SectionName, "refuse_after_leaving", Span, "6s",
        "A stopping host that callers still come to after so long refuses, as "
        "it could not finish.",
        0, 600e6},
-      {In, "most_sends", Whole, "8",
+      {SectionName, "most_sends", Whole, "8",
        "A request is handed to connections at most so often, whatever came of "
        "it.",
        1, 100},
--- a/src/plugins/relays/RetryAllowance.cpp
+++ b/src/plugins/relays/RetryAllowance.cpp
@@ -37,9 +37,9 @@
   Slice &Latest = this->current(Service, Now);
   double Requests = 0;
   double Repeats = 0;
-  for (const Slice &Each : this->Slices[Service]) {
-    Requests += Each.Requests;
-    Repeats += Each.Repeats;
+  for (const Slice &Part : this->Slices[Service]) {
+    Requests += Part.Requests;
+    Repeats += Part.Repeats;
   }
   const double Constant = this->Limits.Constant * UsableShare * Share;
   if (Repeats + 1 > this->Limits.Ratio * UsableShare * Requests + Constant)
--- a/src/plugins/requests/RequestsPlugin.cpp
+++ b/src/plugins/requests/RequestsPlugin.cpp
@@ -36,11 +36,11 @@
   Context.services().list<FleetObserver>().add(*this);
 }
 
-void RequestsPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void RequestsPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   this->endAttemptsOnDead(Now, Out);
   this->endExpired(Now, Out);
   match(
-      What,
+      Incoming,
       [&](const RequestArrived &Arrival) {
         this->Intake->arrived(Arrival, Now, Out);
       },
@@ -58,9 +58,9 @@
   this->endAttemptsOnDead(Now, Out);
   // Arrivals and ended attempts start a sweep at once. Other changes wait for
   // the next regular sweep, so that a burst of reports costs one sweep.
-  const bool SweepsNow = std::holds_alternative<RequestArrived>(What) ||
-                         std::holds_alternative<AttemptEnded>(What) ||
-                         std::holds_alternative<LogRead>(What);
+  const bool SweepsNow = std::holds_alternative<RequestArrived>(Incoming) ||
+                         std::holds_alternative<AttemptEnded>(Incoming) ||
+                         std::holds_alternative<LogRead>(Incoming);
   if (this->Dependencies->Queue.size() != 0 &&
       (SweepsNow || Now >= this->RequestDispatcher->nextSweep()))
     this->RequestDispatcher->sweep(Now, Out);
--- a/src/plugins/requests/RequestsPlugin.h
+++ b/src/plugins/requests/RequestsPlugin.h
@@ -21,7 +21,7 @@
 public:
   // Plugin
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
--- a/src/plugins/requests/RequestsSettings.cpp
+++ b/src/plugins/requests/RequestsSettings.cpp
@@ -9,22 +9,22 @@
 } // namespace
 
 std::vector<SettingDeclaration> RequestsSettings::declarations() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "resume_window", SettingKind::Span, "10s",
+      {SectionName, "resume_window", SettingKind::Span, "10s",
        "How long a stream whose caller's connection was cut waits to be "
        "resumed.",
        0, 600e6},
-      {In, "sweep_interval", SettingKind::Span, "20ms",
+      {SectionName, "sweep_interval", SettingKind::Span, "20ms",
        "How often waiting requests are tried and judged again at the latest.",
        1e3, 1e6},
-      {In, "come_back_after", SettingKind::Span, "500ms",
+      {SectionName, "come_back_after", SettingKind::Span, "500ms",
        "Come-back hint of refusals for which nothing better is known; spread "
        "up to twice this.",
        1e3, 60e6},
-      {In, "candidates_per_sweep", SettingKind::Whole, "16",
+      {SectionName, "candidates_per_sweep", SettingKind::Whole, "16",
        "How many waiting requests are tried in one sweep.", 1, 1024},
-      {In, "most_tries", SettingKind::Whole, "4",
+      {SectionName, "most_tries", SettingKind::Whole, "4",
        "How many upstreams one request is tried on at most.", 1, 16},
   };
 }
--- a/tests/auto/gateway/RelaysTest.cpp
+++ b/tests/auto/gateway/RelaysTest.cpp
@@ -224,11 +224,11 @@
 TEST_F(Relays, StreamIsBrokenOffWhenItCannotResume) {
   this->Bench.registerEngines("ring", 3, 50);
   const RequestId Id = this->Bench.arrive("/stream/1", 5000);
-  for (int Each = 0; Each < 2; ++Each) {
+  for (int Round = 0; Round < 2; ++Round) {
     this->Bench.send(GatewayEvent(RelayBegan{this->sent().Attempt}));
     this->Bench.endAttempt(
         this->sent().Attempt,
-        RelayBroken{RelayBroken::Why::Reset, true, 7 + Each});
+        RelayBroken{RelayBroken::Why::Reset, true, 7 + Round});
   }
   EXPECT_EQ(this->Bench.last<BreakRelay>().Request, Id);
   EXPECT_TRUE(this->Bench.all<RefuseRelay>().empty());
@@ -240,7 +240,7 @@
   RelayNotRun Other;
   Other.OtherEngine = true;
   this->Bench.endAttempt(this->sent().Attempt, Other);
-  for (int Each = 0; Each < 30; ++Each) {
+  for (int Round = 0; Round < 30; ++Round) {
     this->Bench.arrive("/once/2");
     EXPECT_NE(this->sent().Engine, Old);
     this->Bench.endAttempt(this->sent().Attempt, RelayDelivered{});
@@ -361,8 +361,8 @@
   const UpstreamId Helper = First.Helpers.back().Engine;
   this->Bench.report(UpstreamId(Helper.Value + "@5000"));
   ASSERT_EQ(this->sends(), 2U);
-  for (const HelperEngine &Each : this->sent().Helpers)
-    EXPECT_NE(Each.Engine, Helper);
+  for (const HelperEngine &Chosen : this->sent().Helpers)
+    EXPECT_NE(Chosen.Engine, Helper);
 }
 
 /// Guards against long prompts that delay each other more than needed: several
--- a/tests/auto/gateway/RetryAllowanceTest.cpp
+++ b/tests/auto/gateway/RetryAllowanceTest.cpp
@@ -26,7 +26,7 @@
 
 TEST(RetryAllowance, GrowsWithTheRequests) {
   RetryAllowance Allowance(Limits);
-  for (int Each = 0; Each < 1000; ++Each)
+  for (int Count = 0; Count < 1000; ++Count)
     Allowance.recordRequest(Desk, Time(seconds(1)));
   int Taken = 0;
   while (Allowance.tryAcquire(Desk, 1.0 / 100, Time(seconds(1))))
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -76,16 +76,16 @@
   }
 
   /// Handles the event and stores its actions.
-  void handle(const Event &What, Duration After = Duration(0)) {
+  void handle(const Event &Incoming, Duration After = Duration(0)) {
     Actions Out;
-    this->Tested.handle(What, Start + After, Out);
+    this->Tested.handle(Incoming, Start + After, Out);
     this->LastActions = Out.take();
   }
 
   template <class Kind> std::vector<Kind> actions() const {
     std::vector<Kind> Found;
-    for (const Action &Each : this->LastActions)
-      if (const auto *Match = std::get_if<Kind>(&Each))
+    for (const Action &Recorded : this->LastActions)
+      if (const auto *Match = std::get_if<Kind>(&Recorded))
         Found.push_back(*Match);
     return Found;
   }
--- a/tests/auto/requests/ServiceFakes.h
+++ b/tests/auto/requests/ServiceFakes.h
@@ -31,9 +31,9 @@
     return {};
   }
   const Upstream *find(const UpstreamId &Id) const override {
-    for (const Upstream &Each : this->Upstreams)
-      if (Each.Listing.Id == Id)
-        return &Each;
+    for (const Upstream &Candidate : this->Upstreams)
+      if (Candidate.Listing.Id == Id)
+        return &Candidate;
     return nullptr;
   }
 };
@@ -50,11 +50,11 @@
                    Actions &) override {
     if (this->Full)
       return NothingFits{false, milliseconds(5)};
-    for (const Upstream &Each : this->Fleet.Upstreams) {
-      if (Limits.Excluded.contains(Each.Listing.Id))
+    for (const Upstream &Candidate : this->Fleet.Upstreams) {
+      if (Limits.Excluded.contains(Candidate.Listing.Id))
         continue;
       Selected Choice;
-      Choice.Upstream = Each.Listing.Id;
+      Choice.Upstream = Candidate.Listing.Id;
       Choice.Group = this->Group;
       return Choice;
     }
@@ -65,8 +65,8 @@
 struct FakeQueue : DispatchQueue {
   std::vector<RequestId> Waiting;
 
-  void push(const Request &Asked, Time) override {
-    this->Waiting.push_back(Asked.id());
+  void push(const Request &Queued, Time) override {
+    this->Waiting.push_back(Queued.id());
   }
   void remove(const RequestId &Id) override { std::erase(this->Waiting, Id); }
   std::vector<RequestId> candidates(std::size_t, Time) override {
