--- a/src/plugins/retry/RetryBudget.cpp
+++ b/src/plugins/retry/RetryBudget.cpp
@@ -5,18 +5,18 @@
 
 namespace banyanpick {
 
-void RetryBudget::earn(Time Now) {
-  this->advance(this->Policy.LeastBurst, Now);
-  this->Earned += this->Policy.Share;
+void RetryBudget::recordAdmission(Time Now) {
+  this->advance(this->Policy.MinBurst, Now);
+  this->EarnedRetries += this->Policy.RetriesPerRequest;
 }
 
-bool RetryBudget::spend(std::size_t Running, Time Now) {
+bool RetryBudget::tryAcquire(std::size_t Running, Time Now) {
   const double Burst =
-      std::max(this->Policy.LeastBurst,
+      std::max(this->Policy.MinBurst,
                this->Policy.BurstShare * static_cast<double>(Running));
   this->advance(Burst, Now);
-  if (this->Earned >= 1) {
-    this->Earned -= 1;
+  if (this->EarnedRetries >= 1) {
+    this->EarnedRetries -= 1;
     return true;
   }
   if (this->UsedBurst + 1 > Burst)
@@ -26,11 +26,11 @@
 }
 
 void RetryBudget::advance(double Burst, Time Now) {
-  if (Now <= this->Latest)
+  if (Now <= this->LastUpdate)
     return;
-  const double Passed = inSeconds(Now - this->Latest);
-  this->Latest = Now;
-  this->Earned *= std::exp(-Passed / inSeconds(this->Policy.Window));
+  const double Passed = inSeconds(Now - this->LastUpdate);
+  this->LastUpdate = Now;
+  this->EarnedRetries *= std::exp(-Passed / inSeconds(this->Policy.Window));
   const double Refilled = Burst * Passed / inSeconds(this->Policy.BurstRefill);
   this->UsedBurst = std::max(0.0, this->UsedBurst - Refilled);
 }
--- a/src/plugins/retry/RetryBudget.h
+++ b/src/plugins/retry/RetryBudget.h
@@ -9,10 +9,10 @@
 
 /// How much may be retried.
 struct RetryBudgetPolicy {
-  double Share = 0.1;            ///< Retries earned by each admitted request.
-  Duration Window = seconds(10); ///< How long an earned retry can be kept.
-  double BurstShare = 0.5;       ///< Part of what runs that one loss may take.
-  double LeastBurst = 10;        ///< Burst with little running.
+  double RetriesPerRequest = 0.1; ///< Retries earned by each admitted request.
+  Duration Window = seconds(10);  ///< How long an earned retry can be kept.
+  double BurstShare = 0.5;        ///< Part of what runs that one loss may take.
+  double MinBurst = 10;           ///< Burst with little running.
   Duration BurstRefill = seconds(60); ///< Until a used burst is whole again.
 };
 
@@ -25,19 +25,19 @@
   explicit RetryBudget(const RetryBudgetPolicy &Policy) : Policy(Policy) {}
 
   /// A request was admitted.
-  void earn(Time Now);
+  void recordAdmission(Time Now);
 
   /// Takes one retry while \p Running requests run; false when the budget is
   /// used up.
-  bool spend(std::size_t Running, Time Now);
+  bool tryAcquire(std::size_t Running, Time Now);
 
 private:
   void advance(double Burst, Time Now);
 
   RetryBudgetPolicy Policy;
-  double Earned = 0;    ///< From traffic.
-  double UsedBurst = 0; ///< Not refilled yet.
-  Time Latest{};
+  double EarnedRetries = 0; ///< From traffic.
+  double UsedBurst = 0;     ///< Not refilled yet.
+  Time LastUpdate{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/retry/RetryPlugin.h
+++ b/src/plugins/retry/RetryPlugin.h
@@ -22,17 +22,17 @@
   void handle(const Event &, Time, Actions &) override {}
 
   // RetryPolicy
-  bool mayRetry(const Request &Asked, std::uint32_t AttemptsMade,
+  bool mayRetry(const Request &Admitted, std::uint32_t AttemptsMade,
                 Time Now) override;
 
   // RequestObserver
-  void admitted(const Request &Asked, Time Now, Actions &Out) override;
-  void dispatched(const Request &Asked, const Attempt &Try, Time Now,
+  void admitted(const Request &Admitted, Time Now, Actions &Out) override;
+  void dispatched(const Request &Admitted, const Attempt &Started, Time Now,
                   Actions &Out) override;
-  void attemptEnded(const Request &Asked, const Attempt &Try,
+  void attemptEnded(const Request &Admitted, const Attempt &Started,
                     const AttemptOutcome &Outcome, Time Now,
                     Actions &Out) override;
-  void ended(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void ended(const Request &Admitted, const FinalAnswer &Answer, Time Now,
              Actions &Out) override;
 
 private:
--- a/tests/auto/retry/RetryTest.cpp
+++ b/tests/auto/retry/RetryTest.cpp
@@ -17,8 +17,8 @@
   int Retries = 0;
   // Ten minutes at 20 requests a second, of which every try fails.
   for (int Request = 0; Request < 12'000; ++Request) {
-    Budget.earn(Now);
-    while (Budget.spend(20, Now))
+    Budget.recordAdmission(Now);
+    while (Budget.tryAcquire(20, Now))
       ++Retries;
     Now += milliseconds(50);
   }
@@ -30,10 +30,10 @@
 TEST(RetryTest, LossOfOneOfFourEnginesIsWhollyRetriedOnce) {
   RetryBudget Budget{RetryBudgetPolicy()};
   for (int Request = 0; Request < 60; ++Request)
-    EXPECT_TRUE(Budget.spend(240, Start));
+    EXPECT_TRUE(Budget.tryAcquire(240, Start));
   // The third quarter lost at once is more than the burst allows.
   int Retries = 0;
-  while (Budget.spend(240, Start + seconds(1)))
+  while (Budget.tryAcquire(240, Start + seconds(1)))
     ++Retries;
   EXPECT_LE(Retries, 64);
 }
@@ -41,9 +41,9 @@
 TEST(RetryTest, QuietHourSavesNoStorm) {
   RetryBudget Budget{RetryBudgetPolicy()};
   for (int Request = 0; Request < 10'000; ++Request)
-    Budget.earn(Start);
+    Budget.recordAdmission(Start);
   int Retries = 0;
-  while (Budget.spend(0, Start + seconds(3600)))
+  while (Budget.tryAcquire(0, Start + seconds(3600)))
     ++Retries;
   EXPECT_EQ(Retries, 10);
 }
@@ -53,20 +53,21 @@
   Bench.start();
   RetryPlugin &Tested = Bench.Tested;
   Actions Out;
-  const Request Asked =
+  const Request NotIdempotent =
       RequestMaker(1).notIdempotent().arrived(Start, seconds(10));
-  const Attempt Try = attemptOf(Asked, 1, "app");
-  Tested.admitted(Asked, Start, Out);
-  Tested.dispatched(Asked, Try, Start, Out);
-  EXPECT_FALSE(Tested.mayRetry(Asked, 1, Start));
-  Tested.attemptEnded(Asked, Try, AttemptRefused{}, Start, Out);
-  EXPECT_TRUE(Tested.mayRetry(Asked, 1, Start));
-  Tested.dispatched(Asked, Try, Start, Out);
-  Tested.attemptEnded(Asked, Try, AttemptBroken{0, true}, Start, Out);
-  EXPECT_FALSE(Tested.mayRetry(Asked, 2, Start));
-  const Request Plain = RequestMaker(2).arrived(Start, seconds(10));
-  EXPECT_TRUE(Tested.mayRetry(Plain, 1, Start));
-  EXPECT_FALSE(Tested.mayRetry(Plain, 1, Plain.Deadline));
+  const Attempt Dispatched = attemptOf(NotIdempotent, 1, "app");
+  Tested.admitted(NotIdempotent, Start, Out);
+  Tested.dispatched(NotIdempotent, Dispatched, Start, Out);
+  EXPECT_FALSE(Tested.mayRetry(NotIdempotent, 1, Start));
+  Tested.attemptEnded(NotIdempotent, Dispatched, AttemptRefused{}, Start, Out);
+  EXPECT_TRUE(Tested.mayRetry(NotIdempotent, 1, Start));
+  Tested.dispatched(NotIdempotent, Dispatched, Start, Out);
+  Tested.attemptEnded(NotIdempotent, Dispatched, AttemptBroken{0, true}, Start,
+                      Out);
+  EXPECT_FALSE(Tested.mayRetry(NotIdempotent, 2, Start));
+  const Request Idempotent = RequestMaker(2).arrived(Start, seconds(10));
+  EXPECT_TRUE(Tested.mayRetry(Idempotent, 1, Start));
+  EXPECT_FALSE(Tested.mayRetry(Idempotent, 1, Idempotent.Deadline));
 }
 
 } // namespace
