--- a/src/plugins/retry/RetryPlugin.h
+++ b/src/plugins/retry/RetryPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that decides whether a failed try may be repeated.
+/// The plug-in that decides whether a failed attempt may be retried.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -9,8 +9,8 @@
 
 namespace banyanpick {
 
-/// Provides RetryPolicy: within the deadline, within the budget, and never
-/// for a non-idempotent call that may have started.
+/// Provides RetryPolicy. A retry must be within the deadline and the budget. A
+/// non-idempotent call that may have started is never retried.
 class RetryPlugin : public Plugin, public RetryPolicy, public RequestObserver {
 public:
   RetryPlugin() : Budget(RetryBudgetPolicy()) {}
@@ -38,7 +38,7 @@
 private:
   RetryBudget Budget;
   std::set<RequestId> Running;
-  /// Non-idempotent requests with a try that the upstream may have begun.
+  /// Non-idempotent requests with an attempt that may have started.
   std::set<RequestId> MayHaveStarted;
 };
 
--- a/tests/auto/retry/RetryTest.cpp
+++ b/tests/auto/retry/RetryTest.cpp
@@ -1,5 +1,7 @@
 /// \file
-/// What may be tried again, and how much of it.
+/// Guards against retries that overload a failing fleet, and against retries of
+/// non-idempotent calls that may have started. Upstreams that fail or are lost
+/// cause both.
 #include <gtest/gtest.h>
 
 #include "fakes/PluginViews.h"
@@ -11,34 +13,34 @@
 
 constexpr Time Start{seconds(1000)};
 
-TEST(RetryTest, FailingFleetIsNotStormed) {
+TEST(RetryTest, RetriesDoNotOverloadAFailingFleet) {
   RetryBudget Budget{RetryBudgetPolicy()};
   Time Now = Start;
   int Retries = 0;
-  // Ten minutes at 20 requests a second, of which every try fails.
+  // Ten minutes at 20 requests a second; every attempt fails.
   for (int Request = 0; Request < 12'000; ++Request) {
     Budget.recordAdmission(Now);
     while (Budget.tryAcquire(20, Now))
       ++Retries;
     Now += milliseconds(50);
   }
-  // A tenth of the traffic, and a burst of ten each minute.
+  // The bound is a tenth of the traffic and a burst of ten each minute.
   EXPECT_LE(Retries, 1200 + 10 + 100);
   EXPECT_GE(Retries, 1000);
 }
 
-TEST(RetryTest, LossOfOneOfFourEnginesIsWhollyRetriedOnce) {
+TEST(RetryTest, AllRequestsOfOneLostEngineOfFourAreRetriedOnce) {
   RetryBudget Budget{RetryBudgetPolicy()};
   for (int Request = 0; Request < 60; ++Request)
     EXPECT_TRUE(Budget.tryAcquire(240, Start));
-  // The third quarter lost at once is more than the burst allows.
+  // The loss of a third quarter exceeds the burst.
   int Retries = 0;
   while (Budget.tryAcquire(240, Start + seconds(1)))
     ++Retries;
   EXPECT_LE(Retries, 64);
 }
 
-TEST(RetryTest, QuietHourSavesNoStorm) {
+TEST(RetryTest, UnusedRetriesDoNotAccumulate) {
   RetryBudget Budget{RetryBudgetPolicy()};
   for (int Request = 0; Request < 10'000; ++Request)
     Budget.recordAdmission(Start);
@@ -48,7 +50,7 @@
   EXPECT_EQ(Retries, 10);
 }
 
-TEST(RetryTest, NonIdempotentIsRetriedOnlyWhenSurelyNotStarted) {
+TEST(RetryTest, NonIdempotentIsRetriedOnlyIfItCertainlyDidNotStart) {
   PluginBench<RetryPlugin> Bench("h1");
   Bench.start();
   RetryPlugin &Tested = Bench.Tested;
