--- a/src/plugins/routes/PieceQueue.h
+++ b/src/plugins/routes/ChunkQueue.h
@@ -12,30 +12,30 @@
 /// Gives out pieces at a bounded rate, so that a document which many hosts lack
 /// leaves room on the link. Who has most of it goes first, as it can pass it on
 /// soonest; among equals, who has waited longest.
-class PieceQueue {
+class ChunkQueue {
 public:
-  PieceQueue() = default;
+  ChunkQueue() = default;
   /// \p BytesPerSecond: positive.
-  explicit PieceQueue(double BytesPerSecond) : Rate(BytesPerSecond) {}
+  explicit ChunkQueue(double BytesPerSecond) : Rate(BytesPerSecond) {}
 
-  struct Wanted {
-    HostId By;
-    ConfigurationRequest What;
-    Time AskedAt{};
+  struct PendingRequest {
+    HostId Peer;
+    ConfigurationRequest Request;
+    Time RequestedAt{};
   };
   /// Replaces what the peer asked before.
-  void add(const HostId &By, const ConfigurationRequest &What, Time Now);
+  void add(const HostId &Peer, const ConfigurationRequest &Request, Time Now);
   /// Who gets a piece now, if one may be sent.
-  std::optional<Wanted> next(Time Now);
+  std::optional<PendingRequest> next(Time Now);
   /// A piece of so many bytes was sent.
-  void noteSent(std::size_t Bytes, Time Now);
+  void recordSent(std::size_t Bytes, Time Now);
   /// When one may be sent; Never when nobody waits.
-  Time nextAt() const;
+  Time nextSendTime() const;
 
 private:
   double Rate = 0;
-  Time FreeAt{};
-  std::vector<Wanted> Waiting; ///< In the order in which they asked.
+  Time NextSendAt{};
+  std::vector<PendingRequest> Waiting; ///< In the order in which they asked.
 };
 
 } // namespace banyanpick
--- a/src/plugins/routes/ConfigurationFetch.cpp
+++ b/src/plugins/routes/ConfigurationFetch.cpp
@@ -8,21 +8,21 @@
 
 /// A piece that has not come for so long is asked of another peer: several
 /// times what one takes over a small link beside others.
-constexpr milliseconds PieceComesWithin(200);
+constexpr milliseconds ChunkTimeout(200);
 
 /// A larger one is not fetched; none of this size fits a store's record.
-constexpr std::uint64_t LargestPacked = 4'000'000;
+constexpr std::uint64_t MaxPackedBytes = 4'000'000;
 
 } // namespace
 
-bool ConfigurationFetch::mayAsk(Time Now) const {
-  return this->AskedAt == Never ||
-         Now >= this->AskedAt + Duration(PieceComesWithin);
+bool ConfigurationFetch::mayRequest(Time Now) const {
+  return this->RequestedAt == Never ||
+         Now >= this->RequestedAt + Duration(ChunkTimeout);
 }
 
-ConfigurationRequest ConfigurationFetch::ask(std::uint64_t NewerThan,
-                                             Time Now) {
-  this->AskedAt = Now;
+ConfigurationRequest ConfigurationFetch::makeRequest(std::uint64_t NewerThan,
+                                                     Time Now) {
+  this->RequestedAt = Now;
   if (this->Version <= NewerThan) {
     this->Version = 0;
     this->Bytes.clear();
@@ -31,8 +31,8 @@
 }
 
 ConfigurationFetch::Progress
-ConfigurationFetch::take(const ConfigurationRelayed &Chunk, Time Now) {
-  if (Chunk.Size > LargestPacked || Chunk.Version < this->Version)
+ConfigurationFetch::addChunk(const ConfigurationRelayed &Chunk, Time Now) {
+  if (Chunk.Size > MaxPackedBytes || Chunk.Version < this->Version)
     return {};
   if (Chunk.Version > this->Version && Chunk.From == 0) {
     this->Version = Chunk.Version;
@@ -43,10 +43,10 @@
   if (!IsNext)
     return {};
   this->Bytes += Chunk.Chunk;
-  this->AskedAt = Now;
+  this->RequestedAt = Now;
   if (this->Bytes.size() < Chunk.Size)
     return {!Chunk.Chunk.empty(), std::nullopt};
-  this->AskedAt = Never;
+  this->RequestedAt = Never;
   this->Version = 0;
   return {false, std::exchange(this->Bytes, {})};
 }
--- a/src/plugins/routes/ConfigurationFetch.h
+++ b/src/plugins/routes/ConfigurationFetch.h
@@ -16,21 +16,21 @@
 public:
   /// Whether a peer should be asked now: no piece is under way, or it has not
   /// come in a while.
-  bool mayAsk(Time Now) const;
+  bool mayRequest(Time Now) const;
   /// What to ask a peer for next.
-  ConfigurationRequest ask(std::uint64_t NewerThan, Time Now);
+  ConfigurationRequest makeRequest(std::uint64_t NewerThan, Time Now);
 
   /// How far a piece has brought it.
   struct Progress {
-    bool WantsMore = false; ///< Ask the same peer for the next one.
+    bool NeedsNextChunk = false; ///< Ask the same peer for the next one.
     std::optional<std::string> Document; ///< Packed, when it is whole.
   };
-  Progress take(const ConfigurationRelayed &Chunk, Time Now);
+  Progress addChunk(const ConfigurationRelayed &Chunk, Time Now);
 
 private:
   std::uint64_t Version = 0; ///< 0: no piece has come yet.
   std::string Bytes;
-  Time AskedAt = Never; ///< Never: nothing is under way.
+  Time RequestedAt = Never; ///< Never: nothing is under way.
 };
 
 } // namespace banyanpick
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -12,41 +12,41 @@
 namespace {
 
 /// Of a document, sent at once: a few milliseconds of the smallest link.
-constexpr std::size_t PieceBytes = 16'384;
+constexpr std::size_t ChunkBytes = 16'384;
 
 /// A larger document is not taken from a peer; the store takes none of this
 /// size.
-constexpr std::size_t LargestDocument = 16'000'000;
+constexpr std::size_t MaxDocumentBytes = 16'000'000;
 
 /// Newer versions that are remembered; the oldest of them matter.
-constexpr std::size_t MostHeard = 64;
+constexpr std::size_t MaxNewerVersions = 64;
 
 } // namespace
 
 void RoutesPlugin::initialize(PluginContext &Context) {
-  this->Offered = &Context.services();
+  this->PluginServices = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->Numbers = &Context.random();
-  this->LookInterval = Context.settings().span("routes", "peer_look_interval");
+  this->RandomSource = &Context.random();
+  this->CheckInterval = Context.settings().span("routes", "peer_look_interval");
   this->StaleAfter = Context.settings().span("routes", "stale_after");
-  this->Wanted = PieceQueue(
+  this->PendingRequests = ChunkQueue(
       static_cast<double>(Context.settings().whole("routes", "relay_rate")));
   Context.services().provide<RouteView>(*this);
   Context.services().provide<InForceView>(*this);
 }
 
-void RoutesPlugin::start(Time Now, Actions &) { this->NextLook = Now; }
+void RoutesPlugin::start(Time Now, Actions &) { this->NextCheck = Now; }
 
-void RoutesPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void RoutesPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
+      Incoming,
       [&](const GatewayEvent &Is) {
         if (const auto *Read = std::get_if<ConfigurationRead>(&Is))
-          this->take(*Read, Out);
+          this->activate(*Read, Out);
         if (const auto *Bad = std::get_if<ConfigurationUnreadable>(&Is)) {
           // What can't be read here is neither waited for nor fetched again.
-          this->Heard.clear();
-          this->Unreadable = this->DecodingVersion;
+          this->NewerVersions.clear();
+          this->UnreadableVersion = this->DecodingVersion;
           Out.log(logEvent(events::ConfigurationUnreadable)
                       .with("why", Bad->Why)
                       .with("in_force", this->version())
@@ -54,25 +54,25 @@
         }
       },
       [&](const PeerMessageReceived &Is) {
-        this->takePeerMessage(Is.Message, Now, Out);
+        this->handlePeerMessage(Is.Message, Now, Out);
       },
       [](const auto &) {});
-  if (Now >= this->NextLook)
-    this->look(Now, Out);
-  this->sendPieces(Now, Out);
+  if (Now >= this->NextCheck)
+    this->requestFromPeer(Now, Out);
+  this->sendChunks(Now, Out);
 }
 
 Time RoutesPlugin::nextWake() const {
-  return std::min(this->NextLook, this->Wanted.nextAt());
+  return std::min(this->NextCheck, this->PendingRequests.nextSendTime());
 }
 
 bool RoutesPlugin::isStale(Time Now) const {
-  return !this->Heard.empty() &&
-         Now >= this->Heard.begin()->second + this->StaleAfter;
+  return !this->NewerVersions.empty() &&
+         Now >= this->NewerVersions.begin()->second + this->StaleAfter;
 }
 
 bool RoutesPlugin::isReady() const {
-  const auto *Drain = this->Offered->find<DrainView>();
+  const auto *Drain = this->PluginServices->find<DrainView>();
   return this->Table && !(Drain && Drain->isLeaving());
 }
 
@@ -80,18 +80,18 @@
   return this->Table ? this->Table->version() : 0;
 }
 
-void RoutesPlugin::take(const ConfigurationRead &Read, Actions &Out) {
+void RoutesPlugin::activate(const ConfigurationRead &Read, Actions &Out) {
   if (this->Table && Read.Declared->Version <= this->version())
     return;
-  const std::uint64_t Before = this->version();
+  const std::uint64_t PreviousVersion = this->version();
   this->Table = std::make_unique<RouteTable>(Read.Declared);
   this->HighestVersion = std::max(this->HighestVersion, this->version());
-  this->Heard.erase(this->Heard.begin(),
-                    this->Heard.upper_bound(this->version()));
+  this->NewerVersions.erase(this->NewerVersions.begin(),
+                            this->NewerVersions.upper_bound(this->version()));
   Out.add(GatewayAction(LimitCallers{Read.Declared->Limits}));
   Out.log(logEvent(events::ConfigurationInForce)
               .with("version", this->version())
-              .with("before", Before)
+              .with("before", PreviousVersion)
               .with("from",
                     Read.From == ConfigurationSource::Store ? "store" : "peer")
               .with("routes", Read.Declared->Routes.size())
@@ -101,19 +101,19 @@
             Read.From == ConfigurationSource::Store ? "store" : "peer");
 }
 
-void RoutesPlugin::takePeerMessage(const PeerMessage &Message, Time Now,
-                                   Actions &Out) {
+void RoutesPlugin::handlePeerMessage(const PeerMessage &Message, Time Now,
+                                     Actions &Out) {
   match(
       Message.Body,
-      [&](const ConfigurationRequest &Asked) {
-        if (this->version() > Asked.NewerThan)
-          this->Wanted.add(Message.From, Asked, Now);
+      [&](const ConfigurationRequest &Request) {
+        if (this->version() > Request.NewerThan)
+          this->PendingRequests.add(Message.From, Request, Now);
       },
       [&](const ConfigurationRelayed &Relayed) {
-        this->takePiece(Message.From, Relayed, Now, Out);
+        this->receiveChunk(Message.From, Relayed, Now, Out);
       },
       [&](const Heartbeat &Beat) {
-        this->takeHeartbeat(Message.From, Beat.InForce, Now, Out);
+        this->handleHeartbeat(Message.From, Beat.InForce, Now, Out);
       },
       [](const auto &) {});
 }
@@ -122,27 +122,27 @@
   return Version > std::max(this->version(), this->DecodingVersion);
 }
 
-void RoutesPlugin::takeHeartbeat(const HostId &From, std::uint64_t InForce,
-                                 Time Now, Actions &Out) {
-  if (InForce > std::max(this->version(), this->Unreadable) &&
-      this->Heard.size() < MostHeard)
-    this->Heard.emplace(InForce, Now);
+void RoutesPlugin::handleHeartbeat(const HostId &From, std::uint64_t InForce,
+                                   Time Now, Actions &Out) {
+  if (InForce > std::max(this->version(), this->UnreadableVersion) &&
+      this->NewerVersions.size() < MaxNewerVersions)
+    this->NewerVersions.emplace(InForce, Now);
   // At once: a key that was taken away must stop here, too.
-  if (this->isNewer(InForce) && this->Fetch.mayAsk(Now))
-    Out.add(SendToPeer{From, this->Fetch.ask(this->version(), Now)});
+  if (this->isNewer(InForce) && this->Fetch.mayRequest(Now))
+    Out.add(SendToPeer{From, this->Fetch.makeRequest(this->version(), Now)});
 }
 
-void RoutesPlugin::takePiece(const HostId &From,
-                             const ConfigurationRelayed &Chunk, Time Now,
-                             Actions &Out) {
+void RoutesPlugin::receiveChunk(const HostId &From,
+                                const ConfigurationRelayed &Chunk, Time Now,
+                                Actions &Out) {
   if (!this->isNewer(Chunk.Version))
     return;
-  ConfigurationFetch::Progress Done = this->Fetch.take(Chunk, Now);
-  if (Done.WantsMore)
-    Out.add(SendToPeer{From, this->Fetch.ask(this->version(), Now)});
+  ConfigurationFetch::Progress Done = this->Fetch.addChunk(Chunk, Now);
+  if (Done.NeedsNextChunk)
+    Out.add(SendToPeer{From, this->Fetch.makeRequest(this->version(), Now)});
   if (!Done.Document)
     return;
-  auto Document = unpackDocument(*Done.Document, LargestDocument);
+  auto Document = unpackDocument(*Done.Document, MaxDocumentBytes);
   if (!Document) {
     Out.count("configurations_malformed", From.Value);
     return;
@@ -153,19 +153,19 @@
   Out.add(GatewayAction(DecodeConfiguration{std::move(*Document)}));
 }
 
-void RoutesPlugin::sendPieces(Time Now, Actions &Out) {
-  while (const auto Next = this->Wanted.next(Now)) {
+void RoutesPlugin::sendChunks(Time Now, Actions &Out) {
+  while (const auto Next = this->PendingRequests.next(Now)) {
     const std::string &Document = this->packed();
-    const ConfigurationRequest &Asked = Next->What;
-    const bool GoesOn =
-        Asked.Version == this->version() && Asked.From < Document.size();
-    const std::uint64_t From = GoesOn ? Asked.From : 0;
+    const ConfigurationRequest &Request = Next->Request;
+    const bool Continues =
+        Request.Version == this->version() && Request.From < Document.size();
+    const std::uint64_t From = Continues ? Request.From : 0;
     ConfigurationRelayed Chunk{this->version(),
-                               Document.substr(From, PieceBytes), From,
+                               Document.substr(From, ChunkBytes), From,
                                Document.size()};
-    this->Wanted.noteSent(Chunk.Chunk.size(), Now);
+    this->PendingRequests.recordSent(Chunk.Chunk.size(), Now);
     Out.count("configuration_pieces_sent");
-    Out.add(SendToPeer{Next->By, std::move(Chunk)});
+    Out.add(SendToPeer{Next->Peer, std::move(Chunk)});
   }
 }
 
@@ -177,22 +177,27 @@
   return this->Packed;
 }
 
-void RoutesPlugin::look(Time Now, Actions &Out) {
-  this->NextLook = Now + this->LookInterval;
-  std::vector<const Member *> Best;
-  for (const Member &Each : this->Members->peers()) {
-    if (Each.State == MemberState::Dead || !this->isNewer(Each.InForce))
+void RoutesPlugin::requestFromPeer(Time Now, Actions &Out) {
+  this->NextCheck = Now + this->CheckInterval;
+  std::vector<const Member *> MostCurrent;
+  for (const Member &Candidate : this->Members->peers()) {
+    if (Candidate.State == MemberState::Dead ||
+        !this->isNewer(Candidate.InForce))
       continue;
-    if (!Best.empty() && Each.InForce > Best.front()->InForce)
-      Best.clear();
-    if (Best.empty() || Each.InForce == Best.front()->InForce)
-      Best.push_back(&Each);
+    if (!MostCurrent.empty() &&
+        Candidate.InForce > MostCurrent.front()->InForce)
+      MostCurrent.clear();
+    if (MostCurrent.empty() ||
+        Candidate.InForce == MostCurrent.front()->InForce)
+      MostCurrent.push_back(&Candidate);
   }
-  if (Best.empty() || !this->Fetch.mayAsk(Now))
+  if (MostCurrent.empty() || !this->Fetch.mayRequest(Now))
     return;
   // One at random: they would all ask the same one.
-  const Member &Asked = *Best[this->Numbers->below(Best.size())];
-  Out.add(SendToPeer{Asked.Listing.Id, this->Fetch.ask(this->version(), Now)});
+  const Member &Peer =
+      *MostCurrent[this->RandomSource->below(MostCurrent.size())];
+  Out.add(SendToPeer{Peer.Listing.Id,
+                     this->Fetch.makeRequest(this->version(), Now)});
 }
 
 void RoutesPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
