--- /dev/null
+++ b/src/plugins/crashes/CrashTracker.cpp
@@ -0,0 +1,50 @@
+#include "plugins/crashes/CrashTracker.h"
+
+namespace banyanpick {
+
+void CrashTracker::addSuspicion(const Crash &Observed, Time Now) {
+  this->Suspicions[Observed] = Now;
+}
+
+std::vector<Crash> CrashTracker::confirm(const UpstreamId &Engine, Time Now) {
+  std::vector<Crash> Result;
+  for (const auto &[Observed, At] : this->Suspicions)
+    if (Observed.Engine == Engine && Now <= At + this->SuspicionLifetime)
+      Result.push_back(Observed);
+  std::erase_if(this->Suspicions, [&](const auto &Entry) {
+    return Entry.first.Engine == Engine;
+  });
+  std::erase_if(
+      Result, [&](const Crash &Observed) { return !this->add(Observed, Now); });
+  return Result;
+}
+
+bool CrashTracker::add(const Crash &Observed, Time Now) {
+  Record &Entry = this->Records[Observed.Content];
+  Entry.LastAt = Now;
+  return Entry.Engines.insert(Observed.Engine).second;
+}
+
+std::size_t CrashTracker::crashCount(Fingerprint Content) const {
+  const auto Found = this->Records.find(Content);
+  return Found == this->Records.end() ? 0 : Found->second.Engines.size();
+}
+
+std::vector<Crash> CrashTracker::confirmedCrashes() const {
+  std::vector<Crash> Result;
+  for (const auto &[Content, Entry] : this->Records)
+    for (const UpstreamId &Engine : Entry.Engines)
+      Result.push_back({Content, Engine});
+  return Result;
+}
+
+void CrashTracker::removeExpired(Time Now) {
+  std::erase_if(this->Suspicions, [&](const auto &Entry) {
+    return Now > Entry.second + this->SuspicionLifetime;
+  });
+  std::erase_if(this->Records, [&](const auto &Entry) {
+    return Now > Entry.second.LastAt + this->RetentionTime;
+  });
+}
+
+} // namespace banyanpick
--- a/src/plugins/crashes/CrashBook.h
+++ b/src/plugins/crashes/CrashTracker.h
@@ -23,26 +23,28 @@
 /// A lost connection is only a suspicion: a crash is one that the upstream's
 /// death confirms. Innocents that ran beside the culprit are not on the next
 /// upstream that dies, so only the culprit's count rises.
-class CrashBook {
+class CrashTracker {
 public:
-  CrashBook() = default;
-  /// \p SuspectFor: how long a death may follow the lost connection.
-  CrashBook(std::size_t MostCrashes, Duration SuspectFor, Duration KeepFor)
-      : MostCrashes(MostCrashes), SuspectFor(SuspectFor), KeepFor(KeepFor) {}
-
-  void suspect(const Crash &Each, Time Now);
+  CrashTracker() = default;
+  /// \p SuspicionLifetime: how long a death may follow the lost connection.
+  CrashTracker(std::size_t QuarantineThreshold, Duration SuspicionLifetime,
+               Duration RetentionTime)
+      : QuarantineThreshold(QuarantineThreshold),
+        SuspicionLifetime(SuspicionLifetime), RetentionTime(RetentionTime) {}
+
+  void addSuspicion(const Crash &Observed, Time Now);
   /// The upstream died; gives the crashes that this confirms.
   std::vector<Crash> confirm(const UpstreamId &Engine, Time Now);
   /// Takes a confirmed crash in; true when it is new.
-  bool add(const Crash &Each, Time Now);
+  bool add(const Crash &Observed, Time Now);
 
-  std::size_t crashes(Fingerprint Content) const;
+  std::size_t crashCount(Fingerprint Content) const;
   bool isQuarantined(Fingerprint Content) const {
-    return this->crashes(Content) >= this->MostCrashes;
+    return this->crashCount(Content) >= this->QuarantineThreshold;
   }
-  std::vector<Crash> all() const;
+  std::vector<Crash> confirmedCrashes() const;
   /// Forgets what is old.
-  void age(Time Now);
+  void removeExpired(Time Now);
 
 private:
   struct Record {
@@ -50,9 +52,9 @@
     Time LastAt{};
   };
 
-  std::size_t MostCrashes = 0;
-  Duration SuspectFor{};
-  Duration KeepFor{};
+  std::size_t QuarantineThreshold = 0;
+  Duration SuspicionLifetime{};
+  Duration RetentionTime{};
   std::map<Crash, Time> Suspicions;
   std::map<Fingerprint, Record> Records;
 };
--- a/src/plugins/crashes/CrashesPlugin.cpp
+++ b/src/plugins/crashes/CrashesPlugin.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-QuarantineNotice noticeOf(const Crash &Each, Time Until) {
+QuarantineNotice makeNotice(const Crash &Observed, Time Until) {
   QuarantineNotice Result;
-  Result.Content = Each.Content;
+  Result.Content = Observed.Content;
   Result.Crashes = 1;
   Result.Until = Until;
-  Result.Upstream = Each.Engine;
+  Result.Upstream = Observed.Engine;
   return Result;
 }
 
@@ -21,100 +21,103 @@
 
 void CrashesPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "crashes";
+  const std::string_view SectionName = "crashes";
   this->Members = &Context.services().get<MembershipView>();
-  this->KeepFor = Values.span(In, "keep_for");
-  this->Book = CrashBook(Values.whole(In, "most"),
-                         Values.span(In, "suspect_for"), this->KeepFor);
+  this->RetentionTime = Values.span(SectionName, "keep_for");
+  this->Tracker = CrashTracker(Values.whole(SectionName, "most"),
+                               Values.span(SectionName, "suspect_for"),
+                               this->RetentionTime);
   Context.services().provide<CrashView>(*this);
   Context.services().list<RelayObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
   Context.services().list<MembershipObserver>().add(*this);
 }
 
-void CrashesPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void CrashesPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
+      Incoming,
       [&](const PeerMessageReceived &Is) {
         const auto *Notice = std::get_if<QuarantineNotice>(&Is.Message.Body);
         if (!Notice)
           return;
-        const Crash Each{Notice->Content, Notice->Upstream};
-        if (this->Book.add(Each, Now))
-          this->log(Each, Is.Message.From.Value, Out);
+        const Crash Observed{Notice->Content, Notice->Upstream};
+        if (this->Tracker.add(Observed, Now))
+          this->log(Observed, Is.Message.From.Value, Out);
       },
       [](const auto &) {});
 }
 
 bool CrashesPlugin::isQuarantined(Fingerprint Content, Time) const {
-  return this->Book.isQuarantined(Content);
+  return this->Tracker.isQuarantined(Content);
 }
 
-void CrashesPlugin::attemptEnded(const RelayAttempt &Each,
+void CrashesPlugin::attemptEnded(const RelayAttempt &Attempt,
                                  const RelayOutcome &Outcome, Time Now,
                                  Actions &Out) {
   match(
       Outcome,
       [&](const RelayBroken &Is) {
         if (Is.Reason == RelayBroken::Why::Reset)
-          this->Book.suspect({Each.Content, Each.Engine}, Now);
+          this->Tracker.addSuspicion({Attempt.Content, Attempt.Engine}, Now);
       },
       // Nothing listens there any more: whatever ran there lately was cut off
       // by its death.
-      [&](const RelayNeverSent &) { this->confirm(Each.Engine, Now, Out); },
+      [&](const RelayNeverSent &) { this->confirm(Attempt.Engine, Now, Out); },
       [](const auto &) {});
 }
 
 void CrashesPlugin::engineRemoved(const UpstreamId &Id, Time Now,
                                   Actions &Out) {
   this->confirm(Id, Now, Out);
-  this->Book.age(Now);
+  this->Tracker.removeExpired(Now);
 }
 
 void CrashesPlugin::memberChanged(const Member &Changed, Time Now,
                                   Actions &Out) {
-  Incarnation &Known = this->Told[Changed.Listing.Id];
-  const bool IsNew = Changed.Life != Incarnation() && Changed.Life != Known;
+  Incarnation &Informed = this->InformedIncarnations[Changed.Listing.Id];
+  const bool IsNew = Changed.Life != Incarnation() && Changed.Life != Informed;
   if (!IsNew || Changed.State != MemberState::Alive)
     return;
-  Known = Changed.Life;
-  for (const Crash &Each : this->Book.all())
-    Out.add(
-        SendToPeer{Changed.Listing.Id, noticeOf(Each, Now + this->KeepFor)});
+  Informed = Changed.Life;
+  for (const Crash &Observed : this->Tracker.confirmedCrashes())
+    Out.add(SendToPeer{Changed.Listing.Id,
+                       makeNotice(Observed, Now + this->RetentionTime)});
 }
 
 void CrashesPlugin::confirm(const UpstreamId &Engine, Time Now, Actions &Out) {
-  for (const Crash &Each : this->Book.confirm(Engine, Now)) {
-    this->log(Each, "here", Out);
+  for (const Crash &Observed : this->Tracker.confirm(Engine, Now)) {
+    this->log(Observed, "here", Out);
     for (const HostId &Peer : this->Members->livePeers())
-      Out.add(SendToPeer{Peer, noticeOf(Each, Now + this->KeepFor)});
+      Out.add(
+          SendToPeer{Peer, makeNotice(Observed, Now + this->RetentionTime)});
   }
 }
 
-void CrashesPlugin::log(const Crash &Each, std::string_view From,
+void CrashesPlugin::log(const Crash &Observed, std::string_view From,
                         Actions &Out) const {
   Out.count("content_crashes");
   Out.log(logEvent(events::ContentCrashed)
-              .with("content", Each.Content.Value)
-              .with("engine", Each.Engine.Value)
-              .with("crashes", this->Book.crashes(Each.Content))
-              .with("quarantined",
-                    this->Book.isQuarantined(Each.Content) ? "true" : "false")
+              .with("content", Observed.Content.Value)
+              .with("engine", Observed.Engine.Value)
+              .with("crashes", this->Tracker.crashCount(Observed.Content))
+              .with("quarantined", this->Tracker.isQuarantined(Observed.Content)
+                                       ? "true"
+                                       : "false")
               .with("from", From)
               .build());
 }
 
 std::vector<SettingDeclaration> CrashesPlugin::settings() {
-  const std::string In = "crashes";
+  const std::string SectionName = "crashes";
   return {
-      {In, "most", SettingKind::Whole, "3",
+      {SectionName, "most", SettingKind::Whole, "3",
        "A content that crashed so many upstreams is not run any more.", 2, 100},
-      {In, "suspect_for", SettingKind::Span, "6s",
+      {SectionName, "suspect_for", SettingKind::Span, "6s",
        "A connection lost is taken for a crash if the upstream's death shows "
        "within so long: three missed renewals of its registration and a "
        "margin.",
        100e3, 60e6},
-      {In, "keep_for", SettingKind::Span, "10min",
+      {SectionName, "keep_for", SettingKind::Span, "10min",
        "How long a content is remembered after its last crash.", 1e6, 86400e6},
   };
 }
--- a/src/plugins/crashes/CrashesPlugin.h
+++ b/src/plugins/crashes/CrashesPlugin.h
@@ -4,7 +4,7 @@
 
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
-#include "plugins/crashes/CrashBook.h"
+#include "plugins/crashes/CrashTracker.h"
 
 namespace banyanpick {
 
@@ -16,11 +16,11 @@
                       public MembershipObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override { return Never; }
 
   bool isQuarantined(Fingerprint Content, Time Now) const override;
-  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+  void attemptEnded(const RelayAttempt &Attempt, const RelayOutcome &Outcome,
                     Time Now, Actions &Out) override;
   void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
@@ -29,12 +29,13 @@
 
 private:
   void confirm(const UpstreamId &Engine, Time Now, Actions &Out);
-  void log(const Crash &Each, std::string_view From, Actions &Out) const;
+  void log(const Crash &Observed, std::string_view From, Actions &Out) const;
 
   const MembershipView *Members = nullptr;
-  CrashBook Book;
-  Duration KeepFor{};
-  std::map<HostId, Incarnation> Told; ///< Lives that were told everything.
+  CrashTracker Tracker;
+  Duration RetentionTime{};
+  std::map<HostId, Incarnation>
+      InformedIncarnations; ///< Lives that were told everything.
 };
 
 } // namespace banyanpick
