--- a/tests/auto/manyhosts/LargeConfigurationTest.cpp
+++ b/tests/auto/manyhosts/LargeConfigurationTest.cpp
@@ -16,77 +16,79 @@
 /// Beliefs of each other are at rest so long after the causes have ended.
 constexpr seconds SettledWithin(2);
 
-constexpr std::size_t MostHeldBytes = 40'000'000;
+constexpr std::size_t MaxHeldBytes = 40'000'000;
 
 /// As the store takes it in one record.
-constexpr std::size_t LargestDocument = 500'000;
+constexpr std::size_t MaxDocumentBytes = 500'000;
 
 /// Twenty megabits a second, the smallest link; every third host has an eighth
 /// of a core.
-void giveMeans(HostCrowd &Crowd) {
+void setCapacities(HostCrowd &Simulated) {
   constexpr double SmallestLink = 2.5e6;
-  for (std::size_t Host = 0; Host < Crowd.size(); ++Host)
-    Crowd.setMeans(Host, {Host % 3 == 0 ? 0.12 : 0.5, SmallestLink});
+  for (std::size_t Host = 0; Host < Simulated.size(); ++Host)
+    Simulated.setMeans(Host, {Host % 3 == 0 ? 0.12 : 0.5, SmallestLink});
 }
 
-struct Shape {
+struct Scenario {
   std::size_t Hosts = 0;
   std::size_t Engines = 0;
-  std::size_t DocumentBytes = LargestDocument;
+  std::size_t DocumentBytes = MaxDocumentBytes;
 };
 
 /// What befalls the hosts, drawn from the seed.
-void play(std::uint64_t Seed, const Shape &Of) {
-  constexpr milliseconds Between(8);
-  const std::size_t Hosts = Of.Hosts;
-  Random Numbers(Seed);
-  HostCrowd Crowd(Hosts, Of.Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(20));
-  giveMeans(Crowd);
-  offer(Crowd, seconds(2), Between);
+void runScenario(std::uint64_t Seed, const Scenario &Sizes) {
+  constexpr milliseconds RequestInterval(8);
+  const std::size_t Hosts = Sizes.Hosts;
+  Random RandomSource(Seed);
+  HostCrowd Simulated(Hosts, Sizes.Engines);
+  Simulated.publish(1);
+  Simulated.run(seconds(20));
+  setCapacities(Simulated);
+  offer(Simulated, seconds(2), RequestInterval);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
-    if (Numbers.below(3) == 0)
-      Crowd.turnAway(Host);
-  Crowd.setDocumentSize(Of.DocumentBytes * (1 + Numbers.below(2)) / 2);
+    if (RandomSource.below(3) == 0)
+      Simulated.turnAway(Host);
+  Simulated.setDocumentSize(Sizes.DocumentBytes * (1 + RandomSource.below(2)) /
+                            2);
   // Some versions in quick succession, the last of which takes a key away.
   std::uint64_t Version = 1;
-  for (std::size_t Count = 1 + Numbers.below(3); Count > 0; --Count) {
-    Crowd.publish(++Version);
-    offer(Crowd, milliseconds(400 + Numbers.below(800)), Between / 2);
+  for (std::size_t Count = 1 + RandomSource.below(3); Count > 0; --Count) {
+    Simulated.publish(++Version);
+    offer(Simulated, milliseconds(400 + RandomSource.below(800)),
+          RequestInterval / 2);
   }
-  Crowd.publish(++Version);
-  offer(Crowd, InForceWithin, Between / 2);
+  Simulated.publish(++Version);
+  offer(Simulated, InForceWithin, RequestInterval / 2);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
-    EXPECT_EQ(Crowd.versionAt(Host), Version) << "host " << Host;
-  offer(Crowd, SettledWithin, Between);
-  std::size_t Doubts = 0;
-  for (int Look = 0; Look < 20; ++Look) {
-    offer(Crowd, milliseconds(100), Between);
-    Doubts += Crowd.doubts();
+    EXPECT_EQ(Simulated.versionAt(Host), Version) << "host " << Host;
+  offer(Simulated, SettledWithin, RequestInterval);
+  std::size_t Suspicions = 0;
+  for (int Check = 0; Check < 20; ++Check) {
+    offer(Simulated, milliseconds(100), RequestInterval);
+    Suspicions += Simulated.doubts();
   }
-  EXPECT_EQ(Doubts, 0U);
+  EXPECT_EQ(Suspicions, 0U);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
-    EXPECT_LE(Crowd.mostHeld(Host), MostHeldBytes) << "host " << Host;
+    EXPECT_LE(Simulated.mostHeld(Host), MaxHeldBytes) << "host " << Host;
 }
 
 TEST(SmallConfiguration, ReachesAllHostsAndLeavesThemAtRest) {
-  play(1, {78, 69, 2000});
+  runScenario(1, {78, 69, 2000});
 }
 
 TEST(LargeConfiguration, ReachesAllHostsOnceAndLeavesThemAtRest) {
-  play(1, {78, 69});
+  runScenario(1, {78, 69});
 }
 
 TEST(LargeConfiguration, ReachesThreeHundredHostsOnceAndLeavesThemAtRest) {
-  play(2, {300, 112});
+  runScenario(2, {300, 112});
 }
 
 TEST(LargeConfiguration, ReachesAllHostsInRandomRuns) {
-  const std::uint64_t Few = seedCount() / 10;
-  for (std::uint64_t Seed = 1; Seed <= Few; ++Seed) {
+  const std::uint64_t SeedLimit = seedCount() / 10;
+  for (std::uint64_t Seed = 1; Seed <= SeedLimit; ++Seed) {
     SCOPED_TRACE(Seed);
-    play(Seed, {40 + Seed % 60, 50});
+    runScenario(Seed, {40 + Seed % 60, 50});
   }
 }
 
