--- a/src/plugins/routes/ChunkQueue.cpp
+++ b/src/plugins/routes/ChunkQueue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Who has waited for so long asks another host meanwhile.
+/// A peer that has waited this long requests the chunk from another host.
 constexpr milliseconds RequestTimeout(400);
 
 } // namespace
--- a/src/plugins/routes/ChunkQueue.h
+++ b/src/plugins/routes/ChunkQueue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which peer gets the next piece of the configuration from this host.
+/// Decides which peer gets the next chunk of the configuration from this host.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -9,33 +9,35 @@
 
 namespace banyanpick {
 
-/// Gives out pieces at a bounded rate, so that a document which many hosts lack
-/// leaves room on the link. Who has most of it goes first, as it can pass it on
-/// soonest; among equals, who has waited longest.
+/// Queues the peers' requests for chunks and bounds the send rate, so that a
+/// document that many hosts lack does not fill the link. The peer that has most
+/// of the document is served first, because it can relay it soonest. Among
+/// equal peers, the one that has waited longest is first.
 class ChunkQueue {
 public:
   ChunkQueue() = default;
-  /// \p BytesPerSecond: positive.
+  /// \p BytesPerSecond must be positive.
   explicit ChunkQueue(double BytesPerSecond) : Rate(BytesPerSecond) {}
 
+  /// A peer's request that has not been answered.
   struct PendingRequest {
     HostId Peer;
     ConfigurationRequest Request;
     Time RequestedAt{};
   };
-  /// Replaces what the peer asked before.
+  /// Adds a request; it replaces an earlier one of the peer.
   void add(const HostId &Peer, const ConfigurationRequest &Request, Time Now);
-  /// Who gets a piece now, if one may be sent.
+  /// Removes and returns the request to answer now, if a chunk may be sent.
   std::optional<PendingRequest> next(Time Now);
-  /// A piece of so many bytes was sent.
+  /// Called when a chunk of \p Bytes was sent.
   void recordSent(std::size_t Bytes, Time Now);
-  /// When one may be sent; Never when nobody waits.
+  /// Returns when a chunk may be sent, or Never if no request is pending.
   Time nextSendTime() const;
 
 private:
   double Rate = 0;
   Time NextSendAt{};
-  std::vector<PendingRequest> Waiting; ///< In the order in which they asked.
+  std::vector<PendingRequest> Waiting; ///< In order of first request.
 };
 
 } // namespace banyanpick
--- a/src/plugins/routes/ConfigurationFetch.cpp
+++ b/src/plugins/routes/ConfigurationFetch.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// A piece that has not come for so long is asked of another peer: several
-/// times what one takes over a small link beside others.
+/// After this time a chunk is requested from another peer. It is several times
+/// the transfer time of a chunk over a small link with other traffic.
 constexpr milliseconds ChunkTimeout(200);
 
-/// A larger one is not fetched; none of this size fits a store's record.
+/// A larger document is not fetched; none of this size fits into a record of
+/// the store.
 constexpr std::uint64_t MaxPackedBytes = 4'000'000;
 
 } // namespace
--- a/src/plugins/routes/ConfigurationFetch.h
+++ b/src/plugins/routes/ConfigurationFetch.h
@@ -1,5 +1,5 @@
 /// \file
-/// The configuration that this host is fetching from its peers.
+/// Assembles the configuration that this host fetches from its peers.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -8,29 +8,30 @@
 
 namespace banyanpick {
 
-/// Fetches one packed document in pieces, of which one is under way at a time:
-/// asking every peer that has it would bring as many copies over this host's
-/// link as there are peers. A peer that does not answer is followed by another,
-/// which goes on where the first left off.
+/// Fetches one packed document in chunks and requests one chunk at a time.
+/// Requests to every peer that has the document would send as many copies over
+/// this host's link as there are peers. If a peer does not answer, the fetch
+/// continues at another peer from the same offset.
 class ConfigurationFetch {
 public:
-  /// Whether a peer should be asked now: no piece is under way, or it has not
-  /// come in a while.
+  /// Whether a chunk may be requested now: no request is pending, or it has
+  /// timed out.
   bool mayRequest(Time Now) const;
-  /// What to ask a peer for next.
+  /// Returns the request for the next chunk of a version above \p NewerThan.
   ConfigurationRequest makeRequest(std::uint64_t NewerThan, Time Now);
 
-  /// How far a piece has brought it.
+  /// The state of the fetch after a chunk.
   struct Progress {
-    bool NeedsNextChunk = false; ///< Ask the same peer for the next one.
-    std::optional<std::string> Document; ///< Packed, when it is whole.
+    bool NeedsNextChunk = false; ///< To be requested from the same peer.
+    std::optional<std::string> Document; ///< Packed; set when complete.
   };
+  /// Appends the chunk if it is the next one.
   Progress addChunk(const ConfigurationRelayed &Chunk, Time Now);
 
 private:
-  std::uint64_t Version = 0; ///< 0: no piece has come yet.
+  std::uint64_t Version = 0; ///< 0: no chunk received yet.
   std::string Bytes;
-  Time RequestedAt = Never; ///< Never: nothing is under way.
+  Time RequestedAt = Never; ///< Never: no request is pending.
 };
 
 } // namespace banyanpick
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Of a document, sent at once: a few milliseconds of the smallest link.
+/// Size of a chunk; its transfer takes a few milliseconds on the smallest link.
 constexpr std::size_t ChunkBytes = 16'384;
 
-/// A larger document is not taken from a peer; the store takes none of this
-/// size.
+/// A larger document is not accepted from a peer; the store accepts none of
+/// this size.
 constexpr std::size_t MaxDocumentBytes = 16'000'000;
 
-/// Newer versions that are remembered; the oldest of them matter.
+/// Number of newer versions that are recorded. Only the oldest ones matter.
 constexpr std::size_t MaxNewerVersions = 64;
 
 } // namespace
@@ -40,21 +40,23 @@
 void RoutesPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
       Incoming,
-      [&](const GatewayEvent &Is) {
-        if (const auto *Read = std::get_if<ConfigurationRead>(&Is))
+      [&](const GatewayEvent &Gateway) {
+        if (const auto *Read = std::get_if<ConfigurationRead>(&Gateway))
           this->activate(*Read, Out);
-        if (const auto *Bad = std::get_if<ConfigurationUnreadable>(&Is)) {
-          // What can't be read here is neither waited for nor fetched again.
+        if (const auto *Failure =
+                std::get_if<ConfigurationUnreadable>(&Gateway)) {
+          // A version that can't be decoded is not fetched again and does not
+          // make the local one stale.
           this->NewerVersions.clear();
           this->UnreadableVersion = this->DecodingVersion;
           Out.log(logEvent(events::ConfigurationUnreadable)
-                      .with("why", Bad->Why)
+                      .with("why", Failure->Why)
                       .with("in_force", this->version())
                       .build());
         }
       },
-      [&](const PeerMessageReceived &Is) {
-        this->handlePeerMessage(Is.Message, Now, Out);
+      [&](const PeerMessageReceived &Received) {
+        this->handlePeerMessage(Received.Message, Now, Out);
       },
       [](const auto &) {});
   if (Now >= this->NextCheck)
@@ -109,8 +111,8 @@
         if (this->version() > Request.NewerThan)
           this->PendingRequests.add(Message.From, Request, Now);
       },
-      [&](const ConfigurationRelayed &Relayed) {
-        this->receiveChunk(Message.From, Relayed, Now, Out);
+      [&](const ConfigurationRelayed &Chunk) {
+        this->receiveChunk(Message.From, Chunk, Now, Out);
       },
       [&](const Heartbeat &Beat) {
         this->handleHeartbeat(Message.From, Beat.InForce, Now, Out);
@@ -127,7 +129,8 @@
   if (InForce > std::max(this->version(), this->UnreadableVersion) &&
       this->NewerVersions.size() < MaxNewerVersions)
     this->NewerVersions.emplace(InForce, Now);
-  // At once: a key that was taken away must stop here, too.
+  // Requests the version at once, because a revoked key must stop working on
+  // this host too.
   if (this->isNewer(InForce) && this->Fetch.mayRequest(Now))
     Out.add(SendToPeer{From, this->Fetch.makeRequest(this->version(), Now)});
 }
@@ -137,18 +140,18 @@
                                 Actions &Out) {
   if (!this->isNewer(Chunk.Version))
     return;
-  ConfigurationFetch::Progress Done = this->Fetch.addChunk(Chunk, Now);
-  if (Done.NeedsNextChunk)
+  ConfigurationFetch::Progress Progress = this->Fetch.addChunk(Chunk, Now);
+  if (Progress.NeedsNextChunk)
     Out.add(SendToPeer{From, this->Fetch.makeRequest(this->version(), Now)});
-  if (!Done.Document)
+  if (!Progress.Document)
     return;
-  auto Document = unpackDocument(*Done.Document, MaxDocumentBytes);
+  auto Document = unpackDocument(*Progress.Document, MaxDocumentBytes);
   if (!Document) {
     Out.count("configurations_malformed", From.Value);
     return;
   }
   this->DecodingVersion = Chunk.Version;
-  this->Packed = std::move(*Done.Document);
+  this->Packed = std::move(*Progress.Document);
   this->PackedVersion = Chunk.Version;
   Out.add(GatewayAction(DecodeConfiguration{std::move(*Document)}));
 }
@@ -193,7 +196,7 @@
   }
   if (MostCurrent.empty() || !this->Fetch.mayRequest(Now))
     return;
-  // One at random: they would all ask the same one.
+  // Chooses a peer at random, so that hosts do not all ask the same one.
   const Member &Peer =
       *MostCurrent[this->RandomSource->below(MostCurrent.size())];
   Out.add(SendToPeer{Peer.Listing.Id,
--- a/src/plugins/routes/RoutesPlugin.h
+++ b/src/plugins/routes/RoutesPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that holds the declarations a gateway serves by.
+/// The plug-in that holds the configuration in force: routes, keys and limits.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -12,10 +12,10 @@
 
 namespace banyanpick {
 
-/// Takes the newest version from the store or, where that is out of reach,
-/// from peers, piece by piece. A version never goes back in one life of the
-/// process. While a newer one is known to be in force elsewhere for too long,
-/// the one here is stale: a key may have been taken away.
+/// Takes the newest version from the store or, if the store is unreachable,
+/// from peers in chunks. The version never decreases while the process runs. If
+/// a newer version has been in force elsewhere for too long, the local one is
+/// stale, because it may contain revoked keys.
 class RoutesPlugin : public Plugin, public RouteView, public InForceView {
 public:
   void initialize(PluginContext &Context) override;
@@ -32,19 +32,20 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
+  /// Puts a newer configuration in force.
   void activate(const ConfigurationRead &Read, Actions &Out);
   void handlePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
   void handleHeartbeat(const HostId &From, std::uint64_t InForce, Time Now,
                        Actions &Out);
   void receiveChunk(const HostId &From, const ConfigurationRelayed &Chunk,
                     Time Now, Actions &Out);
-  /// Sends pieces to those that wait, as the rate allows.
+  /// Sends chunks to waiting peers, as the rate allows.
   void sendChunks(Time Now, Actions &Out);
-  /// The document in force, as peers get it.
+  /// Returns the document in force, packed as it is sent to peers.
   const std::string &packed();
-  /// Whether there is a newer version than what is here or being decoded.
+  /// Whether \p Version is newer than the versions in force and being decoded.
   bool isNewer(std::uint64_t Version) const;
-  /// Asks a peer that heartbeats name as further than this host.
+  /// Requests a chunk from a peer whose heartbeats report a newer version.
   void requestFromPeer(Time Now, Actions &Out);
 
   Services *PluginServices = nullptr;
@@ -52,12 +53,12 @@
   std::unique_ptr<RouteTable> Table;
   ConfigurationFetch Fetch;
   ChunkQueue PendingRequests;
-  std::string Packed;              ///< As it came, or as it was packed here,
-  std::uint64_t PackedVersion = 0; ///< of this version.
-  /// Newer versions, and when each was first heard of.
+  std::string Packed; ///< As received from a peer or packed on this host.
+  std::uint64_t PackedVersion = 0; ///< The version of the packed document.
+  /// Newer versions and the time of the first report of each.
   std::map<std::uint64_t, Time> NewerVersions;
-  std::uint64_t DecodingVersion = 0;   ///< Of the document being decoded.
-  std::uint64_t UnreadableVersion = 0; ///< A version that can't be read here.
+  std::uint64_t DecodingVersion = 0;   ///< The version being decoded.
+  std::uint64_t UnreadableVersion = 0; ///< A version that can't be decoded.
   std::uint64_t HighestVersion = 0;    ///< For the invariant.
   Random *RandomSource = nullptr;
   Duration CheckInterval{};
