--- a/src/plugins/crashes/CrashTracker.h
+++ b/src/plugins/crashes/CrashTracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Contents that crashed the upstreams they ran on.
+/// Tracks contents that crashed the upstreams on which they ran.
 #pragma once
 
 #include "base/StrongId.h"
@@ -11,7 +11,7 @@
 
 namespace banyanpick {
 
-/// A content that ran on an upstream when that died.
+/// A content that ran on an upstream when the upstream died.
 struct Crash {
   Fingerprint Content;
   UpstreamId Engine;
@@ -20,30 +20,33 @@
   auto operator<=>(const Crash &) const = default;
 };
 
-/// A lost connection is only a suspicion: a crash is one that the upstream's
-/// death confirms. Innocents that ran beside the culprit are not on the next
-/// upstream that dies, so only the culprit's count rises.
+/// Counts the upstreams that each content crashed. A lost connection is only a
+/// suspicion; the upstream's death confirms it as a crash. Unaffected contents
+/// that ran beside the cause do not run on the next upstream that dies, so only
+/// the count of the cause rises.
 class CrashTracker {
 public:
   CrashTracker() = default;
-  /// \p SuspicionLifetime: how long a death may follow the lost connection.
+  /// \p SuspicionLifetime is the longest time from a lost connection to the
+  /// death that confirms it.
   CrashTracker(std::size_t QuarantineThreshold, Duration SuspicionLifetime,
                Duration RetentionTime)
       : QuarantineThreshold(QuarantineThreshold),
         SuspicionLifetime(SuspicionLifetime), RetentionTime(RetentionTime) {}
 
   void addSuspicion(const Crash &Observed, Time Now);
-  /// The upstream died; gives the crashes that this confirms.
+  /// Called when an upstream has died. Returns the newly confirmed crashes.
   std::vector<Crash> confirm(const UpstreamId &Engine, Time Now);
-  /// Takes a confirmed crash in; true when it is new.
+  /// Adds a confirmed crash. Returns whether it is new.
   bool add(const Crash &Observed, Time Now);
 
+  /// Returns how many upstreams the content crashed.
   std::size_t crashCount(Fingerprint Content) const;
   bool isQuarantined(Fingerprint Content) const {
     return this->crashCount(Content) >= this->QuarantineThreshold;
   }
   std::vector<Crash> confirmedCrashes() const;
-  /// Forgets what is old.
+  /// Removes expired suspicions and records.
   void removeExpired(Time Now);
 
 private:
--- a/src/plugins/crashes/CrashesPlugin.cpp
+++ b/src/plugins/crashes/CrashesPlugin.cpp
@@ -36,13 +36,14 @@
 void CrashesPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
       Incoming,
-      [&](const PeerMessageReceived &Is) {
-        const auto *Notice = std::get_if<QuarantineNotice>(&Is.Message.Body);
+      [&](const PeerMessageReceived &Received) {
+        const auto *Notice =
+            std::get_if<QuarantineNotice>(&Received.Message.Body);
         if (!Notice)
           return;
         const Crash Observed{Notice->Content, Notice->Upstream};
         if (this->Tracker.add(Observed, Now))
-          this->log(Observed, Is.Message.From.Value, Out);
+          this->log(Observed, Received.Message.From.Value, Out);
       },
       [](const auto &) {});
 }
@@ -56,12 +57,12 @@
                                  Actions &Out) {
   match(
       Outcome,
-      [&](const RelayBroken &Is) {
-        if (Is.Reason == RelayBroken::Why::Reset)
+      [&](const RelayBroken &Broken) {
+        if (Broken.Reason == RelayBroken::Why::Reset)
           this->Tracker.addSuspicion({Attempt.Content, Attempt.Engine}, Now);
       },
-      // Nothing listens there any more: whatever ran there lately was cut off
-      // by its death.
+      // The engine no longer accepts connections. It has died and ended the
+      // requests that recently ran there.
       [&](const RelayNeverSent &) { this->confirm(Attempt.Engine, Now, Out); },
       [](const auto &) {});
 }
--- a/src/plugins/crashes/CrashesPlugin.h
+++ b/src/plugins/crashes/CrashesPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that keeps contents from crashing one upstream after another.
+/// The plug-in that quarantines contents that crash upstreams.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -8,7 +8,8 @@
 
 namespace banyanpick {
 
-/// Tells every crash to all peers, and all crashes to each host that starts.
+/// Confirms crashes and reports every crash to all peers. Reports all known
+/// crashes to each host that starts.
 class CrashesPlugin : public Plugin,
                       public CrashView,
                       public RelayObserver,
@@ -34,8 +35,8 @@
   const MembershipView *Members = nullptr;
   CrashTracker Tracker;
   Duration RetentionTime{};
-  std::map<HostId, Incarnation>
-      InformedIncarnations; ///< Lives that were told everything.
+  /// The incarnations that were sent all known crashes.
+  std::map<HostId, Incarnation> InformedIncarnations;
 };
 
 } // namespace banyanpick
--- a/tests/auto/gateway/CrashTrackerTest.cpp
+++ b/tests/auto/gateway/CrashTrackerTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Only the content that ran on every dead engine is kept from running.
+/// Guards against a content that crashes one engine after another, and against
+/// a quarantine of unaffected contents that ran on a crashed engine.
 #include "plugins/crashes/CrashTracker.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 
 Time at(int Second) { return Time(seconds(100 + Second)); }
 
-TEST(CrashTracker, ALostConnectionIsNoCrashUntilTheEngineIsDead) {
+TEST(CrashTracker, ALostConnectionIsACrashOnlyIfTheEngineDies) {
   CrashTracker Tracker = makeTracker();
   Tracker.addSuspicion({FaultyContent, UpstreamId("e1")}, at(0));
   EXPECT_EQ(Tracker.crashCount(FaultyContent), 0U);
@@ -22,13 +23,13 @@
   EXPECT_EQ(Tracker.crashCount(FaultyContent), 1U);
 }
 
-TEST(CrashTracker, ADeathLongAfterProvesNothing) {
+TEST(CrashTracker, ALateDeathDoesNotConfirmASuspicion) {
   CrashTracker Tracker = makeTracker();
   Tracker.addSuspicion({FaultyContent, UpstreamId("e1")}, at(0));
   EXPECT_TRUE(Tracker.confirm(UpstreamId("e1"), at(7)).empty());
 }
 
-TEST(CrashTracker, InnocentsBesideTheCulpritAreNotQuarantined) {
+TEST(CrashTracker, UnaffectedContentsAreNotQuarantined) {
   CrashTracker Tracker = makeTracker();
   for (const char *Engine : {"e1", "e2", "e3"}) {
     Tracker.addSuspicion({FaultyContent, UpstreamId(Engine)}, at(0));
@@ -40,14 +41,14 @@
   EXPECT_FALSE(Tracker.isQuarantined(UnaffectedContent));
 }
 
-TEST(CrashTracker, TheSameCrashToldTwiceCountsOnce) {
+TEST(CrashTracker, ACrashReportedTwiceCountsOnce) {
   CrashTracker Tracker = makeTracker();
   EXPECT_TRUE(Tracker.add({FaultyContent, UpstreamId("e1")}, at(0)));
   EXPECT_FALSE(Tracker.add({FaultyContent, UpstreamId("e1")}, at(1)));
   EXPECT_EQ(Tracker.crashCount(FaultyContent), 1U);
 }
 
-TEST(CrashTracker, ForgetsAfterAWhile) {
+TEST(CrashTracker, RemovesExpiredCrashes) {
   CrashTracker Tracker = makeTracker();
   Tracker.add({FaultyContent, UpstreamId("e1")}, at(0));
   Tracker.removeExpired(at(601));
