--- a/src/plugins/relays/RelayLog.cpp
+++ b/src/plugins/relays/RelayLog.cpp
@@ -112,16 +112,16 @@
               .build());
 }
 
-void logEnd(const RunningRelay &Relay, std::string_view How,
+void logEnd(const RunningRelay &Relay, std::string_view Result,
             std::string_view Reason, Time Now, Actions &Out) {
-  Out.count("relays_ended", How);
+  Out.count("relays_ended", Result);
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Histogram, "relay_seconds",
-                            std::string(How),
+                            std::string(Result),
                             inSeconds(Now - Relay.ArrivedAt)});
   Out.log(logEvent(events::RelayAnswered)
               .with("request", Relay.Head.Id.Value)
               .with("caller_attempt", Relay.Head.CallerAttempt)
-              .with("how", How)
+              .with("how", Result)
               .with("why", Reason)
               .with("sends", Relay.Sends)
               .with("ran_on", Relay.RanOn.size())
--- a/src/plugins/relays/RelayLog.h
+++ b/src/plugins/relays/RelayLog.h
@@ -24,7 +24,7 @@
 
 void logAttemptEnded(const RunningRelay &Relay, const RelayAttempt &Ended,
                      const RelayOutcome &Outcome, Time Now, Actions &Out);
-void logEnd(const RunningRelay &Relay, std::string_view How,
+void logEnd(const RunningRelay &Relay, std::string_view Result,
             std::string_view Reason, Time Now, Actions &Out);
 
 } // namespace banyanpick
--- a/src/plugins/relays/RetryAllowance.cpp
+++ b/src/plugins/relays/RetryAllowance.cpp
@@ -36,21 +36,21 @@
                                 Time Now) {
   Slice &Latest = this->current(Service, Now);
   double Requests = 0;
-  double Repeats = 0;
+  double Retries = 0;
   for (const Slice &Part : this->Slices[Service]) {
     Requests += Part.Requests;
-    Repeats += Part.Repeats;
+    Retries += Part.Retries;
   }
   const double Constant = this->Limits.Constant * UsableShare * Share;
-  if (Repeats + 1 > this->Limits.Ratio * UsableShare * Requests + Constant)
+  if (Retries + 1 > this->Limits.Ratio * UsableShare * Requests + Constant)
     return false;
-  ++Latest.Repeats;
+  ++Latest.Retries;
   return true;
 }
 
 void RetryAllowance::refund(const ServiceId &Service, Time Now) {
   Slice &Latest = this->current(Service, Now);
-  --Latest.Repeats;
+  --Latest.Retries;
 }
 
 } // namespace banyanpick
--- a/src/plugins/relays/RetryAllowance.h
+++ b/src/plugins/relays/RetryAllowance.h
@@ -37,7 +37,7 @@
   struct Slice {
     Time From{};
     double Requests = 0;
-    double Repeats = 0;
+    double Retries = 0;
   };
 
   Slice &current(const ServiceId &Service, Time Now);
