--- a/src/plugins/relays/CallerRetryDetector.cpp
+++ b/src/plugins/relays/CallerRetryDetector.cpp
@@ -13,7 +13,7 @@
 
 /// A request with at least this share of the route's longest remaining time is
 /// a first attempt. The initial times of one route's callers differ by less,
-/// and a caller that was told to retry later waits longer than the difference.
+/// and a caller that retries later has waited longer than the difference.
 constexpr double MinFirstAttemptShare = 0.85;
 
 } // namespace
