--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -18,7 +18,7 @@
   double HoldShare = 0;
   Duration WaitRetryInterval{};
   Duration MemoryRetryDelay{};
-  Duration RetryLater{};
+  Duration DefaultRetryAfter{};
   Duration DeadlineGrace{};
   Duration AnswerTimeoutMargin{};
   Duration LivenessWindow{};
