--- a/src/plugins/membership/RumourQueue.h
+++ b/src/plugins/membership/GossipQueue.h
@@ -10,24 +10,25 @@
 namespace banyanpick {
 
 /// Gives each rumour to a bounded number of heartbeats, the least told first.
-class RumourQueue {
+class GossipQueue {
 public:
   /// Queues the rumour in place of an older one on the same host.
-  void add(const MemberUpdate &News);
+  void add(const MemberUpdate &Update);
 
   /// At most \p Most rumours for one heartbeat; each is given out \p Times
   /// times in all.
-  std::vector<MemberUpdate> take(std::size_t Most, std::uint32_t Times);
+  std::vector<MemberUpdate> take(std::size_t MaxUpdates,
+                                 std::uint32_t MaxSends);
 
-  std::size_t size() const { return this->Waiting.size(); }
+  std::size_t size() const { return this->Pending.size(); }
 
 private:
   struct Item {
-    MemberUpdate News;
-    std::uint32_t Told = 0;
+    MemberUpdate Update;
+    std::uint32_t SendCount = 0;
   };
 
-  std::vector<Item> Waiting;
+  std::vector<Item> Pending;
 };
 
 } // namespace banyanpick
--- a/src/plugins/membership/LifeBelief.h
+++ b/src/plugins/membership/IncarnationState.h
@@ -11,24 +11,25 @@
 /// that began to leave never stays again, and one that admitted requests admits
 /// them until it leaves. Joins may therefore come in any order and any number
 /// of times.
-struct LifeBelief {
-  enum class Standing { Alive, Suspect, Dead };
+struct IncarnationState {
+  enum class Liveness { Alive, Suspect, Dead };
 
   std::uint64_t Version = 0;
-  Standing Stands = Standing::Alive;
+  Liveness Status = Liveness::Alive;
   bool Leaving = false;
   bool Ready = false; ///< It has begun to admit requests.
 
-  bool operator==(const LifeBelief &) const = default;
+  bool operator==(const IncarnationState &) const = default;
 };
 
 /// What both say together.
-LifeBelief join(const LifeBelief &First, const LifeBelief &Second);
+IncarnationState join(const IncarnationState &First,
+                      const IncarnationState &Second);
 
 /// The state shown to others: dead before leaving, leaving before suspect.
-MemberState stateOf(const LifeBelief &Belief);
+MemberState memberState(const IncarnationState &State);
 
 /// What a rumour says.
-LifeBelief beliefOf(const MemberUpdate &Rumour);
+IncarnationState incarnationState(const MemberUpdate &Update);
 
 } // namespace banyanpick
--- a/src/plugins/membership/LocalHealth.cpp
+++ b/src/plugins/membership/LocalHealth.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-constexpr std::uint32_t WorstScore = 4;
+constexpr std::uint32_t MaxScore = 4;
 
 /// Signs that come together count once.
-constexpr milliseconds OneSign(200);
+constexpr milliseconds MinSignInterval(200);
 
 /// So long without a sign, it is better by one.
-constexpr seconds CalmFor(1);
+constexpr seconds RecoveryInterval(1);
 
 } // namespace
 
-void LocalHealth::noteBeat(Duration LateBy, Duration Interval, Time Now) {
-  this->Late = std::max(LateBy, this->Late / 2);
+void LocalHealth::noteHeartbeat(Duration LateBy, Duration Interval, Time Now) {
+  this->Lateness = std::max(LateBy, this->Lateness / 2);
   if (LateBy > Interval / 2) {
     this->worsen(Now);
     return;
   }
-  if (this->Score == 0 || Now < this->ChangedAt + Duration(CalmFor))
+  if (this->Score == 0 || Now < this->ChangedAt + Duration(RecoveryInterval))
     return;
   --this->Score;
   this->ChangedAt = Now;
 }
 
 void LocalHealth::worsen(Time Now) {
-  if (this->Score == WorstScore) {
+  if (this->Score == MaxScore) {
     this->ChangedAt = Now;
     return;
   }
-  if (this->Score > 0 && Now < this->ChangedAt + Duration(OneSign))
+  if (this->Score > 0 && Now < this->ChangedAt + Duration(MinSignInterval))
     return;
   ++this->Score;
   this->ChangedAt = Now;
--- a/src/plugins/membership/LocalHealth.h
+++ b/src/plugins/membership/LocalHealth.h
@@ -16,20 +16,20 @@
 public:
   /// A heartbeat went out so much later than planned, with \p Interval between
   /// two of them.
-  void noteBeat(Duration Late, Duration Interval, Time Now);
+  void noteHeartbeat(Duration Lateness, Duration Interval, Time Now);
   /// Somebody whom this host doubted lives, or this host was doubted.
-  void noteMistake(Time Now) { this->worsen(Now); }
+  void noteFalseSuspicion(Time Now) { this->worsen(Now); }
   /// How many times longer than usual it waits.
-  double patience() const { return 1 + this->Score; }
+  double timeoutMultiplier() const { return 1 + this->Score; }
   /// How late it runs, as it tells others.
-  Duration late() const { return this->Late; }
+  Duration lateness() const { return this->Lateness; }
 
 private:
   void worsen(Time Now);
 
   std::uint32_t Score = 0;
   Time ChangedAt{};
-  Duration Late{};
+  Duration Lateness{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/membership/LineBudget.h
+++ b/src/plugins/membership/LogRateLimiter.h
@@ -10,22 +10,22 @@
 
 /// So many lines in a second and no more: hundreds of hosts that start, or lose
 /// each other, change state by the thousand.
-class LineBudget {
+class LogRateLimiter {
 public:
   /// Whether one more may be written.
-  bool take(Time Now) {
-    if (Now >= this->Since + Duration(seconds(1))) {
-      this->Since = Now;
-      this->Taken = 0;
+  bool tryAcquire(Time Now) {
+    if (Now >= this->WindowStart + Duration(seconds(1))) {
+      this->WindowStart = Now;
+      this->Count = 0;
     }
-    return this->Taken++ < MostEachSecond;
+    return this->Count++ < MaxLinesPerSecond;
   }
 
 private:
-  static constexpr std::uint32_t MostEachSecond = 100;
+  static constexpr std::uint32_t MaxLinesPerSecond = 100;
 
-  Time Since{};
-  std::uint32_t Taken = 0;
+  Time WindowStart{};
+  std::uint32_t Count = 0;
 };
 
 } // namespace banyanpick
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -3,11 +3,11 @@
 #pragma once
 
 #include "kernel/Plugin.h"
-#include "plugins/membership/LineBudget.h"
+#include "plugins/membership/GossipQueue.h"
 #include "plugins/membership/LocalHealth.h"
+#include "plugins/membership/LogRateLimiter.h"
 #include "plugins/membership/PeerTable.h"
-#include "plugins/membership/ProbeRound.h"
-#include "plugins/membership/RumourQueue.h"
+#include "plugins/membership/ProbeScheduler.h"
 #include "plugins/membership/SeedContacts.h"
 
 namespace banyanpick {
@@ -19,13 +19,13 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
-  const HostId &self() const override { return this->Own.Host; }
-  Incarnation selfLife() const override { return this->Own.Life; }
-  const ZoneId &selfZone() const override { return this->Own.Zone; }
+  const HostId &self() const override { return this->Self.Host; }
+  Incarnation selfLife() const override { return this->Self.Life; }
+  const ZoneId &selfZone() const override { return this->Self.Zone; }
   std::span<const Member> peers() const override {
     return this->Peers.members();
   }
@@ -40,7 +40,7 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void takeList(const HostListRead &List, Time Now, Actions &Out);
+  void applyHostList(const HostListRead &List, Time Now, Actions &Out);
   /// Takes in hosts that are only heard of; reconnects when any is new.
   void learn(std::span<const HostListing> KnownHosts, Time Now, Actions &Out);
   void connect(Actions &Out) const;
@@ -48,65 +48,65 @@
   /// The own listing, and some of others; all of them for \p Newcomer.
   std::vector<HostListing> listingsFor(bool Newcomer);
   /// Positions of some peers that live, others each time.
-  std::vector<std::size_t> someOthers(std::size_t Most);
-  Heartbeat makeBeat(Time Now);
-  void greetSeeds(Time Now, Actions &Out);
+  std::vector<std::size_t> samplePeers(std::size_t MaxCount);
+  Heartbeat makeHeartbeat(Time Now);
+  void contactSeeds(Time Now, Actions &Out);
   /// Hosts that this one works with, which it must know best.
   std::span<const HostId> partners() const;
   /// Between two heartbeats.
-  Duration beatPause() const;
+  Duration heartbeatInterval() const;
   /// Until the host list is read again.
-  Duration listPause();
+  Duration listReadInterval();
   /// When peers should hear what is in force or known here, without waiting
   /// for the next heartbeat.
-  Time newsDue() const;
-  void takeHeartbeat(const PeerMessage &Message, const Heartbeat &Beat,
-                     Time Now, Actions &Out);
-  void takeRumour(const MemberUpdate &Rumour, Time Now);
-  void refute(const MemberUpdate &Rumour, Time Now);
+  Time updateDue() const;
+  void handleHeartbeat(const PeerMessage &Message, const Heartbeat &Beat,
+                       Time Now, Actions &Out);
+  void applyUpdate(const MemberUpdate &Update, Time Now);
+  void refute(const MemberUpdate &Update, Time Now);
   void leave(Time Now, Actions &Out);
-  void beat(Time Now, Actions &Out);
-  void send(std::size_t To, std::optional<std::uint64_t> Answered,
+  void sendHeartbeats(Time Now, Actions &Out);
+  void send(std::size_t To, std::optional<std::uint64_t> AcknowledgedSequence,
             bool Newcomer, Time Now, Actions &Out);
-  std::vector<MemberUpdate> rumoursFor(std::size_t To);
-  MemberUpdate rumourOf(std::size_t At) const;
-  MemberUpdate ownRumour() const;
+  std::vector<MemberUpdate> updatesFor(std::size_t To);
+  MemberUpdate updateOf(std::size_t Index) const;
+  MemberUpdate ownUpdate() const;
   void announceChanges(Time Now, Actions &Out);
 
-  Identity Own;
+  Identity Self;
   Services *Offered = nullptr;
-  const CatalogueView *Declared = nullptr;
+  const CatalogueView *Catalogue = nullptr;
   const InForceView *InForce = nullptr;
   const RegistryProgress *Registry = nullptr;
-  const ActiveHostsView *Active = nullptr;
+  const ActiveHostsView *ActiveHosts = nullptr;
   const StoreFreshness *Store = nullptr;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   SeedContacts Seeds;
-  std::uint64_t ToldVersion = 0;
-  bool ToldReady = false;
-  std::uint64_t ToldEngines = 0; ///< Digest of the registrations.
-  bool FirstListRead = true;     ///< The next reading is the first.
-  bool Gossips = false;          ///< Hosts are found by hearing of them.
+  std::uint64_t SentVersion = 0;
+  bool SentReady = false;
+  std::uint64_t SentEnginesDigest = 0; ///< Digest of the registrations.
+  bool FirstListRead = true;           ///< The next reading is the first.
+  bool GossipDiscovery = false;        ///< Hosts are found by hearing of them.
   PeerTable Peers;
-  ProbeRound Probes;
-  RumourQueue News;
+  ProbeScheduler Probes;
+  GossipQueue Updates;
   LocalHealth Health;
-  LineBudget Lines;
+  LogRateLimiter LogLimiter;
   Duration ListInterval{};
-  Duration BeatInterval{};
-  Duration PauseLimit{}; ///< So much late, a heartbeat shows a pause.
-  std::size_t RumoursEach = 0;
+  Duration HeartbeatInterval{};
+  Duration PauseThreshold{}; ///< So much late, a heartbeat shows a pause.
+  std::size_t UpdatesPerHeartbeat = 0;
   Time NextListRead{};
-  Time NextBeat{};
-  Time LastBeat = Never;
+  Time NextHeartbeat{};
+  Time LastHeartbeat = Never;
   std::uint64_t OwnVersion = 0;
   bool Leaving = false;
   std::uint64_t Sequence = 0;
   bool ListReachable = true;
   bool ListRead = false; ///< At least once.
   /// Of the heartbeats sent in the last two intervals, how many were answered.
-  std::uint32_t Asked = 0;
-  std::uint32_t Answered = 0;
+  std::uint32_t ProbesSent = 0;
+  std::uint32_t ProbesAnswered = 0;
 };
 
 } // namespace banyanpick
--- a/src/plugins/membership/PeerTable.cpp
+++ b/src/plugins/membership/PeerTable.cpp
@@ -9,85 +9,91 @@
 namespace {
 
 /// Earlier lives remembered of one host.
-constexpr std::size_t MostEarlierLives = 16;
+constexpr std::size_t MaxPastIncarnations = 16;
 
 /// One message may be lost.
-constexpr std::uint32_t LeastUnanswered = 2;
+constexpr std::uint32_t MinUnanswered = 2;
 
 /// A host that was doubted wrongly is doubted the later the more often that
 /// happened, so that doubts of a host that is hard to reach die down.
-constexpr double MostRefutations = 4;
-constexpr seconds RefutationsFade(4);
+constexpr double MaxRefutations = 4;
+constexpr seconds RefutationDecay(4);
 
 /// What a host says of how late it runs is borne up to this.
-constexpr seconds MostLate(3);
+constexpr seconds MaxReportedLateness(3);
 
-double refutationsOf(const PeerRecord &Of, Time Now) {
-  return std::max(0.0, Of.Refutations - inSeconds(Now - Of.RefutedAt) /
-                                            inSeconds(RefutationsFade));
+double currentRefutations(const PeerRecord &Record, Time Now) {
+  return std::max(0.0, Record.Refutations - inSeconds(Now - Record.RefutedAt) /
+                                                inSeconds(RefutationDecay));
 }
 
-constexpr auto NameOf = [](const Member &Each) -> const HostId & {
-  return Each.Listing.Id;
+constexpr auto HostIdOf = [](const Member &Peer) -> const HostId & {
+  return Peer.Listing.Id;
 };
 
-const EarlierLife *findEarlier(const PeerRecord &Of, Incarnation Life) {
-  const auto Found = std::ranges::find(Of.Earlier, Life, &EarlierLife::Life);
-  return Found == Of.Earlier.end() ? nullptr : &*Found;
+const PastIncarnation *findPastIncarnation(const PeerRecord &Record,
+                                           Incarnation Life) {
+  const auto Found =
+      std::ranges::find(Record.PastIncarnations, Life, &PastIncarnation::Life);
+  return Found == Record.PastIncarnations.end() ? nullptr : &*Found;
 }
 
 } // namespace
 
 std::optional<std::size_t> PeerTable::position(const HostId &Host) const {
-  const auto Found = std::ranges::lower_bound(this->Members, Host, {}, NameOf);
+  const auto Found =
+      std::ranges::lower_bound(this->Members, Host, {}, HostIdOf);
   if (Found == this->Members.end() || Found->Listing.Id != Host)
     return std::nullopt;
   return Found - this->Members.begin();
 }
 
-bool PeerTable::isOver(const HostId &Host, Incarnation Life) const {
+bool PeerTable::hasEnded(const HostId &Host, Incarnation Life) const {
   if (Host == this->Self.Host)
     return Life != this->Self.Life;
-  const auto At = this->position(Host);
-  if (!At)
+  const auto Index = this->position(Host);
+  if (!Index)
     return false;
-  if (Life == this->Members[*At].Life)
-    return this->Records[*At].Belief.Stands == LifeBelief::Standing::Dead;
-  return findEarlier(this->Records[*At], Life) != nullptr;
+  if (Life == this->Members[*Index].Life)
+    return this->Records[*Index].MergedState.Status ==
+           IncarnationState::Liveness::Dead;
+  return findPastIncarnation(this->Records[*Index], Life) != nullptr;
 }
 
 bool PeerTable::hasLeft(const HostId &Host, Incarnation Life) const {
-  const auto At = this->position(Host);
-  if (!At)
+  const auto Index = this->position(Host);
+  if (!Index)
     return false;
-  if (Life == this->Members[*At].Life)
-    return this->Records[*At].Belief.Leaving;
-  const EarlierLife *Found = findEarlier(this->Records[*At], Life);
+  if (Life == this->Members[*Index].Life)
+    return this->Records[*Index].MergedState.Leaving;
+  const PastIncarnation *Found =
+      findPastIncarnation(this->Records[*Index], Life);
   return Found && Found->Left;
 }
 
-bool PeerTable::takeList(std::span<const HostListing> Listed, Time Now) {
-  bool PlacesChanged = false;
-  std::vector<HostId> Named;
-  for (const HostListing &Each : Listed) {
-    if (Each.Id == this->Self.Host)
+bool PeerTable::applyHostList(std::span<const HostListing> Listed, Time Now) {
+  bool AddressesChanged = false;
+  std::vector<HostId> ListedIds;
+  for (const HostListing &Listing : Listed) {
+    if (Listing.Id == this->Self.Host)
       continue;
-    Named.push_back(Each.Id);
-    const auto Found = this->position(Each.Id);
-    const std::size_t At = Found ? *Found : this->insert(Each, Now);
-    const HostListing &Old = this->Members[At].Listing;
-    PlacesChanged |= !Found || Old.Peers != Each.Peers ||
-                     Old.Callers != Each.Callers || Old.Zone != Each.Zone;
-    this->Members[At].Listing = Each;
-    this->Records[At].UnlistedAt = Never;
-    this->publish(At);
+    ListedIds.push_back(Listing.Id);
+    const auto Found = this->position(Listing.Id);
+    const std::size_t Index = Found ? *Found : this->insert(Listing, Now);
+    const HostListing &Old = this->Members[Index].Listing;
+    AddressesChanged |= !Found || Old.Peers != Listing.Peers ||
+                        Old.Callers != Listing.Callers ||
+                        Old.Zone != Listing.Zone;
+    this->Members[Index].Listing = Listing;
+    this->Records[Index].UnlistedAt = Never;
+    this->updateMember(Index);
   }
-  std::ranges::sort(Named);
-  for (std::size_t At = 0; At < this->Members.size(); ++At)
-    if (!std::ranges::binary_search(Named, this->Members[At].Listing.Id))
-      this->Records[At].UnlistedAt =
-          std::min(this->Records[At].UnlistedAt, Now);
-  return PlacesChanged;
+  std::ranges::sort(ListedIds);
+  for (std::size_t Index = 0; Index < this->Members.size(); ++Index)
+    if (!std::ranges::binary_search(ListedIds, this->Members[Index].Listing.Id))
+      this->Records[Index].UnlistedAt =
+          std::min(this->Records[Index].UnlistedAt, Now);
+  return AddressesChanged;
 }
 
 bool PeerTable::learn(const HostListing &Listing, Time Now) {
@@ -96,23 +102,23 @@
   const auto Found = this->position(Listing.Id);
   if (Found && this->Members[*Found].Listing == Listing)
     return false;
-  const std::size_t At = Found ? *Found : this->insert(Listing, Now);
-  this->Members[At].Listing = Listing;
+  const std::size_t Index = Found ? *Found : this->insert(Listing, Now);
+  this->Members[Index].Listing = Listing;
   // No list names it, so it is forgotten some time after its death.
-  this->Records[At].UnlistedAt = Now;
-  this->publish(At);
+  this->Records[Index].UnlistedAt = Now;
+  this->updateMember(Index);
   return true;
 }
 
-void PeerTable::takeHeartbeat(std::size_t At, Incarnation Life,
-                              const Heartbeat &Beat, Time Now) {
-  Member &Of = this->Members[At];
-  PeerRecord &Record = this->Records[At];
-  if (findEarlier(Record, Life))
+void PeerTable::handleHeartbeat(std::size_t Index, Incarnation Life,
+                                const Heartbeat &Beat, Time Now) {
+  Member &Peer = this->Members[Index];
+  PeerRecord &Record = this->Records[Index];
+  if (findPastIncarnation(Record, Life))
     return;
-  if (Of.Life == Incarnation())
-    this->changeLife(At, Life);
-  if (Of.Life != Life) {
+  if (Peer.Life == Incarnation())
+    this->changeIncarnation(Index, Life);
+  if (Peer.Life != Life) {
     const bool Proved = Record.Candidate == Life && Beat.Acknowledges &&
                         Record.CandidateProbe != 0 &&
                         Beat.Sequence >= Record.CandidateProbe;
@@ -121,53 +127,55 @@
     Record.Candidate = Life;
     if (!Proved)
       return;
-    this->changeLife(At, Life);
+    this->changeIncarnation(Index, Life);
   }
   Record.ProbedAt = Never;
   Record.Unanswered = 0;
   Record.Late = Beat.Late;
-  const bool Differs = Of.Ready != Beat.Ready || Of.InForce != Beat.InForce;
+  const bool Differs = Peer.Ready != Beat.Ready || Peer.InForce != Beat.InForce;
   const bool ReadyNow = Beat.Ready && !Beat.Leaving;
-  Of.LastHeard = Now;
-  Of.Ready = Beat.Ready;
-  Of.InForce = Beat.InForce;
-  Of.LogConfirmedAt = std::max(Of.LogConfirmedAt, Beat.LogConfirmedAt);
-  Of.EnginesKnownTo = Beat.EnginesKnownTo;
-  Of.EnginesDigest = Beat.EnginesDigest;
+  Peer.LastHeard = Now;
+  Peer.Ready = Beat.Ready;
+  Peer.InForce = Beat.InForce;
+  Peer.LogConfirmedAt = std::max(Peer.LogConfirmedAt, Beat.LogConfirmedAt);
+  Peer.EnginesKnownTo = Beat.EnginesKnownTo;
+  Peer.EnginesDigest = Beat.EnginesDigest;
   if (Differs)
-    this->changeOf(Of.Listing.Id);
-  this->believe(
-      At, {Beat.Version, LifeBelief::Standing::Alive, Beat.Leaving, ReadyNow},
+    this->changeOf(Peer.Listing.Id);
+  this->joinState(
+      Index,
+      {Beat.Version, IncarnationState::Liveness::Alive, Beat.Leaving, ReadyNow},
       Now);
 }
 
-void PeerTable::takeRumour(std::size_t At, const MemberUpdate &Rumour,
-                           bool Trusting, Time Now) {
-  const bool NeverHeard = this->Members[At].Life == Incarnation();
+void PeerTable::applyUpdate(std::size_t Index, const MemberUpdate &Update,
+                            bool AcceptUnconfirmed, Time Now) {
+  const bool NeverHeard = this->Members[Index].Life == Incarnation();
   const bool MayFollow =
-      NeverHeard || (Trusting && this->Records[At].Belief.Stands !=
-                                     LifeBelief::Standing::Alive);
-  if (MayFollow && Rumour.Life != Incarnation() &&
-      Rumour.Life != this->Members[At].Life &&
-      !findEarlier(this->Records[At], Rumour.Life) &&
-      Rumour.State != MemberState::Dead)
-    this->changeLife(At, Rumour.Life);
-  if (Rumour.Life == this->Members[At].Life) {
-    this->believe(At, beliefOf(Rumour), Now);
+      NeverHeard ||
+      (AcceptUnconfirmed && this->Records[Index].MergedState.Status !=
+                                IncarnationState::Liveness::Alive);
+  if (MayFollow && Update.Life != Incarnation() &&
+      Update.Life != this->Members[Index].Life &&
+      !findPastIncarnation(this->Records[Index], Update.Life) &&
+      Update.State != MemberState::Dead)
+    this->changeIncarnation(Index, Update.Life);
+  if (Update.Life == this->Members[Index].Life) {
+    this->joinState(Index, incarnationState(Update), Now);
     return;
   }
-  PeerRecord &Record = this->Records[At];
-  const bool MayBeNew = Rumour.State != MemberState::Dead &&
-                        Rumour.Life != Incarnation() &&
-                        !findEarlier(Record, Rumour.Life);
-  if (!MayBeNew || Record.Candidate == Rumour.Life)
+  PeerRecord &Record = this->Records[Index];
+  const bool MayBeNew = Update.State != MemberState::Dead &&
+                        Update.Life != Incarnation() &&
+                        !findPastIncarnation(Record, Update.Life);
+  if (!MayBeNew || Record.Candidate == Update.Life)
     return;
-  Record.Candidate = Rumour.Life;
+  Record.Candidate = Update.Life;
   Record.CandidateProbe = 0;
 }
 
-void PeerTable::noteProbe(std::size_t At, std::uint64_t Sequence, Time Now) {
-  PeerRecord &Record = this->Records[At];
+void PeerTable::noteProbe(std::size_t Index, std::uint64_t Sequence, Time Now) {
+  PeerRecord &Record = this->Records[Index];
   Record.ProbedAt = std::min(Record.ProbedAt, Now);
   Record.LastProbedAt = Now;
   ++Record.Unanswered;
@@ -176,53 +184,54 @@
 }
 
 void PeerTable::noteSample(Time HeardAt) {
-  for (Member &Each : this->Members)
-    if (Each.State == MemberState::Alive)
-      Each.LastHeard = std::max(Each.LastHeard, HeardAt);
+  for (Member &Peer : this->Members)
+    if (Peer.State == MemberState::Alive)
+      Peer.LastHeard = std::max(Peer.LastHeard, HeardAt);
 }
 
-void PeerTable::age(double Patience, Time Now) {
+void PeerTable::detectFailures(double TimeoutMultiplier, Time Now) {
   const Duration DeadAfter = this->deadAfter();
-  for (std::size_t At = 0; At < this->Members.size(); ++At) {
-    PeerRecord &Record = this->Records[At];
-    LifeBelief Next = Record.Belief;
+  for (std::size_t Index = 0; Index < this->Members.size(); ++Index) {
+    PeerRecord &Record = this->Records[Index];
+    IncarnationState Next = Record.MergedState;
     const bool Silent =
-        Record.ProbedAt != Never && Record.Unanswered >= LeastUnanswered &&
-        Now >= Record.ProbedAt + this->suspectAfter(Record, Patience, Now);
-    const bool WasSuspect = Next.Stands == LifeBelief::Standing::Suspect;
+        Record.ProbedAt != Never && Record.Unanswered >= MinUnanswered &&
+        Now >= Record.ProbedAt +
+                   this->suspectAfter(Record, TimeoutMultiplier, Now);
+    const bool WasSuspect = Next.Status == IncarnationState::Liveness::Suspect;
     if (WasSuspect && Record.SuspectedAt == Never && Silent)
       Record.SuspectedAt = Now;
     if (WasSuspect && Record.SuspectedAt != Never &&
         Now >= Record.SuspectedAt + DeadAfter)
-      Next.Stands = LifeBelief::Standing::Dead;
-    else if (Next.Stands == LifeBelief::Standing::Alive && Silent)
-      Next.Stands = LifeBelief::Standing::Suspect;
-    if (Next.Stands != Record.Belief.Stands) {
-      this->changeOf(this->Members[At].Listing.Id).BySilence = true;
-      Record.DoubtedHere = true;
+      Next.Status = IncarnationState::Liveness::Dead;
+    else if (Next.Status == IncarnationState::Liveness::Alive && Silent)
+      Next.Status = IncarnationState::Liveness::Suspect;
+    if (Next.Status != Record.MergedState.Status) {
+      this->changeOf(this->Members[Index].Listing.Id).BySilence = true;
+      Record.SuspectedHere = true;
     }
-    this->believe(At, Next, Now);
+    this->joinState(Index, Next, Now);
   }
-  this->forgetLongDead(Now);
+  this->removeExpired(Now);
 }
 
-void PeerTable::forgive(Time Now) {
-  for (PeerRecord &Each : this->Records) {
-    if (Each.ProbedAt != Never)
-      Each.ProbedAt = Now;
-    if (Each.SuspectedAt != Never)
-      Each.SuspectedAt = Now;
+void PeerTable::restartTimeouts(Time Now) {
+  for (PeerRecord &Record : this->Records) {
+    if (Record.ProbedAt != Never)
+      Record.ProbedAt = Now;
+    if (Record.SuspectedAt != Never)
+      Record.SuspectedAt = Now;
   }
 }
 
 std::vector<PeerChange> PeerTable::takeChanges() {
   std::vector<PeerChange> Result;
-  for (auto &[Host, Each] : this->Changes) {
-    const auto At = this->position(Host);
-    if (!At)
+  for (auto &[Host, Change] : this->Changes) {
+    const auto Index = this->position(Host);
+    if (!Index)
       continue;
-    Each.At = *At;
-    Result.push_back(Each);
+    Change.Index = *Index;
+    Result.push_back(Change);
   }
   this->Changes.clear();
   return Result;
@@ -230,114 +239,117 @@
 
 std::size_t PeerTable::insert(const HostListing &Listing, Time Now) {
   const auto Found =
-      std::ranges::lower_bound(this->Members, Listing.Id, {}, NameOf);
-  const auto At = Found - this->Members.begin();
+      std::ranges::lower_bound(this->Members, Listing.Id, {}, HostIdOf);
+  const auto Index = Found - this->Members.begin();
   Member Added;
   Added.Listing = Listing;
   Added.State = MemberState::Suspect;
   Added.LastHeard = Now;
   // Until it is heard it may not exist; until it is asked, silence is no sign.
   PeerRecord Record;
-  Record.Belief.Stands = LifeBelief::Standing::Suspect;
+  Record.MergedState.Status = IncarnationState::Liveness::Suspect;
   this->Members.insert(Found, std::move(Added));
-  this->Records.insert(this->Records.begin() + At, std::move(Record));
+  this->Records.insert(this->Records.begin() + Index, std::move(Record));
   this->changeOf(Listing.Id).StateChanged = true;
-  return At;
+  return Index;
 }
 
-void PeerTable::changeLife(std::size_t At, Incarnation Life) {
-  Member &Of = this->Members[At];
-  PeerRecord &Record = this->Records[At];
-  if (Of.Life != Incarnation())
-    Record.Earlier.push_back({Of.Life, Record.Belief.Leaving});
-  if (Record.Earlier.size() > MostEarlierLives)
-    Record.Earlier.erase(Record.Earlier.begin());
-  Of.Life = Life;
-  Of.Ready = false;
-  Of.LogConfirmedAt = Time{};
-  Record.Belief = LifeBelief{};
+void PeerTable::changeIncarnation(std::size_t Index, Incarnation Life) {
+  Member &Peer = this->Members[Index];
+  PeerRecord &Record = this->Records[Index];
+  if (Peer.Life != Incarnation())
+    Record.PastIncarnations.push_back({Peer.Life, Record.MergedState.Leaving});
+  if (Record.PastIncarnations.size() > MaxPastIncarnations)
+    Record.PastIncarnations.erase(Record.PastIncarnations.begin());
+  Peer.Life = Life;
+  Peer.Ready = false;
+  Peer.LogConfirmedAt = Time{};
+  Record.MergedState = IncarnationState{};
   Record.SuspectedAt = Never;
-  Record.DoubtedHere = false;
+  Record.SuspectedHere = false;
   Record.Unanswered = 0;
   Record.Refutations = 0;
   Record.Candidate = Incarnation();
   Record.CandidateProbe = 0;
-  PeerChange &Change = this->changeOf(Of.Listing.Id);
+  PeerChange &Change = this->changeOf(Peer.Listing.Id);
   Change.StateChanged = true;
-  Change.IsNews = true;
-  this->publish(At);
+  Change.Disseminate = true;
+  this->updateMember(Index);
 }
 
-void PeerTable::believe(std::size_t At, const LifeBelief &Belief, Time Now) {
-  PeerRecord &Record = this->Records[At];
-  const LifeBelief Next = join(Record.Belief, Belief);
-  if (Next == Record.Belief)
+void PeerTable::joinState(std::size_t Index,
+                          const IncarnationState &MergedState, Time Now) {
+  PeerRecord &Record = this->Records[Index];
+  const IncarnationState Next = join(Record.MergedState, MergedState);
+  if (Next == Record.MergedState)
     return;
-  const bool WasSuspect = Record.Belief.Stands == LifeBelief::Standing::Suspect;
-  const bool IsSuspect = Next.Stands == LifeBelief::Standing::Suspect;
-  const bool Refuted = Next.Version > Record.Belief.Version;
-  Record.Belief = Next;
+  const bool WasSuspect =
+      Record.MergedState.Status == IncarnationState::Liveness::Suspect;
+  const bool IsSuspect = Next.Status == IncarnationState::Liveness::Suspect;
+  const bool Refuted = Next.Version > Record.MergedState.Version;
+  Record.MergedState = Next;
   if (!IsSuspect)
     Record.SuspectedAt = Never;
   else if (!WasSuspect || Refuted)
     Record.SuspectedAt = Now;
   if (Refuted)
-    this->noteRefuted(At, Now);
-  if (this->Members[At].Life != Incarnation())
-    this->changeOf(this->Members[At].Listing.Id).IsNews = true;
-  this->publish(At);
+    this->noteRefuted(Index, Now);
+  if (this->Members[Index].Life != Incarnation())
+    this->changeOf(this->Members[Index].Listing.Id).Disseminate = true;
+  this->updateMember(Index);
 }
 
-void PeerTable::publish(std::size_t At) {
-  Member &Of = this->Members[At];
-  if (this->Records[At].Belief.Ready && !Of.Ready) {
-    Of.Ready = true;
-    this->changeOf(Of.Listing.Id);
+void PeerTable::updateMember(std::size_t Index) {
+  Member &Peer = this->Members[Index];
+  if (this->Records[Index].MergedState.Ready && !Peer.Ready) {
+    Peer.Ready = true;
+    this->changeOf(Peer.Listing.Id);
   }
-  MemberState Next = stateOf(this->Records[At].Belief);
-  if (Of.Listing.Leaving && Next != MemberState::Dead)
+  MemberState Next = memberState(this->Records[Index].MergedState);
+  if (Peer.Listing.Leaving && Next != MemberState::Dead)
     Next = MemberState::Leaving;
-  if (Next == Of.State)
+  if (Next == Peer.State)
     return;
-  Of.State = Next;
-  this->changeOf(Of.Listing.Id).StateChanged = true;
+  Peer.State = Next;
+  this->changeOf(Peer.Listing.Id).StateChanged = true;
 }
 
 PeerChange &PeerTable::changeOf(const HostId &Host) {
   return this->Changes[Host];
 }
 
-void PeerTable::forgetLongDead(Time Now) {
-  for (std::size_t At = this->Members.size(); At-- > 0;) {
-    const PeerRecord &Record = this->Records[At];
-    const bool Keep = this->Members[At].State != MemberState::Dead ||
+void PeerTable::removeExpired(Time Now) {
+  for (std::size_t Index = this->Members.size(); Index-- > 0;) {
+    const PeerRecord &Record = this->Records[Index];
+    const bool Keep = this->Members[Index].State != MemberState::Dead ||
                       Record.UnlistedAt == Never ||
                       Now < Record.UnlistedAt + this->Timeouts.ForgetAfter;
     if (Keep)
       continue;
-    const auto Position = static_cast<std::ptrdiff_t>(At);
+    const auto Position = static_cast<std::ptrdiff_t>(Index);
     this->Members.erase(this->Members.begin() + Position);
     this->Records.erase(this->Records.begin() + Position);
   }
 }
 
-void PeerTable::noteRefuted(std::size_t At, Time Now) {
-  PeerRecord &Record = this->Records[At];
+void PeerTable::noteRefuted(std::size_t Index, Time Now) {
+  PeerRecord &Record = this->Records[Index];
   // It lives, whoever told us.
   Record.ProbedAt = Never;
   Record.Unanswered = 0;
   Record.Refutations =
-      std::min(refutationsOf(Record, Now) + 1, MostRefutations);
+      std::min(currentRefutations(Record, Now) + 1, MaxRefutations);
   Record.RefutedAt = Now;
-  if (std::exchange(Record.DoubtedHere, false))
-    this->changeOf(this->Members[At].Listing.Id).Mistaken = true;
+  if (std::exchange(Record.SuspectedHere, false))
+    this->changeOf(this->Members[Index].Listing.Id).FalselySuspected = true;
 }
 
-Duration PeerTable::suspectAfter(const PeerRecord &Of, double Patience,
-                                 Time Now) const {
+Duration PeerTable::suspectAfter(const PeerRecord &Record,
+                                 double TimeoutMultiplier, Time Now) const {
   const double Usual = inSeconds(this->Timeouts.SuspectAfter);
-  return fromSeconds(Usual * (Patience + refutationsOf(Of, Now))) +
-         std::min(Of.Late, Duration(MostLate));
+  return fromSeconds(Usual *
+                     (TimeoutMultiplier + currentRefutations(Record, Now))) +
+         std::min(Record.Late, Duration(MaxReportedLateness));
 }
 
 Duration PeerTable::deadAfter() const {
--- a/src/plugins/membership/ProbeRound.h
+++ b/src/plugins/membership/ProbeScheduler.h
@@ -19,11 +19,10 @@
 /// reaches all hosts in as many steps as there are such places, and connections
 /// are kept; asking random hosts instead opened some eight connections a second
 /// at each host.
-class ProbeRound {
+class ProbeScheduler {
 public:
-  ProbeRound() = default;
-  ProbeRound(ProbeLimits Limits, Random &Numbers)
-      : Limits(Limits), Numbers(&Numbers) {}
+  ProbeScheduler() = default;
+  ProbeScheduler(ProbeLimits Limits, Random &Rng) : Limits(Limits), Rng(&Rng) {}
 
   /// Whether heartbeats go to a sample of the peers only.
   bool isSampling(const PeerTable &Peers) const {
@@ -35,7 +34,7 @@
                                 std::span<const HostId> Partners);
 
 private:
-  std::vector<std::size_t> everyone(const PeerTable &Peers);
+  std::vector<std::size_t> fullMesh(const PeerTable &Peers);
   std::vector<std::size_t> sample(const PeerTable &Peers, const HostId &Self,
                                   std::span<const HostId> Partners);
   void refill(const PeerTable &Peers, const HostId &Self);
@@ -43,7 +42,7 @@
   void addDead(const PeerTable &Peers, std::vector<std::size_t> &To);
 
   ProbeLimits Limits;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   std::vector<HostId> Round; ///< Still to be asked in this round.
   std::uint64_t Intervals = 0;
 };
--- a/src/plugins/membership/SeedContacts.h
+++ b/src/plugins/membership/SeedContacts.h
@@ -20,7 +20,7 @@
   SeedContacts(std::string_view Text, const Address &Self);
 
   /// Seeds at which no known host stands.
-  std::vector<HostListing> unknown(std::span<const Member> Known) const;
+  std::vector<HostListing> unresolved(std::span<const Member> KnownPeers) const;
 
 private:
   std::vector<HostListing> Contacts;
--- a/tests/auto/membership/HostGroup.h
+++ b/tests/auto/membership/HostGroup.h
@@ -33,42 +33,42 @@
   }
   void end(std::size_t Index) { this->Ended.insert(Index); }
   void freeze(std::size_t Index) { this->Frozen.insert(Index); }
-  void thaw(std::size_t Index) { this->Frozen.erase(Index); }
-  void cut(std::size_t First, std::size_t Second) {
-    this->Cuts.insert(std::minmax(First, Second));
+  void resume(std::size_t Index) { this->Frozen.erase(Index); }
+  void partition(std::size_t First, std::size_t Second) {
+    this->Partitions.insert(std::minmax(First, Second));
   }
-  void heal() { this->Cuts.clear(); }
+  void heal() { this->Partitions.clear(); }
 
   /// Runs until the time, in seconds since the start.
   void run(double Until) {
     const Time End = Begin + fromSeconds(Until);
     while (this->Now < End) {
       this->deliver();
-      for (auto &[Index, Each] : this->Hosts)
-        if (this->runs(Index) && Each->Plugin.nextWake() <= this->Now)
+      for (auto &[Index, Node] : this->Hosts)
+        if (this->runs(Index) && Node->Plugin.nextWake() <= this->Now)
           this->feed(Index, Tick{});
       this->Now += milliseconds(10);
     }
   }
-  void feed(std::size_t Index, const Event &What) {
+  void feed(std::size_t Index, const Event &Incoming) {
     Actions Out;
-    this->Hosts.at(Index)->Plugin.handle(What, this->Now, Out);
-    for (const Action &Each : Out.items())
-      this->carryOut(Index, Each);
+    this->Hosts.at(Index)->Plugin.handle(Incoming, this->Now, Out);
+    for (const Action &Output : Out.items())
+      this->carryOut(Index, Output);
   }
 
   const MembershipPlugin &at(std::size_t Index) const {
     return this->Hosts.at(Index)->Plugin;
   }
   /// How \p Of looks from \p From.
-  const Member &seen(std::size_t From, std::size_t Of) const {
-    for (const Member &Each : this->at(From).peers())
-      if (Each.Listing.Id == name(Of))
-        return Each;
+  const Member &memberSeenBy(std::size_t From, std::size_t Of) const {
+    for (const Member &Peer : this->at(From).peers())
+      if (Peer.Listing.Id == name(Of))
+        return Peer;
     throw std::out_of_range("not a peer");
   }
   std::map<std::size_t, std::uint64_t> MessagesSent;
-  std::map<std::size_t, std::uint64_t> RumoursSent;
+  std::map<std::size_t, std::uint64_t> UpdatesSent;
   std::vector<HostListing> Listed;
 
 private:
@@ -77,21 +77,21 @@
   struct Host {
     Host(std::size_t Index, std::uint64_t Life)
         : Self{name(Index), Incarnation(Life), ZoneId("zone-1"), {}, {}, {}},
-          Numbers(Life) {
+          Rng(Life) {
       const auto Declared = MembershipPlugin::settings();
       this->Values = Settings::defaults(Declared);
-      PluginContext Context(this->Self, this->Values, this->Offered,
-                            this->Numbers);
+      PluginContext Context(this->Self, this->Values, this->Registry,
+                            this->Rng);
       this->Plugin.initialize(Context);
     }
     Identity Self;
     Settings Values;
-    Services Offered;
-    Random Numbers;
+    Services Registry;
+    Random Rng;
     MembershipPlugin Plugin;
   };
-  struct Flying {
-    Time At;
+  struct InFlight {
+    Time DeliveredAt;
     std::size_t To;
     PeerMessage Message;
   };
@@ -99,47 +99,47 @@
   bool runs(std::size_t Index) const {
     return !this->Ended.contains(Index) && !this->Frozen.contains(Index);
   }
-  void carryOut(std::size_t From, const Action &Wanted) {
-    if (std::holds_alternative<ReadHostList>(Wanted)) {
+  void carryOut(std::size_t From, const Action &Requested) {
+    if (std::holds_alternative<ReadHostList>(Requested)) {
       HostListRead List;
-      for (const auto &[Index, Each] : this->Hosts)
+      for (const auto &[Index, Node] : this->Hosts)
         List.Hosts.push_back(
             {name(Index), ZoneId("zone-1"), {}, {}, false, {}});
       this->feed(From, List);
       return;
     }
-    const auto *Sent = std::get_if<SendToPeer>(&Wanted);
+    const auto *Sent = std::get_if<SendToPeer>(&Requested);
     if (!Sent)
       return;
     const std::size_t To = std::stoul(Sent->To.Value.substr(5)) - 1000;
     ++this->MessagesSent[From];
-    this->RumoursSent[From] += std::get<Heartbeat>(Sent->Body).Updates.size();
-    if (!this->Cuts.contains(std::minmax(From, To)))
-      this->Wire.push_back(
+    this->UpdatesSent[From] += std::get<Heartbeat>(Sent->Body).Updates.size();
+    if (!this->Partitions.contains(std::minmax(From, To)))
+      this->Network.push_back(
           {this->Now + Delay,
            To,
            {name(From), this->at(From).selfLife(), Sent->Body}});
   }
   void deliver() {
-    std::vector<Flying> Due;
-    std::vector<Flying> Later;
-    for (Flying &Each : this->Wire) {
-      if (this->Frozen.contains(Each.To) || Each.At > this->Now)
-        Later.push_back(std::move(Each));
-      else if (!this->Ended.contains(Each.To))
-        Due.push_back(std::move(Each));
+    std::vector<InFlight> Due;
+    std::vector<InFlight> Later;
+    for (InFlight &Packet : this->Network) {
+      if (this->Frozen.contains(Packet.To) || Packet.DeliveredAt > this->Now)
+        Later.push_back(std::move(Packet));
+      else if (!this->Ended.contains(Packet.To))
+        Due.push_back(std::move(Packet));
     }
-    this->Wire = std::move(Later);
-    for (const Flying &Each : Due)
-      this->feed(Each.To, PeerMessageReceived{Each.Message});
+    this->Network = std::move(Later);
+    for (const InFlight &Packet : Due)
+      this->feed(Packet.To, PeerMessageReceived{Packet.Message});
   }
 
   Time Now = Begin;
   std::map<std::size_t, std::unique_ptr<Host>> Hosts;
   std::set<std::size_t> Ended;
   std::set<std::size_t> Frozen;
-  std::set<std::pair<std::size_t, std::size_t>> Cuts;
-  std::vector<Flying> Wire;
+  std::set<std::pair<std::size_t, std::size_t>> Partitions;
+  std::vector<InFlight> Network;
 };
 
 } // namespace banyanpick
--- a/tests/auto/membership/LifeBeliefTest.cpp
+++ b/tests/auto/membership/IncarnationStateTest.cpp
@@ -4,25 +4,25 @@
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
 
-#include "plugins/membership/LifeBelief.h"
-#include "plugins/membership/RumourQueue.h"
+#include "plugins/membership/GossipQueue.h"
+#include "plugins/membership/IncarnationState.h"
 
 namespace banyanpick {
 namespace {
 
-LifeBelief anyBelief() {
+IncarnationState anyState() {
   const auto State = *rc::gen::element(MemberState::Alive, MemberState::Suspect,
                                        MemberState::Dead, MemberState::Leaving);
-  MemberUpdate Rumour;
-  Rumour.Version = *rc::gen::inRange<std::uint64_t>(0, 4);
-  Rumour.State = State;
-  return beliefOf(Rumour);
+  MemberUpdate Update;
+  Update.Version = *rc::gen::inRange<std::uint64_t>(0, 4);
+  Update.State = State;
+  return incarnationState(Update);
 }
 
-RC_GTEST_PROP(LifeBeliefTest, JoinsInAnyOrderAndNumber, ()) {
-  const LifeBelief First = anyBelief();
-  const LifeBelief Second = anyBelief();
-  const LifeBelief Third = anyBelief();
+RC_GTEST_PROP(IncarnationStateTest, JoinsInAnyOrderAndNumber, ()) {
+  const IncarnationState First = anyState();
+  const IncarnationState Second = anyState();
+  const IncarnationState Third = anyState();
   RC_ASSERT(join(First, Second) == join(Second, First));
   RC_ASSERT(join(join(First, Second), Third) ==
             join(First, join(Second, Third)));
@@ -30,22 +30,24 @@
   RC_ASSERT(join(join(First, Second), Second) == join(First, Second));
 }
 
-RC_GTEST_PROP(LifeBeliefTest, LeavingIsNeverTakenBack, ()) {
-  LifeBelief Belief = anyBelief();
-  Belief.Leaving = true;
-  RC_ASSERT(join(Belief, anyBelief()).Leaving);
+RC_GTEST_PROP(IncarnationStateTest, LeavingIsNeverTakenBack, ()) {
+  IncarnationState State = anyState();
+  State.Leaving = true;
+  RC_ASSERT(join(State, anyState()).Leaving);
 }
 
-TEST(LifeBeliefTest, OnlyAHigherVersionRefutesDeath) {
-  const LifeBelief Dead{3, LifeBelief::Standing::Dead, false};
-  EXPECT_EQ(stateOf(join(Dead, {3, LifeBelief::Standing::Alive, false})),
-            MemberState::Dead);
-  EXPECT_EQ(stateOf(join(Dead, {4, LifeBelief::Standing::Alive, false})),
-            MemberState::Alive);
+TEST(IncarnationStateTest, OnlyAHigherVersionRefutesDeath) {
+  const IncarnationState Dead{3, IncarnationState::Liveness::Dead, false};
+  EXPECT_EQ(
+      memberState(join(Dead, {3, IncarnationState::Liveness::Alive, false})),
+      MemberState::Dead);
+  EXPECT_EQ(
+      memberState(join(Dead, {4, IncarnationState::Liveness::Alive, false})),
+      MemberState::Alive);
 }
 
-TEST(RumourQueueTest, TellsEachRumourABoundedNumberOfTimes) {
-  RumourQueue Queue;
+TEST(GossipQueueTest, TellsEachRumourABoundedNumberOfTimes) {
+  GossipQueue Queue;
   for (const char *Host : {"a", "b", "c"})
     Queue.add({HostId(Host), Incarnation(1), 0, MemberState::Suspect});
   std::size_t Told = 0;
@@ -58,8 +60,8 @@
   EXPECT_EQ(Queue.size(), 0u);
 }
 
-TEST(RumourQueueTest, NewerNewsOfAHostReplacesTheOlder) {
-  RumourQueue Queue;
+TEST(GossipQueueTest, NewerNewsOfAHostReplacesTheOlder) {
+  GossipQueue Queue;
   Queue.add({HostId("a"), Incarnation(1), 0, MemberState::Suspect});
   Queue.add({HostId("a"), Incarnation(1), 1, MemberState::Alive});
   const auto Taken = Queue.take(4, 3);
--- a/tests/auto/membership/MembershipTest.cpp
+++ b/tests/auto/membership/MembershipTest.cpp
@@ -15,8 +15,8 @@
   Group.run(2);
   for (std::size_t From = 0; From < 5; ++From) {
     EXPECT_EQ(Group.at(From).livePeers().size(), 4u);
-    for (const Member &Each : Group.at(From).peers())
-      EXPECT_EQ(Each.State, Alive);
+    for (const Member &Peer : Group.at(From).peers())
+      EXPECT_EQ(Peer.State, Alive);
   }
 }
 
@@ -26,7 +26,7 @@
   Group.end(2);
   Group.run(10);
   for (const std::size_t From : {0, 1, 3, 4}) {
-    EXPECT_EQ(Group.seen(From, 2).State, Dead);
+    EXPECT_EQ(Group.memberSeenBy(From, 2).State, Dead);
     EXPECT_TRUE(Group.at(From).isDead(HostGroup::name(2), Incarnation(3)));
     EXPECT_EQ(Group.at(From).livePeers().size(), 3u);
   }
@@ -41,7 +41,7 @@
   Group.run(4.5);
   EXPECT_TRUE(Group.at(0).isDead(HostGroup::name(2), Incarnation(3)));
   EXPECT_FALSE(Group.at(0).isDead(HostGroup::name(2), Incarnation(1)));
-  EXPECT_EQ(Group.seen(0, 2).State, Alive);
+  EXPECT_EQ(Group.memberSeenBy(0, 2).State, Alive);
 }
 
 TEST(MembershipTest, LateMessageOfAnUnknownOldLifeEndsNothing) {
@@ -51,8 +51,8 @@
   Group.feed(0, PeerMessageReceived{Late});
   Group.run(6);
   EXPECT_FALSE(Group.at(0).isDead(HostGroup::name(2), Incarnation(3)));
-  EXPECT_EQ(Group.seen(0, 2).Life, Incarnation(3));
-  EXPECT_EQ(Group.seen(0, 2).State, Alive);
+  EXPECT_EQ(Group.memberSeenBy(0, 2).Life, Incarnation(3));
+  EXPECT_EQ(Group.memberSeenBy(0, 2).State, Alive);
 }
 
 TEST(MembershipTest, FrozenHostComesBackAsTheSameLife) {
@@ -60,11 +60,11 @@
   Group.run(3);
   Group.freeze(1);
   Group.run(12);
-  EXPECT_EQ(Group.seen(0, 1).State, Dead);
-  Group.thaw(1);
+  EXPECT_EQ(Group.memberSeenBy(0, 1).State, Dead);
+  Group.resume(1);
   Group.run(16);
   for (const std::size_t From : {0, 2, 3})
-    EXPECT_EQ(Group.seen(From, 1).State, Alive);
+    EXPECT_EQ(Group.memberSeenBy(From, 1).State, Alive);
   // The thawed host accuses nobody: the silence was its own.
   EXPECT_EQ(Group.at(1).livePeers().size(), 3u);
 }
@@ -72,11 +72,11 @@
 TEST(MembershipTest, HostsCutFromEachOtherStayAliveThroughAThird) {
   HostGroup Group(4);
   Group.run(3);
-  Group.cut(0, 1);
+  Group.partition(0, 1);
   for (int Second = 4; Second < 40; ++Second) {
     Group.run(Second);
     EXPECT_FALSE(Group.at(0).isDead(HostGroup::name(1), Incarnation(2)));
-    EXPECT_NE(Group.seen(2, 0).State, Dead);
+    EXPECT_NE(Group.memberSeenBy(2, 0).State, Dead);
   }
 }
 
@@ -85,9 +85,9 @@
   Group.run(3);
   for (const std::size_t Left : {0, 1})
     for (const std::size_t Right : {2, 3})
-      Group.cut(Left, Right);
+      Group.partition(Left, Right);
   Group.run(15);
-  EXPECT_EQ(Group.seen(0, 3).State, Dead);
+  EXPECT_EQ(Group.memberSeenBy(0, 3).State, Dead);
   Group.heal();
   Group.run(25);
   for (std::size_t From = 0; From < 4; ++From)
@@ -99,13 +99,13 @@
   Group.run(3);
   Group.feed(1, StopRequest{});
   Group.run(3.1);
-  EXPECT_EQ(Group.seen(0, 1).State, MemberState::Leaving);
+  EXPECT_EQ(Group.memberSeenBy(0, 1).State, MemberState::Leaving);
   EXPECT_TRUE(Group.at(0).hasLeft(HostGroup::name(1), Incarnation(2)));
   Group.run(10);
-  EXPECT_EQ(Group.seen(0, 1).State, MemberState::Leaving);
+  EXPECT_EQ(Group.memberSeenBy(0, 1).State, MemberState::Leaving);
   Group.end(1);
   Group.run(20);
-  EXPECT_EQ(Group.seen(0, 1).State, Dead);
+  EXPECT_EQ(Group.memberSeenBy(0, 1).State, Dead);
   EXPECT_TRUE(Group.at(0).hasLeft(HostGroup::name(1), Incarnation(2)));
 }
 
@@ -119,7 +119,7 @@
   Group.run(70);
   for (std::size_t From = 0; From < Hosts; ++From)
     if (From != 7) {
-      EXPECT_EQ(Group.seen(From, 7).State, Dead);
+      EXPECT_EQ(Group.memberSeenBy(From, 7).State, Dead);
       EXPECT_EQ(Group.at(From).livePeers().size(), Hosts - 2);
     }
 }
