--- a/src/plugins/membership/GossipQueue.h
+++ b/src/plugins/membership/GossipQueue.h
@@ -1,5 +1,5 @@
 /// \file
-/// News of members waiting to ride on heartbeats.
+/// Queues membership updates that are sent with heartbeats.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -9,14 +9,15 @@
 
 namespace banyanpick {
 
-/// Gives each rumour to a bounded number of heartbeats, the least told first.
+/// Attaches each update to a bounded number of heartbeats. Updates that were
+/// sent the fewest times come first.
 class GossipQueue {
 public:
-  /// Queues the rumour in place of an older one on the same host.
+  /// Queues the update and replaces an older one for the same host.
   void add(const MemberUpdate &Update);
 
-  /// At most \p Most rumours for one heartbeat; each is given out \p Times
-  /// times in all.
+  /// Returns at most \p MaxUpdates updates for one heartbeat. Each update is
+  /// returned \p MaxSends times in total.
   std::vector<MemberUpdate> take(std::size_t MaxUpdates,
                                  std::uint32_t MaxSends);
 
--- a/src/plugins/membership/IncarnationState.h
+++ b/src/plugins/membership/IncarnationState.h
@@ -1,35 +1,36 @@
 /// \file
-/// What is believed of one life of an entry host, and how two beliefs join.
+/// Defines the known state of one incarnation of an entry host and its merge.
 #pragma once
 
 #include "kernel/PeerMessage.h"
 
 namespace banyanpick {
 
-/// A join semilattice, after SWIM (Das, Gupta, Motivala, 2002): the host alone
-/// raises Version, to refute; at equal versions the worse standing wins; a life
-/// that began to leave never stays again, and one that admitted requests admits
-/// them until it leaves. Joins may therefore come in any order and any number
-/// of times.
+/// The state of one incarnation, a join semilattice after SWIM (Das, Gupta,
+/// Motivala, 2002). Only the host itself raises Version, to refute a suspicion.
+/// At equal versions the worse status wins. An incarnation that began to leave
+/// never returns, and one that admitted requests admits them until it leaves.
+/// States may therefore be joined in any order and any number of times.
 struct IncarnationState {
   enum class Liveness { Alive, Suspect, Dead };
 
   std::uint64_t Version = 0;
   Liveness Status = Liveness::Alive;
   bool Leaving = false;
-  bool Ready = false; ///< It has begun to admit requests.
+  bool Ready = false; ///< The host has begun to admit requests.
 
   bool operator==(const IncarnationState &) const = default;
 };
 
-/// What both say together.
+/// Returns the least upper bound of both states.
 IncarnationState join(const IncarnationState &First,
                       const IncarnationState &Second);
 
-/// The state shown to others: dead before leaving, leaving before suspect.
+/// Returns the member state to publish. Dead takes precedence over leaving, and
+/// leaving over suspect.
 MemberState memberState(const IncarnationState &State);
 
-/// What a rumour says.
+/// Returns the incarnation state that a gossip update carries.
 IncarnationState incarnationState(const MemberUpdate &Update);
 
 } // namespace banyanpick
--- a/src/plugins/membership/LocalHealth.cpp
+++ b/src/plugins/membership/LocalHealth.cpp
@@ -8,17 +8,18 @@
 
 constexpr std::uint32_t MaxScore = 4;
 
-/// Signs that come together count once.
+/// Signs of poor health within this interval count once.
 constexpr milliseconds MinSignInterval(200);
 
-/// So long without a sign, it is better by one.
+/// The score decreases by one after each such interval without a sign.
 constexpr seconds RecoveryInterval(1);
 
 } // namespace
 
-void LocalHealth::noteHeartbeat(Duration LateBy, Duration Interval, Time Now) {
-  this->Lateness = std::max(LateBy, this->Lateness / 2);
-  if (LateBy > Interval / 2) {
+void LocalHealth::noteHeartbeat(Duration HeartbeatDelay, Duration Interval,
+                                Time Now) {
+  this->Lateness = std::max(HeartbeatDelay, this->Lateness / 2);
+  if (HeartbeatDelay > Interval / 2) {
     this->worsen(Now);
     return;
   }
--- a/src/plugins/membership/LocalHealth.h
+++ b/src/plugins/membership/LocalHealth.h
@@ -1,5 +1,5 @@
 /// \file
-/// How far this host can trust what it takes for the silence of others.
+/// Estimates how reliably this host detects the failure of other hosts.
 #pragma once
 
 #include "base/Time.h"
@@ -8,20 +8,22 @@
 
 namespace banyanpick {
 
-/// A host that runs late itself takes answers in late, and would accuse all
-/// others. Signs of that lengthen the time that it waits before it doubts
-/// anybody (Dadgar, Phillips, Currey, Lifeguard: Local Health Awareness for
-/// More Accurate Failure Detection, 2018); in calm it shortens again.
+/// The local health score of this host. A host that runs late itself processes
+/// answers late and would suspect all other hosts. Signs of this lengthen its
+/// suspicion timeout (Dadgar, Phillips, Currey, Lifeguard: Local Health
+/// Awareness for More Accurate Failure Detection, 2018). Without such signs the
+/// timeout becomes shorter again.
 class LocalHealth {
 public:
-  /// A heartbeat went out so much later than planned, with \p Interval between
-  /// two of them.
-  void noteHeartbeat(Duration Lateness, Duration Interval, Time Now);
-  /// Somebody whom this host doubted lives, or this host was doubted.
+  /// Records that a heartbeat was sent \p HeartbeatDelay after its planned
+  /// time. \p Interval is the planned time between two heartbeats.
+  void noteHeartbeat(Duration HeartbeatDelay, Duration Interval, Time Now);
+  /// Records that this host suspected a live host, or was suspected itself.
   void noteFalseSuspicion(Time Now) { this->worsen(Now); }
-  /// How many times longer than usual it waits.
+  /// Returns the factor by which this host's suspicion timeout is longer than
+  /// usual.
   double timeoutMultiplier() const { return 1 + this->Score; }
-  /// How late it runs, as it tells others.
+  /// Returns how late this host runs, as reported to other hosts.
   Duration lateness() const { return this->Lateness; }
 
 private:
--- a/src/plugins/membership/LogRateLimiter.h
+++ b/src/plugins/membership/LogRateLimiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many log lines of one kind are written.
+/// Limits the rate of log lines of one kind.
 #pragma once
 
 #include "base/Time.h"
@@ -8,11 +8,11 @@
 
 namespace banyanpick {
 
-/// So many lines in a second and no more: hundreds of hosts that start, or lose
-/// each other, change state by the thousand.
+/// Allows a fixed number of log lines per second. Hundreds of hosts that start
+/// together, or lose contact with each other, cause thousands of state changes.
 class LogRateLimiter {
 public:
-  /// Whether one more may be written.
+  /// Counts one line at \p Now and returns whether it may be written.
   bool tryAcquire(Time Now) {
     if (Now >= this->WindowStart + Duration(seconds(1))) {
       this->WindowStart = Now;
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -12,38 +12,40 @@
 
 namespace {
 
-/// A rumour rides on this many heartbeats for each doubling of the hosts.
+/// Heartbeats that carry an update, for each doubling of the number of hosts.
 constexpr std::uint32_t SendsPerDoubling = 3;
 
-/// Other hosts named in each heartbeat where hosts find each other by hearing:
-/// enough that a newcomer is known to all of sixteen within a few intervals.
+/// Listings of other hosts in each heartbeat with discovery by gossip. This
+/// makes a new host known to all of sixteen hosts within a few intervals.
 constexpr std::size_t ListingsPerHeartbeat = 2;
 
-/// All news that waits is told once in so many heartbeats, however much it is.
+/// All pending updates are sent once within this number of heartbeats, however
+/// many there are.
 constexpr std::size_t HeartbeatsToDrainQueue = 2;
 
-/// Beliefs of other hosts that ride on each heartbeat among many: news that
-/// was told before its receiver knew the host is made up for within seconds.
+/// States of other hosts added to each heartbeat when peers are sampled. They
+/// make up within seconds for updates sent before their receiver knew the host.
 constexpr std::size_t StatesPerHeartbeat = 6;
 
-/// Between two heartbeats that only tell of changes in the registry, or of new
-/// hosts: a dozen upstreams that restart together are one piece of news.
+/// Minimum time between two heartbeats that are sent only for changes in the
+/// registry or new hosts. A dozen upstreams that restart together are reported
+/// in one heartbeat.
 constexpr milliseconds MinUpdateInterval(80);
 
-/// Hosts named to a newcomer at once.
+/// Listings sent to a new host at once.
 constexpr std::size_t ListingsForNewcomer = 32;
 
-/// Hosts that stand by are not missed by callers, so they may be found dead
-/// later and cost less. News goes out at once all the same.
+/// Standby hosts serve no callers, so their failure may be detected later, at a
+/// lower cost. Updates are still sent at once.
 constexpr int StandbyIntervalFactor = 2;
 
-/// Hosts that start together have written themselves into the list after so
-/// long; who reads it then knows all of them.
+/// After this time, hosts that start together have all registered in the list,
+/// so that a read then returns all of them.
 constexpr seconds SecondListReadDelay(2);
 
-/// Hosts find each other by hearing; the list is read for those that nobody
-/// told of. Its reads in all must not grow with the hosts, so each host reads
-/// it more seldom when there are several times as many.
+/// With discovery by gossip, the list is read only for hosts that no peer
+/// reported. The total number of reads must not grow with the hosts, so the
+/// interval is multiplied by the number of hosts divided by this constant.
 constexpr std::size_t HostsPerListRead = 8;
 
 std::string_view name(MemberState State) {
@@ -73,7 +75,8 @@
   const PeerTimeouts Timeouts{Values.span(Section, "suspect_after"),
                               Values.span(Section, "dead_after"),
                               Values.span(Section, "forget_after")};
-  // Silence of half a suspicion's length may be our own.
+  // After a gap of half the suspicion timeout, silence of peers may be caused
+  // by a pause of this process.
   this->PauseThreshold = Timeouts.SuspectAfter / 2;
   this->Peers = PeerTable(this->Self, Timeouts);
   this->Probes = ProbeScheduler({Values.whole(Section, "full_mesh_hosts"),
@@ -126,14 +129,14 @@
 }
 
 Time MembershipPlugin::updateDue() const {
-  const bool Catalogue =
+  const bool ConfigurationChanged =
       this->InForce && (this->InForce->version() != this->SentVersion ||
                         this->InForce->isReady() != this->SentReady);
-  if (Catalogue)
+  if (ConfigurationChanged)
     return Time{};
-  const bool Engines =
+  const bool EnginesChanged =
       this->Registry && this->Registry->digest() != this->SentEnginesDigest;
-  return Engines && this->LastHeartbeat != Never
+  return EnginesChanged && this->LastHeartbeat != Never
              ? this->LastHeartbeat + MinUpdateInterval
              : Never;
 }
@@ -221,8 +224,8 @@
   if (!Changed)
     return;
   this->connect(Out);
-  // Every answer may name more hosts; one heartbeat for each of them would
-  // multiply when hundreds start together.
+  // Every answer may list more hosts. One heartbeat for each of them would
+  // multiply the traffic when hundreds of hosts start together.
   const Time Soon = this->LastHeartbeat == Never
                         ? Now
                         : this->LastHeartbeat + MinUpdateInterval;
@@ -259,8 +262,8 @@
   const std::span<const Member> All = this->Peers.members();
   if (All.empty())
     return Result;
-  // A run from a random place on: each heartbeat makes one, so it must not cost
-  // more with more hosts.
+  // Takes consecutive peers from a random position on. This runs for each
+  // heartbeat, so its cost must not grow with the number of hosts.
   const std::size_t From = this->Rng->below(All.size());
   for (std::size_t Count = 0; Count < std::min(All.size(), MaxCount); ++Count) {
     const std::size_t Index = (From + Count) % All.size();
@@ -292,7 +295,7 @@
   }
   const auto From = this->Peers.position(Message.From);
   if (!From)
-    return; // Not in the host list yet; it will ask again.
+    return; // Not in the host list yet; the sender will probe again.
   Newcomer = Newcomer || this->Peers.member(*From).Life != Message.FromLife;
   this->Peers.handleHeartbeat(*From, Message.FromLife, Beat, Now);
   for (const MemberUpdate &Update : Beat.Updates)
@@ -345,14 +348,14 @@
                 .build());
     this->Peers.restartTimeouts(Now);
   }
-  const Duration Late =
+  const Duration Lateness =
       this->NextHeartbeat == Time{} ? Duration(0) : Now - this->NextHeartbeat;
-  this->Health.noteHeartbeat(std::max(Late, Duration(0)),
+  this->Health.noteHeartbeat(std::max(Lateness, Duration(0)),
                              this->HeartbeatInterval, Now);
   this->LastHeartbeat = Now;
   this->NextHeartbeat = Now + this->heartbeatInterval();
   if (this->InForce) {
-    // Most hosts of many hear of it in this way only.
+    // With many hosts, most of them learn of readiness only by gossip.
     if (this->InForce->isReady() && !this->SentReady)
       this->Updates.add(this->ownUpdate());
     this->SentVersion = this->InForce->version();
@@ -373,10 +376,10 @@
 }
 
 Duration MembershipPlugin::heartbeatInterval() const {
-  const bool StandsBy = this->ActiveHosts && !this->ActiveHosts->isActive() &&
-                        this->Probes.isSampling(this->Peers);
-  return StandsBy ? this->HeartbeatInterval * StandbyIntervalFactor
-                  : this->HeartbeatInterval;
+  const bool IsStandby = this->ActiveHosts && !this->ActiveHosts->isActive() &&
+                         this->Probes.isSampling(this->Peers);
+  return IsStandby ? this->HeartbeatInterval * StandbyIntervalFactor
+                   : this->HeartbeatInterval;
 }
 
 std::span<const HostId> MembershipPlugin::partners() const {
@@ -426,8 +429,8 @@
       AcknowledgedSequence ? *AcknowledgedSequence : ++this->Sequence;
   Beat.KnownHosts = this->listingsFor(Newcomer);
   Beat.Updates = this->updatesFor(To);
-  // A rumour of a host that was not known yet was lost on whoever heard it, so
-  // what is believed of a host goes along with its listing.
+  // Receivers drop updates about hosts that they do not know yet, so the state
+  // of a host is sent together with its listing.
   for (const HostListing &Listing : Beat.KnownHosts)
     if (const auto Index = this->Peers.position(Listing.Id))
       Beat.Updates.push_back(this->updateOf(*Index));
@@ -439,15 +442,15 @@
 std::vector<MemberUpdate> MembershipPlugin::updatesFor(std::size_t To) {
   const auto Hosts = static_cast<unsigned>(this->Peers.members().size() + 1);
   const std::uint32_t MaxSends = SendsPerDoubling * std::bit_width(Hosts);
-  // When hundreds of hosts start or return together, each is news; a fixed
-  // number a heartbeat would take longer than callers wait for them.
+  // When hundreds of hosts start or return together, each causes an update. A
+  // fixed number per heartbeat would take longer than callers wait for them.
   const std::size_t MaxCount = std::max(
       this->UpdatesPerHeartbeat, this->Updates.size() / HeartbeatsToDrainQueue);
   std::vector<MemberUpdate> Result = this->Updates.take(MaxCount, MaxSends);
   if (this->GossipDiscovery && this->Probes.isSampling(this->Peers))
     for (const std::size_t Index : this->samplePeers(StatesPerHeartbeat))
       Result.push_back(this->updateOf(Index));
-  // Whoever is suspected must hear of it to be able to refute.
+  // A suspected host has to receive the suspicion to be able to refute it.
   const PeerRecord &Record = this->Peers.record(To);
   if (Record.MergedState.Status != IncarnationState::Liveness::Alive &&
       this->Peers.member(To).Life != Incarnation())
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that knows the other entry hosts.
+/// The plug-in that tracks the other entry hosts.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -12,7 +12,8 @@
 
 namespace banyanpick {
 
-/// Joins the host list with heartbeats and what they carry of others.
+/// Merges the host list, the heartbeats of peers and the gossip updates that
+/// they carry into one view of the members.
 class MembershipPlugin : public Plugin,
                          public MembershipView,
                          public StatusContributor {
@@ -41,24 +42,25 @@
 
 private:
   void applyHostList(const HostListRead &List, Time Now, Actions &Out);
-  /// Takes in hosts that are only heard of; reconnects when any is new.
+  /// Adds hosts discovered by gossip and reconnects if any is new.
   void learn(std::span<const HostListing> KnownHosts, Time Now, Actions &Out);
   void connect(Actions &Out) const;
   HostListing ownListing() const;
-  /// The own listing, and some of others; all of them for \p Newcomer.
+  /// Returns the own listing and some of other hosts, more for \p Newcomer.
   std::vector<HostListing> listingsFor(bool Newcomer);
-  /// Positions of some peers that live, others each time.
+  /// Returns the positions of some live peers, a different sample each time.
   std::vector<std::size_t> samplePeers(std::size_t MaxCount);
   Heartbeat makeHeartbeat(Time Now);
   void contactSeeds(Time Now, Actions &Out);
-  /// Hosts that this one works with, which it must know best.
+  /// Returns the hosts that this one shares engines with. It probes them in
+  /// every interval.
   std::span<const HostId> partners() const;
-  /// Between two heartbeats.
+  /// Returns the time between two heartbeats.
   Duration heartbeatInterval() const;
-  /// Until the host list is read again.
+  /// Returns the time until the host list is read again.
   Duration listReadInterval();
-  /// When peers should hear what is in force or known here, without waiting
-  /// for the next heartbeat.
+  /// Returns when a change of the configuration in force or of the known
+  /// registrations has to be sent to peers, ahead of the next heartbeat.
   Time updateDue() const;
   void handleHeartbeat(const PeerMessage &Message, const Heartbeat &Beat,
                        Time Now, Actions &Out);
@@ -85,8 +87,8 @@
   std::uint64_t SentVersion = 0;
   bool SentReady = false;
   std::uint64_t SentEnginesDigest = 0; ///< Digest of the registrations.
-  bool FirstListRead = true;           ///< The next reading is the first.
-  bool GossipDiscovery = false;        ///< Hosts are found by hearing of them.
+  bool FirstListRead = true;           ///< The next read is the first one.
+  bool GossipDiscovery = false;        ///< Hosts are discovered by gossip.
   PeerTable Peers;
   ProbeScheduler Probes;
   GossipQueue Updates;
@@ -94,7 +96,7 @@
   LogRateLimiter LogLimiter;
   Duration ListInterval{};
   Duration HeartbeatInterval{};
-  Duration PauseThreshold{}; ///< So much late, a heartbeat shows a pause.
+  Duration PauseThreshold{}; ///< A heartbeat this late shows a paused process.
   std::size_t UpdatesPerHeartbeat = 0;
   Time NextListRead{};
   Time NextHeartbeat{};
@@ -103,8 +105,9 @@
   bool Leaving = false;
   std::uint64_t Sequence = 0;
   bool ListReachable = true;
-  bool ListRead = false; ///< At least once.
-  /// Of the heartbeats sent in the last two intervals, how many were answered.
+  bool ListRead = false; ///< The host list was read at least once.
+  /// Heartbeats sent and answered in about the last two intervals. Both counts
+  /// are halved in each interval.
   std::uint32_t ProbesSent = 0;
   std::uint32_t ProbesAnswered = 0;
 };
--- a/src/plugins/membership/PeerTable.cpp
+++ b/src/plugins/membership/PeerTable.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// Earlier lives remembered of one host.
+/// Past incarnations remembered for each host.
 constexpr std::size_t MaxPastIncarnations = 16;
 
-/// One message may be lost.
+/// A peer is not suspected for one lost message.
 constexpr std::uint32_t MinUnanswered = 2;
 
-/// A host that was doubted wrongly is doubted the later the more often that
-/// happened, so that doubts of a host that is hard to reach die down.
+/// Each wrong suspicion lengthens the suspicion timeout of the host, so that a
+/// host that is hard to reach is no longer suspected again and again.
 constexpr double MaxRefutations = 4;
 constexpr seconds RefutationDecay(4);
 
-/// What a host says of how late it runs is borne up to this.
+/// Upper bound of the lateness that a host may report.
 constexpr seconds MaxReportedLateness(3);
 
 double currentRefutations(const PeerRecord &Record, Time Now) {
@@ -104,7 +104,7 @@
     return false;
   const std::size_t Index = Found ? *Found : this->insert(Listing, Now);
   this->Members[Index].Listing = Listing;
-  // No list names it, so it is forgotten some time after its death.
+  // The host is in no host list, so it is removed some time after its death.
   this->Records[Index].UnlistedAt = Now;
   this->updateMember(Index);
   return true;
@@ -245,7 +245,8 @@
   Added.Listing = Listing;
   Added.State = MemberState::Suspect;
   Added.LastHeard = Now;
-  // Until it is heard it may not exist; until it is asked, silence is no sign.
+  // Until the peer is heard, it may not exist. Until it is probed, its silence
+  // has no meaning.
   PeerRecord Record;
   Record.MergedState.Status = IncarnationState::Liveness::Suspect;
   this->Members.insert(Found, std::move(Added));
@@ -277,10 +278,10 @@
   this->updateMember(Index);
 }
 
-void PeerTable::joinState(std::size_t Index,
-                          const IncarnationState &MergedState, Time Now) {
+void PeerTable::joinState(std::size_t Index, const IncarnationState &Update,
+                          Time Now) {
   PeerRecord &Record = this->Records[Index];
-  const IncarnationState Next = join(Record.MergedState, MergedState);
+  const IncarnationState Next = join(Record.MergedState, Update);
   if (Next == Record.MergedState)
     return;
   const bool WasSuspect =
@@ -334,7 +335,7 @@
 
 void PeerTable::noteRefuted(std::size_t Index, Time Now) {
   PeerRecord &Record = this->Records[Index];
-  // It lives, whoever told us.
+  // The peer is alive, whichever host reported the refutation.
   Record.ProbedAt = Never;
   Record.Unanswered = 0;
   Record.Refutations =
@@ -353,7 +354,7 @@
 }
 
 Duration PeerTable::deadAfter() const {
-  // A refutation needs more rounds to reach everybody when there are more.
+  // With more hosts a refutation needs more rounds to reach all of them.
   const double Hosts = static_cast<double>(this->Members.size()) + 1;
   const double Scale = std::max(1.0, std::log10(Hosts));
   return fromSeconds(inSeconds(this->Timeouts.DeadAfter) * Scale);
--- a/src/plugins/membership/PeerTable.h
+++ b/src/plugins/membership/PeerTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is known of each other entry host.
+/// Holds the known state of the other entry hosts.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -10,46 +10,48 @@
 
 namespace banyanpick {
 
-/// When silence is taken for more than silence.
+/// Timeouts of failure detection.
 struct PeerTimeouts {
-  Duration SuspectAfter{}; ///< A heartbeat unanswered for so long.
-  Duration DeadAfter{};    ///< A suspicion not refuted for so long.
-  Duration ForgetAfter{};  ///< Dead and out of the host list for so long.
+  Duration SuspectAfter{}; ///< A peer with an unanswered heartbeat is suspect.
+  Duration DeadAfter{};    ///< A suspect that does not refute is dead.
+  Duration ForgetAfter{};  ///< A dead, unlisted peer is removed.
 };
 
-/// A life of a host that is over.
+/// An incarnation of a host that has ended.
 struct PastIncarnation {
   Incarnation Life;
-  bool Left = false; ///< It had begun a planned stop.
+  bool Left = false; ///< The incarnation had begun a planned stop.
 };
 
-/// What is kept of a peer beside what others see of it.
+/// The internal state of a peer, beside the published Member.
 struct PeerRecord {
   IncarnationState MergedState;
-  std::vector<PastIncarnation> PastIncarnations; ///< The newest last.
-  Time ProbedAt = Never;        ///< The first heartbeat not answered,
-  Time LastProbedAt{};          ///< and the last one sent.
-  std::uint32_t Unanswered = 0; ///< Heartbeats since it was last heard.
-  Duration Late{};              ///< It runs so late, as it says.
-  double Refutations = 0;       ///< Of late; fades.
+  std::vector<PastIncarnation> PastIncarnations; ///< Newest last.
+  Time ProbedAt = Never; ///< When the first unanswered heartbeat was sent.
+  Time LastProbedAt{};   ///< When the last heartbeat was sent.
+  std::uint32_t Unanswered = 0; ///< Heartbeats sent since the peer was heard.
+  Duration Late{};              ///< How late the peer reports that it runs.
+  double Refutations = 0;       ///< Recent refutations; decays over time.
   Time RefutedAt{};
-  bool SuspectedHere = false; ///< By this host's own finding.
+  bool SuspectedHere = false; ///< This host itself detected the failure.
   Time SuspectedAt = Never;
   Time UnlistedAt = Never;
-  /// A life that may be the newer one; it is taken once it answers a heartbeat
-  /// that was sent after it was first heard of. Lives are random numbers, so
-  /// nothing else tells a new life's message from an old one's late message.
+  /// An incarnation that may be newer. It is accepted once it answers a
+  /// heartbeat that was sent after this incarnation was first seen.
+  /// Incarnations are random numbers, so nothing else distinguishes a message
+  /// of a new incarnation from a late message of an old one.
   Incarnation Candidate;
-  std::uint64_t CandidateProbe = 0; ///< 0: not asked yet.
+  /// Sequence number of the first probe for Candidate; 0 if not probed yet.
+  std::uint64_t CandidateProbe = 0;
 };
 
-/// One peer of which something visible or newsworthy changed.
+/// A peer whose published state changed or has to be disseminated.
 struct PeerChange {
   std::size_t Index = 0;
-  bool Disseminate = false;      ///< Others should hear of it.
-  bool StateChanged = false;     ///< Its state or life is another.
-  bool BySilence = false;        ///< As it left heartbeats unanswered.
-  bool FalselySuspected = false; ///< This host doubted it, and it lives.
+  bool Disseminate = false;      ///< Other hosts should receive the change.
+  bool StateChanged = false;     ///< The state or the incarnation changed.
+  bool BySilence = false;        ///< The peer left heartbeats unanswered.
+  bool FalselySuspected = false; ///< This host suspected it, but it is alive.
 };
 
 /// The other entry hosts, ordered by name.
@@ -68,37 +70,39 @@
   bool hasEnded(const HostId &Host, Incarnation Life) const;
   bool hasLeft(const HostId &Host, Incarnation Life) const;
 
-  /// Takes the host list in; true when who is there or where has changed.
+  /// Applies the host list. Returns whether a host was added or its addresses
+  /// or zone changed.
   bool applyHostList(std::span<const HostListing> Listed, Time Now);
-  /// Takes one host in that is not known yet, or is elsewhere now; true when
-  /// that changed anything.
+  /// Adds a host that was not known, or updates its listing. Returns whether
+  /// anything changed.
   bool learn(const HostListing &Listing, Time Now);
-  /// Takes a heartbeat of the peer in.
+  /// Applies a heartbeat of the peer.
   void handleHeartbeat(std::size_t Index, Incarnation Life,
                        const Heartbeat &Beat, Time Now);
-  /// Takes in what somebody else says of the peer.
-  /// \p Trusting: a life that is told of follows one that does not answer.
-  /// Else a new life counts only once the host itself has answered with it.
+  /// Applies a gossip update about the peer.
+  /// With \p AcceptUnconfirmed, a reported incarnation replaces one that does
+  /// not answer. Otherwise a new incarnation is accepted only after the host
+  /// itself has answered with it.
   void applyUpdate(std::size_t Index, const MemberUpdate &Update,
                    bool AcceptUnconfirmed, Time Now);
-  /// Notes a heartbeat sent to the peer; it should be answered.
+  /// Records a heartbeat that was sent to the peer and expects an answer.
   void noteProbe(std::size_t Index, std::uint64_t Sequence, Time Now);
-  /// Signs of life of a sample stand for all that are believed alive.
+  /// Extends the answers of a sample of the peers to all peers in state alive.
   void noteSample(Time HeardAt);
-  /// Suspects and buries the silent; forgets the long dead. \p Patience: how
-  /// many times longer than usual silence is borne.
+  /// Marks silent peers as suspect or dead, and removes expired ones.
+  /// \p TimeoutMultiplier lengthens the suspicion timeout.
   void detectFailures(double TimeoutMultiplier, Time Now);
-  /// This process was paused: silence before now says nothing of the others.
+  /// Restarts the running timeouts after this process was paused, because
+  /// silence before \p Now says nothing about the other hosts.
   void restartTimeouts(Time Now);
 
-  /// What changed since the last call, ordered by name.
+  /// Returns the changes since the last call, ordered by name.
   std::vector<PeerChange> takeChanges();
 
 private:
   std::size_t insert(const HostListing &Listing, Time Now);
   void changeIncarnation(std::size_t Index, Incarnation Life);
-  void joinState(std::size_t Index, const IncarnationState &MergedState,
-                 Time Now);
+  void joinState(std::size_t Index, const IncarnationState &Update, Time Now);
   void updateMember(std::size_t Index);
   PeerChange &changeOf(const HostId &Host);
   void removeExpired(Time Now);
@@ -110,7 +114,7 @@
   Identity Self;
   PeerTimeouts Timeouts;
   std::vector<Member> Members;
-  std::vector<PeerRecord> Records; ///< Beside Members.
+  std::vector<PeerRecord> Records; ///< In the same order as Members.
   std::map<HostId, PeerChange> Changes;
 };
 
--- a/src/plugins/membership/ProbeScheduler.cpp
+++ b/src/plugins/membership/ProbeScheduler.cpp
@@ -7,24 +7,26 @@
 
 namespace {
 
-/// The dead are asked now and then, so that a healed cut is noticed.
+/// Dead peers are probed once in this number of intervals, so that the end of a
+/// network partition is noticed.
 constexpr std::uint64_t DeadProbePeriod = 4;
 
-/// Of those that owe an answer, asked once more in one interval.
+/// Peers with an outstanding answer that are probed again in one interval.
 constexpr std::size_t MaxRetriesPerInterval = 8;
 
 bool owesAnswer(const PeerTable &Peers, std::size_t Index) {
   const PeerRecord &Record = Peers.record(Index);
   const bool NewLife = Record.Candidate != Incarnation();
   const bool IsDead = Peers.member(Index).State == MemberState::Dead;
-  // Only listed so far: whatever was told of it before is lost on this host.
+  // The peer is only listed so far. Updates received before the listing were
+  // dropped.
   const bool NeverHeard = Peers.member(Index).Life == Incarnation();
   const bool Unanswered = Record.ProbedAt != Never || NeverHeard;
   return NewLife || (Unanswered && !IsDead);
 }
 
-/// Those that owe an answer, the longest asked first: each has its turn,
-/// however many there are.
+/// Returns the peers with an outstanding answer, those probed longest ago
+/// first. Every peer is probed again in turn, however many there are.
 std::vector<std::size_t> retryTargets(const PeerTable &Peers) {
   std::vector<std::size_t> Result;
   for (std::size_t Index = 0; Index < Peers.members().size(); ++Index)
@@ -82,7 +84,7 @@
 }
 
 void ProbeScheduler::refill(const PeerTable &Peers, const HostId &Self) {
-  std::vector<const HostId *> Living; // From the one after this host on.
+  std::vector<const HostId *> Living; // Starts with the successor of this host.
   for (const Member &Peer : Peers.members())
     if (Peer.State != MemberState::Dead)
       Living.push_back(&Peer.Listing.Id);
--- a/src/plugins/membership/ProbeScheduler.h
+++ b/src/plugins/membership/ProbeScheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whom to send the next heartbeats.
+/// Selects the peers that receive the next heartbeats.
 #pragma once
 
 #include "base/Random.h"
@@ -7,29 +7,32 @@
 
 namespace banyanpick {
 
-/// How many heartbeats go out at each interval.
+/// The number of heartbeats sent in each interval.
 struct ProbeLimits {
-  std::size_t FullMeshHosts = 0; ///< Up to so many hosts: to every one.
-  std::size_t Fanout = 0;        ///< With more hosts: to so many.
+  /// Up to this number of hosts, every host receives a heartbeat.
+  std::size_t FullMeshHosts = 0;
+  /// With more hosts, the number of hosts that receive a heartbeat.
+  std::size_t Fanout = 0;
 };
 
-/// Among many hosts each goes round few of the others, which stay the same
-/// while no host comes or goes: those 1, 2, 4, ... places further in the order
-/// of names, as in the finger tables of Chord (Stoica and others, 2001). News
-/// reaches all hosts in as many steps as there are such places, and connections
-/// are kept; asking random hosts instead opened some eight connections a second
-/// at each host.
+/// Schedules heartbeats. Above the full mesh limit each host cycles through a
+/// few others, which stay the same as long as no host joins or leaves: the
+/// hosts at distance 1, 2, 4, ... in the order of names, as in the finger
+/// tables of Chord (Stoica and others, 2001). An update reaches all hosts in as
+/// many steps as there are such distances, and connections are reused. Probing
+/// random hosts instead opened some eight connections a second at each host.
 class ProbeScheduler {
 public:
   ProbeScheduler() = default;
   ProbeScheduler(ProbeLimits Limits, Random &Rng) : Limits(Limits), Rng(&Rng) {}
 
-  /// Whether heartbeats go to a sample of the peers only.
+  /// Returns whether heartbeats are sent only to a sample of the peers.
   bool isSampling(const PeerTable &Peers) const {
     return Peers.members().size() + 1 > this->Limits.FullMeshHosts;
   }
 
-  /// Positions of the peers to ask now. \p Partners are asked each time, too.
+  /// Returns the positions of the peers to probe now. \p Partners are always
+  /// included.
   std::vector<std::size_t> next(const PeerTable &Peers, const HostId &Self,
                                 std::span<const HostId> Partners);
 
@@ -38,12 +41,12 @@
   std::vector<std::size_t> sample(const PeerTable &Peers, const HostId &Self,
                                   std::span<const HostId> Partners);
   void refill(const PeerTable &Peers, const HostId &Self);
-  /// Adds one of the dead.
+  /// Adds one random dead peer.
   void addDead(const PeerTable &Peers, std::vector<std::size_t> &To);
 
   ProbeLimits Limits;
   Random *Rng = nullptr;
-  std::vector<HostId> Round; ///< Still to be asked in this round.
+  std::vector<HostId> Round; ///< Hosts still to be probed in this round.
   std::uint64_t Intervals = 0;
 };
 
--- a/src/plugins/membership/SeedContacts.h
+++ b/src/plugins/membership/SeedContacts.h
@@ -1,5 +1,5 @@
 /// \file
-/// Addresses at which other hosts may be found before any of them is known.
+/// Holds the seed addresses used to find other hosts at the start.
 #pragma once
 
 #include "kernel/Services.h"
@@ -10,16 +10,17 @@
 
 namespace banyanpick {
 
-/// A seed may be stale or down, and its host's name is not known until it
-/// answers. Until then it is talked to under a name made of its address.
+/// The seed addresses of the settings. A seed may be stale or down, and the
+/// name of its host is unknown until it answers. Until then the seed is
+/// contacted under a name made from its address.
 class SeedContacts {
 public:
   SeedContacts() = default;
-  /// \p Text: `ip:port` divided by commas. Malformed ones throw
-  /// Error(BadInput). \p Self is left out.
+  /// Parses \p Text, a list of `ip:port` separated by commas, without \p Self.
+  /// Throws Error(BadInput) if an address is malformed.
   SeedContacts(std::string_view Text, const Address &Self);
 
-  /// Seeds at which no known host stands.
+  /// Returns the seeds whose address belongs to no known live host.
   std::vector<HostListing> unresolved(std::span<const Member> KnownPeers) const;
 
 private:
--- a/tests/auto/membership/HostGroup.h
+++ b/tests/auto/membership/HostGroup.h
@@ -1,6 +1,6 @@
 /// \file
-/// Several membership plug-ins that exchange heartbeats in virtual time, with
-/// a fixed delay; hosts may be frozen, ended or cut off from each other.
+/// Simulates several membership plug-ins that exchange heartbeats in virtual
+/// time with a fixed delay. Hosts may be frozen, ended or partitioned.
 #pragma once
 
 #include "plugins/membership/MembershipPlugin.h"
@@ -24,7 +24,7 @@
     return HostId("host-" + std::to_string(1000 + Index));
   }
 
-  /// Starts a process on the host, in the place of an earlier one.
+  /// Starts a process on the host and replaces an earlier one.
   void start(std::size_t Index, std::uint64_t Life) {
     auto &Slot = this->Hosts[Index];
     Slot = std::make_unique<Host>(Index, Life);
@@ -39,7 +39,7 @@
   }
   void heal() { this->Partitions.clear(); }
 
-  /// Runs until the time, in seconds since the start.
+  /// Runs until the given time, in seconds since the start.
   void run(double Until) {
     const Time End = Begin + fromSeconds(Until);
     while (this->Now < End) {
@@ -60,7 +60,7 @@
   const MembershipPlugin &at(std::size_t Index) const {
     return this->Hosts.at(Index)->Plugin;
   }
-  /// How \p Of looks from \p From.
+  /// Returns the member entry of host \p Of on host \p From.
   const Member &memberSeenBy(std::size_t From, std::size_t Of) const {
     for (const Member &Peer : this->at(From).peers())
       if (Peer.Listing.Id == name(Of))
--- a/tests/auto/membership/IncarnationStateTest.cpp
+++ b/tests/auto/membership/IncarnationStateTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Beliefs join in any order and any number of times.
+/// Checks that incarnation states may be joined in any order and any number of
+/// times, and that the gossip queue bounds the number of sends.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -19,7 +20,7 @@
   return incarnationState(Update);
 }
 
-RC_GTEST_PROP(IncarnationStateTest, JoinsInAnyOrderAndNumber, ()) {
+RC_GTEST_PROP(IncarnationStateTest, JoinIsOrderIndependentAndIdempotent, ()) {
   const IncarnationState First = anyState();
   const IncarnationState Second = anyState();
   const IncarnationState Third = anyState();
@@ -30,7 +31,7 @@
   RC_ASSERT(join(join(First, Second), Second) == join(First, Second));
 }
 
-RC_GTEST_PROP(IncarnationStateTest, LeavingIsNeverTakenBack, ()) {
+RC_GTEST_PROP(IncarnationStateTest, LeavingIsPermanent, ()) {
   IncarnationState State = anyState();
   State.Leaving = true;
   RC_ASSERT(join(State, anyState()).Leaving);
@@ -46,21 +47,21 @@
       MemberState::Alive);
 }
 
-TEST(GossipQueueTest, TellsEachRumourABoundedNumberOfTimes) {
+TEST(GossipQueueTest, SendsEachUpdateABoundedNumberOfTimes) {
   GossipQueue Queue;
   for (const char *Host : {"a", "b", "c"})
     Queue.add({HostId(Host), Incarnation(1), 0, MemberState::Suspect});
-  std::size_t Told = 0;
+  std::size_t Sent = 0;
   for (int Beat = 0; Beat < 20; ++Beat) {
     const auto Taken = Queue.take(2, 3);
     EXPECT_LE(Taken.size(), 2u);
-    Told += Taken.size();
+    Sent += Taken.size();
   }
-  EXPECT_EQ(Told, 9u);
+  EXPECT_EQ(Sent, 9u);
   EXPECT_EQ(Queue.size(), 0u);
 }
 
-TEST(GossipQueueTest, NewerNewsOfAHostReplacesTheOlder) {
+TEST(GossipQueueTest, NewerUpdateOfAHostReplacesTheOlder) {
   GossipQueue Queue;
   Queue.add({HostId("a"), Incarnation(1), 0, MemberState::Suspect});
   Queue.add({HostId("a"), Incarnation(1), 1, MemberState::Alive});
--- a/tests/auto/membership/MembershipTest.cpp
+++ b/tests/auto/membership/MembershipTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Entry hosts that die, freeze, restart, leave and lose each other.
+/// Checks failure detection between entry hosts that are killed, frozen,
+/// restarted, stopped or partitioned.
 #include <gtest/gtest.h>
 
 #include "HostGroup.h"
@@ -10,7 +11,7 @@
 constexpr MemberState Alive = MemberState::Alive;
 constexpr MemberState Dead = MemberState::Dead;
 
-TEST(MembershipTest, HostsFindEachOther) {
+TEST(MembershipTest, HostsDiscoverEachOther) {
   HostGroup Group(5);
   Group.run(2);
   for (std::size_t From = 0; From < 5; ++From) {
@@ -20,7 +21,7 @@
   }
 }
 
-TEST(MembershipTest, KilledHostIsDeadEverywhereAndItsLifeOver) {
+TEST(MembershipTest, KilledHostIsDeadOnAllHosts) {
   HostGroup Group(5);
   Group.run(3);
   Group.end(2);
@@ -32,10 +33,10 @@
   }
 }
 
-TEST(MembershipTest, RestartEndsTheOldLifeAndStartsTheNew) {
+TEST(MembershipTest, RestartReplacesTheIncarnation) {
   HostGroup Group(3);
   Group.run(3);
-  // The new life's number is the lower one: order says nothing.
+  // The new incarnation has the lower number: incarnations are not ordered.
   Group.start(2, 1);
   EXPECT_FALSE(Group.at(0).isDead(HostGroup::name(2), Incarnation(3)));
   Group.run(4.5);
@@ -44,7 +45,7 @@
   EXPECT_EQ(Group.memberSeenBy(0, 2).State, Alive);
 }
 
-TEST(MembershipTest, LateMessageOfAnUnknownOldLifeEndsNothing) {
+TEST(MembershipTest, LateMessageOfAnUnknownIncarnationIsIgnored) {
   HostGroup Group(3);
   Group.run(3);
   const PeerMessage Late{HostGroup::name(2), Incarnation(77), Heartbeat{}};
@@ -55,7 +56,7 @@
   EXPECT_EQ(Group.memberSeenBy(0, 2).State, Alive);
 }
 
-TEST(MembershipTest, FrozenHostComesBackAsTheSameLife) {
+TEST(MembershipTest, FrozenHostReturnsWithTheSameIncarnation) {
   HostGroup Group(4);
   Group.run(3);
   Group.freeze(1);
@@ -65,11 +66,11 @@
   Group.run(16);
   for (const std::size_t From : {0, 2, 3})
     EXPECT_EQ(Group.memberSeenBy(From, 1).State, Alive);
-  // The thawed host accuses nobody: the silence was its own.
+  // The resumed host suspects no other host: it was paused itself.
   EXPECT_EQ(Group.at(1).livePeers().size(), 3u);
 }
 
-TEST(MembershipTest, HostsCutFromEachOtherStayAliveThroughAThird) {
+TEST(MembershipTest, PartitionedHostsStayAliveThroughAThird) {
   HostGroup Group(4);
   Group.run(3);
   Group.partition(0, 1);
@@ -80,7 +81,7 @@
   }
 }
 
-TEST(MembershipTest, HealedCutBringsBothSidesTogether) {
+TEST(MembershipTest, HealedPartitionReconnectsBothSides) {
   HostGroup Group(4);
   Group.run(3);
   for (const std::size_t Left : {0, 1})
@@ -94,7 +95,7 @@
     EXPECT_EQ(Group.at(From).livePeers().size(), 3u);
 }
 
-TEST(MembershipTest, LeavingIsToldAtOnceAndNeverTakenBack) {
+TEST(MembershipTest, LeavingIsReportedAtOnceAndIsPermanent) {
   HostGroup Group(4);
   Group.run(3);
   Group.feed(1, StopRequest{});
@@ -109,8 +110,9 @@
   EXPECT_TRUE(Group.at(0).hasLeft(HostGroup::name(1), Incarnation(2)));
 }
 
-/// With many hosts each beats to a few only; a death still gets round.
-TEST(MembershipTest, DeathGetsRoundAmongManyHosts) {
+/// With many hosts each sends heartbeats only to a few. The death of a host
+/// still reaches all of them.
+TEST(MembershipTest, DeathReachesAllOfManyHosts) {
   constexpr std::size_t Hosts = 64;
   HostGroup Group(Hosts);
   Group.run(40);
