--- a/src/plugins/activehosts/ActiveHosts.cpp
+++ b/src/plugins/activehosts/ActiveHosts.cpp
@@ -9,48 +9,52 @@
 
 namespace {
 
-constexpr double ThousandthsOfOne = 1000;
+constexpr double ThousandthsPerCore = 1000;
 
 /// A candidate with its place in the order of choice.
-struct Ranked {
-  const ActiveCandidate *Of = nullptr;
+struct RankedCandidate {
+  const ActiveCandidate *Candidate = nullptr;
   std::uint64_t Weight = 0;
-  std::size_t InZone = 0; ///< Place among those of its data centre.
+  std::size_t ZoneRank = 0; ///< Place among those of its data centre.
 };
 
-std::vector<Ranked> inOrderOfChoice(std::span<const ActiveCandidate> All) {
-  std::vector<Ranked> Result;
-  for (const ActiveCandidate &Each : All)
-    Result.push_back({&Each, rendezvousWeight("active", Each.Host.Value), 0});
-  std::ranges::sort(Result, [](const Ranked &First, const Ranked &Second) {
-    return std::tie(First.Of->Zone, Second.Of->Processor.Thousandths,
-                    Second.Weight) < std::tie(Second.Of->Zone,
-                                              First.Of->Processor.Thousandths,
-                                              First.Weight);
-  });
-  for (std::size_t At = 1; At < Result.size(); ++At)
-    if (Result[At].Of->Zone == Result[At - 1].Of->Zone)
-      Result[At].InZone = Result[At - 1].InZone + 1;
-  std::ranges::sort(Result, [](const Ranked &First, const Ranked &Second) {
-    return std::tie(First.InZone, Second.Of->Processor.Thousandths,
-                    Second.Weight) < std::tie(Second.InZone,
-                                              First.Of->Processor.Thousandths,
-                                              First.Weight);
+std::vector<RankedCandidate>
+rankCandidates(std::span<const ActiveCandidate> All) {
+  std::vector<RankedCandidate> Result;
+  for (const ActiveCandidate &Candidate : All)
+    Result.push_back(
+        {&Candidate, rendezvousWeight("active", Candidate.Host.Value), 0});
+  std::ranges::sort(Result, [](const RankedCandidate &First,
+                               const RankedCandidate &Second) {
+    return std::tie(First.Candidate->Zone,
+                    Second.Candidate->Processor.Thousandths, Second.Weight) <
+           std::tie(Second.Candidate->Zone,
+                    First.Candidate->Processor.Thousandths, First.Weight);
   });
+  for (std::size_t Index = 1; Index < Result.size(); ++Index)
+    if (Result[Index].Candidate->Zone == Result[Index - 1].Candidate->Zone)
+      Result[Index].ZoneRank = Result[Index - 1].ZoneRank + 1;
+  std::ranges::sort(
+      Result, [](const RankedCandidate &First, const RankedCandidate &Second) {
+        return std::tie(First.ZoneRank, Second.Candidate->Processor.Thousandths,
+                        Second.Weight) <
+               std::tie(Second.ZoneRank, First.Candidate->Processor.Thousandths,
+                        First.Weight);
+      });
   return Result;
 }
 
 } // namespace
 
 std::vector<HostId> chooseActive(std::span<const ActiveCandidate> Candidates,
-                                 const ActiveNeed &Need) {
+                                 const RequiredCapacity &Required) {
   std::vector<HostId> Result;
   double Cores = 0;
-  for (const Ranked &Each : inOrderOfChoice(Candidates)) {
-    if (Result.size() >= Need.LeastHosts && Cores >= Need.Cores)
+  for (const RankedCandidate &Ranked : rankCandidates(Candidates)) {
+    if (Result.size() >= Required.MinHosts && Cores >= Required.Cores)
       break;
-    Result.push_back(Each.Of->Host);
-    Cores += Each.Of->Processor.Thousandths / ThousandthsOfOne;
+    Result.push_back(Ranked.Candidate->Host);
+    Cores += Ranked.Candidate->Processor.Thousandths / ThousandthsPerCore;
   }
   std::ranges::sort(Result);
   return Result;
--- a/src/plugins/activehosts/ActiveHosts.h
+++ b/src/plugins/activehosts/ActiveHosts.h
@@ -17,8 +17,8 @@
 };
 
 /// How much of the hosts is needed.
-struct ActiveNeed {
-  std::size_t LeastHosts = 0;
+struct RequiredCapacity {
+  std::size_t MinHosts = 0;
   double Cores = 0; ///< The processor of all active hosts together.
 };
 
@@ -33,6 +33,6 @@
 /// it took all of their processor time. Few hosts with more requests each know
 /// the engines better and reuse their connections.
 std::vector<HostId> chooseActive(std::span<const ActiveCandidate> Candidates,
-                                 const ActiveNeed &Need);
+                                 const RequiredCapacity &Required);
 
 } // namespace banyanpick
--- a/src/plugins/activehosts/ActiveHostsPlugin.cpp
+++ b/src/plugins/activehosts/ActiveHostsPlugin.cpp
@@ -9,15 +9,15 @@
 
 void ActiveHostsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "active_hosts";
+  const std::string_view Section = "active_hosts";
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->Declared = &Context.services().get<RouteView>();
+  this->Routing = &Context.services().get<RouteView>();
   this->Directory = &Context.services().get<EngineDirectory>();
   this->InForce = &Context.services().get<InForceView>();
-  this->Own = Context.self();
-  this->LeastHosts = Values.whole(In, "least_hosts");
-  this->PlacesPerCore = Values.fraction(In, "places_per_core");
+  this->Self = Context.self();
+  this->MinHosts = Values.whole(Section, "least_hosts");
+  this->SlotsPerCore = Values.fraction(Section, "places_per_core");
   Context.services().provide<ActiveHostsView>(*this);
   Context.services().list<MembershipObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -34,53 +34,54 @@
   this->Stale = false;
   this->WasReady = this->InForce->isReady();
   const std::vector<ActiveCandidate> All = this->candidates();
-  Registered Engines = this->registered();
-  const ActiveNeed Need{this->LeastHosts, Engines.Places / this->PlacesPerCore};
-  std::vector<HostId> Chosen = chooseActive(All, Need);
+  RegisteredEngines Engines = this->registeredEngines();
+  const RequiredCapacity Required{this->MinHosts,
+                                  Engines.Slots / this->SlotsPerCore};
+  std::vector<HostId> Selected = chooseActive(All, Required);
   std::uint32_t Parts = 1;
   for (const auto &[Service, Count] : Engines.Counts)
-    Parts = std::max(Parts, partCount(Count, Chosen.size()));
+    Parts = std::max(Parts, partCount(Count, Selected.size()));
   this->EngineCounts = std::move(Engines.Counts);
-  if (Chosen == this->Active && Parts == this->PartHasHosts.size())
+  if (Selected == this->Active && Parts == this->PartHasHosts.size())
     return;
-  this->Active = std::move(Chosen);
-  this->SelfActive = std::ranges::binary_search(this->Active, this->Own.Host);
-  this->divide(All, Parts);
+  this->Active = std::move(Selected);
+  this->SelfActive = std::ranges::binary_search(this->Active, this->Self.Host);
+  this->divideEngines(All, Parts);
   Out.log(logEvent(events::ActiveHostsChanged)
               .with("active", this->Active.size())
               .with("of", All.size())
               .with("self", this->SelfActive ? "active" : "standing by")
-              .with("cores_needed", Need.Cores)
+              .with("cores_needed", Required.Cores)
               .with("parts", Parts)
               .with("part", this->OwnPart)
               .with("sharers", this->Sharers.size())
               .build());
 }
 
-void ActiveHostsPlugin::divide(std::span<const ActiveCandidate> All,
-                               std::uint32_t Count) {
+void ActiveHostsPlugin::divideEngines(std::span<const ActiveCandidate> All,
+                                      std::uint32_t Count) {
   std::vector<ActiveCandidate> Hosts;
   std::ranges::copy_if(
-      All, std::back_inserter(Hosts), [&](const ActiveCandidate &Each) {
-        return std::ranges::binary_search(this->Active, Each.Host);
+      All, std::back_inserter(Hosts), [&](const ActiveCandidate &Candidate) {
+        return std::ranges::binary_search(this->Active, Candidate.Host);
       });
-  const std::vector<std::uint32_t> Parts = divideHosts(Hosts, Count);
-  this->OwnPart = likedPart(this->Own.Host, Count);
+  const std::vector<std::uint32_t> Parts = assignParts(Hosts, Count);
+  this->OwnPart = preferredPart(this->Self.Host, Count);
   this->PartHasHosts.assign(Count, false);
-  for (std::size_t At = 0; At < Hosts.size(); ++At) {
-    this->PartHasHosts[Parts[At]] = true;
-    if (Hosts[At].Host == this->Own.Host)
-      this->OwnPart = Parts[At];
+  for (std::size_t Index = 0; Index < Hosts.size(); ++Index) {
+    this->PartHasHosts[Parts[Index]] = true;
+    if (Hosts[Index].Host == this->Self.Host)
+      this->OwnPart = Parts[Index];
   }
   this->Sharers.clear();
-  for (std::size_t At = 0; At < Hosts.size(); ++At)
-    if (Parts[At] == this->OwnPart)
-      this->Sharers.push_back(Hosts[At].Host);
+  for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
+    if (Parts[Index] == this->OwnPart)
+      this->Sharers.push_back(Hosts[Index].Host);
   std::ranges::sort(this->Sharers);
   this->Partners.clear();
   if (this->SelfActive)
     std::ranges::remove_copy(this->Sharers, std::back_inserter(this->Partners),
-                             this->Own.Host);
+                             this->Self.Host);
 }
 
 EngineShare ActiveHostsPlugin::shareOf(const ServiceId &Service) const {
@@ -103,24 +104,25 @@
 std::vector<ActiveCandidate> ActiveHostsPlugin::candidates() const {
   std::vector<ActiveCandidate> Result;
   if (this->WasReady)
-    Result.push_back({this->Own.Host, this->Own.Zone, this->Own.Processor});
-  for (const Member &Each : this->Members->peers())
-    if (Each.State == MemberState::Alive && Each.Ready)
+    Result.push_back({this->Self.Host, this->Self.Zone, this->Self.Processor});
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.State == MemberState::Alive && Peer.Ready)
       Result.push_back(
-          {Each.Listing.Id, Each.Listing.Zone, Each.Listing.Processor});
+          {Peer.Listing.Id, Peer.Listing.Zone, Peer.Listing.Processor});
   return Result;
 }
 
-ActiveHostsPlugin::Registered ActiveHostsPlugin::registered() const {
-  Registered Result;
-  const RouteTable *Routes = this->Declared->routes();
+ActiveHostsPlugin::RegisteredEngines
+ActiveHostsPlugin::registeredEngines() const {
+  RegisteredEngines Result;
+  const RouteTable *Routes = this->Routing->routes();
   if (!Routes)
     return Result;
   for (const auto &[Id, Entry] : Routes->configuration().Services) {
     const auto Engines = this->Directory->ofService(Id);
     Result.Counts[Id] = Engines.size();
-    for (const RegisteredEngine *Each : Engines)
-      Result.Places += Each->Record.Slots;
+    for (const RegisteredEngine *Engine : Engines)
+      Result.Slots += Engine->Record.Slots;
   }
   return Result;
 }
@@ -133,13 +135,13 @@
 }
 
 std::vector<SettingDeclaration> ActiveHostsPlugin::settings() {
-  const std::string In = "active_hosts";
+  const std::string Section = "active_hosts";
   return {
-      {In, "least_hosts", SettingKind::Whole, "16",
+      {Section, "least_hosts", SettingKind::Whole, "16",
        "Up to so many hosts all take callers; of more at least so many do. "
        "When one of sixteen dies, one caller in sixteen asks for another.",
        1, 1024},
-      {In, "places_per_core", SettingKind::Fraction, "150",
+      {Section, "places_per_core", SettingKind::Fraction, "150",
        "Requests that the engines run at once for each core of the active "
        "hosts: relaying one takes some 3 ms of processor time a second, so "
        "that engines which are all full use half of it.",
--- a/src/plugins/activehosts/ActiveHostsPlugin.h
+++ b/src/plugins/activehosts/ActiveHostsPlugin.h
@@ -21,7 +21,7 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   bool isActive() const override { return this->SelfActive; }
@@ -46,22 +46,22 @@
   void choose(Actions &Out);
   std::vector<ActiveCandidate> candidates() const;
   /// The engines as they are registered.
-  struct Registered {
-    double Places = 0; ///< Requests that all run at once.
+  struct RegisteredEngines {
+    double Slots = 0; ///< Requests that all run at once.
     std::map<ServiceId, std::size_t> Counts;
   };
-  Registered registered() const;
+  RegisteredEngines registeredEngines() const;
   /// Divides the engines among the active hosts.
-  void divide(std::span<const ActiveCandidate> All, std::uint32_t Count);
+  void divideEngines(std::span<const ActiveCandidate> All, std::uint32_t Count);
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
-  const RouteView *Declared = nullptr;
+  const RouteView *Routing = nullptr;
   const EngineDirectory *Directory = nullptr;
   const InForceView *InForce = nullptr;
-  Identity Own;
-  std::size_t LeastHosts = 0;
-  double PlacesPerCore = 1;
+  Identity Self;
+  std::size_t MinHosts = 0;
+  double SlotsPerCore = 1;
   bool Stale = true;
   bool WasReady = false;
   bool SelfActive = false;
--- a/src/plugins/activehosts/EngineParts.h
+++ b/src/plugins/activehosts/EngineParts.h
@@ -19,10 +19,10 @@
 /// The part of each host, in the order given. Parts get nearly the same sum of
 /// processor, so that callers, who are spread by it, load all engines alike. A
 /// host that comes or goes changes few others.
-std::vector<std::uint32_t> divideHosts(std::span<const ActiveCandidate> Hosts,
+std::vector<std::uint32_t> assignParts(std::span<const ActiveCandidate> Hosts,
                                        std::uint32_t Parts);
 
 /// The part that a host has as long as it alone decides.
-std::uint32_t likedPart(const HostId &Host, std::uint32_t Parts);
+std::uint32_t preferredPart(const HostId &Host, std::uint32_t Parts);
 
 } // namespace banyanpick
--- a/tests/auto/gateway/ActiveHostsTest.cpp
+++ b/tests/auto/gateway/ActiveHostsTest.cpp
@@ -19,12 +19,12 @@
 }
 
 /// Hosts in zones of uneven sizes, large and small.
-std::vector<ActiveCandidate> drawnHosts() {
+std::vector<ActiveCandidate> randomHosts() {
   std::vector<ActiveCandidate> Result;
   const auto Count = *rc::gen::inRange<std::size_t>(1, 120);
-  for (std::size_t Each = 0; Each < Count; ++Each)
+  for (std::size_t Index = 0; Index < Count; ++Index)
     Result.push_back(
-        candidate(Each, *rc::gen::inRange<std::size_t>(0, 4),
+        candidate(Index, *rc::gen::inRange<std::size_t>(0, 4),
                   *rc::gen::element<std::uint32_t>(120, 250, 500, 1000)));
   return Result;
 }
@@ -32,50 +32,50 @@
 double cores(std::span<const ActiveCandidate> All,
              std::span<const HostId> Chosen) {
   double Sum = 0;
-  for (const ActiveCandidate &Each : All)
-    if (std::ranges::binary_search(Chosen, Each.Host))
-      Sum += Each.Processor.Thousandths / 1000.0;
+  for (const ActiveCandidate &Candidate : All)
+    if (std::ranges::binary_search(Chosen, Candidate.Host))
+      Sum += Candidate.Processor.Thousandths / 1000.0;
   return Sum;
 }
 
 TEST(ActiveHosts, FewHostsAreAllActive) {
   std::vector<ActiveCandidate> All;
-  for (std::size_t Each = 0; Each < 7; ++Each)
-    All.push_back(candidate(Each, Each % 3, 250));
+  for (std::size_t Index = 0; Index < 7; ++Index)
+    All.push_back(candidate(Index, Index % 3, 250));
   EXPECT_EQ(chooseActive(All, {16, 1}).size(), 7U);
 }
 
 TEST(ActiveHosts, ThoseWithMostProcessorComeFirstInEachZone) {
   std::vector<ActiveCandidate> All;
-  for (std::size_t Each = 0; Each < 60; ++Each)
-    All.push_back(candidate(Each, Each % 5, Each < 10 ? 500 : 120));
+  for (std::size_t Index = 0; Index < 60; ++Index)
+    All.push_back(candidate(Index, Index % 5, Index < 10 ? 500 : 120));
   const auto Chosen = chooseActive(All, {10, 5});
   ASSERT_EQ(Chosen.size(), 10U);
-  for (std::size_t Each = 0; Each < 10; ++Each)
-    EXPECT_EQ(Chosen[Each], All[Each].Host);
+  for (std::size_t Index = 0; Index < 10; ++Index)
+    EXPECT_EQ(Chosen[Index], All[Index].Host);
 }
 
 RC_GTEST_PROP(ActiveHosts, EnoughAndNoMoreThanNeeded, ()) {
-  const auto All = drawnHosts();
-  const ActiveNeed Need{*rc::gen::inRange<std::size_t>(1, 30),
-                        *rc::gen::inRange(0, 20) * 0.5};
-  const auto Chosen = chooseActive(All, Need);
+  const auto All = randomHosts();
+  const RequiredCapacity Required{*rc::gen::inRange<std::size_t>(1, 30),
+                                  *rc::gen::inRange(0, 20) * 0.5};
+  const auto Chosen = chooseActive(All, Required);
   if (Chosen.size() < All.size())
-    RC_ASSERT(Chosen.size() >= Need.LeastHosts &&
-              cores(All, Chosen) >= Need.Cores);
-  if (Chosen.size() > Need.LeastHosts)
-    RC_ASSERT(cores(All, Chosen) < Need.Cores + 1.0);
+    RC_ASSERT(Chosen.size() >= Required.MinHosts &&
+              cores(All, Chosen) >= Required.Cores);
+  if (Chosen.size() > Required.MinHosts)
+    RC_ASSERT(cores(All, Chosen) < Required.Cores + 1.0);
 }
 
 RC_GTEST_PROP(ActiveHosts, TheOrderInWhichHostsAreKnownDoesNotMatter, ()) {
-  auto All = drawnHosts();
+  auto All = randomHosts();
   const auto Chosen = chooseActive(All, {16, 4});
   std::ranges::reverse(All);
   RC_ASSERT(chooseActive(All, {16, 4}) == Chosen);
 }
 
 RC_GTEST_PROP(ActiveHosts, TheLossOfOneChangesFewPlaces, ()) {
-  auto All = drawnHosts();
+  auto All = randomHosts();
   const auto Before = chooseActive(All, {16, 0});
   const auto Lost = *rc::gen::inRange<std::size_t>(0, All.size());
   All.erase(All.begin() + static_cast<std::ptrdiff_t>(Lost));
@@ -86,19 +86,19 @@
 }
 
 RC_GTEST_PROP(ActiveHosts, NoZoneHoldsManyMoreThanAnother, ()) {
-  const auto All = drawnHosts();
+  const auto All = randomHosts();
   const auto Chosen = chooseActive(All, {16, 0});
   std::map<ZoneId, std::pair<std::size_t, std::size_t>> InZone; // of, chosen
-  for (const ActiveCandidate &Each : All) {
-    auto &[Of, Taken] = InZone[Each.Zone];
-    ++Of;
-    Taken += std::ranges::binary_search(Chosen, Each.Host) ? 1 : 0;
+  for (const ActiveCandidate &Candidate : All) {
+    auto &[Total, Active] = InZone[Candidate.Zone];
+    ++Total;
+    Active += std::ranges::binary_search(Chosen, Candidate.Host) ? 1 : 0;
   }
-  std::size_t Most = 0;
-  for (const auto &[Zone, Each] : InZone)
-    Most = std::max(Most, Each.second);
-  for (const auto &[Zone, Each] : InZone)
-    RC_ASSERT(Each.second + 1 >= Most || Each.second == Each.first);
+  std::size_t MaxActive = 0;
+  for (const auto &[Zone, Counts] : InZone)
+    MaxActive = std::max(MaxActive, Counts.second);
+  for (const auto &[Zone, Counts] : InZone)
+    RC_ASSERT(Counts.second + 1 >= MaxActive || Counts.second == Counts.first);
 }
 
 } // namespace
--- a/tests/auto/gateway/EnginePartsTest.cpp
+++ b/tests/auto/gateway/EnginePartsTest.cpp
@@ -17,10 +17,10 @@
 
 std::vector<ActiveCandidate> hosts(std::size_t Count) {
   std::vector<ActiveCandidate> Result;
-  for (std::size_t At = 0; At < Count; ++At)
-    Result.push_back({HostId(fmt::format("h{:03}", At)),
-                      ZoneId(fmt::format("z{}", At % 3)),
-                      ProcessorShare{At % 6 == 0 ? 500U : 120U}});
+  for (std::size_t Index = 0; Index < Count; ++Index)
+    Result.push_back({HostId(fmt::format("h{:03}", Index)),
+                      ZoneId(fmt::format("z{}", Index % 3)),
+                      ProcessorShare{Index % 6 == 0 ? 500U : 120U}});
   return Result;
 }
 
@@ -28,8 +28,8 @@
                                 std::span<const std::uint32_t> Parts,
                                 std::uint32_t Count) {
   std::vector<double> Result(Count, 0);
-  for (std::size_t At = 0; At < Hosts.size(); ++At)
-    Result[Parts[At]] += Hosts[At].Processor.Thousandths;
+  for (std::size_t Index = 0; Index < Hosts.size(); ++Index)
+    Result[Parts[Index]] += Hosts[Index].Processor.Thousandths;
   return Result;
 }
 
@@ -55,25 +55,28 @@
 RC_GTEST_PROP(EngineParts, PartsGetNearlyTheSameProcessor, ()) {
   const auto All = hosts(*rc::gen::inRange<std::size_t>(16, 320));
   const std::uint32_t Count = partCount(100'000, All.size());
-  const auto Each = processorOf(All, divideHosts(All, Count), Count);
-  const double Even = std::accumulate(Each.begin(), Each.end(), 0.0) / Count;
-  RC_ASSERT(*std::ranges::min_element(Each) > 0);
-  RC_ASSERT(*std::ranges::max_element(Each) <= Even * 2);
+  const auto ProcessorPerPart =
+      processorOf(All, assignParts(All, Count), Count);
+  const double Even =
+      std::accumulate(ProcessorPerPart.begin(), ProcessorPerPart.end(), 0.0) /
+      Count;
+  RC_ASSERT(*std::ranges::min_element(ProcessorPerPart) > 0);
+  RC_ASSERT(*std::ranges::max_element(ProcessorPerPart) <= Even * 2);
 }
 
 RC_GTEST_PROP(EngineParts, AHostThatGoesMovesFewOthers, ()) {
   std::vector<ActiveCandidate> All =
       hosts(*rc::gen::inRange<std::size_t>(64, 320));
   const std::uint32_t Count = partCount(100'000, All.size() - 1);
-  const auto Before = divideHosts(All, Count);
-  const auto Gone = *rc::gen::inRange<std::size_t>(0, All.size());
+  const auto Before = assignParts(All, Count);
+  const auto Removed = *rc::gen::inRange<std::size_t>(0, All.size());
   std::vector<std::uint32_t> Kept = Before;
-  All.erase(All.begin() + static_cast<std::ptrdiff_t>(Gone));
-  Kept.erase(Kept.begin() + static_cast<std::ptrdiff_t>(Gone));
-  const auto After = divideHosts(All, Count);
+  All.erase(All.begin() + static_cast<std::ptrdiff_t>(Removed));
+  Kept.erase(Kept.begin() + static_cast<std::ptrdiff_t>(Removed));
+  const auto After = assignParts(All, Count);
   std::size_t Moved = 0;
-  for (std::size_t At = 0; At < All.size(); ++At)
-    Moved += After[At] != Kept[At] ? 1 : 0;
+  for (std::size_t Index = 0; Index < All.size(); ++Index)
+    Moved += After[Index] != Kept[Index] ? 1 : 0;
   RC_ASSERT(Moved * 4 <= All.size());
 }
 
