--- a/src/plugins/activehosts/ActiveHosts.cpp
+++ b/src/plugins/activehosts/ActiveHosts.cpp
@@ -11,11 +11,11 @@
 
 constexpr double ThousandthsPerCore = 1000;
 
-/// A candidate with its place in the order of choice.
+/// A candidate with its rank in the selection order.
 struct RankedCandidate {
   const ActiveCandidate *Candidate = nullptr;
   std::uint64_t Weight = 0;
-  std::size_t ZoneRank = 0; ///< Place among those of its data centre.
+  std::size_t ZoneRank = 0; ///< Rank within its data centre.
 };
 
 std::vector<RankedCandidate>
--- a/src/plugins/activehosts/ActiveHosts.h
+++ b/src/plugins/activehosts/ActiveHosts.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which of many hosts take the callers.
+/// Selects the hosts that serve callers.
 #pragma once
 
 #include "kernel/Upstream.h"
@@ -9,29 +9,31 @@
 
 namespace banyanpick {
 
-/// A host that could take callers.
+/// A host that can serve callers.
 struct ActiveCandidate {
   HostId Host;
   ZoneId Zone;
   ProcessorShare Processor;
 };
 
-/// How much of the hosts is needed.
+/// The capacity that the active hosts must have.
 struct RequiredCapacity {
   std::size_t MinHosts = 0;
-  double Cores = 0; ///< The processor of all active hosts together.
+  double Cores = 0; ///< Processor cores of all active hosts together.
 };
 
-/// The hosts that take the callers, ordered by name. They are taken in turn
-/// from each data centre, those with most processor first, then in an order
-/// that a hash makes, so all hosts that know the same choose the same, a host
-/// that comes or goes changes one place, and no data centre holds them all.
+/// Returns the hosts that serve callers, ordered by name. They are selected
+/// from each data centre in turn, those with the most processor first and then
+/// in an order given by a hash. All hosts with the same view therefore select
+/// the same hosts, a host that joins or leaves changes one position, and the
+/// active hosts are spread over the data centres.
 ///
-/// The load that it answers: hundreds of hosts with few requests each. A host
-/// that decides must know what all others have on the engines, so what hosts
-/// tell each other grows with the square of those that decide; spread over all,
-/// it took all of their processor time. Few hosts with more requests each know
-/// the engines better and reuse their connections.
+/// Only a part of the hosts is active because of deployments with hundreds of
+/// hosts and few requests each. A deciding host must know the requests of all
+/// others on the engines, so the traffic between hosts grows with the square of
+/// the deciding hosts; spread over all hosts, it took all of their processor
+/// time. Few hosts with more requests each know the engines better and reuse
+/// their connections.
 std::vector<HostId> chooseActive(std::span<const ActiveCandidate> Candidates,
                                  const RequiredCapacity &Required);
 
--- a/src/plugins/activehosts/ActiveHostsPlugin.cpp
+++ b/src/plugins/activehosts/ActiveHostsPlugin.cpp
@@ -92,7 +92,7 @@
                                 : partCount(Found->second, this->Active.size());
   if (Count == 1)
     return Result;
-  // What no host has for its own is everybody's.
+  // Parts without hosts of their own are shared by all hosts.
   Result.Parts.assign(Count, true);
   for (std::size_t Part = 0; Part < this->PartHasHosts.size(); ++Part)
     if (this->PartHasHosts[Part])
--- a/src/plugins/activehosts/ActiveHostsPlugin.h
+++ b/src/plugins/activehosts/ActiveHostsPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that knows which hosts take the callers.
+/// The plug-in that tracks which hosts serve callers.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -11,9 +11,10 @@
 
 namespace banyanpick {
 
-/// Chooses anew when hosts come, go or become ready, or the engines change. The
-/// others stand by: they follow configuration and registry, serve whoever
-/// connects to them, and take the place of active hosts that are lost.
+/// Selects the active hosts again when hosts join, leave or become ready, or
+/// when the engines change. The other hosts are on standby: they follow the
+/// configuration and the registry, serve callers that connect to them, and
+/// replace active hosts that fail.
 class ActiveHostsPlugin : public Plugin,
                           public ActiveHostsView,
                           public MembershipObserver,
@@ -45,9 +46,9 @@
 private:
   void choose(Actions &Out);
   std::vector<ActiveCandidate> candidates() const;
-  /// The engines as they are registered.
+  /// Totals over the registered engines.
   struct RegisteredEngines {
-    double Slots = 0; ///< Requests that all run at once.
+    double Slots = 0; ///< Requests that all engines can run at once.
     std::map<ServiceId, std::size_t> Counts;
   };
   RegisteredEngines registeredEngines() const;
@@ -70,7 +71,7 @@
   std::vector<HostId> Partners;
   std::map<ServiceId, std::size_t> EngineCounts;
   std::uint32_t OwnPart = 0;
-  std::vector<bool> PartHasHosts{true}; ///< One for each part.
+  std::vector<bool> PartHasHosts{true}; ///< One entry for each part.
 };
 
 } // namespace banyanpick
--- a/src/plugins/activehosts/EngineParts.cpp
+++ b/src/plugins/activehosts/EngineParts.cpp
@@ -11,24 +11,25 @@
 
 namespace {
 
-/// Engines of a part, at the least: enough that a long prompt finds clear ones
-/// beside those that write.
+/// Minimum number of engines in a part. This is enough for a long prompt to
+/// find idle engines beside those that are decoding.
 constexpr std::size_t MinEnginesPerPart = 96;
 
-/// Hosts of a part, at the least, so that the loss of several leaves some.
+/// Minimum number of hosts in a part, so that the part survives the loss of
+/// several hosts.
 constexpr std::size_t MinHostsPerPart = 8;
 
-/// A part takes no further host once it has so many times its even share of
-/// processor: little enough for even load, and so much that few hosts move when
-/// one comes or goes.
+/// A part gets no further host once its processor reaches this multiple of an
+/// even share. The factor is small enough for an even load and large enough
+/// that few hosts change their part when a host joins or leaves.
 constexpr double MaxShareFactor = 1.1;
 
 std::uint64_t preferenceOf(const HostId &Host, std::uint32_t Part) {
   return rendezvousWeight(std::to_string(Part), Host.Value);
 }
 
-/// Places of the hosts, those with most processor first: what is left over is
-/// then evened out by small ones.
+/// Returns the indexes of the hosts, those with the most processor first, so
+/// that small hosts even out the remaining differences.
 std::vector<std::size_t>
 byDecreasingProcessor(std::span<const ActiveCandidate> Hosts) {
   std::vector<std::size_t> Result(Hosts.size());
@@ -42,7 +43,8 @@
   return Result;
 }
 
-/// The part that the host likes best among those with room; any has some.
+/// Returns the part with the highest preference of the host among the parts
+/// below \p MaxProcessor. At least one part is always below it.
 std::uint32_t choosePart(const HostId &Host,
                          std::span<const double> AssignedProcessor,
                          double MaxProcessor) {
--- a/tests/auto/gateway/ActiveHostsTest.cpp
+++ b/tests/auto/gateway/ActiveHostsTest.cpp
@@ -1,5 +1,7 @@
 /// \file
-/// Which of many hosts take the callers.
+/// Checks which hosts are selected to serve callers: enough capacity, the same
+/// result on each host, few changes when a host is lost, and an even spread
+/// over the zones.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -45,7 +47,7 @@
   EXPECT_EQ(chooseActive(All, {16, 1}).size(), 7U);
 }
 
-TEST(ActiveHosts, ThoseWithMostProcessorComeFirstInEachZone) {
+TEST(ActiveHosts, HostsWithMostProcessorComeFirstInEachZone) {
   std::vector<ActiveCandidate> All;
   for (std::size_t Index = 0; Index < 60; ++Index)
     All.push_back(candidate(Index, Index % 5, Index < 10 ? 500 : 120));
@@ -55,7 +57,7 @@
     EXPECT_EQ(Chosen[Index], All[Index].Host);
 }
 
-RC_GTEST_PROP(ActiveHosts, EnoughAndNoMoreThanNeeded, ()) {
+RC_GTEST_PROP(ActiveHosts, SelectsRequiredCapacityAndNoMore, ()) {
   const auto All = randomHosts();
   const RequiredCapacity Required{*rc::gen::inRange<std::size_t>(1, 30),
                                   *rc::gen::inRange(0, 20) * 0.5};
@@ -67,14 +69,14 @@
     RC_ASSERT(cores(All, Chosen) < Required.Cores + 1.0);
 }
 
-RC_GTEST_PROP(ActiveHosts, TheOrderInWhichHostsAreKnownDoesNotMatter, ()) {
+RC_GTEST_PROP(ActiveHosts, ResultIsIndependentOfTheOrderOfHosts, ()) {
   auto All = randomHosts();
   const auto Chosen = chooseActive(All, {16, 4});
   std::ranges::reverse(All);
   RC_ASSERT(chooseActive(All, {16, 4}) == Chosen);
 }
 
-RC_GTEST_PROP(ActiveHosts, TheLossOfOneChangesFewPlaces, ()) {
+RC_GTEST_PROP(ActiveHosts, LossOfAHostChangesFewSelections, ()) {
   auto All = randomHosts();
   const auto Before = chooseActive(All, {16, 0});
   const auto Lost = *rc::gen::inRange<std::size_t>(0, All.size());
@@ -85,10 +87,11 @@
   RC_ASSERT(Added.size() <= 2U);
 }
 
-RC_GTEST_PROP(ActiveHosts, NoZoneHoldsManyMoreThanAnother, ()) {
+RC_GTEST_PROP(ActiveHosts, SelectionIsEvenAcrossZones, ()) {
   const auto All = randomHosts();
   const auto Chosen = chooseActive(All, {16, 0});
-  std::map<ZoneId, std::pair<std::size_t, std::size_t>> InZone; // of, chosen
+  // Total and selected hosts of each zone.
+  std::map<ZoneId, std::pair<std::size_t, std::size_t>> InZone;
   for (const ActiveCandidate &Candidate : All) {
     auto &[Total, Active] = InZone[Candidate.Zone];
     ++Total;
--- a/tests/auto/gateway/EnginePartsTest.cpp
+++ b/tests/auto/gateway/EnginePartsTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Thousands of engines are divided, so that what a host weighs and tells does
-/// not grow with them.
+/// Checks how thousands of engines are divided into parts, so that the engines
+/// which a host compares and reports do not grow with the deployment.
 #include "plugins/activehosts/EngineParts.h"
 
 #include "kernel/Services.h"
@@ -45,26 +45,26 @@
   EXPECT_EQ(partCount(3000, 300), 16U);
 }
 
-TEST(EngineParts, AShareTakesTheEnginesOfItsParts) {
+TEST(EngineParts, ShareContainsTheEnginesOfItsParts) {
   EXPECT_TRUE(EngineShare{}.takes(17));
   const EngineShare Half{{false, true}};
   EXPECT_TRUE(Half.takes(17));
   EXPECT_FALSE(Half.takes(18));
 }
 
-RC_GTEST_PROP(EngineParts, PartsGetNearlyTheSameProcessor, ()) {
+RC_GTEST_PROP(EngineParts, PartsHaveSimilarProcessor, ()) {
   const auto All = hosts(*rc::gen::inRange<std::size_t>(16, 320));
   const std::uint32_t Count = partCount(100'000, All.size());
   const auto ProcessorPerPart =
       processorOf(All, assignParts(All, Count), Count);
-  const double Even =
+  const double EvenShare =
       std::accumulate(ProcessorPerPart.begin(), ProcessorPerPart.end(), 0.0) /
       Count;
   RC_ASSERT(*std::ranges::min_element(ProcessorPerPart) > 0);
-  RC_ASSERT(*std::ranges::max_element(ProcessorPerPart) <= Even * 2);
+  RC_ASSERT(*std::ranges::max_element(ProcessorPerPart) <= EvenShare * 2);
 }
 
-RC_GTEST_PROP(EngineParts, AHostThatGoesMovesFewOthers, ()) {
+RC_GTEST_PROP(EngineParts, RemovedHostMovesFewOthers, ()) {
   std::vector<ActiveCandidate> All =
       hosts(*rc::gen::inRange<std::size_t>(64, 320));
   const std::uint32_t Count = partCount(100'000, All.size() - 1);
