--- a/src/plugins/groups/GroupsPlugin.cpp
+++ b/src/plugins/groups/GroupsPlugin.cpp
@@ -10,11 +10,11 @@
 void GroupsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   this->Offered = &Context.services();
-  this->Numbers = &Context.random();
+  this->Rng = &Context.random();
   this->SelfLife = Context.self().Life;
-  this->MostAtOnce =
+  this->MaxConcurrentGroups =
       static_cast<std::size_t>(Values.whole("groups", "most_at_once"));
-  this->MostTries =
+  this->MaxAttempts =
       static_cast<std::uint32_t>(Values.whole("groups", "most_tries"));
   this->AnswerTimeout = Values.span("groups", "answer_timeout");
   this->RetryPause = Values.span("groups", "retry_pause");
@@ -22,11 +22,11 @@
   Context.services().list<FleetObserver>().add(*this);
 }
 
-void GroupsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Answer = std::get_if<HoldAnswered>(&What))
-    this->answered(*Answer, Now, Out);
-  if (const auto *Reported = std::get_if<LoadReported>(&What))
-    this->releaseStrays(Reported->Report, Out);
+void GroupsPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  if (const auto *Answer = std::get_if<HoldAnswered>(&Incoming))
+    this->handleAnswer(*Answer, Now, Out);
+  if (const auto *Reported = std::get_if<LoadReported>(&Incoming))
+    this->releaseOrphans(Reported->Report, Out);
   if (Now >= this->nextWake())
     this->wake(Now, Out);
 }
@@ -34,24 +34,24 @@
 Time GroupsPlugin::nextWake() const {
   Time Earliest = Never;
   for (const auto &[Id, Group] : this->Groups)
-    if (Group.Is != GroupTaking::State::Taken)
+    if (Group.Status != GroupReservation::State::Acquired)
       Earliest = std::min(Earliest, Group.Due);
   return Earliest;
 }
 
 void GroupsPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
-  Monitor.require(this->active() <= this->MostAtOnce,
+  Monitor.require(this->active() <= this->MaxConcurrentGroups,
                   "the number of groups at once is bounded");
 }
 
-void GroupsPlugin::acquire(const Request &Asked, const Selected &Choice,
+void GroupsPlugin::acquire(const Request &ClientRequest, const Selected &Choice,
                            Time Now, Actions &Out) {
-  this->release(Asked.id(), Now, Out);
-  GroupTaking &Group = this->Groups[Asked.id()];
-  Group = GroupTaking::of(Asked, Choice);
+  this->release(ClientRequest.id(), Now, Out);
+  GroupReservation &Group = this->Groups[ClientRequest.id()];
+  Group = GroupReservation::forRequest(ClientRequest, Choice);
   Group.Due = Now;
-  if (this->active() < this->MostAtOnce)
-    this->begin(Group, Now, Out);
+  if (this->active() < this->MaxConcurrentGroups)
+    this->startAttempt(Group, Now, Out);
   else
     Group.Due = Now + this->RetryPause;
 }
@@ -60,7 +60,7 @@
   const auto Found = this->Groups.find(Id);
   if (Found == this->Groups.end())
     return;
-  this->letGo(Found->second, Out);
+  this->releaseHolds(Found->second, Out);
   this->Groups.erase(Found);
 }
 
@@ -68,133 +68,136 @@
                                    Actions &Out) {
   if (Changed.State != UpstreamState::Dead)
     return;
-  std::vector<RequestId> Hit;
+  std::vector<RequestId> Affected;
   for (const auto &[Id, Group] : this->Groups)
-    for (const GroupMember &Each : Group.Members)
-      if (Each.Engine == Changed.Listing.Id &&
-          Group.Is == GroupTaking::State::Taking)
-        Hit.push_back(Id);
-  for (const RequestId &Id : Hit)
-    this->decide(Id, {}, Now, Out);
+    for (const GroupMember &Member : Group.Members)
+      if (Member.Engine == Changed.Listing.Id &&
+          Group.Status == GroupReservation::State::Acquiring)
+        Affected.push_back(Id);
+  for (const RequestId &Id : Affected)
+    this->notifyDecision(Id, {}, Now, Out);
 }
 
 void GroupsPlugin::wake(Time Now, Actions &Out) {
   std::vector<RequestId> DueNow;
   for (const auto &[Id, Group] : this->Groups)
-    if (Group.Is != GroupTaking::State::Taken && Group.Due <= Now)
+    if (Group.Status != GroupReservation::State::Acquired && Group.Due <= Now)
       DueNow.push_back(Id);
   for (const RequestId &Id : DueNow) {
     const auto Found = this->Groups.find(Id);
     if (Found == this->Groups.end())
       continue;
-    GroupTaking &Group = Found->second;
-    if (Group.Is == GroupTaking::State::Taking)
-      this->refused(Group, "timeout", Now, Out);
-    else if (this->active() < this->MostAtOnce)
-      this->begin(Group, Now, Out);
+    GroupReservation &Group = Found->second;
+    if (Group.Status == GroupReservation::State::Acquiring)
+      this->handleRefusal(Group, "timeout", Now, Out);
+    else if (this->active() < this->MaxConcurrentGroups)
+      this->startAttempt(Group, Now, Out);
     else
       Group.Due = Now + this->RetryPause;
   }
 }
 
-void GroupsPlugin::begin(GroupTaking &Group, Time Now, Actions &Out) {
-  Group.Is = GroupTaking::State::Taking;
-  ++Group.Tries;
-  this->askNext(Group, Now, Out);
+void GroupsPlugin::startAttempt(GroupReservation &Group, Time Now,
+                                Actions &Out) {
+  Group.Status = GroupReservation::State::Acquiring;
+  ++Group.Attempts;
+  this->requestNextHold(Group, Now, Out);
 }
 
-void GroupsPlugin::askNext(GroupTaking &Group, Time Now, Actions &Out) {
-  GroupMember *Next = Group.next();
+void GroupsPlugin::requestNextHold(GroupReservation &Group, Time Now,
+                                   Actions &Out) {
+  GroupMember *Next = Group.nextPending();
   if (!Next) {
-    Group.Is = GroupTaking::State::Taken;
+    Group.Status = GroupReservation::State::Acquired;
     Out.count("groups_taken");
     Out.log(logEvent(events::GroupAcquired)
                 .with("request", Group.Owner.Value)
                 .with("engines", Group.Members.size())
                 .with("tokens_each", Group.TokensEach)
-                .with("tries", Group.Tries)
+                .with("tries", Group.Attempts)
                 .build());
     const std::vector<HoldId> Holds = Group.holds();
-    this->decide(Group.Owner, Holds, Now, Out);
+    this->notifyDecision(Group.Owner, Holds, Now, Out);
     return;
   }
   const Upstream *Engine = this->Offered->get<FleetView>().find(Next->Engine);
   if (!Engine || Engine->State != UpstreamState::Live) {
-    this->refused(Group, "not live", Now, Out);
+    this->handleRefusal(Group, "not live", Now, Out);
     return;
   }
-  Next->Hold = HoldId{this->SelfLife, ++this->HoldsMade};
-  Next->Is = GroupMember::State::Asked;
+  Next->Hold = HoldId{this->SelfLife, ++this->HoldSequence};
+  Next->Status = GroupMember::State::Requested;
   Group.Due = Now + this->AnswerTimeout;
   Out.add(TakeHold{Next->Hold, Next->Engine, Engine->Listing.At,
                    Group.TokensEach, Group.Deadline});
 }
 
-void GroupsPlugin::answered(const HoldAnswered &Answer, Time Now,
-                            Actions &Out) {
+void GroupsPlugin::handleAnswer(const HoldAnswered &Answer, Time Now,
+                                Actions &Out) {
   for (auto &[Id, Group] : this->Groups) {
     GroupMember *Member = Group.find(Answer.Hold);
-    if (!Member || Group.Is != GroupTaking::State::Taking)
+    if (!Member || Group.Status != GroupReservation::State::Acquiring)
       continue;
     if (Answer.Result == HoldResult::Granted) {
-      Member->Is = GroupMember::State::Granted;
-      this->askNext(Group, Now, Out);
+      Member->Status = GroupMember::State::Granted;
+      this->requestNextHold(Group, Now, Out);
     } else {
-      this->refused(Group, "refused", Now, Out);
+      this->handleRefusal(Group, "refused", Now, Out);
     }
     return;
   }
 }
 
-void GroupsPlugin::refused(GroupTaking &Group, std::string_view Why, Time Now,
-                           Actions &Out) {
-  this->letGo(Group, Out);
+void GroupsPlugin::handleRefusal(GroupReservation &Group, std::string_view Why,
+                                 Time Now, Actions &Out) {
+  this->releaseHolds(Group, Out);
   Out.count("groups_refused", Why);
   Out.log(logEvent(events::GroupRefused)
               .with("request", Group.Owner.Value)
               .with("why", Why)
-              .with("tries", Group.Tries)
+              .with("tries", Group.Attempts)
               .build());
-  if (Group.Tries >= this->MostTries) {
-    this->decide(Group.Owner, {}, Now, Out);
+  if (Group.Attempts >= this->MaxAttempts) {
+    this->notifyDecision(Group.Owner, {}, Now, Out);
     return;
   }
   // Spread, so that groups that met do not meet again.
-  Group.Is = GroupTaking::State::Waiting;
+  Group.Status = GroupReservation::State::Waiting;
   Group.Due = Now + fromSeconds(inSeconds(this->RetryPause) *
-                                (0.5 + this->Numbers->fraction()));
+                                (0.5 + this->Rng->fraction()));
 }
 
-void GroupsPlugin::letGo(GroupTaking &Group, Actions &Out) {
-  for (GroupMember &Each : Group.Members) {
-    if (Each.Is == GroupMember::State::Wanted)
+void GroupsPlugin::releaseHolds(GroupReservation &Group, Actions &Out) {
+  for (GroupMember &Member : Group.Members) {
+    if (Member.Status == GroupMember::State::Pending)
       continue;
-    Each.Is = GroupMember::State::Wanted;
+    Member.Status = GroupMember::State::Pending;
     if (const Upstream *Engine =
-            this->Offered->get<FleetView>().find(Each.Engine))
-      Out.add(ReleaseHold{Each.Hold, Each.Engine, Engine->Listing.At});
+            this->Offered->get<FleetView>().find(Member.Engine))
+      Out.add(ReleaseHold{Member.Hold, Member.Engine, Engine->Listing.At});
   }
 }
 
-void GroupsPlugin::decide(const RequestId &Id, std::span<const HoldId> Holds,
-                          Time Now, Actions &Out) {
+void GroupsPlugin::notifyDecision(const RequestId &Id,
+                                  std::span<const HoldId> Holds, Time Now,
+                                  Actions &Out) {
   if (Holds.empty())
     this->release(Id, Now, Out);
-  for (GroupObserver *Each : this->Offered->list<GroupObserver>().all())
-    Each->groupDecided(Id, Holds, Now, Out);
+  for (GroupObserver *Observer : this->Offered->list<GroupObserver>().all())
+    Observer->groupDecided(Id, Holds, Now, Out);
 }
 
-void GroupsPlugin::releaseStrays(const LoadReport &Report, Actions &Out) {
+void GroupsPlugin::releaseOrphans(const LoadReport &Report, Actions &Out) {
   const Upstream *Engine = nullptr;
-  for (const HoldReport &Each : Report.Holds) {
-    if (Each.Kind != HoldKind::GroupHold ||
-        Each.OwnerLife != this->SelfLife.Value)
+  for (const HoldReport &Held : Report.Holds) {
+    if (Held.Kind != HoldKind::GroupHold ||
+        Held.OwnerLife != this->SelfLife.Value)
       continue;
-    const HoldId Hold{this->SelfLife, Each.Sequence};
-    const bool Wanted =
+    const HoldId Hold{this->SelfLife, Held.Sequence};
+    const bool InUse =
         std::any_of(this->Groups.begin(), this->Groups.end(),
                     [&Hold](auto &Group) { return Group.second.find(Hold); });
-    if (Wanted)
+    if (InUse)
       continue;
     if (!Engine)
       Engine = this->Offered->get<FleetView>().find(Report.Id);
@@ -205,23 +208,23 @@
 
 std::size_t GroupsPlugin::active() const {
   return static_cast<std::size_t>(std::count_if(
-      this->Groups.begin(), this->Groups.end(), [](const auto &Each) {
-        return Each.second.Is != GroupTaking::State::Waiting;
+      this->Groups.begin(), this->Groups.end(), [](const auto &Entry) {
+        return Entry.second.Status != GroupReservation::State::Waiting;
       }));
 }
 
 namespace {
 
 std::vector<SettingDeclaration> settings() {
-  const std::string In = "groups";
+  const std::string Section = "groups";
   return {
-      {In, "most_at_once", SettingKind::Whole, "2",
+      {Section, "most_at_once", SettingKind::Whole, "2",
        "How many groups of engines this host takes or holds at once.", 1, 64},
-      {In, "most_tries", SettingKind::Whole, "4",
+      {Section, "most_tries", SettingKind::Whole, "4",
        "How often a group is tried before its request waits anew.", 1, 100},
-      {In, "answer_timeout", SettingKind::Span, "500ms",
+      {Section, "answer_timeout", SettingKind::Span, "500ms",
        "How long an engine may take to answer a hold.", 1e3, 60e6},
-      {In, "retry_pause", SettingKind::Span, "200ms",
+      {Section, "retry_pause", SettingKind::Span, "200ms",
        "Pause before a refused group is tried again, spread by half.", 1e3,
        60e6},
   };
--- a/src/plugins/groups/GroupsPlugin.h
+++ b/src/plugins/groups/GroupsPlugin.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "kernel/Plugin.h"
-#include "plugins/groups/GroupTaking.h"
+#include "plugins/groups/GroupReservation.h"
 
 #include <unordered_map>
 
@@ -16,11 +16,11 @@
 class GroupsPlugin : public Plugin, public GroupHolder, public FleetObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
-  void acquire(const Request &Asked, const Selected &Choice, Time Now,
+  void acquire(const Request &ClientRequest, const Selected &Choice, Time Now,
                Actions &Out) override;
   void release(const RequestId &Id, Time Now, Actions &Out) override;
 
@@ -29,26 +29,26 @@
 
 private:
   void wake(Time Now, Actions &Out);
-  void begin(GroupTaking &Group, Time Now, Actions &Out);
-  void askNext(GroupTaking &Group, Time Now, Actions &Out);
-  void answered(const HoldAnswered &Answer, Time Now, Actions &Out);
-  void refused(GroupTaking &Group, std::string_view Why, Time Now,
-               Actions &Out);
-  void letGo(GroupTaking &Group, Actions &Out);
-  void decide(const RequestId &Id, std::span<const HoldId> Holds, Time Now,
-              Actions &Out);
-  void releaseStrays(const LoadReport &Report, Actions &Out);
+  void startAttempt(GroupReservation &Group, Time Now, Actions &Out);
+  void requestNextHold(GroupReservation &Group, Time Now, Actions &Out);
+  void handleAnswer(const HoldAnswered &Answer, Time Now, Actions &Out);
+  void handleRefusal(GroupReservation &Group, std::string_view Why, Time Now,
+                     Actions &Out);
+  void releaseHolds(GroupReservation &Group, Actions &Out);
+  void notifyDecision(const RequestId &Id, std::span<const HoldId> Holds,
+                      Time Now, Actions &Out);
+  void releaseOrphans(const LoadReport &Report, Actions &Out);
   std::size_t active() const;
 
   Services *Offered = nullptr;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   Incarnation SelfLife;
-  std::size_t MostAtOnce = 0;
-  std::uint32_t MostTries = 0;
+  std::size_t MaxConcurrentGroups = 0;
+  std::uint32_t MaxAttempts = 0;
   Duration AnswerTimeout{};
   Duration RetryPause{};
-  std::uint64_t HoldsMade = 0;
-  std::map<RequestId, GroupTaking> Groups;
+  std::uint64_t HoldSequence = 0;
+  std::map<RequestId, GroupReservation> Groups;
 };
 
 } // namespace banyanpick
--- a/tests/auto/groups/GroupsTest.cpp
+++ b/tests/auto/groups/GroupsTest.cpp
@@ -22,16 +22,15 @@
       this->Fleet.Upstreams.push_back(Engine);
     }
     this->Self.Life = Incarnation(7);
-    this->Offered.provide<FleetView>(this->Fleet);
-    this->Offered.list<GroupObserver>().add(*this);
+    this->Registry.provide<FleetView>(this->Fleet);
+    this->Registry.list<GroupObserver>().add(*this);
     const std::vector<SettingDeclaration> Declared = {
         {"groups", "most_at_once", SettingKind::Whole, "1", ""},
         {"groups", "most_tries", SettingKind::Whole, "2", ""},
         {"groups", "answer_timeout", SettingKind::Span, "500ms", ""},
         {"groups", "retry_pause", SettingKind::Span, "100ms", ""}};
     this->Values = Settings::defaults(Declared);
-    PluginContext Context(this->Self, this->Values, this->Offered,
-                          this->Numbers);
+    PluginContext Context(this->Self, this->Values, this->Registry, this->Rng);
     this->Plugin.initialize(Context);
   }
 
@@ -42,42 +41,42 @@
 
   /// Asks for e3, e1 and e2 together.
   std::vector<Action> acquire(std::uint64_t Id, Time Now) {
-    Request Asked;
-    Asked.Head.Id = RequestId(Id);
+    Request ClientRequest;
+    ClientRequest.Head.Id = RequestId(Id);
     Selected Choice;
     Choice.Group = {UpstreamId("e3"), UpstreamId("e1"), UpstreamId("e2")};
     Actions Out;
-    this->Plugin.acquire(Asked, Choice, Now, Out);
+    this->Plugin.acquire(ClientRequest, Choice, Now, Out);
     return Out.take();
   }
-  std::vector<Action> handle(const Event &What, Time Now) {
+  std::vector<Action> handle(const Event &Incoming, Time Now) {
     Actions Out;
-    this->Plugin.handle(What, Now, Out);
+    this->Plugin.handle(Incoming, Now, Out);
     return Out.take();
   }
 
   template <class Kind>
-  static std::vector<Kind> only(const std::vector<Action> &All) {
+  static std::vector<Kind> actionsOf(const std::vector<Action> &All) {
     std::vector<Kind> Result;
-    for (const Action &Each : All)
-      if (const auto *Found = std::get_if<Kind>(&Each))
+    for (const Action &Output : All)
+      if (const auto *Found = std::get_if<Kind>(&Output))
         Result.push_back(*Found);
     return Result;
   }
 
   /// Grants holds until nothing more is asked, but refuses on this engine.
-  std::vector<Action> answerAll(std::vector<Action> Given, Time Now,
-                                const std::string &Refusing = "") {
-    std::vector<Action> All = Given;
-    while (!only<TakeHold>(Given).empty()) {
-      const TakeHold Asked = only<TakeHold>(Given).front();
-      this->Order.push_back(Asked.Upstream.Value);
-      const bool Granted = Asked.Upstream.Value != Refusing;
-      Given = this->handle(
-          HoldAnswered{Asked.Hold, Asked.Upstream,
+  std::vector<Action> answerAll(std::vector<Action> Outputs, Time Now,
+                                const std::string &RefusingEngine = "") {
+    std::vector<Action> All = Outputs;
+    while (!actionsOf<TakeHold>(Outputs).empty()) {
+      const TakeHold Wanted = actionsOf<TakeHold>(Outputs).front();
+      this->Order.push_back(Wanted.Upstream.Value);
+      const bool Granted = Wanted.Upstream.Value != RefusingEngine;
+      Outputs = this->handle(
+          HoldAnswered{Wanted.Hold, Wanted.Upstream,
                        Granted ? HoldResult::Granted : HoldResult::Refused},
           Now);
-      All.insert(All.end(), Given.begin(), Given.end());
+      All.insert(All.end(), Outputs.begin(), Outputs.end());
     }
     return All;
   }
@@ -85,8 +84,8 @@
   fakes::FakeFleet Fleet;
   Identity Self;
   Settings Values = Settings::defaults({});
-  Services Offered;
-  Random Numbers{1};
+  Services Registry;
+  Random Rng{1};
   GroupsPlugin Plugin;
   std::map<RequestId, std::size_t> Decided;
   std::vector<std::string> Order;
@@ -94,29 +93,29 @@
 
 TEST_F(Groups, TakesHoldsOneAfterTheOtherInEngineOrder) {
   const auto First = this->acquire(1, Start);
-  EXPECT_EQ(only<TakeHold>(First).size(), 1U);
+  EXPECT_EQ(actionsOf<TakeHold>(First).size(), 1U);
   this->answerAll(First, Start);
   EXPECT_EQ(this->Order, (std::vector<std::string>{"e1", "e2", "e3"}));
   EXPECT_EQ(this->Decided.at(RequestId(1)), 3U);
   Actions Out;
   this->Plugin.release(RequestId(1), Start, Out);
-  EXPECT_EQ(only<ReleaseHold>(Out.items()).size(), 3U);
+  EXPECT_EQ(actionsOf<ReleaseHold>(Out.items()).size(), 3U);
 }
 
 TEST_F(Groups, LetsEverythingGoOnOneRefusalAndGivesUpAfterItsTries) {
   auto All = this->answerAll(this->acquire(1, Start), Start, "e3");
-  EXPECT_EQ(only<ReleaseHold>(All).size(), 3U);
+  EXPECT_EQ(actionsOf<ReleaseHold>(All).size(), 3U);
   EXPECT_TRUE(this->Decided.empty());
   const Time Later = Start + seconds(1);
   All = this->answerAll(this->handle(Tick{}, Later), Later, "e3");
-  EXPECT_EQ(only<ReleaseHold>(All).size(), 3U);
+  EXPECT_EQ(actionsOf<ReleaseHold>(All).size(), 3U);
   EXPECT_EQ(this->Decided.at(RequestId(1)), 0U);
   EXPECT_EQ(this->Plugin.nextWake(), Never);
 }
 
 TEST_F(Groups, TakesABoundedNumberAtOnceAndANextOneLater) {
   this->answerAll(this->acquire(1, Start), Start);
-  EXPECT_TRUE(only<TakeHold>(this->acquire(2, Start)).empty());
+  EXPECT_TRUE(actionsOf<TakeHold>(this->acquire(2, Start)).empty());
   Actions Out;
   this->Plugin.release(RequestId(1), Start, Out);
   const Time Later = this->Plugin.nextWake();
@@ -130,7 +129,7 @@
   Report.Holds = {{HoldKind::GroupHold, 7, 99, "h", 10, Start},
                   {HoldKind::GroupHold, 8, 99, "other", 10, Start}};
   const auto Released =
-      only<ReleaseHold>(this->handle(LoadReported{Report}, Start));
+      actionsOf<ReleaseHold>(this->handle(LoadReported{Report}, Start));
   ASSERT_EQ(Released.size(), 1U);
   EXPECT_EQ(Released[0].Hold, (HoldId{Incarnation(7), 99}));
 }
