--- a/src/plugins/groups/GroupReservation.cpp
+++ b/src/plugins/groups/GroupReservation.cpp
@@ -19,7 +19,7 @@
   return Result;
 }
 
-GroupMember *GroupReservation::nextPending() {
+GroupMember *GroupReservation::nextNotGranted() {
   for (GroupMember &Member : this->Members)
     if (Member.Status != GroupMember::State::Granted)
       return &Member;
--- a/src/plugins/groups/GroupReservation.h
+++ b/src/plugins/groups/GroupReservation.h
@@ -1,5 +1,5 @@
 /// \file
-/// The taking of one group's memory: hold after hold, in engine order.
+/// The reservation of memory on a group of engines.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,32 +9,32 @@
 
 namespace banyanpick {
 
-/// One hold that is wanted, asked for, or had.
+/// The hold on one engine of a group.
 struct GroupMember {
   UpstreamId Engine;
   HoldId Hold;
   enum class State { Pending, Requested, Granted } Status = State::Pending;
 };
 
-/// Memory taken on several engines, or on the way there. Holds are taken one
-/// after the other in the order of engine names, so that two groups never
-/// wait for each other in a circle; nothing is kept while waiting to retry.
+/// Memory that is reserved, or being reserved, on several engines. Holds are
+/// acquired one after the other in the order of engine names, so that groups
+/// can't deadlock. No hold is kept while waiting to retry.
 struct GroupReservation {
   RequestId Owner;
-  std::vector<GroupMember> Members; ///< By engine name.
+  std::vector<GroupMember> Members; ///< Ordered by engine name.
   std::uint64_t TokensEach = 0;
-  Time Deadline{};            ///< Of the request, and so of its holds.
-  std::uint32_t Attempts = 0; ///< Begun so far.
-  Time Due{};                 ///< The running question's timeout, or next try.
+  Time Deadline{};            ///< Deadline of the request and of its holds.
+  std::uint32_t Attempts = 0; ///< Attempts started so far.
+  Time Due{}; ///< Timeout of the pending hold, or time of the next attempt.
   enum class State { Waiting, Acquiring, Acquired } Status = State::Waiting;
 
-  /// Members in engine order, all wanted.
+  /// Returns a reservation with all members pending, in engine order.
   static GroupReservation forRequest(const Request &ClientRequest,
                                      const Selected &Choice);
 
-  /// The first member not granted, or null when all are.
-  GroupMember *nextPending();
-  /// The member of that hold, or null.
+  /// Returns the first member that is not granted, or null if all are.
+  GroupMember *nextNotGranted();
+  /// Returns the member with that hold, or null.
   GroupMember *find(const HoldId &Hold);
   std::vector<HoldId> holds() const;
 };
--- a/src/plugins/groups/GroupsPlugin.cpp
+++ b/src/plugins/groups/GroupsPlugin.cpp
@@ -106,7 +106,7 @@
 
 void GroupsPlugin::requestNextHold(GroupReservation &Group, Time Now,
                                    Actions &Out) {
-  GroupMember *Next = Group.nextPending();
+  GroupMember *Next = Group.nextNotGranted();
   if (!Next) {
     Group.Status = GroupReservation::State::Acquired;
     Out.count("groups_taken");
@@ -161,7 +161,7 @@
     this->notifyDecision(Group.Owner, {}, Now, Out);
     return;
   }
-  // Spread, so that groups that met do not meet again.
+  // A random delay keeps conflicting groups from conflicting again.
   Group.Status = GroupReservation::State::Waiting;
   Group.Due = Now + fromSeconds(inSeconds(this->RetryPause) *
                                 (0.5 + this->Rng->fraction()));
--- a/src/plugins/groups/GroupsPlugin.h
+++ b/src/plugins/groups/GroupsPlugin.h
@@ -1,6 +1,6 @@
 /// \file
-/// The plug-in that takes memory on groups of engines for prompts that no
-/// single engine can hold.
+/// The plug-in that reserves memory on groups of engines for prompts that don't
+/// fit into the memory of a single engine.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -10,9 +10,9 @@
 
 namespace banyanpick {
 
-/// Provides GroupHolder. All or nothing: one refusal lets everything go; a
-/// bounded number of groups is taken or held at once, a bounded number of
-/// tries is made, and every hold bears the request's deadline.
+/// Provides GroupHolder. A reservation is all or nothing: one refusal releases
+/// all holds of the group. The number of concurrent groups and the number of
+/// attempts are bounded, and every hold has the deadline of its request.
 class GroupsPlugin : public Plugin, public GroupHolder, public FleetObserver {
 public:
   void initialize(PluginContext &Context) override;
--- a/tests/auto/groups/GroupsTest.cpp
+++ b/tests/auto/groups/GroupsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Groups of engines: all or nothing, in engine order, bounded.
+/// Checks that memory on a group of engines is reserved completely or not at
+/// all, in engine order, for a bounded number of groups and attempts.
 #include "plugins/groups/GroupsPlugin.h"
 
 #include "auto/requests/ServiceFakes.h"
@@ -39,7 +40,7 @@
     this->Decided[Id] = Holds.size();
   }
 
-  /// Asks for e3, e1 and e2 together.
+  /// Requests a group of e3, e1 and e2.
   std::vector<Action> acquire(std::uint64_t Id, Time Now) {
     Request ClientRequest;
     ClientRequest.Head.Id = RequestId(Id);
@@ -64,7 +65,7 @@
     return Result;
   }
 
-  /// Grants holds until nothing more is asked, but refuses on this engine.
+  /// Grants all requested holds, except on \p RefusingEngine.
   std::vector<Action> answerAll(std::vector<Action> Outputs, Time Now,
                                 const std::string &RefusingEngine = "") {
     std::vector<Action> All = Outputs;
@@ -91,7 +92,7 @@
   std::vector<std::string> Order;
 };
 
-TEST_F(Groups, TakesHoldsOneAfterTheOtherInEngineOrder) {
+TEST_F(Groups, AcquiresHoldsInEngineOrder) {
   const auto First = this->acquire(1, Start);
   EXPECT_EQ(actionsOf<TakeHold>(First).size(), 1U);
   this->answerAll(First, Start);
@@ -102,7 +103,7 @@
   EXPECT_EQ(actionsOf<ReleaseHold>(Out.items()).size(), 3U);
 }
 
-TEST_F(Groups, LetsEverythingGoOnOneRefusalAndGivesUpAfterItsTries) {
+TEST_F(Groups, ReleasesAllOnOneRefusalAndStopsAfterMaxAttempts) {
   auto All = this->answerAll(this->acquire(1, Start), Start, "e3");
   EXPECT_EQ(actionsOf<ReleaseHold>(All).size(), 3U);
   EXPECT_TRUE(this->Decided.empty());
@@ -113,7 +114,7 @@
   EXPECT_EQ(this->Plugin.nextWake(), Never);
 }
 
-TEST_F(Groups, TakesABoundedNumberAtOnceAndANextOneLater) {
+TEST_F(Groups, BoundsConcurrentGroupsAndStartsTheNextLater) {
   this->answerAll(this->acquire(1, Start), Start);
   EXPECT_TRUE(actionsOf<TakeHold>(this->acquire(2, Start)).empty());
   Actions Out;
@@ -123,7 +124,7 @@
   EXPECT_EQ(this->Decided.at(RequestId(2)), 3U);
 }
 
-TEST_F(Groups, ReleasesWhatAnEngineHoldsAndNobodyWants) {
+TEST_F(Groups, ReleasesOrphanedHolds) {
   LoadReport Report;
   Report.Id = UpstreamId("e1");
   Report.Holds = {{HoldKind::GroupHold, 7, 99, "h", 10, Start},
