--- a/src/plugins/storereaders/StoreReadersPlugin.cpp
+++ b/src/plugins/storereaders/StoreReadersPlugin.cpp
@@ -17,20 +17,20 @@
   const HostId *Host = nullptr;
   const ZoneId *Zone = nullptr;
   std::uint64_t Weight = 0;
-  std::size_t InZone = 0; ///< Place among those of its data centre.
+  std::size_t ZoneRank = 0; ///< Place among those of its data centre.
 };
 
 /// All hosts in the order in which they are chosen: the first of each data
 /// centre, then the second of each, so that no cut takes all readers.
-void sortByChoice(std::vector<Candidate> &Hosts) {
-  std::ranges::sort(Hosts, {}, [](const Candidate &Each) {
-    return std::tuple(*Each.Zone, Each.Weight, *Each.Host);
+void sortBySelectionOrder(std::vector<Candidate> &Hosts) {
+  std::ranges::sort(Hosts, {}, [](const Candidate &Entry) {
+    return std::tuple(*Entry.Zone, Entry.Weight, *Entry.Host);
   });
-  for (std::size_t At = 1; At < Hosts.size(); ++At)
-    if (*Hosts[At].Zone == *Hosts[At - 1].Zone)
-      Hosts[At].InZone = Hosts[At - 1].InZone + 1;
-  std::ranges::sort(Hosts, {}, [](const Candidate &Each) {
-    return std::tuple(Each.InZone, Each.Weight, *Each.Host);
+  for (std::size_t Index = 1; Index < Hosts.size(); ++Index)
+    if (*Hosts[Index].Zone == *Hosts[Index - 1].Zone)
+      Hosts[Index].ZoneRank = Hosts[Index - 1].ZoneRank + 1;
+  std::ranges::sort(Hosts, {}, [](const Candidate &Entry) {
+    return std::tuple(Entry.ZoneRank, Entry.Weight, *Entry.Host);
   });
 }
 
@@ -38,117 +38,117 @@
 
 void StoreReadersPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "store_readers";
+  const std::string_view Section = "store_readers";
   this->Members = &Context.services().get<MembershipView>();
-  this->Readers = Values.whole(In, "hosts");
-  this->LookInterval = Values.span(In, "look_interval");
-  this->Deputies = Values.whole(In, "deputies");
-  this->DeputyAge = Values.span(In, "deputy_age");
-  this->MostAge = Values.span(In, "most_age");
-  this->MaxSilence = Values.span(In, "most_silence");
+  this->ReaderCount = Values.whole(Section, "hosts");
+  this->CheckInterval = Values.span(Section, "look_interval");
+  this->DeputyCount = Values.whole(Section, "deputies");
+  this->DeputyAge = Values.span(Section, "deputy_age");
+  this->MaxAge = Values.span(Section, "most_age");
+  this->MaxSilence = Values.span(Section, "most_silence");
   Context.services().provide<StoreFreshness>(*this);
   Context.services().list<MembershipObserver>().add(*this);
 }
 
 void StoreReadersPlugin::start(Time Now, Actions &) {
-  this->NextLook = Now + this->LookInterval;
+  this->NextCheck = Now + this->CheckInterval;
 }
 
-void StoreReadersPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void StoreReadersPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
-      [&](const GatewayEvent &Is) {
-        if (std::holds_alternative<EnginesRead>(Is))
-          this->Confirmed = Now;
+      Incoming,
+      [&](const GatewayEvent &Gateway) {
+        if (std::holds_alternative<EnginesRead>(Gateway))
+          this->ConfirmedAt = Now;
       },
-      [&](const PeerMessageReceived &Is) {
-        const auto *Beat = std::get_if<Heartbeat>(&Is.Message.Body);
+      [&](const PeerMessageReceived &Received) {
+        const auto *Beat = std::get_if<Heartbeat>(&Received.Message.Body);
         if (Beat && Beat->StoreAge != Duration::max())
-          this->Confirmed = std::max(this->Confirmed, Now - Beat->StoreAge);
+          this->ConfirmedAt = std::max(this->ConfirmedAt, Now - Beat->StoreAge);
       },
       [](const auto &) {});
-  if (Now >= this->NextLook)
-    this->look(Now, Out);
+  if (Now >= this->NextCheck)
+    this->updateRole(Now, Out);
 }
 
-void StoreReadersPlugin::look(Time Now, Actions &Out) {
-  this->NextLook = Now + this->LookInterval;
-  const std::string_view Why = this->reason(Now);
-  if (Why.empty() != this->Reads)
+void StoreReadersPlugin::updateRole(Time Now, Actions &Out) {
+  this->NextCheck = Now + this->CheckInterval;
+  const std::string_view Reason = this->readingReason(Now);
+  if (Reason.empty() != this->IsReader)
     return;
-  this->Reads = !Why.empty();
-  Out.log(logEvent(this->Reads ? events::StoreFollowed : events::StoreLeft)
-              .with("why", this->Reads ? Why : "others read it")
-              .with("confirmed_us_ago", this->Confirmed == Time{}
+  this->IsReader = !Reason.empty();
+  Out.log(logEvent(this->IsReader ? events::StoreFollowed : events::StoreLeft)
+              .with("why", this->IsReader ? Reason : "others read it")
+              .with("confirmed_us_ago", this->ConfirmedAt == Time{}
                                             ? -1
-                                            : (Now - this->Confirmed).count())
+                                            : (Now - this->ConfirmedAt).count())
               .with("hosts", this->Members->peers().size() + 1)
               .build());
-  Out.count("store_reading_changed", this->Reads ? "on" : "off");
-  Out.add(GatewayAction(FollowStore{this->Reads}));
+  Out.count("store_reading_changed", this->IsReader ? "on" : "off");
+  Out.add(GatewayAction(FollowStore{this->IsReader}));
 }
 
-std::string_view StoreReadersPlugin::reason(Time Now) {
+std::string_view StoreReadersPlugin::readingReason(Time Now) {
   if (std::exchange(this->MembersChanged, false))
-    this->Place = this->ownPlace();
-  if (this->Place < this->Readers)
+    this->Rank = this->ownRank();
+  if (this->Rank < this->ReaderCount)
     return "chosen";
   if (!this->hearsPeers(Now))
     return "no peer is heard";
-  const bool IsDeputy = this->Place < this->Readers + this->Deputies;
-  const Duration Age = IsDeputy ? this->DeputyAge : this->MostAge;
-  if (Now > this->Confirmed + Age)
+  const bool IsDeputy = this->Rank < this->ReaderCount + this->DeputyCount;
+  const Duration Age = IsDeputy ? this->DeputyAge : this->MaxAge;
+  if (Now > this->ConfirmedAt + Age)
     return "nobody is known to read it";
   return {};
 }
 
-std::size_t StoreReadersPlugin::ownPlace() const {
+std::size_t StoreReadersPlugin::ownRank() const {
   const auto MakeCandidate = [](const HostId &Host, const ZoneId &Zone) {
     return Candidate{&Host, &Zone, rendezvousWeight("store", Host.Value), 0};
   };
   std::vector<Candidate> Hosts{
       MakeCandidate(this->Members->self(), this->Members->selfZone())};
-  for (const Member &Each : this->Members->peers())
-    if (Each.State == MemberState::Alive)
-      Hosts.push_back(MakeCandidate(Each.Listing.Id, Each.Listing.Zone));
-  sortByChoice(Hosts);
-  const auto Own = std::ranges::find_if(Hosts, [&](const Candidate &Each) {
-    return *Each.Host == this->Members->self();
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.State == MemberState::Alive)
+      Hosts.push_back(MakeCandidate(Peer.Listing.Id, Peer.Listing.Zone));
+  sortBySelectionOrder(Hosts);
+  const auto Self = std::ranges::find_if(Hosts, [&](const Candidate &Entry) {
+    return *Entry.Host == this->Members->self();
   });
-  return static_cast<std::size_t>(Own - Hosts.begin());
+  return static_cast<std::size_t>(Self - Hosts.begin());
 }
 
 bool StoreReadersPlugin::hearsPeers(Time Now) const {
-  return std::ranges::any_of(this->Members->peers(), [&](const Member &Each) {
-    return Each.State == MemberState::Alive &&
-           Now < Each.LastHeard + this->MaxSilence;
+  return std::ranges::any_of(this->Members->peers(), [&](const Member &Peer) {
+    return Peer.State == MemberState::Alive &&
+           Now < Peer.LastHeard + this->MaxSilence;
   });
 }
 
 std::vector<SettingDeclaration> StoreReadersPlugin::settings() {
   constexpr auto Span = SettingKind::Span;
-  const std::string In = "store_readers";
+  const std::string Section = "store_readers";
   return {
-      {In, "hosts", SettingKind::Whole, "4",
+      {Section, "hosts", SettingKind::Whole, "4",
        "How many hosts follow the store; the others hear from them. One in "
        "each of three data centres, and one more.",
        1, 10000},
-      {In, "look_interval", Span, "200ms",
+      {Section, "look_interval", Span, "200ms",
        "How often a host looks whether it should read the store itself.", 10e3,
        60e6},
-      {In, "deputies", SettingKind::Whole, "8",
+      {Section, "deputies", SettingKind::Whole, "8",
        "How many more hosts, the next in order, read the store as soon as it "
        "seems that no reader gets through.",
        0, 10000},
-      {In, "deputy_age", Span, "2s",
+      {Section, "deputy_age", Span, "2s",
        "A deputy that knows of nobody who read the store for so long reads it "
        "itself; longer than the news of a reading takes among hundreds.",
        100e3, 600e6},
-      {In, "most_age", Span, "4s",
+      {Section, "most_age", Span, "4s",
        "A host that knows of nobody who read the store for so long reads it "
        "itself; twice what a reader waits for a change.",
        100e3, 600e6},
-      {In, "most_silence", Span, "1s",
+      {Section, "most_silence", Span, "1s",
        "So does a host that heard no peer for so long: four heartbeats.", 10e3,
        600e6},
   };
--- a/src/plugins/storereaders/StoreReadersPlugin.h
+++ b/src/plugins/storereaders/StoreReadersPlugin.h
@@ -18,10 +18,10 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
-  Time nextWake() const override { return this->NextLook; }
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
+  Time nextWake() const override { return this->NextCheck; }
 
-  Time storeConfirmedAt() const override { return this->Confirmed; }
+  Time storeConfirmedAt() const override { return this->ConfirmedAt; }
 
   void memberChanged(const Member &, Time, Actions &) override {
     this->MembersChanged = true;
@@ -30,25 +30,25 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void look(Time Now, Actions &Out);
+  void updateRole(Time Now, Actions &Out);
   /// Why this host reads the store now; empty when it need not.
-  std::string_view reason(Time Now);
+  std::string_view readingReason(Time Now);
   /// This host's place in the order of choice.
-  std::size_t ownPlace() const;
+  std::size_t ownRank() const;
   bool hearsPeers(Time Now) const;
 
   const MembershipView *Members = nullptr;
-  std::size_t Readers = 0;
-  std::size_t Deputies = 0;
-  Duration LookInterval{};
+  std::size_t ReaderCount = 0;
+  std::size_t DeputyCount = 0;
+  Duration CheckInterval{};
   Duration DeputyAge{};
-  Duration MostAge{};
+  Duration MaxAge{};
   Duration MaxSilence{};
-  Time NextLook{};
-  Time Confirmed{}; ///< The newest reading known here, by any host.
-  bool Reads = true;
+  Time NextCheck{};
+  Time ConfirmedAt{}; ///< The newest reading known here, by any host.
+  bool IsReader = true;
   bool MembersChanged = true; ///< Since Place was decided.
-  std::size_t Place = 0;
+  std::size_t Rank = 0;
 };
 
 } // namespace banyanpick
--- a/tests/auto/gateway/StoreReadersTest.cpp
+++ b/tests/auto/gateway/StoreReadersTest.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 /// A heartbeat of a host in a zone of its own kind; three zones in all.
-Heartbeat beatOf(std::size_t Number, Duration StoreAge) {
-  Heartbeat Beat;
-  Beat.Ready = true;
-  Beat.InForce = 1;
-  Beat.StoreAge = StoreAge;
+Heartbeat heartbeatOf(std::size_t Number, Duration StoreAge) {
+  Heartbeat Message;
+  Message.Ready = true;
+  Message.InForce = 1;
+  Message.StoreAge = StoreAge;
   HostListing Self;
   Self.Id = HostId(fmt::format("p{}", Number));
   Self.Zone = ZoneId(fmt::format("z{}", Number % 3));
   Self.Callers = {"127.0.0.1", static_cast<std::uint16_t>(1000 + Number)};
   Self.Peers = {"127.0.0.1", static_cast<std::uint16_t>(2000 + Number)};
-  Beat.KnownHosts = {Self};
-  return Beat;
+  Message.KnownHosts = {Self};
+  return Message;
 }
 
 /// A host in zone `z` that hears from so many peers.
@@ -31,15 +31,15 @@
     this->Bench.registerEngines("desk", 1);
   }
 
-  void hear(std::size_t Peers, Duration StoreAge) {
-    for (std::size_t Each = 0; Each < Peers; ++Each)
-      this->Bench.receive(fmt::format("p{}", Each).c_str(),
-                          beatOf(Each, StoreAge));
+  void receiveHeartbeats(std::size_t Peers, Duration StoreAge) {
+    for (std::size_t Index = 0; Index < Peers; ++Index)
+      this->Bench.receive(fmt::format("p{}", Index).c_str(),
+                          heartbeatOf(Index, StoreAge));
   }
   /// Hears from them all while the time passes.
-  void hearFor(std::size_t Peers, Duration StoreAge, int Rounds) {
-    for (int Each = 0; Each < Rounds; ++Each) {
-      this->hear(Peers, StoreAge);
+  void receiveForRounds(std::size_t Peers, Duration StoreAge, int Rounds) {
+    for (int Round = 0; Round < Rounds; ++Round) {
+      this->receiveHeartbeats(Peers, StoreAge);
       this->Bench.advance(milliseconds(200));
     }
   }
@@ -53,7 +53,7 @@
 }
 
 TEST_F(StoreReaders, TheOnlyHostOfItsZoneReads) {
-  this->hearFor(30, milliseconds(100), 5);
+  this->receiveForRounds(30, milliseconds(100), 5);
   EXPECT_TRUE(this->Bench.all<FollowStore>().empty())
       << "zone z has no other, and the first of each zone comes first";
 }
@@ -61,12 +61,12 @@
 /// Peers in the host's own zone, whose order decides.
 class StoreReadersInOneZone : public StoreReaders {
 protected:
-  void hearOneZone(std::size_t Peers, Duration StoreAge, int Rounds) {
+  void receiveFromOneZone(std::size_t Peers, Duration StoreAge, int Rounds) {
     for (int Round = 0; Round < Rounds; ++Round) {
-      for (std::size_t Each = 0; Each < Peers; ++Each) {
-        Heartbeat Beat = beatOf(Each, StoreAge);
-        Beat.KnownHosts.front().Zone = ZoneId("z");
-        this->Bench.receive(fmt::format("p{}", Each).c_str(), Beat);
+      for (std::size_t Index = 0; Index < Peers; ++Index) {
+        Heartbeat Message = heartbeatOf(Index, StoreAge);
+        Message.KnownHosts.front().Zone = ZoneId("z");
+        this->Bench.receive(fmt::format("p{}", Index).c_str(), Message);
       }
       this->Bench.advance(milliseconds(200));
     }
@@ -74,24 +74,24 @@
 };
 
 TEST_F(StoreReadersInOneZone, MostHostsLeaveItToOthersAndTakeItBack) {
-  this->hearOneZone(60, milliseconds(100), 5);
+  this->receiveFromOneZone(60, milliseconds(100), 5);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 1U);
   EXPECT_FALSE(this->Bench.last<FollowStore>().Enabled);
   // Nobody reads any more: the age that peers tell grows.
-  this->hearOneZone(60, seconds(6), 25);
+  this->receiveFromOneZone(60, seconds(6), 25);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 2U);
   EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
 TEST_F(StoreReadersInOneZone, AHostThatHearsNobodyReads) {
-  this->hearOneZone(60, milliseconds(100), 5);
+  this->receiveFromOneZone(60, milliseconds(100), 5);
   ASSERT_FALSE(this->Bench.last<FollowStore>().Enabled);
   this->Bench.advance(milliseconds(1400));
   EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
 TEST_F(StoreReadersInOneZone, ChangesOfTheRegistryAreToldAtOnce) {
-  this->hearOneZone(3, milliseconds(100), 2);
+  this->receiveFromOneZone(3, milliseconds(100), 2);
   const std::size_t Before = this->Bench.sent<Heartbeat>().size();
   this->Bench.registerEngines("desk", 2, 5);
   this->Bench.advance(milliseconds(100));
@@ -102,10 +102,10 @@
 }
 
 TEST_F(StoreReadersInOneZone, APeerThatIsFurtherIsAskedAtOnce) {
-  this->hearOneZone(3, milliseconds(100), 2);
-  Heartbeat Beat = beatOf(1, Duration(0));
-  Beat.EnginesKnownTo = 50;
-  this->Bench.receive("p1", Beat);
+  this->receiveFromOneZone(3, milliseconds(100), 2);
+  Heartbeat Message = heartbeatOf(1, Duration(0));
+  Message.EnginesKnownTo = 50;
+  this->Bench.receive("p1", Message);
   ASSERT_EQ(this->Bench.sent<EnginesRequest>().size(), 1U);
   EXPECT_EQ(this->Bench.sent<EnginesRequest>().front().From, 1U);
 }
