--- a/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
@@ -11,56 +11,56 @@
   const Settings &Values = Context.settings();
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->Own = Context.self();
-  this->Numbers = &Context.random();
+  this->Self = Context.self();
+  this->Rng = &Context.random();
   this->TimeToLive = Values.span("host_directory", "ttl");
-  this->Most = Values.whole("host_directory", "hosts");
+  this->MaxHosts = Values.whole("host_directory", "hosts");
 }
 
 void HostDirectoryPlugin::start(Time, Actions &) {
   this->InForce = &this->Offered->get<InForceView>();
-  this->Active = &this->Offered->get<ActiveHostsView>();
+  this->ActiveHosts = &this->Offered->get<ActiveHostsView>();
 }
 
-void HostDirectoryPlugin::handle(const Event &What, Time, Actions &Out) {
+void HostDirectoryPlugin::handle(const Event &Incoming, Time, Actions &Out) {
   match(
-      What,
-      [&](const ResolveRequest &Asked) {
-        std::vector<Address> Hosts = this->draw();
+      Incoming,
+      [&](const ResolveRequest &Query) {
+        std::vector<Address> Hosts = this->sampleHosts();
         Out.count("resolves_answered", Hosts.empty() ? "empty" : "named");
-        Out.add(AnswerResolve{Asked.Id, std::move(Hosts), this->TimeToLive});
+        Out.add(AnswerResolve{Query.Id, std::move(Hosts), this->TimeToLive});
       },
       [](const auto &) {});
 }
 
-std::vector<Address> HostDirectoryPlugin::draw() {
-  const std::vector<Named> All = this->activeHosts();
-  std::uint32_t Most = 0;
-  for (const Named &Each : All)
-    Most = std::max(Most, Each.Processor.Thousandths);
+std::vector<Address> HostDirectoryPlugin::sampleHosts() {
+  const std::vector<CallerAddress> All = this->activeHosts();
+  std::uint32_t MaxProcessor = 0;
+  for (const CallerAddress &Listed : All)
+    MaxProcessor = std::max(MaxProcessor, Listed.Processor.Thousandths);
   std::vector<Address> Result;
-  for (const Named &Each : All)
-    if (this->Numbers->below(Most) < Each.Processor.Thousandths)
-      Result.push_back(Each.At);
+  for (const CallerAddress &Listed : All)
+    if (this->Rng->below(MaxProcessor) < Listed.Processor.Thousandths)
+      Result.push_back(Listed.Callers);
   // More than one answer holds: each caller gets its own draw of them.
-  while (Result.size() > this->Most)
-    Result.erase(Result.begin() + static_cast<std::ptrdiff_t>(
-                                      this->Numbers->below(Result.size())));
+  while (Result.size() > this->MaxHosts)
+    Result.erase(Result.begin() +
+                 static_cast<std::ptrdiff_t>(this->Rng->below(Result.size())));
   return Result;
 }
 
-std::vector<HostDirectoryPlugin::Named>
+std::vector<HostDirectoryPlugin::CallerAddress>
 HostDirectoryPlugin::activeHosts() const {
-  std::vector<Named> Result;
-  const auto Add = [&](const HostId &Host, const Named &Each) {
-    if (std::ranges::binary_search(this->Active->activeHosts(), Host))
-      Result.push_back(Each);
+  std::vector<CallerAddress> Result;
+  const auto Add = [&](const HostId &Host, const CallerAddress &Listed) {
+    if (std::ranges::binary_search(this->ActiveHosts->activeHosts(), Host))
+      Result.push_back(Listed);
   };
   if (this->InForce->isReady())
-    Add(this->Own.Host, {this->Own.Callers, this->Own.Processor});
-  for (const Member &Each : this->Members->peers())
-    if (Each.State == MemberState::Alive && Each.Ready)
-      Add(Each.Listing.Id, {Each.Listing.Callers, Each.Listing.Processor});
+    Add(this->Self.Host, {this->Self.Callers, this->Self.Processor});
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.State == MemberState::Alive && Peer.Ready)
+      Add(Peer.Listing.Id, {Peer.Listing.Callers, Peer.Listing.Processor});
   return Result;
 }
 
--- a/src/plugins/hostdirectory/HostDirectoryPlugin.h
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.h
@@ -13,28 +13,28 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
 private:
-  struct Named {
-    Address At;
+  struct CallerAddress {
+    Address Callers;
     ProcessorShare Processor;
   };
 
   /// The hosts of one answer.
-  std::vector<Address> draw();
-  std::vector<Named> activeHosts() const;
+  std::vector<Address> sampleHosts();
+  std::vector<CallerAddress> activeHosts() const;
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
   const InForceView *InForce = nullptr;
-  const ActiveHostsView *Active = nullptr;
-  Identity Own;
-  Random *Numbers = nullptr;
+  const ActiveHostsView *ActiveHosts = nullptr;
+  Identity Self;
+  Random *Rng = nullptr;
   Duration TimeToLive{};
-  std::size_t Most = 0;
+  std::size_t MaxHosts = 0;
 };
 
 } // namespace banyanpick
