--- a/src/plugins/drain/DrainPlugin.cpp
+++ b/src/plugins/drain/DrainPlugin.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration LookInterval = milliseconds(100);
+constexpr Duration CheckInterval = milliseconds(100);
 /// Another host can be asked at once; this only spreads the callers.
 constexpr Duration RetryAfter = milliseconds(100);
 
@@ -35,20 +35,20 @@
       StreamHandovers(this->Offered->get<MembershipView>(), *this->Requests);
 }
 
-void DrainPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void DrainPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What, [&](const StopRequest &) { this->beginStop(Now, Out); },
-      [&](const PeerMessageReceived &Is) {
-        this->takePeerMessage(Is.Message, Now, Out);
+      Incoming, [&](const StopRequest &) { this->beginStop(Now, Out); },
+      [&](const PeerMessageReceived &Received) {
+        this->handlePeerMessage(Received.Message, Now, Out);
       },
       [](const auto &) {});
   if (this->Leaving && !this->Stopped)
-    this->goOn(Now, Out);
+    this->continueStop(Now, Out);
 }
 
 void DrainPlugin::checkInvariants(InvariantMonitor &Monitor, Time Now) const {
   const bool InTime = !this->Stopped || this->Requests->running() == 0 ||
-                      Now >= this->StopAskedAt + this->Budget;
+                      Now >= this->StopRequestedAt + this->Budget;
   Monitor.require(InTime, "a planned stop within its budget cuts nothing off");
 }
 
@@ -63,7 +63,7 @@
   if (this->Leaving)
     return;
   this->Leaving = true;
-  this->StopAskedAt = Now;
+  this->StopRequestedAt = Now;
   this->RefuseFrom = Now + this->Grace;
   Out.log(logEvent(events::DrainBegun)
               .with("running", this->Requests->running())
@@ -71,15 +71,15 @@
               .build());
 }
 
-void DrainPlugin::takePeerMessage(const PeerMessage &Message, Time Now,
-                                  Actions &Out) {
+void DrainPlugin::handlePeerMessage(const PeerMessage &Message, Time Now,
+                                    Actions &Out) {
   match(
       Message.Body,
       [&](const StreamHandover &Stream) {
         this->adopt(Message.From, Stream, Now, Out);
       },
       [&](const HandoverTaken &Answer) {
-        this->Handovers.taken(Message.From, Answer, Now, Out);
+        this->Handovers.handleTaken(Message.From, Answer, Now, Out);
       },
       [](const auto &) {});
 }
@@ -95,9 +95,9 @@
   Out.add(SendToPeer{From, HandoverTaken{Stream.ResumeToken}});
 }
 
-void DrainPlugin::goOn(Time Now, Actions &Out) {
-  this->NextLook = Now + LookInterval;
-  if (Now >= this->StopAskedAt + this->HandOverAfter)
+void DrainPlugin::continueStop(Time Now, Actions &Out) {
+  this->NextCheck = Now + CheckInterval;
+  if (Now >= this->StopRequestedAt + this->HandOverAfter)
     this->Handovers.offer(Now, Out);
   // An outcome still on its way to the log would be lost with this process.
   const bool Idle = Now >= this->RefuseFrom && this->Requests->running() == 0 &&
@@ -105,13 +105,13 @@
   this->IdleSince = Idle ? std::min(this->IdleSince, Now) : Never;
   const bool Finished =
       this->IdleSince != Never && Now >= this->IdleSince + this->Linger;
-  if (Finished || Now >= this->StopAskedAt + this->Budget)
+  if (Finished || Now >= this->StopRequestedAt + this->Budget)
     this->stop(Out);
 }
 
 void DrainPlugin::stop(Actions &Out) {
   this->Stopped = true;
-  this->NextLook = Never;
+  this->NextCheck = Never;
   Out.log(logEvent(events::DrainEnded)
               .with("cut_off", this->Requests->running())
               .build());
@@ -119,20 +119,20 @@
 }
 
 std::vector<SettingDeclaration> DrainPlugin::settings() {
-  const std::string In = "drain";
-  return {{In, "slack", SettingKind::Span, "1s",
+  const std::string Section = "drain";
+  return {{Section, "slack", SettingKind::Span, "1s",
            "How much longer than a resolve answer's time to live a stopping "
            "host takes new work.",
            0, 60e6},
-          {In, "hand_over_after", SettingKind::Span, "30s",
+          {Section, "hand_over_after", SettingKind::Span, "30s",
            "Streams still running so long after a stop was asked are handed to "
            "other entry hosts.",
            0, 3600e6},
-          {In, "budget", SettingKind::Span, "10min",
+          {Section, "budget", SettingKind::Span, "10min",
            "A stopping process ends at the latest after this, whatever runs; "
            "choose it longer than the longest promise.",
            1e6, 86400e6},
-          {In, "linger", SettingKind::Span, "500ms",
+          {Section, "linger", SettingKind::Span, "500ms",
            "A stopping process waits so long after its last request, for last "
            "bytes and log records.",
            0, 60e6}};
--- a/src/plugins/drain/DrainPlugin.h
+++ b/src/plugins/drain/DrainPlugin.h
@@ -15,22 +15,22 @@
   // Plugin
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
-  Time nextWake() const override { return this->NextLook; }
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
+  Time nextWake() const override { return this->NextCheck; }
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   bool isLeaving() const override { return this->Leaving; }
-  std::optional<NotRun> check(const Request &Asked, Time Now) override;
+  std::optional<NotRun> check(const Request &ClientRequest, Time Now) override;
 
   /// The settings with their defaults.
   static std::vector<SettingDeclaration> settings();
 
 private:
   void beginStop(Time Now, Actions &Out);
-  void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
+  void handlePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
   void adopt(const HostId &From, const StreamHandover &Stream, Time Now,
              Actions &Out);
-  void goOn(Time Now, Actions &Out);
+  void continueStop(Time Now, Actions &Out);
   void stop(Actions &Out);
 
   Services *Offered = nullptr;
@@ -44,10 +44,10 @@
   Duration Linger{};
   bool Leaving = false;
   bool Stopped = false;
-  Time StopAskedAt = Never;
+  Time StopRequestedAt = Never;
   Time RefuseFrom = Never;
   Time IdleSince = Never;
-  Time NextLook = Never;
+  Time NextCheck = Never;
 };
 
 } // namespace banyanpick
--- a/src/plugins/drain/StreamHandovers.cpp
+++ b/src/plugins/drain/StreamHandovers.cpp
@@ -9,82 +9,85 @@
 
 namespace {
 
-constexpr Duration OfferAgainAfter = milliseconds(500);
+constexpr Duration OfferRetryInterval = milliseconds(500);
 
 } // namespace
 
 void StreamHandovers::offer(Time Now, Actions &Out) {
-  std::erase_if(this->Offers, [this](const auto &Each) {
-    return !this->Requests->find(Each.first);
+  std::erase_if(this->Offers, [this](const auto &Entry) {
+    return !this->Requests->find(Entry.first);
   });
   for (const RequestId &Id : this->Requests->ids())
     this->offerOne(Id, Now, Out);
 }
 
-void StreamHandovers::taken(const HostId &By, const HandoverTaken &Answer,
-                            Time Now, Actions &Out) {
-  const auto Found = std::ranges::find_if(this->Offers, [&](const auto &Each) {
-    return Each.second.ResumeToken == Answer.ResumeToken &&
-           Each.second.To == By;
+void StreamHandovers::handleTaken(const HostId &From,
+                                  const HandoverTaken &Answer, Time Now,
+                                  Actions &Out) {
+  const auto Found = std::ranges::find_if(this->Offers, [&](const auto &Entry) {
+    return Entry.second.ResumeToken == Answer.ResumeToken &&
+           Entry.second.To == From;
   });
-  const Member *Peer = this->livePeer(By);
+  const Member *Peer = this->livePeer(From);
   if (Found == this->Offers.end() || !Peer)
     return;
   const RequestId Id = Found->first;
   this->Offers.erase(Found);
   Out.log(logEvent(events::StreamHandedOver)
               .with("request", Id.Value)
-              .with("to", By.Value)
+              .with("to", From.Value)
               .build());
   this->Requests->handOver(Id, Peer->Listing.Callers, Now, Out);
 }
 
 void StreamHandovers::offerOne(const RequestId &Id, Time Now, Actions &Out) {
-  const Request *Asked = this->Requests->find(Id);
+  const Request *ClientRequest = this->Requests->find(Id);
   const Attempt *Running = this->Requests->attemptOf(Id);
   const std::string Token = this->Requests->resumeToken(Id);
   // Memory of a group is held in this host's name and can't be passed on.
-  if (!Asked || !Running || Token.empty() || !Running->Group.empty())
+  if (!ClientRequest || !Running || Token.empty() || !Running->Group.empty())
     return;
-  Offer &Made = this->Offers[Id];
-  const bool Waits = !Made.ResumeToken.empty() && this->livePeer(Made.To);
-  if (Waits && Now < Made.SentAt + OfferAgainAfter)
+  Offer &Pending = this->Offers[Id];
+  const bool AwaitsAnswer =
+      !Pending.ResumeToken.empty() && this->livePeer(Pending.To);
+  if (AwaitsAnswer && Now < Pending.SentAt + OfferRetryInterval)
     return;
-  if (!Waits) {
-    const Member *Peer = this->chosenPeer(Token);
+  if (!AwaitsAnswer) {
+    const Member *Peer = this->selectPeer(Token);
     if (!Peer) {
       this->Offers.erase(Id);
       return;
     }
-    Made.To = Peer->Listing.Id;
-    Made.ResumeToken = Token;
+    Pending.To = Peer->Listing.Id;
+    Pending.ResumeToken = Token;
   }
-  Made.SentAt = Now;
-  Out.add(SendToPeer{
-      Made.To, StreamHandover{Token, Asked->Team, Asked->Head.Class,
-                              Running->Id, Running->Upstream,
-                              this->Requests->nextIndex(Id), Asked->Deadline}});
+  Pending.SentAt = Now;
+  Out.add(SendToPeer{Pending.To, StreamHandover{Token, ClientRequest->Team,
+                                                ClientRequest->Head.Class,
+                                                Running->Id, Running->Upstream,
+                                                this->Requests->nextIndex(Id),
+                                                ClientRequest->Deadline}});
 }
 
 const Member *
-StreamHandovers::chosenPeer(const std::string &ResumeToken) const {
+StreamHandovers::selectPeer(const std::string &ResumeToken) const {
   const Member *Best = nullptr;
-  const auto Rank = [&](const Member &Of) {
-    return std::pair(Of.Listing.Zone == this->Members->selfZone(),
-                     rendezvousWeight(ResumeToken, Of.Listing.Id.Value));
+  const auto Rank = [&](const Member &Peer) {
+    return std::pair(Peer.Listing.Zone == this->Members->selfZone(),
+                     rendezvousWeight(ResumeToken, Peer.Listing.Id.Value));
   };
-  for (const Member &Each : this->Members->peers()) {
-    const bool Fit = Each.State == MemberState::Alive && Each.Ready;
-    if (Fit && (!Best || Rank(Each) > Rank(*Best)))
-      Best = &Each;
+  for (const Member &Peer : this->Members->peers()) {
+    const bool Eligible = Peer.State == MemberState::Alive && Peer.Ready;
+    if (Eligible && (!Best || Rank(Peer) > Rank(*Best)))
+      Best = &Peer;
   }
   return Best;
 }
 
 const Member *StreamHandovers::livePeer(const HostId &Host) const {
-  for (const Member &Each : this->Members->peers())
-    if (Each.Listing.Id == Host && Each.State != MemberState::Dead)
-      return &Each;
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.Listing.Id == Host && Peer.State != MemberState::Dead)
+      return &Peer;
   return nullptr;
 }
 
--- a/src/plugins/drain/StreamHandovers.h
+++ b/src/plugins/drain/StreamHandovers.h
@@ -20,10 +20,10 @@
   /// Offers what runs and can be handed over, again where no answer came.
   void offer(Time Now, Actions &Out);
   /// The peer serves the stream; its caller is told where to go on.
-  void taken(const HostId &By, const HandoverTaken &Answer, Time Now,
-             Actions &Out);
+  void handleTaken(const HostId &From, const HandoverTaken &Answer, Time Now,
+                   Actions &Out);
 
-  std::size_t waiting() const { return this->Offers.size(); }
+  std::size_t pending() const { return this->Offers.size(); }
 
 private:
   struct Offer {
@@ -34,7 +34,7 @@
 
   void offerOne(const RequestId &Id, Time Now, Actions &Out);
   /// The peer to offer the stream to; null: there is none.
-  const Member *chosenPeer(const std::string &ResumeToken) const;
+  const Member *selectPeer(const std::string &ResumeToken) const;
   const Member *livePeer(const HostId &Host) const;
 
   const MembershipView *Members = nullptr;
--- a/tests/auto/drain/DrainTest.cpp
+++ b/tests/auto/drain/DrainTest.cpp
@@ -13,11 +13,11 @@
 
 /// A log writer with records that are not settled yet.
 struct FakeLogWriter : LogWriter {
-  std::size_t Open = 0;
+  std::size_t Unsettled = 0;
 
   RecordId append(LogRecordBody, Time, Actions &) override { return {}; }
   bool isReachable(Time) const override { return true; }
-  std::size_t unsettled() const override { return this->Open; }
+  std::size_t unsettled() const override { return this->Unsettled; }
 };
 
 /// The drain plug-in with the settings of resolve beside its own.
@@ -25,8 +25,8 @@
 protected:
   DrainTest() : Bench("host-a") {
     auto Declared = DrainPlugin::settings();
-    for (const SettingDeclaration &Each : ResolvePlugin::settings())
-      Declared.push_back(Each);
+    for (const SettingDeclaration &Declaration : ResolvePlugin::settings())
+      Declared.push_back(Declaration);
     this->Bench.Values = Settings::defaults(Declared);
     this->Bench.Offered.provide<RequestTable>(this->Table);
     this->Bench.Offered.provide<FleetView>(this->Fleet);
@@ -46,28 +46,28 @@
   }
 
   /// Feeds the event and keeps the actions.
-  void feed(const Event &What) {
+  void feed(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(What, this->Now, Out);
-    this->Last = Out.take();
-    for (const Action &Each : this->Last)
-      this->Stopped |= std::holds_alternative<StopNow>(Each);
+    this->Bench.Tested.handle(Incoming, this->Now, Out);
+    this->Outputs = Out.take();
+    for (const Action &Output : this->Outputs)
+      this->Stopped |= std::holds_alternative<StopNow>(Output);
   }
-  void pass(Duration Span) {
+  void advance(Duration Span) {
     for (const Time End = this->Now + Span; this->Now < End;) {
       this->Now += milliseconds(100);
       this->feed(Tick{});
-      for (const Action &Each : this->Last)
-        if (const auto *Sent = std::get_if<SendToPeer>(&Each))
-          this->Offered.push_back(Sent->To);
+      for (const Action &Output : this->Outputs)
+        if (const auto *Sent = std::get_if<SendToPeer>(&Output))
+          this->OfferedTo.push_back(Sent->To);
     }
   }
   bool refuses() {
     return this->Bench.Tested.check(RequestMaker(9), this->Now).has_value();
   }
   void addStream() {
-    const Request Asked = RequestMaker(1);
-    this->Table.add(Asked, attemptOf(Asked, 1, "e1"), "token");
+    const Request ClientRequest = RequestMaker(1);
+    this->Table.add(ClientRequest, attemptOf(ClientRequest, 1, "e1"), "token");
   }
   void answerAs(const HostId &Peer) {
     this->feed(
@@ -79,76 +79,76 @@
   FakeFleetView Fleet;
   FakeLogWriter Log;
   PluginBench<DrainPlugin> Bench;
-  std::vector<Action> Last;
-  std::vector<HostId> Offered;
+  std::vector<Action> Outputs;
+  std::vector<HostId> OfferedTo;
   bool Stopped = false;
 };
 
 TEST_F(DrainTest, ServesUntilTheLastResolveAnswerHasRunOut) {
   this->feed(StopRequest{});
   EXPECT_TRUE(this->Bench.Tested.isLeaving());
-  this->pass(milliseconds(5900));
+  this->advance(milliseconds(5900));
   EXPECT_FALSE(this->refuses());
   EXPECT_FALSE(this->Stopped) << "a caller may still come";
-  this->pass(milliseconds(200));
+  this->advance(milliseconds(200));
   EXPECT_TRUE(this->refuses());
-  this->pass(seconds(1));
+  this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
 TEST_F(DrainTest, WaitsForItsOwnRecordsToReachTheLog) {
-  this->Log.Open = 1;
+  this->Log.Unsettled = 1;
   this->feed(StopRequest{});
-  this->pass(seconds(20));
+  this->advance(seconds(20));
   EXPECT_FALSE(this->Stopped);
-  this->Log.Open = 0;
-  this->pass(seconds(1));
+  this->Log.Unsettled = 0;
+  this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
 TEST_F(DrainTest, RunningWorkIsNotCutOff) {
-  const Request Asked = RequestMaker(1);
-  this->Table.add(Asked, attemptOf(Asked, 1, "e1"));
+  const Request ClientRequest = RequestMaker(1);
+  this->Table.add(ClientRequest, attemptOf(ClientRequest, 1, "e1"));
   this->feed(StopRequest{});
-  this->pass(seconds(120));
+  this->advance(seconds(120));
   EXPECT_FALSE(this->Stopped);
-  EXPECT_TRUE(this->Offered.empty()) << "whole answers can't move";
+  EXPECT_TRUE(this->OfferedTo.empty()) << "whole answers can't move";
   this->Table.Entries.clear();
-  this->pass(seconds(1));
+  this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
 TEST_F(DrainTest, LongStreamGoesToOnePeerAndItsCallerAfterIt) {
   this->addStream();
   this->feed(StopRequest{});
-  this->pass(milliseconds(29'800));
-  EXPECT_TRUE(this->Offered.empty());
-  this->pass(seconds(5));
-  ASSERT_GT(this->Offered.size(), 1u) << "offered again while unanswered";
-  for (const HostId &Each : this->Offered)
-    EXPECT_EQ(Each, this->Offered[0]);
-  const HostId Other(this->Offered[0] == HostId("host-b") ? "host-c"
-                                                          : "host-b");
+  this->advance(milliseconds(29'800));
+  EXPECT_TRUE(this->OfferedTo.empty());
+  this->advance(seconds(5));
+  ASSERT_GT(this->OfferedTo.size(), 1u) << "offered again while unanswered";
+  for (const HostId &Peer : this->OfferedTo)
+    EXPECT_EQ(Peer, this->OfferedTo[0]);
+  const HostId Other(this->OfferedTo[0] == HostId("host-b") ? "host-c"
+                                                            : "host-b");
   this->answerAs(Other);
   EXPECT_TRUE(this->Table.HandedOver.empty());
-  this->answerAs(this->Offered[0]);
+  this->answerAs(this->OfferedTo[0]);
   ASSERT_EQ(this->Table.HandedOver.size(), 1u);
   EXPECT_EQ(this->Table.HandedOver[0].Ip, "10.0.0.1");
-  this->pass(seconds(1));
+  this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
 TEST_F(DrainTest, DeadPeerIsReplaced) {
   this->addStream();
   this->feed(StopRequest{});
-  this->pass(seconds(31));
-  ASSERT_FALSE(this->Offered.empty());
-  const HostId First = this->Offered[0];
-  this->Offered.clear();
+  this->advance(seconds(31));
+  ASSERT_FALSE(this->OfferedTo.empty());
+  const HostId First = this->OfferedTo[0];
+  this->OfferedTo.clear();
   this->Bench.Members.setState(First, MemberState::Dead);
-  this->pass(seconds(1));
-  ASSERT_FALSE(this->Offered.empty());
-  EXPECT_NE(this->Offered[0], First);
+  this->advance(seconds(1));
+  ASSERT_FALSE(this->OfferedTo.empty());
+  EXPECT_NE(this->OfferedTo[0], First);
 }
 
 TEST_F(DrainTest, EndsWithItsBudgetAndSaysSo) {
@@ -156,9 +156,9 @@
   this->Bench.Members.setState(HostId("host-b"), MemberState::Dead);
   this->Bench.Members.setState(HostId("host-c"), MemberState::Dead);
   this->feed(StopRequest{});
-  this->pass(seconds(599));
+  this->advance(seconds(599));
   EXPECT_FALSE(this->Stopped);
-  this->pass(seconds(2));
+  this->advance(seconds(2));
   EXPECT_TRUE(this->Stopped);
 }
 
@@ -170,8 +170,8 @@
   const PeerMessageReceived Message{{HostId("host-b"), Incarnation(1), Stream}};
   for (int Time = 0; Time < 2; ++Time) {
     this->feed(Message);
-    ASSERT_EQ(this->Last.size(), 2u);
-    EXPECT_EQ(std::get<SendToPeer>(this->Last.back()).To, HostId("host-b"));
+    ASSERT_EQ(this->Outputs.size(), 2u);
+    EXPECT_EQ(std::get<SendToPeer>(this->Outputs.back()).To, HostId("host-b"));
   }
   EXPECT_EQ(this->Table.Adopted.size(), 2u);
 }
