--- a/src/plugins/departure/DeparturePlugin.cpp
+++ b/src/plugins/departure/DeparturePlugin.cpp
@@ -8,11 +8,11 @@
 
 void DeparturePlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "departure";
+  const std::string_view Section = "departure";
   this->Offered = &Context.services();
-  this->Linger = Values.span(In, "linger");
-  this->Grace = Values.span(In, "grace");
-  this->LookInterval = Values.span(In, "look_interval");
+  this->Linger = Values.span(Section, "linger");
+  this->Grace = Values.span(Section, "grace");
+  this->CheckInterval = Values.span(Section, "look_interval");
   Context.services().provide<DrainView>(*this);
 }
 
@@ -20,23 +20,23 @@
   this->Running = &this->Offered->get<RelayCount>();
 }
 
-void DeparturePlugin::handle(const Event &What, Time Now, Actions &Out) {
+void DeparturePlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What,
+      Incoming,
       [&](const StopRequest &) {
         if (!this->isLeaving())
           this->leave(Now, Out);
       },
       [](const auto &) {});
-  if (Now >= this->NextLook)
-    this->look(Now, Out);
+  if (Now >= this->NextCheck)
+    this->checkFinished(Now, Out);
 }
 
-Time DeparturePlugin::nextWake() const { return this->NextLook; }
+Time DeparturePlugin::nextWake() const { return this->NextCheck; }
 
 void DeparturePlugin::leave(Time Now, Actions &Out) {
   this->LeavingSince = Now;
-  this->NextLook = Now;
+  this->NextCheck = Now;
   Out.add(GatewayAction(CloseCallers{}));
   Out.add(GatewayAction(AnnounceHost{false}));
   Out.log(logEvent(events::DrainBegun)
@@ -44,15 +44,15 @@
               .build());
 }
 
-void DeparturePlugin::look(Time Now, Actions &Out) {
-  this->NextLook = Now + this->LookInterval;
+void DeparturePlugin::checkFinished(Time Now, Actions &Out) {
+  this->NextCheck = Now + this->CheckInterval;
   const bool Idle =
       this->Running->running() == 0 && Now >= this->LeavingSince + this->Linger;
-  const bool Late = Now >= this->LeavingSince + this->Grace;
-  if (this->Ended || (!Idle && !Late))
+  const bool GraceExpired = Now >= this->LeavingSince + this->Grace;
+  if (this->Ended || (!Idle && !GraceExpired))
     return;
   this->Ended = true;
-  this->NextLook = Never;
+  this->NextCheck = Never;
   Out.log(logEvent(events::DrainEnded)
               .with("running", this->Running->running())
               .with("after_us", (Now - this->LeavingSince).count())
@@ -62,17 +62,17 @@
 
 std::vector<SettingDeclaration> DeparturePlugin::settings() {
   constexpr auto Span = SettingKind::Span;
-  const std::string In = "departure";
+  const std::string Section = "departure";
   return {
-      {In, "linger", Span, "3500ms",
+      {Section, "linger", Span, "3500ms",
        "How long a stopping host goes on taking requests: three times the "
        "directory's ttl, for callers that keep answers long, and a margin.",
        0, 600e6},
-      {In, "grace", Span, "7500ms",
+      {Section, "grace", Span, "7500ms",
        "After so long a stopping host ends even with requests running; less "
        "than what the operator waits before killing it.",
        0, 3600e6},
-      {In, "look_interval", Span, "50ms",
+      {Section, "look_interval", Span, "50ms",
        "How often a stopping host looks whether it can end.", 1e3, 10e6},
   };
 }
--- a/src/plugins/departure/DeparturePlugin.h
+++ b/src/plugins/departure/DeparturePlugin.h
@@ -13,7 +13,7 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
   bool isLeaving() const override { return this->LeavingSince != Never; }
@@ -22,15 +22,15 @@
 
 private:
   void leave(Time Now, Actions &Out);
-  void look(Time Now, Actions &Out);
+  void checkFinished(Time Now, Actions &Out);
 
   Services *Offered = nullptr;
   const RelayCount *Running = nullptr;
   Duration Linger{};
   Duration Grace{};
-  Duration LookInterval{};
+  Duration CheckInterval{};
   Time LeavingSince = Never;
-  Time NextLook = Never;
+  Time NextCheck = Never;
   bool Ended = false;
 };
 
