--- a/src/plugins/resolve/HostChoice.h
+++ b/src/plugins/resolve/HostOrder.h
@@ -23,6 +23,6 @@
 /// of another zone when there is one, for callers whose zone is lost.
 std::vector<Address> orderHosts(std::span<const CallerHost> Hosts,
                                 const ZoneId &Nearest, std::string_view Key,
-                                std::size_t Most);
+                                std::size_t MaxCount);
 
 } // namespace banyanpick
--- a/src/plugins/resolve/ResolvePlugin.cpp
+++ b/src/plugins/resolve/ResolvePlugin.cpp
@@ -10,65 +10,67 @@
 void ResolvePlugin::initialize(PluginContext &Context) {
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->Own = Context.self();
-  this->Most = Context.settings().whole("resolve", "hosts");
+  this->Self = Context.self();
+  this->MaxHosts = Context.settings().whole("resolve", "hosts");
   this->TimeToLive = Context.settings().span("resolve", "ttl");
 }
 
 void ResolvePlugin::start(Time, Actions &) {
-  this->Declared = &this->Offered->get<CatalogueView>();
+  this->Catalogue = &this->Offered->get<CatalogueView>();
   this->Drain = &this->Offered->get<DrainView>();
 }
 
-void ResolvePlugin::handle(const Event &What, Time, Actions &Out) {
+void ResolvePlugin::handle(const Event &Incoming, Time, Actions &Out) {
   match(
-      What, [&](const ResolveRequest &Asked) { this->answer(Asked, Out); },
+      Incoming, [&](const ResolveRequest &Query) { this->answer(Query, Out); },
       [](const auto &) {});
 }
 
-void ResolvePlugin::answer(const ResolveRequest &Asked, Actions &Out) const {
+void ResolvePlugin::answer(const ResolveRequest &Query, Actions &Out) const {
   const std::vector<CallerHost> Ready = this->readyHosts();
-  const std::vector<HostId> OfTeam = this->hostsOf(Asked.Team);
-  std::vector<CallerHost> Offer;
-  for (const CallerHost &Each : Ready)
-    if (OfTeam.empty() || std::ranges::count(OfTeam, Each.Host) != 0)
-      Offer.push_back(Each);
+  const std::vector<HostId> TeamMembers = this->hostsOfTeam(Query.Team);
+  std::vector<CallerHost> Offered;
+  for (const CallerHost &Candidate : Ready)
+    if (TeamMembers.empty() ||
+        std::ranges::count(TeamMembers, Candidate.Host) != 0)
+      Offered.push_back(Candidate);
   // Better a host that is not the team's than none.
-  if (Offer.empty())
-    Offer = Ready;
+  if (Offered.empty())
+    Offered = Ready;
   const ZoneId &Nearest =
-      Asked.Zone.Value.empty() ? this->Own.Zone : Asked.Zone;
+      Query.Zone.Value.empty() ? this->Self.Zone : Query.Zone;
   const std::string Key =
-      Asked.Team.Value + "/" + std::to_string(Asked.Id.Value);
-  Out.add(AnswerResolve{Asked.Id, orderHosts(Offer, Nearest, Key, this->Most),
+      Query.Team.Value + "/" + std::to_string(Query.Id.Value);
+  Out.add(AnswerResolve{Query.Id,
+                        orderHosts(Offered, Nearest, Key, this->MaxHosts),
                         this->TimeToLive});
-  Out.count("resolves_answered", Offer.empty() ? "empty" : "named");
+  Out.count("resolves_answered", Offered.empty() ? "empty" : "named");
 }
 
 std::vector<CallerHost> ResolvePlugin::readyHosts() const {
   std::vector<CallerHost> Result;
-  if (this->Declared->isReady() && !this->Drain->isLeaving())
-    Result.push_back({this->Own.Host, this->Own.Zone, this->Own.Callers});
-  for (const Member &Each : this->Members->peers())
-    if (Each.State == MemberState::Alive && Each.Ready)
+  if (this->Catalogue->isReady() && !this->Drain->isLeaving())
+    Result.push_back({this->Self.Host, this->Self.Zone, this->Self.Callers});
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.State == MemberState::Alive && Peer.Ready)
       Result.push_back(
-          {Each.Listing.Id, Each.Listing.Zone, Each.Listing.Callers});
+          {Peer.Listing.Id, Peer.Listing.Zone, Peer.Listing.Callers});
   return Result;
 }
 
-std::vector<HostId> ResolvePlugin::hostsOf(const TeamId &Team) const {
-  const TeamEntry *Limits = this->Declared->catalogue().team(Team);
+std::vector<HostId> ResolvePlugin::hostsOfTeam(const TeamId &Team) const {
+  const TeamEntry *Limits = this->Catalogue->catalogue().team(Team);
   if (!Limits)
     return {};
   // All that stay, ready or not: the limits are split over the same set.
-  std::vector<TeamHostCandidate> Staying;
+  std::vector<TeamHostCandidate> Remaining;
   if (!this->Drain->isLeaving())
-    Staying.push_back({this->Own.Host, this->Own.Zone});
+    Remaining.push_back({this->Self.Host, this->Self.Zone});
   const std::vector<HostId> Live = this->Members->livePeers();
-  for (const Member &Each : this->Members->peers())
-    if (std::ranges::binary_search(Live, Each.Listing.Id))
-      Staying.push_back({Each.Listing.Id, Each.Listing.Zone});
-  return teamHosts(Team, *Limits, Staying);
+  for (const Member &Peer : this->Members->peers())
+    if (std::ranges::binary_search(Live, Peer.Listing.Id))
+      Remaining.push_back({Peer.Listing.Id, Peer.Listing.Zone});
+  return teamHosts(Team, *Limits, Remaining);
 }
 
 std::vector<SettingDeclaration> ResolvePlugin::settings() {
--- a/src/plugins/resolve/ResolvePlugin.h
+++ b/src/plugins/resolve/ResolvePlugin.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "kernel/Plugin.h"
-#include "plugins/resolve/HostChoice.h"
+#include "plugins/resolve/HostOrder.h"
 
 namespace banyanpick {
 
@@ -13,22 +13,22 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
 
   /// The settings with their defaults.
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void answer(const ResolveRequest &Asked, Actions &Out) const;
+  void answer(const ResolveRequest &Query, Actions &Out) const;
   std::vector<CallerHost> readyHosts() const;
-  std::vector<HostId> hostsOf(const TeamId &Team) const;
+  std::vector<HostId> hostsOfTeam(const TeamId &Team) const;
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
-  const CatalogueView *Declared = nullptr;
+  const CatalogueView *Catalogue = nullptr;
   const DrainView *Drain = nullptr;
-  Identity Own;
-  std::uint64_t Most = 0;
+  Identity Self;
+  std::uint64_t MaxHosts = 0;
   Duration TimeToLive{};
 };
 
--- a/tests/auto/resolve/ResolveTest.cpp
+++ b/tests/auto/resolve/ResolveTest.cpp
@@ -46,10 +46,10 @@
         ResolveRequest{ResolveRequestId(Question), TeamId(Team), ZoneId(Zone)},
         Time(seconds(1)), Out);
     std::vector<std::string> Result;
-    for (const Action &Each : Out.items())
-      if (const auto *Answer = std::get_if<AnswerResolve>(&Each))
-        for (const Address &At : Answer->Hosts)
-          Result.push_back(At.Ip);
+    for (const Action &Output : Out.items())
+      if (const auto *Answer = std::get_if<AnswerResolve>(&Output))
+        for (const Address &Host : Answer->Hosts)
+          Result.push_back(Host.Ip);
     return Result;
   }
 
@@ -58,65 +58,66 @@
 };
 
 TEST(ResolveTest, NearestZoneFirstAndOneOfAnotherLast) {
-  ResolveBench Of;
-  const auto Near = Of.ask("z");
-  ASSERT_EQ(Near.size(), 3u);
-  EXPECT_LT(Near[0], "10.0.0.3");
-  EXPECT_LT(Near[1], "10.0.0.3");
-  EXPECT_GE(Near[2], "10.0.0.3");
-  EXPECT_GE(Of.ask("y")[0], "10.0.0.3");
+  ResolveBench Resolver;
+  const auto Answer = Resolver.ask("z");
+  ASSERT_EQ(Answer.size(), 3u);
+  EXPECT_LT(Answer[0], "10.0.0.3");
+  EXPECT_LT(Answer[1], "10.0.0.3");
+  EXPECT_GE(Answer[2], "10.0.0.3");
+  EXPECT_GE(Resolver.ask("y")[0], "10.0.0.3");
 }
 
 TEST(ResolveTest, LeavingSuspectedAndUnreadyHostsAreNotNamed) {
-  ResolveBench Of;
-  Of.Drain.Leaving = true;
-  Of.Bench.Members.setState(HostId("h1"), MemberState::Suspect);
-  Of.Bench.Members.setState(HostId("h2"), MemberState::Leaving);
-  Of.Bench.Members.at(2).Ready = false;
-  auto Named = Of.ask("z");
+  ResolveBench Resolver;
+  Resolver.Drain.Leaving = true;
+  Resolver.Bench.Members.setState(HostId("h1"), MemberState::Suspect);
+  Resolver.Bench.Members.setState(HostId("h2"), MemberState::Leaving);
+  Resolver.Bench.Members.at(2).Ready = false;
+  auto Named = Resolver.ask("z");
   std::ranges::sort(Named);
   EXPECT_EQ(Named, (std::vector<std::string>{"10.0.0.4", "10.0.0.5"}));
 }
 
 TEST(ResolveTest, TeamWithLimitsKeepsToItsOwnHosts) {
-  ResolveBench Of;
+  ResolveBench Resolver;
   TeamEntry Limits;
   Limits.RequestsPerMinute = 10;
-  Of.Bench.Entries.add(TeamId("house"), Limits);
+  Resolver.Bench.Entries.add(TeamId("house"), Limits);
   std::set<std::string> Named;
   for (std::uint64_t Question = 0; Question < 50; ++Question)
-    for (const std::string &Each : Of.ask("z", "house", Question))
-      Named.insert(Each);
+    for (const std::string &Ip : Resolver.ask("z", "house", Question))
+      Named.insert(Ip);
   EXPECT_EQ(Named.size(), MinTeamHosts);
 }
 
 TEST(ResolveTest, CallersSpreadOverTheHostsOfTheZone) {
-  ResolveBench Of;
+  ResolveBench Resolver;
   std::map<std::string, int> First;
   for (std::uint64_t Question = 0; Question < 300; ++Question)
-    ++First[Of.ask("z", "", Question)[0]];
+    ++First[Resolver.ask("z", "", Question)[0]];
   EXPECT_EQ(First.size(), 3u);
   for (const auto &[Host, Count] : First)
     EXPECT_GT(Count, 60) << Host;
 }
 
-RC_GTEST_PROP(HostChoiceTest, NamesAtMostTheWantedNearestFirst, ()) {
+RC_GTEST_PROP(HostOrderTest, NamesAtMostTheWantedNearestFirst, ()) {
   std::vector<CallerHost> Hosts;
   const int Count = *rc::gen::inRange(0, 20);
   Hosts.reserve(static_cast<std::size_t>(Count));
   for (int Index = 0; Index < Count; ++Index)
     Hosts.push_back(host(Index, *rc::gen::element<std::string>("z", "y")));
-  const auto Most = *rc::gen::inRange<std::size_t>(1, 6);
-  const auto Named = orderHosts(Hosts, ZoneId("z"), "key", Most);
-  RC_ASSERT(Named.size() == std::min(Hosts.size(), Most));
-  const auto Near = std::ranges::count(Hosts, ZoneId("z"), &CallerHost::Zone);
-  const auto IsNear = [&](const Address &At) {
-    return std::ranges::find(Hosts, At, &CallerHost::Callers)->Zone ==
+  const auto MaxCount = *rc::gen::inRange<std::size_t>(1, 6);
+  const auto Named = orderHosts(Hosts, ZoneId("z"), "key", MaxCount);
+  RC_ASSERT(Named.size() == std::min(Hosts.size(), MaxCount));
+  const auto NearestCount =
+      std::ranges::count(Hosts, ZoneId("z"), &CallerHost::Zone);
+  const auto IsNear = [&](const Address &Callers) {
+    return std::ranges::find(Hosts, Callers, &CallerHost::Callers)->Zone ==
            ZoneId("z");
   };
-  if (!Named.empty() && Near > 0)
+  if (!Named.empty() && NearestCount > 0)
     RC_ASSERT(IsNear(Named.front()));
-  if (Named.size() > 1 && Near < Count)
+  if (Named.size() > 1 && NearestCount < Count)
     RC_ASSERT(!IsNear(Named.back()));
 }
 
