--- a/src/plugins/storereaders/StoreReadersPlugin.cpp
+++ b/src/plugins/storereaders/StoreReadersPlugin.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-/// A host's place among those that read the store.
+/// A host that may read the store, with its rank.
 struct Candidate {
   const HostId *Host = nullptr;
   const ZoneId *Zone = nullptr;
   std::uint64_t Weight = 0;
-  std::size_t ZoneRank = 0; ///< Place among those of its data centre.
+  std::size_t ZoneRank = 0; ///< Rank within its data centre.
 };
 
-/// All hosts in the order in which they are chosen: the first of each data
-/// centre, then the second of each, so that no cut takes all readers.
+/// Sorts the hosts into the selection order: the first of each data centre,
+/// then the second of each, so that no network partition separates all readers.
 void sortBySelectionOrder(std::vector<Candidate> &Hosts) {
   std::ranges::sort(Hosts, {}, [](const Candidate &Entry) {
     return std::tuple(*Entry.Zone, Entry.Weight, *Entry.Host);
--- a/src/plugins/storereaders/StoreReadersPlugin.h
+++ b/src/plugins/storereaders/StoreReadersPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that decides which hosts read the store.
+/// The plug-in that decides whether this host reads the store.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -7,11 +7,12 @@
 
 namespace banyanpick {
 
-/// A few hosts follow the store and the others hear from them, so that the
-/// calls to the store do not grow with the hosts. A host that hears of nobody
-/// who read it lately reads it itself, so that no host's knowledge depends on
-/// those few; a few deputies do so sooner, as a store that turns all readers
-/// away may serve others, and changes have to be in force within seconds.
+/// A few hosts read the store and relay its content to the others, so that the
+/// calls to the store don't grow with the number of hosts. A host that knows of
+/// no recent read by any host reads the store itself, so that no host depends
+/// on these few readers. Some deputies do so sooner, because a store that
+/// refuses all readers may still serve others, and changes have to be in force
+/// within seconds.
 class StoreReadersPlugin : public Plugin,
                            public StoreFreshness,
                            public MembershipObserver {
@@ -31,9 +32,10 @@
 
 private:
   void updateRole(Time Now, Actions &Out);
-  /// Why this host reads the store now; empty when it need not.
+  /// Returns the reason why this host has to read the store now, or an empty
+  /// text if it does not have to.
   std::string_view readingReason(Time Now);
-  /// This host's place in the order of choice.
+  /// Returns this host's rank in the selection order.
   std::size_t ownRank() const;
   bool hearsPeers(Time Now) const;
 
@@ -45,9 +47,9 @@
   Duration MaxAge{};
   Duration MaxSilence{};
   Time NextCheck{};
-  Time ConfirmedAt{}; ///< The newest reading known here, by any host.
+  Time ConfirmedAt{}; ///< The newest known read of the store by any host.
   bool IsReader = true;
-  bool MembersChanged = true; ///< Since Place was decided.
+  bool MembersChanged = true; ///< Members changed since Rank was computed.
   std::size_t Rank = 0;
 };
 
--- a/tests/auto/gateway/StoreReadersTest.cpp
+++ b/tests/auto/gateway/StoreReadersTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A few hosts read the store, and each that hears of nobody who does.
+/// Checks that only a few hosts read the store, and that a host reads it itself
+/// when it knows of no recent read by another one.
 #include "auto/gateway/GatewayBench.h"
 
 #include <fmt/format.h>
@@ -8,7 +9,7 @@
 namespace banyanpick {
 namespace {
 
-/// A heartbeat of a host in a zone of its own kind; three zones in all.
+/// Returns a heartbeat of the host with this number, in one of three zones.
 Heartbeat heartbeatOf(std::size_t Number, Duration StoreAge) {
   Heartbeat Message;
   Message.Ready = true;
@@ -23,7 +24,7 @@
   return Message;
 }
 
-/// A host in zone `z` that hears from so many peers.
+/// A host in zone `z` that receives heartbeats from several peers.
 class StoreReaders : public testing::Test {
 protected:
   StoreReaders() {
@@ -36,7 +37,7 @@
       this->Bench.receive(fmt::format("p{}", Index).c_str(),
                           heartbeatOf(Index, StoreAge));
   }
-  /// Hears from them all while the time passes.
+  /// Receives heartbeats from all peers while the time advances.
   void receiveForRounds(std::size_t Peers, Duration StoreAge, int Rounds) {
     for (int Round = 0; Round < Rounds; ++Round) {
       this->receiveHeartbeats(Peers, StoreAge);
@@ -47,18 +48,19 @@
   GatewayBench Bench;
 };
 
-TEST_F(StoreReaders, AHostAloneReads) {
+TEST_F(StoreReaders, SingleHostReads) {
   this->Bench.advance(seconds(5));
-  EXPECT_TRUE(this->Bench.all<FollowStore>().empty()) << "it does from start";
+  EXPECT_TRUE(this->Bench.all<FollowStore>().empty())
+      << "a host reads the store from its start";
 }
 
 TEST_F(StoreReaders, TheOnlyHostOfItsZoneReads) {
   this->receiveForRounds(30, milliseconds(100), 5);
   EXPECT_TRUE(this->Bench.all<FollowStore>().empty())
-      << "zone z has no other, and the first of each zone comes first";
+      << "zone z has no other host, and the first of each zone is selected";
 }
 
-/// Peers in the host's own zone, whose order decides.
+/// All peers are in the host's own zone, so that their hash order decides.
 class StoreReadersInOneZone : public StoreReaders {
 protected:
   void receiveFromOneZone(std::size_t Peers, Duration StoreAge, int Rounds) {
@@ -73,24 +75,24 @@
   }
 };
 
-TEST_F(StoreReadersInOneZone, MostHostsLeaveItToOthersAndTakeItBack) {
+TEST_F(StoreReadersInOneZone, MostHostsStopReadingAndResumeWhenNobodyReads) {
   this->receiveFromOneZone(60, milliseconds(100), 5);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 1U);
   EXPECT_FALSE(this->Bench.last<FollowStore>().Enabled);
-  // Nobody reads any more: the age that peers tell grows.
+  // No host reads the store any more: the age that peers report increases.
   this->receiveFromOneZone(60, seconds(6), 25);
   ASSERT_EQ(this->Bench.all<FollowStore>().size(), 2U);
   EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
-TEST_F(StoreReadersInOneZone, AHostThatHearsNobodyReads) {
+TEST_F(StoreReadersInOneZone, HostWithoutHeartbeatsReads) {
   this->receiveFromOneZone(60, milliseconds(100), 5);
   ASSERT_FALSE(this->Bench.last<FollowStore>().Enabled);
   this->Bench.advance(milliseconds(1400));
   EXPECT_TRUE(this->Bench.last<FollowStore>().Enabled);
 }
 
-TEST_F(StoreReadersInOneZone, ChangesOfTheRegistryAreToldAtOnce) {
+TEST_F(StoreReadersInOneZone, RegistryChangesAreSentAtOnce) {
   this->receiveFromOneZone(3, milliseconds(100), 2);
   const std::size_t Before = this->Bench.sent<Heartbeat>().size();
   this->Bench.registerEngines("desk", 2, 5);
@@ -98,10 +100,10 @@
   EXPECT_GT(this->Bench.sent<Heartbeat>().size(), Before);
   EXPECT_EQ(this->Bench.sent<Heartbeat>().back().EnginesKnownTo, 7U);
   EXPECT_LT(this->Bench.sent<Heartbeat>().back().StoreAge, milliseconds(100))
-      << "its own reading is newer than what peers told";
+      << "its own read is newer than those that peers reported";
 }
 
-TEST_F(StoreReadersInOneZone, APeerThatIsFurtherIsAskedAtOnce) {
+TEST_F(StoreReadersInOneZone, PeerWithNewerRegistryIsAskedAtOnce) {
   this->receiveFromOneZone(3, milliseconds(100), 2);
   Heartbeat Message = heartbeatOf(1, Duration(0));
   Message.EnginesKnownTo = 50;
