--- a/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
@@ -42,7 +42,8 @@
   for (const CallerAddress &Listed : All)
     if (this->Rng->below(MaxProcessor) < Listed.Processor.Thousandths)
       Result.push_back(Listed.Callers);
-  // More than one answer holds: each caller gets its own draw of them.
+  // If there are more hosts than fit into an answer, each caller gets its own
+  // random sample.
   while (Result.size() > this->MaxHosts)
     Result.erase(Result.begin() +
                  static_cast<std::ptrdiff_t>(this->Rng->below(Result.size())));
--- a/src/plugins/hostdirectory/HostDirectoryPlugin.h
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.h
@@ -1,14 +1,14 @@
 /// \file
-/// The plug-in that tells a gateway's callers where to connect.
+/// The plug-in that answers which hosts the callers of a gateway connect to.
 #pragma once
 
 #include "kernel/Plugin.h"
 
 namespace banyanpick {
 
-/// Names the hosts that take requests now. Callers pick one of those named at
-/// random, so a host with less processor is named in fewer answers, and the
-/// requests of all hosts cost each the same share of its processor.
+/// Answers with the hosts that accept requests now. Callers pick a random host
+/// of an answer. A host with less processor is therefore listed in fewer
+/// answers, so that requests use the same share of the processor on all hosts.
 class HostDirectoryPlugin : public Plugin {
 public:
   void initialize(PluginContext &Context) override;
@@ -23,7 +23,7 @@
     ProcessorShare Processor;
   };
 
-  /// The hosts of one answer.
+  /// Returns the hosts for one answer.
   std::vector<Address> sampleHosts();
   std::vector<CallerAddress> activeHosts() const;
 
