--- a/src/plugins/drain/DrainPlugin.cpp
+++ b/src/plugins/drain/DrainPlugin.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Duration CheckInterval = milliseconds(100);
-/// Another host can be asked at once; this only spreads the callers.
+/// Callers can use another host at once; the delay only spreads them.
 constexpr Duration RetryAfter = milliseconds(100);
 
 } // namespace
@@ -86,7 +86,7 @@
 
 void DrainPlugin::adopt(const HostId &From, const StreamHandover &Stream,
                         Time Now, Actions &Out) {
-  // Without an answer the sender keeps the stream.
+  // The sender keeps the stream if it gets no answer.
   const bool CanServe = !this->Leaving && this->Fleet->find(Stream.Upstream);
   if (!CanServe)
     return;
@@ -99,7 +99,7 @@
   this->NextCheck = Now + CheckInterval;
   if (Now >= this->StopRequestedAt + this->HandOverAfter)
     this->Handovers.offer(Now, Out);
-  // An outcome still on its way to the log would be lost with this process.
+  // An outcome that is not yet in the log would be lost with this process.
   const bool Idle = Now >= this->RefuseFrom && this->Requests->running() == 0 &&
                     this->Log->unsettled() == 0;
   this->IdleSince = Idle ? std::min(this->IdleSince, Now) : Never;
--- a/src/plugins/drain/DrainPlugin.h
+++ b/src/plugins/drain/DrainPlugin.h
@@ -7,9 +7,10 @@
 
 namespace banyanpick {
 
-/// Leaves resolve answers at once, refuses new work when the last of them has
-/// run out, hands long streams to peers, and ends when nothing runs. On other
-/// hosts it takes such streams over.
+/// On a planned stop this host is removed from resolve answers at once. It
+/// refuses new work when the last of these answers has expired, hands long
+/// streams over to peers, and exits when no request is running. On other hosts
+/// the plug-in takes such streams over.
 class DrainPlugin : public Plugin, public DrainView, public AdmissionGate {
 public:
   // Plugin
--- a/src/plugins/drain/StreamHandovers.cpp
+++ b/src/plugins/drain/StreamHandovers.cpp
@@ -44,7 +44,7 @@
   const Request *ClientRequest = this->Requests->find(Id);
   const Attempt *Running = this->Requests->attemptOf(Id);
   const std::string Token = this->Requests->resumeToken(Id);
-  // Memory of a group is held in this host's name and can't be passed on.
+  // The memory holds of a group belong to this host and can't be transferred.
   if (!ClientRequest || !Running || Token.empty() || !Running->Group.empty())
     return;
   Offer &Pending = this->Offers[Id];
--- a/src/plugins/drain/StreamHandovers.h
+++ b/src/plugins/drain/StreamHandovers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Streams of this host that peers shall go on serving.
+/// Hands the streams of this host over to peers.
 #pragma once
 
 #include "kernel/Services.h"
@@ -8,18 +8,20 @@
 
 namespace banyanpick {
 
-/// Offers each stream to one peer until that peer takes it. Another peer is
-/// tried only when the first is dead: two that attach to one stream would cut
-/// each other off.
+/// Offers each stream to one peer until that peer takes it. Another peer gets
+/// the offer only when the first is dead, because two hosts that attach to one
+/// stream would disconnect each other.
 class StreamHandovers {
 public:
   StreamHandovers() = default;
   StreamHandovers(const MembershipView &Members, RequestTable &Requests)
       : Members(&Members), Requests(&Requests) {}
 
-  /// Offers what runs and can be handed over, again where no answer came.
+  /// Offers all running streams that can be handed over, and repeats unanswered
+  /// offers.
   void offer(Time Now, Actions &Out);
-  /// The peer serves the stream; its caller is told where to go on.
+  /// Completes a handover: the peer serves the stream, and the caller is
+  /// redirected to the peer.
   void handleTaken(const HostId &From, const HandoverTaken &Answer, Time Now,
                    Actions &Out);
 
@@ -33,7 +35,7 @@
   };
 
   void offerOne(const RequestId &Id, Time Now, Actions &Out);
-  /// The peer to offer the stream to; null: there is none.
+  /// Returns the peer to offer the stream to, or null if there is none.
   const Member *selectPeer(const std::string &ResumeToken) const;
   const Member *livePeer(const HostId &Host) const;
 
--- a/tests/auto/drain/DrainTest.cpp
+++ b/tests/auto/drain/DrainTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Planned stops: nothing is cut off, long streams go to peers.
+/// Checks that a planned stop interrupts no request and hands long streams over
+/// to peers.
 #include <gtest/gtest.h>
 
 #include "fakes/FakeRequestTable.h"
@@ -11,7 +12,7 @@
 namespace banyanpick {
 namespace {
 
-/// A log writer with records that are not settled yet.
+/// A log writer with unsettled records.
 struct FakeLogWriter : LogWriter {
   std::size_t Unsettled = 0;
 
@@ -20,7 +21,7 @@
   std::size_t unsettled() const override { return this->Unsettled; }
 };
 
-/// The drain plug-in with the settings of resolve beside its own.
+/// Runs the drain plug-in with its own settings and those of resolve.
 class DrainTest : public testing::Test {
 protected:
   DrainTest() : Bench("host-a") {
@@ -84,19 +85,19 @@
   bool Stopped = false;
 };
 
-TEST_F(DrainTest, ServesUntilTheLastResolveAnswerHasRunOut) {
+TEST_F(DrainTest, ServesUntilTheLastResolveAnswerHasExpired) {
   this->feed(StopRequest{});
   EXPECT_TRUE(this->Bench.Tested.isLeaving());
   this->advance(milliseconds(5900));
   EXPECT_FALSE(this->refuses());
-  EXPECT_FALSE(this->Stopped) << "a caller may still come";
+  EXPECT_FALSE(this->Stopped) << "a caller may still connect";
   this->advance(milliseconds(200));
   EXPECT_TRUE(this->refuses());
   this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
-TEST_F(DrainTest, WaitsForItsOwnRecordsToReachTheLog) {
+TEST_F(DrainTest, WaitsUntilItsRecordsAreInTheLog) {
   this->Log.Unsettled = 1;
   this->feed(StopRequest{});
   this->advance(seconds(20));
@@ -106,19 +107,20 @@
   EXPECT_TRUE(this->Stopped);
 }
 
-TEST_F(DrainTest, RunningWorkIsNotCutOff) {
+TEST_F(DrainTest, RunningRequestIsNotInterrupted) {
   const Request ClientRequest = RequestMaker(1);
   this->Table.add(ClientRequest, attemptOf(ClientRequest, 1, "e1"));
   this->feed(StopRequest{});
   this->advance(seconds(120));
   EXPECT_FALSE(this->Stopped);
-  EXPECT_TRUE(this->OfferedTo.empty()) << "whole answers can't move";
+  EXPECT_TRUE(this->OfferedTo.empty())
+      << "an answer that is not streamed can't be handed over";
   this->Table.Entries.clear();
   this->advance(seconds(1));
   EXPECT_TRUE(this->Stopped);
 }
 
-TEST_F(DrainTest, LongStreamGoesToOnePeerAndItsCallerAfterIt) {
+TEST_F(DrainTest, LongStreamIsHandedToOnePeerAndItsCallerRedirected) {
   this->addStream();
   this->feed(StopRequest{});
   this->advance(milliseconds(29'800));
@@ -151,7 +153,7 @@
   EXPECT_NE(this->OfferedTo[0], First);
 }
 
-TEST_F(DrainTest, EndsWithItsBudgetAndSaysSo) {
+TEST_F(DrainTest, StopsWhenItsBudgetIsExhausted) {
   this->addStream();
   this->Bench.Members.setState(HostId("host-b"), MemberState::Dead);
   this->Bench.Members.setState(HostId("host-c"), MemberState::Dead);
@@ -162,13 +164,13 @@
   EXPECT_TRUE(this->Stopped);
 }
 
-TEST_F(DrainTest, TakesAStreamOverAndAnswersAgainWhenAskedAgain) {
+TEST_F(DrainTest, AdoptsAStreamAndRepeatsTheAnswer) {
   const StreamHandover Stream{"token",          TeamId("a"),
                               ClassId("long"),  AttemptId{Incarnation(7), 1},
                               UpstreamId("e1"), 5,
                               this->Now};
   const PeerMessageReceived Message{{HostId("host-b"), Incarnation(1), Stream}};
-  for (int Time = 0; Time < 2; ++Time) {
+  for (int Round = 0; Round < 2; ++Round) {
     this->feed(Message);
     ASSERT_EQ(this->Outputs.size(), 2u);
     EXPECT_EQ(std::get<SendToPeer>(this->Outputs.back()).To, HostId("host-b"));
@@ -176,7 +178,7 @@
   EXPECT_EQ(this->Table.Adopted.size(), 2u);
 }
 
-TEST_F(DrainTest, LeavingHostAndStrangerToTheEngineTakeNothing) {
+TEST_F(DrainTest, LeavingHostOrUnknownEngineAdoptsNothing) {
   StreamHandover Stream;
   Stream.Upstream = UpstreamId("unknown");
   this->feed(PeerMessageReceived{{HostId("host-b"), Incarnation(1), Stream}});
