--- a/src/plugins/departure/DeparturePlugin.h
+++ b/src/plugins/departure/DeparturePlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that stops a gateway without cutting requests off.
+/// The plug-in that stops a gateway without interrupting requests.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -7,8 +7,8 @@
 
 namespace banyanpick {
 
-/// On a planned stop the host leaves the directory at once, goes on serving
-/// callers that still have its address, and ends when nothing runs any more.
+/// On a planned stop the host is removed from the directory at once. It serves
+/// callers that still have its address and exits when no request is running.
 class DeparturePlugin : public Plugin, public DrainView {
 public:
   void initialize(PluginContext &Context) override;
