--- a/src/plugins/resolve/HostOrder.h
+++ b/src/plugins/resolve/HostOrder.h
@@ -1,5 +1,5 @@
 /// \file
-/// The order in which callers are told the entry hosts.
+/// Orders the entry hosts in a resolve answer.
 #pragma once
 
 #include "kernel/TeamHosts.h"
@@ -9,7 +9,7 @@
 
 namespace banyanpick {
 
-/// An entry host that callers may be sent to.
+/// An entry host that may be returned to callers.
 struct CallerHost {
   HostId Host;
   ZoneId Zone;
@@ -18,9 +18,10 @@
   bool operator==(const CallerHost &) const = default;
 };
 
-/// At most \p Most of the hosts: those of the nearest zone first, in an order
-/// that \p Key shuffles, so that callers spread; the last place goes to a host
-/// of another zone when there is one, for callers whose zone is lost.
+/// Returns at most \p MaxCount of the hosts, those of the nearest zone first.
+/// \p Key shuffles the order, so that callers are spread over the hosts. The
+/// last host is from another zone if there is one, for callers whose zone
+/// fails.
 std::vector<Address> orderHosts(std::span<const CallerHost> Hosts,
                                 const ZoneId &Nearest, std::string_view Key,
                                 std::size_t MaxCount);
--- a/src/plugins/resolve/ResolvePlugin.cpp
+++ b/src/plugins/resolve/ResolvePlugin.cpp
@@ -29,22 +29,22 @@
 void ResolvePlugin::answer(const ResolveRequest &Query, Actions &Out) const {
   const std::vector<CallerHost> Ready = this->readyHosts();
   const std::vector<HostId> TeamMembers = this->hostsOfTeam(Query.Team);
-  std::vector<CallerHost> Offered;
+  std::vector<CallerHost> Candidates;
   for (const CallerHost &Candidate : Ready)
     if (TeamMembers.empty() ||
         std::ranges::count(TeamMembers, Candidate.Host) != 0)
-      Offered.push_back(Candidate);
-  // Better a host that is not the team's than none.
-  if (Offered.empty())
-    Offered = Ready;
+      Candidates.push_back(Candidate);
+  // A host that is not assigned to the team is better than none.
+  if (Candidates.empty())
+    Candidates = Ready;
   const ZoneId &Nearest =
       Query.Zone.Value.empty() ? this->Self.Zone : Query.Zone;
   const std::string Key =
       Query.Team.Value + "/" + std::to_string(Query.Id.Value);
   Out.add(AnswerResolve{Query.Id,
-                        orderHosts(Offered, Nearest, Key, this->MaxHosts),
+                        orderHosts(Candidates, Nearest, Key, this->MaxHosts),
                         this->TimeToLive});
-  Out.count("resolves_answered", Offered.empty() ? "empty" : "named");
+  Out.count("resolves_answered", Candidates.empty() ? "empty" : "named");
 }
 
 std::vector<CallerHost> ResolvePlugin::readyHosts() const {
@@ -62,7 +62,8 @@
   const TeamEntry *Limits = this->Catalogue->catalogue().team(Team);
   if (!Limits)
     return {};
-  // All that stay, ready or not: the limits are split over the same set.
+  // All hosts that are not leaving, ready or not: the team's limits are split
+  // over the same set.
   std::vector<TeamHostCandidate> Remaining;
   if (!this->Drain->isLeaving())
     Remaining.push_back({this->Self.Host, this->Self.Zone});
--- a/src/plugins/resolve/ResolvePlugin.h
+++ b/src/plugins/resolve/ResolvePlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that tells callers which entry hosts to use.
+/// The plug-in that answers which entry hosts callers should use.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -7,8 +7,8 @@
 
 namespace banyanpick {
 
-/// Answers with ready hosts that stay, the nearest zone first; a team with
-/// limits is kept to its own few hosts.
+/// Answers with hosts that are ready and not leaving, the nearest zone first. A
+/// team with limits gets only the few hosts assigned to it.
 class ResolvePlugin : public Plugin {
 public:
   void initialize(PluginContext &Context) override;
--- a/tests/auto/resolve/ResolveTest.cpp
+++ b/tests/auto/resolve/ResolveTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which entry hosts callers are told.
+/// Checks which entry hosts callers get, and in which order.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -40,10 +40,10 @@
   }
   std::vector<std::string> ask(const std::string &Zone,
                                const std::string &Team = "",
-                               std::uint64_t Question = 1) {
+                               std::uint64_t QueryId = 1) {
     Actions Out;
     this->Bench.Tested.handle(
-        ResolveRequest{ResolveRequestId(Question), TeamId(Team), ZoneId(Zone)},
+        ResolveRequest{ResolveRequestId(QueryId), TeamId(Team), ZoneId(Zone)},
         Time(seconds(1)), Out);
     std::vector<std::string> Result;
     for (const Action &Output : Out.items())
@@ -57,7 +57,7 @@
   PluginBench<ResolvePlugin> Bench;
 };
 
-TEST(ResolveTest, NearestZoneFirstAndOneOfAnotherLast) {
+TEST(ResolveTest, NearestZoneFirstAndAnotherZoneLast) {
   ResolveBench Resolver;
   const auto Answer = Resolver.ask("z");
   ASSERT_EQ(Answer.size(), 3u);
@@ -67,58 +67,58 @@
   EXPECT_GE(Resolver.ask("y")[0], "10.0.0.3");
 }
 
-TEST(ResolveTest, LeavingSuspectedAndUnreadyHostsAreNotNamed) {
+TEST(ResolveTest, LeavingSuspectAndUnreadyHostsAreOmitted) {
   ResolveBench Resolver;
   Resolver.Drain.Leaving = true;
   Resolver.Bench.Members.setState(HostId("h1"), MemberState::Suspect);
   Resolver.Bench.Members.setState(HostId("h2"), MemberState::Leaving);
   Resolver.Bench.Members.at(2).Ready = false;
-  auto Named = Resolver.ask("z");
-  std::ranges::sort(Named);
-  EXPECT_EQ(Named, (std::vector<std::string>{"10.0.0.4", "10.0.0.5"}));
+  auto Listed = Resolver.ask("z");
+  std::ranges::sort(Listed);
+  EXPECT_EQ(Listed, (std::vector<std::string>{"10.0.0.4", "10.0.0.5"}));
 }
 
-TEST(ResolveTest, TeamWithLimitsKeepsToItsOwnHosts) {
+TEST(ResolveTest, TeamWithLimitsGetsOnlyItsOwnHosts) {
   ResolveBench Resolver;
   TeamEntry Limits;
   Limits.RequestsPerMinute = 10;
   Resolver.Bench.Entries.add(TeamId("house"), Limits);
-  std::set<std::string> Named;
-  for (std::uint64_t Question = 0; Question < 50; ++Question)
-    for (const std::string &Ip : Resolver.ask("z", "house", Question))
-      Named.insert(Ip);
-  EXPECT_EQ(Named.size(), MinTeamHosts);
+  std::set<std::string> Listed;
+  for (std::uint64_t QueryId = 0; QueryId < 50; ++QueryId)
+    for (const std::string &Ip : Resolver.ask("z", "house", QueryId))
+      Listed.insert(Ip);
+  EXPECT_EQ(Listed.size(), MinTeamHosts);
 }
 
-TEST(ResolveTest, CallersSpreadOverTheHostsOfTheZone) {
+TEST(ResolveTest, CallersAreSpreadOverTheHostsOfTheZone) {
   ResolveBench Resolver;
   std::map<std::string, int> First;
-  for (std::uint64_t Question = 0; Question < 300; ++Question)
-    ++First[Resolver.ask("z", "", Question)[0]];
+  for (std::uint64_t QueryId = 0; QueryId < 300; ++QueryId)
+    ++First[Resolver.ask("z", "", QueryId)[0]];
   EXPECT_EQ(First.size(), 3u);
   for (const auto &[Host, Count] : First)
     EXPECT_GT(Count, 60) << Host;
 }
 
-RC_GTEST_PROP(HostOrderTest, NamesAtMostTheWantedNearestFirst, ()) {
+RC_GTEST_PROP(HostOrderTest, ReturnsAtMostMaxCountNearestFirst, ()) {
   std::vector<CallerHost> Hosts;
   const int Count = *rc::gen::inRange(0, 20);
   Hosts.reserve(static_cast<std::size_t>(Count));
   for (int Index = 0; Index < Count; ++Index)
     Hosts.push_back(host(Index, *rc::gen::element<std::string>("z", "y")));
   const auto MaxCount = *rc::gen::inRange<std::size_t>(1, 6);
-  const auto Named = orderHosts(Hosts, ZoneId("z"), "key", MaxCount);
-  RC_ASSERT(Named.size() == std::min(Hosts.size(), MaxCount));
+  const auto Listed = orderHosts(Hosts, ZoneId("z"), "key", MaxCount);
+  RC_ASSERT(Listed.size() == std::min(Hosts.size(), MaxCount));
   const auto NearestCount =
       std::ranges::count(Hosts, ZoneId("z"), &CallerHost::Zone);
   const auto IsNear = [&](const Address &Callers) {
     return std::ranges::find(Hosts, Callers, &CallerHost::Callers)->Zone ==
            ZoneId("z");
   };
-  if (!Named.empty() && NearestCount > 0)
-    RC_ASSERT(IsNear(Named.front()));
-  if (Named.size() > 1 && NearestCount < Count)
-    RC_ASSERT(!IsNear(Named.back()));
+  if (!Listed.empty() && NearestCount > 0)
+    RC_ASSERT(IsNear(Listed.front()));
+  if (Listed.size() > 1 && NearestCount < Count)
+    RC_ASSERT(!IsNear(Listed.back()));
 }
 
 } // namespace
