--- a/tests/auto/manyhosts/EngineLimitsTest.cpp
+++ b/tests/auto/manyhosts/EngineLimitsTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Engines that name how many requests they take, before many hosts: together
 /// they keep to it, whoever dies, joins, stands still or is cut off.
-#include "auto/manyhosts/CrowdLoad.h"
+#include "auto/manyhosts/SimulationLoad.h"
 
 #include "base/Random.h"
 
@@ -27,10 +27,10 @@
 /// The most arrivals within one window, of those from \p From on that come from
 /// hosts which \p Counts.
 template <class Predicate>
-std::size_t mostWithin(std::span<const HostCrowd::Arrival> Arrivals, Time From,
-                       Predicate Counts) {
+std::size_t mostWithin(std::span<const HostSimulation::Arrival> Arrivals,
+                       Time From, Predicate Counts) {
   std::vector<Time> Times;
-  for (const HostCrowd::Arrival &Each : Arrivals)
+  for (const HostSimulation::Arrival &Each : Arrivals)
     if (Each.At >= From && Counts(Each.From))
       Times.push_back(Each.At);
   std::size_t Most = 0;
@@ -42,7 +42,7 @@
   return Most;
 }
 
-std::size_t mostWithin(std::span<const HostCrowd::Arrival> Arrivals,
+std::size_t mostWithin(std::span<const HostSimulation::Arrival> Arrivals,
                        Time From) {
   return mostWithin(Arrivals, From, [](std::size_t) { return true; });
 }
@@ -59,16 +59,16 @@
 TEST_P(EngineLimitsAtSize, AreKeptByAllTogetherAndUsed) {
   const Sizes Of = GetParam();
   constexpr double PerSecond = 1.6;
-  HostCrowd Crowd(Of.Hosts, Of.Engines);
+  HostSimulation Crowd(Of.Hosts, Of.Engines);
   Crowd.publish(1);
   Crowd.run(seconds(25));
-  offer(Crowd, seconds(3), Of.Between);
+  offerLoad(Crowd, seconds(3), Of.Between);
   // The first engines are those that short prompts are gathered on.
   Crowd.setLimit(0, PerSecond);
   Crowd.setLimit(1, PerSecond);
   const Time Named = Crowd.now();
   Crowd.takeTally();
-  offer(Crowd, seconds(20), Of.Between);
+  offerLoad(Crowd, seconds(20), Of.Between);
   const Time Heeded = Named + HeededAfter;
   for (const std::size_t Engine : {0, 1}) {
     EXPECT_LE(static_cast<double>(mostWithin(Crowd.arrivals(Engine), Heeded)),
@@ -78,13 +78,13 @@
     EXPECT_LE(static_cast<double>(mostWithin(Crowd.arrivals(Engine), Heard)),
               mostAllowed(PerSecond));
     const auto Used =
-        static_cast<double>(countFrom(Crowd.arrivals(Engine), Heeded));
+        static_cast<double>(countSince(Crowd.arrivals(Engine), Heeded));
     EXPECT_GE(Used,
               PerSecond * inSeconds(seconds(20) - HeededAfter) * Of.LeastUse);
   }
-  const HostCrowd::Tally Tally = Crowd.takeTally();
-  EXPECT_EQ(lostOf(Tally), 0U) << "other engines have room for all";
-  EXPECT_EQ(Tally.SentBack, 0U);
+  const HostSimulation::Tally Tally = Crowd.takeTally();
+  EXPECT_EQ(lostRequests(Tally), 0U) << "other engines have room for all";
+  EXPECT_EQ(Tally.RetryLaterAnswers, 0U);
   // What a host says does not grow with the hosts.
   constexpr double MostEachSecond = 12;
   const auto Said = Tally.Messages.find("limits");
@@ -103,15 +103,15 @@
     [](const auto &Of) { return "Hosts" + std::to_string(Of.param.Hosts); });
 
 /// Seven hosts of which one engine's limit is known.
-struct Limited : HostCrowd {
+struct Limited : HostSimulation {
   static constexpr double PerSecond = 1.6;
 
-  Limited() : HostCrowd(7, 14) {
+  Limited() : HostSimulation(7, 14) {
     this->publish(1);
     this->run(seconds(15));
-    offer(*this, seconds(2), milliseconds(20));
+    offerLoad(*this, seconds(2), milliseconds(20));
     this->setLimit(0, PerSecond);
-    offer(*this, HeededAfter, milliseconds(20));
+    offerLoad(*this, HeededAfter, milliseconds(20));
   }
 };
 
@@ -120,9 +120,9 @@
   const Time From = Crowd.now();
   for (std::size_t Host = 0; Host < Crowd.size(); ++Host) {
     Crowd.kill(Host);
-    offer(Crowd, seconds(3), milliseconds(20));
-    Crowd.revive(Host);
-    offer(Crowd, seconds(3), milliseconds(20));
+    offerLoad(Crowd, seconds(3), milliseconds(20));
+    Crowd.restart(Host);
+    offerLoad(Crowd, seconds(3), milliseconds(20));
   }
   EXPECT_LE(static_cast<double>(mostWithin(Crowd.arrivals(0), From)),
             mostAllowed(Limited::PerSecond));
@@ -132,10 +132,10 @@
   Limited Crowd;
   const Time From = Crowd.now();
   for (std::size_t Host = 0; Host < Crowd.size(); ++Host) {
-    Crowd.setApart(Host, true);
-    offer(Crowd, seconds(4), milliseconds(20));
-    Crowd.setApart(Host, false);
-    offer(Crowd, seconds(4), milliseconds(20));
+    Crowd.setPartitioned(Host, true);
+    offerLoad(Crowd, seconds(4), milliseconds(20));
+    Crowd.setPartitioned(Host, false);
+    offerLoad(Crowd, seconds(4), milliseconds(20));
   }
   // Also counting what those apart send, who can't know of the others.
   EXPECT_LE(static_cast<double>(mostWithin(Crowd.arrivals(0), From)),
@@ -151,80 +151,80 @@
 TEST(EngineLimits, EndSoonAfterTheEngineNamesNoneAnyMore) {
   Limited Crowd;
   Crowd.setLimit(0, std::nullopt);
-  offer(Crowd, seconds(3), milliseconds(20));
+  offerLoad(Crowd, seconds(3), milliseconds(20));
   const Time From = Crowd.now();
-  offer(Crowd, Window, milliseconds(20));
-  EXPECT_GT(static_cast<double>(countFrom(Crowd.arrivals(0), From)),
+  offerLoad(Crowd, Window, milliseconds(20));
+  EXPECT_GT(static_cast<double>(countSince(Crowd.arrivals(0), From)),
             mostAllowed(Limited::PerSecond));
 }
 
 TEST(EngineLimits, EndAlsoForAHostThatWasApartMeanwhile) {
   Limited Crowd;
   constexpr std::size_t Apart = 3;
-  Crowd.setApart(Apart, true);
+  Crowd.setPartitioned(Apart, true);
   Crowd.setLimit(0, std::nullopt);
   // Too short for the others to take it for dead.
-  offer(Crowd, milliseconds(600), milliseconds(20));
-  Crowd.setApart(Apart, false);
-  offer(Crowd, seconds(2), milliseconds(20));
+  offerLoad(Crowd, milliseconds(600), milliseconds(20));
+  Crowd.setPartitioned(Apart, false);
+  offerLoad(Crowd, seconds(2), milliseconds(20));
   const Time From = Crowd.now();
   for (int Each = 0; Each < 100; ++Each) {
-    Crowd.arrive(Apart, milliseconds(300));
+    Crowd.sendRequest(Apart, milliseconds(300));
     Crowd.run(milliseconds(20));
   }
-  EXPECT_GT(countFrom(Crowd.arrivals(0), From), 10U);
+  EXPECT_GT(countSince(Crowd.arrivals(0), From), 10U);
 }
 
 TEST(EngineLimits, OfNothingLeaveARequestNowAndThenWhichShowsTheirEnd) {
   Limited Crowd;
   Crowd.setLimit(0, 0);
-  offer(Crowd, HeededAfter, milliseconds(20));
+  offerLoad(Crowd, HeededAfter, milliseconds(20));
   const Time From = Crowd.now();
-  offer(Crowd, seconds(20), milliseconds(20));
+  offerLoad(Crowd, seconds(20), milliseconds(20));
   EXPECT_LE(mostWithin(Crowd.arrivals(0), From), 5U);
-  EXPECT_GE(countFrom(Crowd.arrivals(0), From), 2U);
+  EXPECT_GE(countSince(Crowd.arrivals(0), From), 2U);
   Crowd.setLimit(0, std::nullopt);
-  offer(Crowd, seconds(6), milliseconds(20));
+  offerLoad(Crowd, seconds(6), milliseconds(20));
   const Time Ended = Crowd.now();
-  offer(Crowd, Window, milliseconds(20));
-  EXPECT_GT(countFrom(Crowd.arrivals(0), Ended), 10U);
+  offerLoad(Crowd, Window, milliseconds(20));
+  EXPECT_GT(countSince(Crowd.arrivals(0), Ended), 10U);
 }
 
 TEST(EngineLimits, ThatRiseAndFallAreFollowed) {
   Limited Crowd;
   Crowd.setLimit(0, 6);
-  offer(Crowd, HeededAfter, milliseconds(20));
+  offerLoad(Crowd, HeededAfter, milliseconds(20));
   Time From = Crowd.now();
-  offer(Crowd, seconds(8), milliseconds(20));
-  EXPECT_GE(static_cast<double>(countFrom(Crowd.arrivals(0), From)),
+  offerLoad(Crowd, seconds(8), milliseconds(20));
+  EXPECT_GE(static_cast<double>(countSince(Crowd.arrivals(0), From)),
             6 * 8 * 0.85);
   Crowd.setLimit(0, 0.5);
-  offer(Crowd, HeededAfter, milliseconds(20));
+  offerLoad(Crowd, HeededAfter, milliseconds(20));
   From = Crowd.now();
-  offer(Crowd, seconds(8), milliseconds(20));
+  offerLoad(Crowd, seconds(8), milliseconds(20));
   EXPECT_LE(static_cast<double>(mostWithin(Crowd.arrivals(0), From)),
             mostAllowed(0.5));
 }
 
 TEST(EngineLimits, OfAllEnginesSendCallersBackAtOnceAndNobodyWaitsInVain) {
-  HostCrowd Crowd(7, 14);
+  HostSimulation Crowd(7, 14);
   Crowd.publish(1);
   Crowd.run(seconds(15));
-  offer(Crowd, seconds(2), milliseconds(25));
+  offerLoad(Crowd, seconds(2), milliseconds(25));
   // 28 a second in all, of the 40 that come.
   for (std::size_t Engine = 0; Engine < 14; ++Engine)
     Crowd.setLimit(Engine, 2);
   const Time Named = Crowd.now();
-  offer(Crowd, HeededAfter, milliseconds(25));
+  offerLoad(Crowd, HeededAfter, milliseconds(25));
   Crowd.takeTally();
-  const std::size_t Asked = offer(Crowd, seconds(15), milliseconds(25));
+  const std::size_t Asked = offerLoad(Crowd, seconds(15), milliseconds(25));
   for (std::size_t Engine = 0; Engine < 14; ++Engine)
     EXPECT_LE(static_cast<double>(
                   mostWithin(Crowd.arrivals(Engine), Named + HeededAfter)),
               mostAllowed(2))
         << Engine;
-  const HostCrowd::Tally Tally = Crowd.takeTally();
-  EXPECT_GT(Tally.SentBack, 0U);
+  const HostSimulation::Tally Tally = Crowd.takeTally();
+  EXPECT_GT(Tally.RetryLaterAnswers, 0U);
   // 28 of 40 can be served, and hardly any place is left unused.
   EXPECT_GE(static_cast<double>(Tally.InTime + Tally.Late),
             static_cast<double>(Asked) * 0.7 * 0.85);
@@ -244,10 +244,10 @@
     this->Crowd.run(seconds(15));
     this->name(0);
     const Time Named = this->Crowd.now();
-    offer(this->Crowd, HeededAfter, milliseconds(25));
+    offerLoad(this->Crowd, HeededAfter, milliseconds(25));
     for (int Second = 0; Second < 20; ++Second) {
       this->disturb();
-      offer(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
+      offerLoad(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
     }
     // A restart, freeze or cut of a host excuses that host.
     EXPECT_LE(static_cast<double>(mostWithin(
@@ -275,11 +275,11 @@
       this->Crowd.kill(Host);
       break;
     case 1:
-      if (this->Crowd.lives(Host))
+      if (this->Crowd.isRunning(Host))
         this->Crowd.pause(Host, milliseconds(200 + this->below(3000)));
       break;
     case 2:
-      this->Crowd.setApart(Host, true);
+      this->Crowd.setPartitioned(Host, true);
       break;
     case 3:
       this->name(1 + this->below(5));
@@ -288,14 +288,14 @@
       this->name(0);
       return;
     default:
-      mendAll(this->Crowd);
+      restoreAll(this->Crowd);
       return;
     }
     this->Disturbed[Host] = true;
   }
 
   Random Numbers;
-  HostCrowd Crowd;
+  HostSimulation Crowd;
   std::vector<bool> Disturbed;
   double Highest = 0; ///< Limit of engine 0 so far.
 };
--- a/tests/auto/manyhosts/EngineSignalsTest.cpp
+++ b/tests/auto/manyhosts/EngineSignalsTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Engines that say in their answers that they leave, and engines that do all
 /// of it in random runs, before many hosts.
-#include "auto/manyhosts/CrowdLoad.h"
+#include "auto/manyhosts/SimulationLoad.h"
 
 #include "base/Random.h"
 
@@ -22,26 +22,26 @@
 /// engines begin within 120 ms.
 constexpr milliseconds AnsweredWithin(125);
 
-class EngineLeavingAtSize : public testing::TestWithParam<CrowdSizes> {};
+class EngineLeavingAtSize : public testing::TestWithParam<SimulationSize> {};
 
 /// Guards against requests that begin on an engine after it has said that it
 /// leaves, though its registration says otherwise again and again.
 TEST_P(EngineLeavingAtSize, GetsNothingNewFromAnyHost) {
-  const CrowdSizes Of = GetParam();
-  HostCrowd Crowd(Of.Hosts, Of.Engines);
+  const SimulationSize Of = GetParam();
+  HostSimulation Crowd(Of.Hosts, Of.Engines);
   Crowd.publish(1);
   Crowd.run(seconds(25));
-  offer(Crowd, seconds(3), Of.Between);
-  Crowd.setSaysLeaving(0);
+  offerLoad(Crowd, seconds(3), Of.RequestInterval);
+  Crowd.setSignalsLeaving(0);
   Crowd.takeTally();
   const Time From = Crowd.now();
-  offer(Crowd, seconds(6), Of.Between);
+  offerLoad(Crowd, seconds(6), Of.RequestInterval);
   const auto &Arrivals = Crowd.arrivals(0);
   ASSERT_FALSE(Arrivals.empty());
   const Time Known = From + AnsweredWithin + ToldWithin;
-  EXPECT_EQ(countFrom(Arrivals, Known), 0U);
-  const HostCrowd::Tally Tally = Crowd.takeTally();
-  EXPECT_EQ(lostOf(Tally), 0U) << "other engines have room for all";
+  EXPECT_EQ(countSince(Arrivals, Known), 0U);
+  const HostSimulation::Tally Tally = Crowd.takeTally();
+  EXPECT_EQ(lostRequests(Tally), 0U) << "other engines have room for all";
   // Each host that heard it tells the hosts that decide, once.
   const auto Said = Tally.Messages.find("signals");
   ASSERT_NE(Said, Tally.Messages.end());
@@ -50,8 +50,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All, EngineLeavingAtSize,
-                         testing::ValuesIn(UsualSizes),
-                         [](const auto &Of) { return nameOfSize(Of); });
+                         testing::ValuesIn(StandardSizes),
+                         [](const auto &Of) { return sizeName(Of); });
 
 /// Engines that shed, limit, leave and serve again, and hosts that die, stand
 /// still and are cut off, by turns and together.
@@ -63,12 +63,12 @@
   void run() {
     this->Crowd.publish(1);
     this->Crowd.run(seconds(15));
-    offer(this->Crowd, seconds(2), milliseconds(25));
+    offerLoad(this->Crowd, seconds(2), milliseconds(25));
     constexpr int Seconds = 20;
     for (int Second = 0; Second < Seconds; ++Second) {
       this->change();
       this->disturb();
-      offer(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
+      offerLoad(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
     }
     for (std::size_t Engine = 0; Engine < this->engines(); ++Engine)
       this->judge(Engine);
@@ -100,7 +100,7 @@
     default:
       // Some stay, so that there is something left to choose.
       if (Engine % 3 == 0)
-        this->Crowd.setSaysLeaving(Engine);
+        this->Crowd.setSignalsLeaving(Engine);
       return;
     }
   }
@@ -112,14 +112,14 @@
       this->Crowd.kill(Host);
       break;
     case 1:
-      if (this->Crowd.lives(Host))
+      if (this->Crowd.isRunning(Host))
         this->Crowd.pause(Host, milliseconds(200 + this->below(3000)));
       break;
     case 2:
-      this->Crowd.setApart(Host, true);
+      this->Crowd.setPartitioned(Host, true);
       break;
     case 3:
-      mendAll(this->Crowd);
+      restoreAll(this->Crowd);
       return;
     default:
       return;
@@ -151,14 +151,14 @@
             << Asked->BackoffRequested.count() << ", sent at "
             << Each->At.time_since_epoch().count();
         const bool AfterWord =
-            Asked->SaidLeaving && Each->At > Asked->AnsweredAt;
+            Asked->SignalledLeaving && Each->At > Asked->AnsweredAt;
         EXPECT_FALSE(AfterWord)
             << "engine " << Engine << " host " << Each->From << " leaving";
       }
   }
 
   Random Numbers;
-  HostCrowd Crowd;
+  HostSimulation Crowd;
   std::map<std::size_t, std::vector<Time>> Disturbed;
 };
 
--- a/tests/auto/manyhosts/LargeConfigurationTest.cpp
+++ b/tests/auto/manyhosts/LargeConfigurationTest.cpp
@@ -3,7 +3,7 @@
 /// delays heartbeats so that healthy hosts are suspected. This happens with a
 /// configuration of the largest allowed size that most hosts can only get from
 /// each other, over limited links, during a burst of requests.
-#include "auto/manyhosts/CrowdLoad.h"
+#include "auto/manyhosts/SimulationLoad.h"
 
 #include "base/Random.h"
 
@@ -27,10 +27,10 @@
 
 /// Gives every host the smallest link, 20 Mbit/s, and every third host an
 /// eighth of a core.
-void setCapacities(HostCrowd &Simulated) {
+void setCapacities(HostSimulation &Simulated) {
   constexpr double SmallestLink = 2.5e6;
   for (std::size_t Host = 0; Host < Simulated.size(); ++Host)
-    Simulated.setMeans(Host, {Host % 3 == 0 ? 0.12 : 0.5, SmallestLink});
+    Simulated.setResources(Host, {Host % 3 == 0 ? 0.12 : 0.5, SmallestLink});
 }
 
 struct Scenario {
@@ -44,36 +44,37 @@
   constexpr milliseconds RequestInterval(8);
   const std::size_t Hosts = Sizes.Hosts;
   Random RandomSource(Seed);
-  HostCrowd Simulated(Hosts, Sizes.Engines);
+  HostSimulation Simulated(Hosts, Sizes.Engines);
   Simulated.publish(1);
   Simulated.run(seconds(20));
   setCapacities(Simulated);
-  offer(Simulated, seconds(2), RequestInterval);
+  offerLoad(Simulated, seconds(2), RequestInterval);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
     if (RandomSource.below(3) == 0)
-      Simulated.turnAway(Host);
+      Simulated.refuseStoreReads(Host);
   Simulated.setDocumentSize(Sizes.DocumentBytes * (1 + RandomSource.below(2)) /
                             2);
   // Publishes some versions in quick succession. The last one revokes a key.
   std::uint64_t Version = 1;
   for (std::size_t Count = 1 + RandomSource.below(3); Count > 0; --Count) {
     Simulated.publish(++Version);
-    offer(Simulated, milliseconds(400 + RandomSource.below(800)),
-          RequestInterval / 2);
+    offerLoad(Simulated, milliseconds(400 + RandomSource.below(800)),
+              RequestInterval / 2);
   }
   Simulated.publish(++Version);
-  offer(Simulated, InForceWithin, RequestInterval / 2);
+  offerLoad(Simulated, InForceWithin, RequestInterval / 2);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
     EXPECT_EQ(Simulated.versionAt(Host), Version) << "host " << Host;
-  offer(Simulated, SettledWithin, RequestInterval);
+  offerLoad(Simulated, SettledWithin, RequestInterval);
   std::size_t Suspicions = 0;
   for (int Check = 0; Check < 20; ++Check) {
-    offer(Simulated, milliseconds(100), RequestInterval);
-    Suspicions += Simulated.doubts();
+    offerLoad(Simulated, milliseconds(100), RequestInterval);
+    Suspicions += Simulated.falseSuspicions();
   }
   EXPECT_EQ(Suspicions, 0U);
   for (std::size_t Host = 0; Host < Hosts; ++Host)
-    EXPECT_LE(Simulated.mostHeld(Host), MaxHeldBytes) << "host " << Host;
+    EXPECT_LE(Simulated.peakBufferedBytes(Host), MaxHeldBytes)
+        << "host " << Host;
 }
 
 TEST(SmallConfiguration, ReachesAllHostsWithoutSuspicions) {
--- a/tests/auto/manyhosts/ManyHostsTest.cpp
+++ b/tests/auto/manyhosts/ManyHostsTest.cpp
@@ -2,155 +2,161 @@
 /// What a host says, reads and knows among hundreds: bounded by its own work,
 /// not by their number. Bounds come from what a host may spend at the size that
 /// the product aims at (docs/CAPACITY.md).
-#include "auto/manyhosts/HostCrowd.h"
+#include "auto/manyhosts/HostSimulation.h"
 
 #include <gtest/gtest.h>
 
 namespace banyanpick {
 namespace {
 
-constexpr std::size_t Many = 300;
-constexpr std::size_t Fewer = 100;
+constexpr std::size_t LargeSize = 300;
+constexpr std::size_t SmallSize = 100;
 constexpr std::size_t EngineCount = 112;
 
 /// Control may send 10 KB a second at a host; a heartbeat has some 400 bytes.
-constexpr double MostMessagesEach = 25;
+constexpr double MaxMessagesPerHost = 25;
 
 /// Calls to the store by all hosts together, on a calm day.
-constexpr double MostStoreReads = 20;
+constexpr double MaxStoreReadsPerSecond = 20;
 
 /// A host among many keeps connections to few others.
-constexpr double MostLinksEach = 40;
+constexpr double MaxLinksPerHost = 40;
 
-double each(std::uint64_t Count, std::size_t Hosts, Duration Span) {
+double perHostAndSecond(std::uint64_t Count, std::size_t Hosts, Duration Span) {
   return static_cast<double>(Count) / static_cast<double>(Hosts) /
          inSeconds(Span);
 }
 
 /// Hosts that have started together and settled.
-struct Settled : HostCrowd {
-  explicit Settled(std::size_t Hosts) : HostCrowd(Hosts, EngineCount) {
+struct SettledHosts : HostSimulation {
+  explicit SettledHosts(std::size_t Hosts)
+      : HostSimulation(Hosts, EngineCount) {
     this->publish(1);
     this->run(seconds(25));
     this->takeTally();
   }
 };
 
-HostCrowd::Tally tallyOfCalm(std::size_t Hosts, Duration Span) {
-  Settled Crowd(Hosts);
-  Crowd.run(Span);
-  return Crowd.takeTally();
+HostSimulation::Tally tallyWithoutLoad(std::size_t Hosts, Duration Span) {
+  SettledHosts Simulation(Hosts);
+  Simulation.run(Span);
+  return Simulation.takeTally();
 }
 
 TEST(ManyHosts, WhatACalmHostSaysDoesNotGrowWithTheHosts) {
   constexpr seconds Span(10);
-  const auto Small = tallyOfCalm(Fewer, Span);
-  const auto Large = tallyOfCalm(Many, Span);
-  EXPECT_LE(each(Large.messages(), Many, Span), MostMessagesEach);
-  EXPECT_LE(each(Large.messages(), Many, Span),
-            each(Small.messages(), Fewer, Span) * 1.2);
-  EXPECT_LE(each(Large.Links, Many, seconds(1)), MostLinksEach);
+  const auto Small = tallyWithoutLoad(SmallSize, Span);
+  const auto Large = tallyWithoutLoad(LargeSize, Span);
+  EXPECT_LE(perHostAndSecond(Large.messages(), LargeSize, Span),
+            MaxMessagesPerHost);
+  EXPECT_LE(perHostAndSecond(Large.messages(), LargeSize, Span),
+            perHostAndSecond(Small.messages(), SmallSize, Span) * 1.2);
+  EXPECT_LE(perHostAndSecond(Large.Links, LargeSize, seconds(1)),
+            MaxLinksPerHost);
   EXPECT_LE(static_cast<double>(Large.StoreReads + Large.ListReads),
-            MostStoreReads * inSeconds(Span));
+            MaxStoreReadsPerSecond * inSeconds(Span));
 }
 
 TEST(ManyHosts, RenewedRegistrationsAreNoNews) {
-  const auto Calm = tallyOfCalm(Fewer, seconds(10));
-  EXPECT_EQ(Calm.Messages.count("engines asked"), 0U);
-  EXPECT_EQ(Calm.Messages.count("engines"), 0U);
+  const auto Tally = tallyWithoutLoad(SmallSize, seconds(10));
+  EXPECT_EQ(Tally.Messages.count("engines asked"), 0U);
+  EXPECT_EQ(Tally.Messages.count("engines"), 0U);
 }
 
 TEST(ManyHosts, StartedTogetherAllNameTheSameHostsBeforeCallersCome) {
-  HostCrowd Crowd(Many, EngineCount);
-  Crowd.publish(1);
+  HostSimulation Simulation(LargeSize, EngineCount);
+  Simulation.publish(1);
   // Callers come after fourteen seconds.
-  Crowd.run(seconds(13));
-  const auto Named = Crowd.named(0);
-  EXPECT_GE(Named.size(), 16U);
-  for (std::size_t At = 0; At < Many; ++At) {
-    EXPECT_EQ(Crowd.versionAt(At), 1U) << At;
-    EXPECT_EQ(Crowd.named(At), Named) << At;
+  Simulation.run(seconds(13));
+  const auto Resolved = Simulation.resolvedHosts(0);
+  EXPECT_GE(Resolved.size(), 16U);
+  for (std::size_t Host = 0; Host < LargeSize; ++Host) {
+    EXPECT_EQ(Simulation.versionAt(Host), 1U) << Host;
+    EXPECT_EQ(Simulation.resolvedHosts(Host), Resolved) << Host;
   }
-  EXPECT_LE(Crowd.takeTally().StoreReads, Many * 8);
+  EXPECT_LE(Simulation.takeTally().StoreReads, LargeSize * 8);
 }
 
 TEST(ManyHosts, NewsIsEverywhereWithinTwoSeconds) {
-  Settled Crowd(Many);
-  Crowd.publish(2);
-  Crowd.drain(17);
-  Crowd.run(seconds(2));
-  for (std::size_t At = 0; At < Many; ++At) {
-    EXPECT_EQ(Crowd.versionAt(At), 2U) << At;
-    EXPECT_TRUE(Crowd.knowsLeaving(At, 17)) << At;
+  SettledHosts Simulation(LargeSize);
+  Simulation.publish(2);
+  Simulation.drain(17);
+  Simulation.run(seconds(2));
+  for (std::size_t Host = 0; Host < LargeSize; ++Host) {
+    EXPECT_EQ(Simulation.versionAt(Host), 2U) << Host;
+    EXPECT_TRUE(Simulation.knowsLeaving(Host, 17)) << Host;
   }
   // A host tells it to few others, and nobody asks for what did not change.
-  EXPECT_LE(Crowd.takeTally().Messages["engines"], Many * 6);
+  EXPECT_LE(Simulation.takeTally().Messages["engines"], LargeSize * 6);
 }
 
 TEST(ManyHosts, NewsComesInTimeWhenTheStoreTurnsAllReadersAway) {
-  Settled Crowd(Fewer);
-  for (std::size_t At = 0; At < Fewer; ++At)
-    if (Crowd.readsStore(At))
-      Crowd.turnAway(At);
-  Crowd.publish(2);
+  SettledHosts Simulation(SmallSize);
+  for (std::size_t Host = 0; Host < SmallSize; ++Host)
+    if (Simulation.isStoreReader(Host))
+      Simulation.refuseStoreReads(Host);
+  Simulation.publish(2);
   // The aim: changes are in force within three seconds.
-  Crowd.run(seconds(3));
-  for (std::size_t At = 0; At < Fewer; ++At)
-    EXPECT_EQ(Crowd.versionAt(At), 2U) << At;
+  Simulation.run(seconds(3));
+  for (std::size_t Host = 0; Host < SmallSize; ++Host)
+    EXPECT_EQ(Simulation.versionAt(Host), 2U) << Host;
 }
 
 TEST(ManyHosts, FewHostsTakeTheCallersAndAllNameTheSame) {
-  Settled Crowd(Fewer);
-  const auto Named = Crowd.named(0);
-  EXPECT_GE(Named.size(), 16U);
-  EXPECT_LE(Named.size(), 40U);
+  SettledHosts Simulation(SmallSize);
+  const auto Resolved = Simulation.resolvedHosts(0);
+  EXPECT_GE(Resolved.size(), 16U);
+  EXPECT_LE(Resolved.size(), 40U);
   std::set<std::size_t> Zones;
-  for (const std::size_t Each : Named)
-    Zones.insert(Each % HostCrowd::Zones);
-  EXPECT_EQ(Zones.size(), HostCrowd::Zones) << "no zone's loss takes all";
-  for (std::size_t By = 1; By < Fewer; By += 13)
-    EXPECT_EQ(Crowd.named(By), Named) << By;
+  for (const std::size_t Host : Resolved)
+    Zones.insert(Host % HostSimulation::Zones);
+  EXPECT_EQ(Zones.size(), HostSimulation::Zones) << "no zone's loss takes all";
+  for (std::size_t Host = 1; Host < SmallSize; Host += 13)
+    EXPECT_EQ(Simulation.resolvedHosts(Host), Resolved) << Host;
 }
 
 TEST(ManyHosts, HalfOfAllLostAtOnceAreReplacedWithinFiveSeconds) {
-  Settled Crowd(Fewer);
-  for (std::size_t At = 0; At < Fewer; At += 2)
-    Crowd.kill(At);
-  Crowd.run(seconds(5));
-  for (std::size_t By = 1; By < Fewer; By += 14) {
-    const auto Named = Crowd.named(By);
-    EXPECT_GE(Named.size(), 8U) << By;
-    const auto Dead = std::ranges::count_if(
-        Named, [&](std::size_t Each) { return !Crowd.lives(Each); });
-    EXPECT_LE(Dead * 4, static_cast<std::ptrdiff_t>(Named.size())) << By;
+  SettledHosts Simulation(SmallSize);
+  for (std::size_t Host = 0; Host < SmallSize; Host += 2)
+    Simulation.kill(Host);
+  Simulation.run(seconds(5));
+  for (std::size_t Host = 1; Host < SmallSize; Host += 14) {
+    const auto Resolved = Simulation.resolvedHosts(Host);
+    EXPECT_GE(Resolved.size(), 8U) << Host;
+    const auto Dead =
+        std::ranges::count_if(Resolved, [&](std::size_t Candidate) {
+          return !Simulation.isRunning(Candidate);
+        });
+    EXPECT_LE(Dead * 4, static_cast<std::ptrdiff_t>(Resolved.size())) << Host;
   }
 }
 
 TEST(ManyHosts, ALostZoneIsReplacedAndReturns) {
-  Settled Crowd(Fewer);
-  const auto Before = Crowd.named(1);
-  for (std::size_t At = 0; At < Fewer; At += HostCrowd::Zones)
-    Crowd.kill(At);
-  Crowd.run(seconds(6));
-  for (const std::size_t Each : Crowd.named(1))
-    EXPECT_NE(Each % HostCrowd::Zones, 0U) << Each;
-  for (std::size_t At = 0; At < Fewer; At += HostCrowd::Zones)
-    Crowd.revive(At);
-  Crowd.run(seconds(12));
-  EXPECT_EQ(Crowd.named(1), Before);
+  SettledHosts Simulation(SmallSize);
+  const auto Before = Simulation.resolvedHosts(1);
+  for (std::size_t Host = 0; Host < SmallSize; Host += HostSimulation::Zones)
+    Simulation.kill(Host);
+  Simulation.run(seconds(6));
+  for (const std::size_t Host : Simulation.resolvedHosts(1))
+    EXPECT_NE(Host % HostSimulation::Zones, 0U) << Host;
+  for (std::size_t Host = 0; Host < SmallSize; Host += HostSimulation::Zones)
+    Simulation.restart(Host);
+  Simulation.run(seconds(12));
+  EXPECT_EQ(Simulation.resolvedHosts(1), Before);
 }
 
 TEST(ManyHosts, ActiveHostsSpreadShortPromptsOverTheEngines) {
-  Settled Crowd(Fewer);
-  const auto Active = Crowd.named(0);
+  SettledHosts Simulation(SmallSize);
+  const auto Active = Simulation.resolvedHosts(0);
   // 150 a second for answers of some three seconds: 450 of 1,120 places.
   constexpr int Arrivals = 1500;
-  for (int Each = 0; Each < Arrivals; ++Each) {
-    Crowd.arrive(Active[static_cast<std::size_t>(Each) % Active.size()],
-                 milliseconds(2000 + Each % 17 * 125));
-    Crowd.run(Duration(6667));
+  for (int Index = 0; Index < Arrivals; ++Index) {
+    Simulation.sendRequest(
+        Active[static_cast<std::size_t>(Index) % Active.size()],
+        milliseconds(2000 + Index % 17 * 125));
+    Simulation.run(Duration(6667));
   }
-  const auto Tally = Crowd.takeTally();
+  const auto Tally = Simulation.takeTally();
   std::size_t Most = 0;
   std::size_t Sum = 0;
   for (const auto &[Engine, Count] : Tally.Sent) {
@@ -167,19 +173,22 @@
 }
 
 /// Requests come to the active hosts in turn; those of \p Skipped get none.
-std::size_t offer(HostCrowd &Crowd, int Count, Duration Between,
-                  const std::set<std::size_t> &Skipped = {}) {
-  std::vector<std::size_t> Active = Crowd.named(1);
-  std::erase_if(Active, [&](std::size_t At) { return Skipped.contains(At); });
-  for (int Each = 0; Each < Count; ++Each) {
-    Crowd.arrive(Active[static_cast<std::size_t>(Each) % Active.size()],
-                 milliseconds(600 + Each % 17 * 50));
-    Crowd.run(Between);
+std::size_t offerLoad(HostSimulation &Simulation, int Count,
+                      Duration RequestInterval,
+                      const std::set<std::size_t> &Skipped = {}) {
+  std::vector<std::size_t> Active = Simulation.resolvedHosts(1);
+  std::erase_if(Active,
+                [&](std::size_t Host) { return Skipped.contains(Host); });
+  for (int Index = 0; Index < Count; ++Index) {
+    Simulation.sendRequest(
+        Active[static_cast<std::size_t>(Index) % Active.size()],
+        milliseconds(600 + Index % 17 * 50));
+    Simulation.run(RequestInterval);
   }
   return static_cast<std::size_t>(Count);
 }
 
-std::size_t lostOf(const HostCrowd::Tally &Tally) {
+std::size_t lostRequests(const HostSimulation::Tally &Tally) {
   std::size_t Sum = 0;
   for (const auto &[Host, Count] : Tally.Lost)
     Sum += Count;
@@ -187,110 +196,112 @@
 }
 
 TEST(ManyHosts, EnginesThatFailAtOnceLoseHardlyAnyRequest) {
-  HostCrowd Crowd(78, 69);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offer(Crowd, 1200, milliseconds(5));
-  Crowd.takeTally();
-  for (std::size_t Each = 0; Each < 8; ++Each)
-    Crowd.setFailing(Each * 8, true);
-  const std::size_t Asked = offer(Crowd, 1200, milliseconds(5));
-  for (std::size_t Each = 0; Each < 8; ++Each)
-    Crowd.setFailing(Each * 8, false);
-  Crowd.run(seconds(1));
+  HostSimulation Simulation(78, 69);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, 1200, milliseconds(5));
+  Simulation.takeTally();
+  for (std::size_t Engine = 0; Engine < 8; ++Engine)
+    Simulation.setFailing(Engine * 8, true);
+  const std::size_t RequestCount = offerLoad(Simulation, 1200, milliseconds(5));
+  for (std::size_t Engine = 0; Engine < 8; ++Engine)
+    Simulation.setFailing(Engine * 8, false);
+  Simulation.run(seconds(1));
   // The aim: no more than one in a hundred while an eighth of the engines fail.
-  EXPECT_LE(lostOf(Crowd.takeTally()) * 100, Asked);
+  EXPECT_LE(lostRequests(Simulation.takeTally()) * 100, RequestCount);
 }
 
 TEST(ManyHosts, AHostWhoseLinkFailsTurnsNobodyAwayFromGoodEngines) {
-  HostCrowd Crowd(78, 69);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  const std::size_t Cut = Crowd.named(1).front();
-  Crowd.setCut(Cut, true);
-  offer(Crowd, 1200, milliseconds(5));
-  HostCrowd::Tally Tally = Crowd.takeTally();
-  Tally.Lost.erase(Cut);
-  EXPECT_EQ(lostOf(Tally), 0U);
+  HostSimulation Simulation(78, 69);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  const std::size_t FailedHost = Simulation.resolvedHosts(1).front();
+  Simulation.setLinkFailed(FailedHost, true);
+  offerLoad(Simulation, 1200, milliseconds(5));
+  HostSimulation::Tally Tally = Simulation.takeTally();
+  Tally.Lost.erase(FailedHost);
+  EXPECT_EQ(lostRequests(Tally), 0U);
 }
 
 TEST(ManyHosts, WhenPlacesRunOutMostCallersAreInTimeAndNobodyIsLost) {
-  HostCrowd Crowd(16, 20);
-  Crowd.publish(1);
-  Crowd.run(seconds(10));
-  Crowd.takeTally();
+  HostSimulation Simulation(16, 20);
+  Simulation.publish(1);
+  Simulation.run(seconds(10));
+  Simulation.takeTally();
   // 320 places for answers of two seconds, a sixth more than they can take; for
   // as long as a burst lasts, then callers go on to come at half of it.
-  const auto Offer = [&](int Count, Duration Between) {
-    for (int Each = 0; Each < Count; ++Each) {
-      Crowd.arrive(static_cast<std::size_t>(Each) % Crowd.size(),
-                   milliseconds(1600 + Each % 17 * 50));
-      Crowd.run(Between);
+  const auto Load = [&](int Count, Duration RequestInterval) {
+    for (int Index = 0; Index < Count; ++Index) {
+      Simulation.sendRequest(static_cast<std::size_t>(Index) %
+                                 Simulation.size(),
+                             milliseconds(1600 + Index % 17 * 50));
+      Simulation.run(RequestInterval);
     }
   };
-  Offer(1500, Duration(5350));
-  Offer(500, Duration(11000));
-  Crowd.run(seconds(5));
-  const auto Tally = Crowd.takeTally();
+  Load(1500, Duration(5350));
+  Load(500, Duration(11000));
+  Simulation.run(seconds(5));
+  const auto Tally = Simulation.takeTally();
   // The aim: seven in ten, and nobody who was told to come back is lost.
   EXPECT_GE(Tally.InTime, 1400U);
-  EXPECT_LE(lostOf(Tally), 20U);
+  EXPECT_LE(lostRequests(Tally), 20U);
 }
 
 TEST(ManyHosts, WhatDeadHostsHadOnEnginesTurnsNobodyAwayForLong) {
-  HostCrowd Crowd(16, 20);
-  Crowd.publish(1);
-  Crowd.run(seconds(10));
+  HostSimulation Simulation(16, 20);
+  Simulation.publish(1);
+  Simulation.run(seconds(10));
   // Five of six of 320 places are taken, on and on; ten of the hosts die.
-  const auto Offer = [&](std::size_t First, int Count) {
-    for (int Each = 0; Each < Count; ++Each) {
-      Crowd.arrive(First + static_cast<std::size_t>(Each) % (16 - First),
-                   milliseconds(1000 + Each % 17 * 50));
-      Crowd.run(milliseconds(5));
+  const auto Load = [&](std::size_t First, int Count) {
+    for (int Index = 0; Index < Count; ++Index) {
+      Simulation.sendRequest(First +
+                                 static_cast<std::size_t>(Index) % (16 - First),
+                             milliseconds(1000 + Index % 17 * 50));
+      Simulation.run(milliseconds(5));
     }
   };
-  Offer(0, 600);
-  for (std::size_t At = 0; At < 10; ++At)
-    Crowd.kill(At);
-  Offer(10, 320);
-  Crowd.takeTally();
+  Load(0, 600);
+  for (std::size_t Host = 0; Host < 10; ++Host)
+    Simulation.kill(Host);
+  Load(10, 320);
+  Simulation.takeTally();
   // Their answers are over, so there are places for all who come.
-  Offer(10, 400);
-  EXPECT_EQ(Crowd.takeTally().SentBack, 0U);
+  Load(10, 400);
+  EXPECT_EQ(Simulation.takeTally().RetryLaterAnswers, 0U);
 }
 
 TEST(ManyHosts, AThousandEnginesAreDividedAndAllAreUsed) {
   constexpr std::size_t Engines = 1000;
-  HostCrowd Crowd(Fewer, Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  Crowd.takeTally();
+  HostSimulation Simulation(SmallSize, Engines);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  Simulation.takeTally();
   // 10,000 places; as many requests as fill a third of them.
-  const std::size_t Asked = offer(Crowd, 6000, Duration(800));
-  const auto Tally = Crowd.takeTally();
-  EXPECT_EQ(lostOf(Tally), 0U);
+  const std::size_t RequestCount = offerLoad(Simulation, 6000, Duration(800));
+  const auto Tally = Simulation.takeTally();
+  EXPECT_EQ(lostRequests(Tally), 0U);
   std::size_t Sum = 0;
   for (const auto &[Engine, Count] : Tally.Sent)
     Sum += Count;
-  EXPECT_EQ(Sum, Asked);
+  EXPECT_EQ(Sum, RequestCount);
   // Each host tells its work to those that share its engines, not to all.
   constexpr double SpanS = 4.8;
-  constexpr double TellsEachS = 1000.0 / 30;
-  constexpr double MostSharers = 24;
+  constexpr double ReportsPerSecond = 1000.0 / 30;
+  constexpr double MaxSharers = 24;
   EXPECT_LE(static_cast<double>(Tally.Messages.at("work")),
-            Fewer * SpanS * TellsEachS * MostSharers);
+            SmallSize * SpanS * ReportsPerSecond * MaxSharers);
 }
 
 TEST(ManyHosts, AHostThatStandsByIsHeardWhenItGetsRequests) {
-  Settled Crowd(Fewer);
-  const auto Active = Crowd.named(0);
+  SettledHosts Simulation(SmallSize);
+  const auto Active = Simulation.resolvedHosts(0);
   std::size_t Standby = 0;
   while (std::ranges::count(Active, Standby) > 0)
     ++Standby;
-  Crowd.takeTally();
-  Crowd.arrive(Standby, seconds(3));
-  Crowd.run(milliseconds(200));
-  const auto Tally = Crowd.takeTally();
+  Simulation.takeTally();
+  Simulation.sendRequest(Standby, seconds(3));
+  Simulation.run(milliseconds(200));
+  const auto Tally = Simulation.takeTally();
   EXPECT_EQ(Tally.Sent.size(), 1U);
   EXPECT_GE(Tally.Messages.at("work"), Active.size());
 }
