--- a/tests/auto/manyhosts/HostSimulation.cpp
+++ b/tests/auto/manyhosts/HostSimulation.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint32_t RefusedStatus = 503;
 constexpr std::uint32_t RegisteredSlots = 10;
 
-/// As declared: requests that an engine serves at once.
+/// Requests that an engine serves at once, as declared.
 constexpr std::size_t EngineSlots = 16;
 constexpr milliseconds FirstEventDelay(120);
 constexpr milliseconds Objective(300);
@@ -35,10 +35,10 @@
 
 Settings simulationSettings() {
   Settings Result = gatewaySettingsForTests();
-  std::string Named;
+  std::string SeedList;
   for (std::size_t Index = 0; Index < Seeds; ++Index)
-    Named += (Index > 0 ? "," : "") + addressOf(Index).Ip + ":7000";
-  Result.set("membership", "seeds", Named);
+    SeedList += (Index > 0 ? "," : "") + addressOf(Index).Ip + ":7000";
+  Result.set("membership", "seeds", SeedList);
   Result.set("membership", "heartbeat_interval", "250ms");
   Result.set("membership", "rumours_per_heartbeat", "32");
   Result.set("membership", "host_list_interval", "15s");
@@ -64,18 +64,18 @@
 
 HostSimulation::HostSimulation(std::size_t HostCount, std::size_t EngineCount)
     : Queue(Begin) {
-  for (std::size_t At = 0; At < EngineCount; ++At) {
-    EngineRecord Each;
-    Each.Id = UpstreamId(fmt::format("e{:03}", At));
-    Each.Service = ServiceId("ring");
-    Each.At = {fmt::format("10.9.{}.{}", At / 200, At % 200 + 1), 8000};
-    Each.Zone = ZoneId(fmt::format("z{}", At % Zones));
-    Each.Slots = RegisteredSlots;
-    this->Engines.push_back(Each);
+  for (std::size_t Index = 0; Index < EngineCount; ++Index) {
+    EngineRecord Engine;
+    Engine.Id = UpstreamId(fmt::format("e{:03}", Index));
+    Engine.Service = ServiceId("ring");
+    Engine.At = {fmt::format("10.9.{}.{}", Index / 200, Index % 200 + 1), 8000};
+    Engine.Zone = ZoneId(fmt::format("z{}", Index % Zones));
+    Engine.Slots = RegisteredSlots;
+    this->Engines.push_back(Engine);
     this->Registry.emplace_back();
-    this->registerEngine(At);
-    this->Queue.after(RenewInterval * At / EngineCount,
-                      [this, At] { this->renewRegistration(At); });
+    this->registerEngine(Index);
+    this->Queue.after(RenewInterval * Index / EngineCount,
+                      [this, Index] { this->renewRegistration(Index); });
   }
   this->Hosts.resize(HostCount);
   for (std::size_t Index = 0; Index < HostCount; ++Index) {
@@ -144,26 +144,28 @@
 }
 
 void HostSimulation::refuseRun(const UpstreamId &Engine,
-                               const RunningRequest &Each, Duration Backoff) {
-  this->Queue.after(RefusalDelay, [this, Engine, Each, Backoff] {
+                               const RunningRequest &Running,
+                               Duration Backoff) {
+  this->Queue.after(RefusalDelay, [this, Engine, Running, Backoff] {
     AnswerSignals Signals = this->signalsOf(Engine);
     Signals.Backoff = BackoffRequested{Backoff};
-    this->answer(Engine, Each, Signals);
-    RelayNotRun How;
-    How.Status = RefusedStatus;
-    this->send(Each.Host, Each.Life,
-               GatewayEvent(RelayEnded{Each.Attempt, How}));
+    this->answer(Engine, Running, Signals);
+    RelayNotRun Refusal;
+    Refusal.Status = RefusedStatus;
+    this->send(Running.Host, Running.Life,
+               GatewayEvent(RelayEnded{Running.Attempt, Refusal}));
   });
 }
 
 void HostSimulation::answer(const UpstreamId &Engine,
-                            const RunningRequest &Each,
+                            const RunningRequest &Running,
                             const AnswerSignals &Signals) {
-  Arrival &Of = this->Arrived[Engine][Each.Arrived];
-  Of.AnsweredAt = this->Queue.now();
-  Of.SignalledLeaving = Signals.Leaving != LeavingSignal::Absent;
-  this->send(Each.Host, Each.Life,
-             GatewayEvent(EngineSignalsReceived{Engine, Each.SentAt, Signals}));
+  Arrival &Answered = this->Arrived[Engine][Running.Arrived];
+  Answered.AnsweredAt = this->Queue.now();
+  Answered.SignalledLeaving = Signals.Leaving != LeavingSignal::Absent;
+  this->send(
+      Running.Host, Running.Life,
+      GatewayEvent(EngineSignalsReceived{Engine, Running.SentAt, Signals}));
 }
 
 AnswerSignals HostSimulation::signalsOf(const UpstreamId &Engine) const {
@@ -209,15 +211,16 @@
   this->submit(Host, {this->Queue.now(), false, false, RunsFor});
 }
 
-void HostSimulation::submit(std::size_t Host, const Caller &By) {
+void HostSimulation::submit(std::size_t Host, const Caller &Origin) {
   const RequestId Id(++this->Requests);
-  this->Callers[{Host, Id}] = By;
+  this->Callers[{Host, Id}] = Origin;
   RelayHead Head;
   Head.Id = Id;
   Head.Host = "a.example";
   Head.Path = "/stream/";
   Head.Key = "key";
-  Head.Remaining = CallerTimeLimit - (this->Queue.now() - By.FirstRequestAt);
+  Head.Remaining =
+      CallerTimeLimit - (this->Queue.now() - Origin.FirstRequestAt);
   Head.PromptTokens = ShortPrompt;
   Head.Content = Fingerprint(Id.Value);
   this->Queue.after(CallerTimeout, [this, Host, Id] {
@@ -232,52 +235,54 @@
              GatewayEvent(RelayArrived{std::move(Head)}));
 }
 
-void HostSimulation::handleRefusal(std::size_t Host, const RefuseRelay &Is) {
-  const auto Found = this->Callers.find({Host, Is.Request});
+void HostSimulation::handleRefusal(std::size_t Host,
+                                   const RefuseRelay &Refusal) {
+  const auto Found = this->Callers.find({Host, Refusal.Request});
   if (Found == this->Callers.end())
     return;
-  Caller By = Found->second;
+  Caller Origin = Found->second;
   this->Callers.erase(Found);
-  if (By.HasRetried || Is.Kind != RefusalKind::NotRun) {
+  if (Origin.HasRetried || Refusal.Kind != RefusalKind::NotRun) {
     ++this->Current.Lost[Host];
     return;
   }
   ++this->Current.RetryLaterAnswers;
-  By.HasRetried = true;
-  this->Queue.after(Is.RetryAfter,
-                    [this, Host, By] { this->submit(Host, By); });
+  Origin.HasRetried = true;
+  this->Queue.after(Refusal.RetryAfter,
+                    [this, Host, Origin] { this->submit(Host, Origin); });
 }
 
 void HostSimulation::serve(const UpstreamId &Engine,
-                           const RunningRequest &Each) {
+                           const RunningRequest &Running) {
   if (this->BusySlots[Engine] >= EngineSlots) {
-    this->Queued[Engine].push_back(Each);
+    this->Queued[Engine].push_back(Running);
     return;
   }
-  const auto Found = this->Callers.find({Each.Host, Each.Request});
+  const auto Found = this->Callers.find({Running.Host, Running.Request});
   if (Found == this->Callers.end())
-    return; // The caller left meanwhile.
+    return; // The caller has disconnected meanwhile.
   ++this->BusySlots[Engine];
-  this->Queue.after(FirstEventDelay, [this, Engine, Each] {
-    const auto By = this->Callers.find({Each.Host, Each.Request});
-    if (By == this->Callers.end())
+  this->Queue.after(FirstEventDelay, [this, Engine, Running] {
+    const auto Origin = this->Callers.find({Running.Host, Running.Request});
+    if (Origin == this->Callers.end())
       return;
-    By->second.IsAnswered = true;
+    Origin->second.IsAnswered = true;
     const bool InTime =
-        this->Queue.now() <= By->second.FirstRequestAt + Objective;
+        this->Queue.now() <= Origin->second.FirstRequestAt + Objective;
     ++(InTime ? this->Current.InTime : this->Current.Late);
-    this->answer(Engine, Each, this->signalsOf(Engine));
-    this->send(Each.Host, Each.Life, GatewayEvent(RelayBegan{Each.Attempt}));
+    this->answer(Engine, Running, this->signalsOf(Engine));
+    this->send(Running.Host, Running.Life,
+               GatewayEvent(RelayBegan{Running.Attempt}));
   });
   this->Queue.after(Found->second.RunsFor,
-                    [this, Engine, Each] { this->finish(Engine, Each); });
+                    [this, Engine, Running] { this->finish(Engine, Running); });
 }
 
 void HostSimulation::finish(const UpstreamId &Engine,
-                            const RunningRequest &Each) {
-  this->send(Each.Host, Each.Life,
-             GatewayEvent(RelayEnded{Each.Attempt, RelayDelivered{}}));
-  this->Callers.erase({Each.Host, Each.Request});
+                            const RunningRequest &Running) {
+  this->send(Running.Host, Running.Life,
+             GatewayEvent(RelayEnded{Running.Attempt, RelayDelivered{}}));
+  this->Callers.erase({Running.Host, Running.Request});
   --this->BusySlots[Engine];
   std::deque<RunningRequest> &Pending = this->Queued[Engine];
   while (!Pending.empty() && this->BusySlots[Engine] < EngineSlots) {
@@ -287,14 +292,14 @@
   }
 }
 
-std::vector<std::size_t> HostSimulation::resolvedHosts(std::size_t By) {
-  // A host that stands still answers nothing, and must not run meanwhile.
-  if (this->Queue.now() < this->Hosts[By].PausedUntil)
+std::vector<std::size_t> HostSimulation::resolvedHosts(std::size_t Host) {
+  // A paused host sends no answers and must not run meanwhile.
+  if (this->Queue.now() < this->Hosts[Host].PausedUntil)
     return {};
   this->Answer.clear();
-  ResolveRequest Asked;
-  Asked.Id = ResolveRequestId(++this->Requests);
-  this->handle(By, std::move(Asked));
+  ResolveRequest Query;
+  Query.Id = ResolveRequestId(++this->Requests);
+  this->handle(Host, std::move(Query));
   std::vector<std::size_t> Result;
   for (std::size_t Index = 0; Index < this->Hosts.size(); ++Index)
     if (std::ranges::count(this->Answer, this->Hosts[Index].Self.Callers) > 0)
@@ -307,16 +312,16 @@
 }
 
 bool HostSimulation::knowsLeaving(std::size_t Host, std::size_t Engine) const {
-  const auto &Known =
+  const auto &Directory =
       this->Hosts[Host].Process->services().get<EngineDirectory>();
-  const RegisteredEngine *Of = Known.find(this->Engines[Engine].Id);
-  return !Of || Of->Standing == EngineStanding::Leaving;
+  const RegisteredEngine *Known = Directory.find(this->Engines[Engine].Id);
+  return !Known || Known->Standing == EngineStanding::Leaving;
 }
 
 std::uint64_t HostSimulation::Tally::messages() const {
   return std::accumulate(
       this->Messages.begin(), this->Messages.end(), std::uint64_t(0),
-      [](std::uint64_t Sum, const auto &Each) { return Sum + Each.second; });
+      [](std::uint64_t Sum, const auto &Entry) { return Sum + Entry.second; });
 }
 
 HostSimulation::Tally HostSimulation::takeTally() {
@@ -326,37 +331,37 @@
 }
 
 void HostSimulation::start(std::size_t Index) {
-  Host &Each = this->Hosts[Index];
-  Each.Life = ++this->IncarnationCount;
-  Each.Self.Life = Incarnation(1000 + Each.Life);
-  Each.Process = std::make_unique<Kernel>(Each.Self, simulationSettings(),
-                                          Each.Life, ServingMode::Gateway);
-  Each.WakeAt = Never;
-  Each.ReadsStore = true;
-  Each.Listed = false;
-  Each.Next = 0;
-  Each.SeenVersion = 0;
-  this->send(Index, Each.Life, Tick{});
-  this->readStore(Index, Each.Life);
+  Host &Started = this->Hosts[Index];
+  Started.Life = ++this->IncarnationCount;
+  Started.Self.Life = Incarnation(1000 + Started.Life);
+  Started.Process = std::make_unique<Kernel>(
+      Started.Self, simulationSettings(), Started.Life, ServingMode::Gateway);
+  Started.WakeAt = Never;
+  Started.ReadsStore = true;
+  Started.Listed = false;
+  Started.Next = 0;
+  Started.SeenVersion = 0;
+  this->send(Index, Started.Life, Tick{});
+  this->readStore(Index, Started.Life);
 }
 
 void HostSimulation::send(std::size_t Index, std::uint64_t Life,
                           const Event &Incoming, std::size_t Bytes) {
-  Host &Each = this->Hosts[Index];
-  if (!Each.Process || Each.Life != Life)
+  Host &Receiver = this->Hosts[Index];
+  if (!Receiver.Process || Receiver.Life != Life)
     return;
-  if (this->Queue.now() < Each.PausedUntil) {
-    this->Queue.at(Each.PausedUntil, [this, Index, Life, Incoming, Bytes] {
+  if (this->Queue.now() < Receiver.PausedUntil) {
+    this->Queue.at(Receiver.PausedUntil, [this, Index, Life, Incoming, Bytes] {
       this->send(Index, Life, Incoming, Bytes);
     });
     return;
   }
-  if (Each.Available.Cores == 0) {
+  if (Receiver.Available.Cores == 0) {
     this->handle(Index, Incoming);
     return;
   }
   this->addBufferedBytes(Index, Bytes);
-  Each.Inbox.push_back({Life, Incoming, Bytes});
+  Receiver.Inbox.push_back({Life, Incoming, Bytes});
   this->processInbox(Index);
 }
 
@@ -374,24 +379,24 @@
       continue;
     const auto &Members =
         this->Hosts[Index].Process->services().get<MembershipView>();
-    for (const Member &Each : Members.peers()) {
-      const std::size_t Of = this->IndexById.at(Each.Listing.Id);
-      const bool Reached =
-          this->isRunning(Of) && !this->Partitioned.contains(Of);
-      Result += Reached && Each.State != MemberState::Alive ? 1 : 0;
+    for (const Member &Peer : Members.peers()) {
+      const std::size_t PeerIndex = this->IndexById.at(Peer.Listing.Id);
+      const bool Reachable =
+          this->isRunning(PeerIndex) && !this->Partitioned.contains(PeerIndex);
+      Result += Reachable && Peer.State != MemberState::Alive ? 1 : 0;
     }
   }
   return Result;
 }
 
 void HostSimulation::scheduleWake(std::size_t Index) {
-  Host &Each = this->Hosts[Index];
-  const Time WakeTime = Each.Process->nextWake();
-  if (WakeTime == Never || WakeTime >= Each.WakeAt)
+  Host &Scheduled = this->Hosts[Index];
+  const Time WakeTime = Scheduled.Process->nextWake();
+  if (WakeTime == Never || WakeTime >= Scheduled.WakeAt)
     return;
-  Each.WakeAt = std::max(WakeTime, this->Queue.now() + milliseconds(1));
-  this->Queue.at(Each.WakeAt,
-                 [this, Index, Life = Each.Life, When = Each.WakeAt] {
+  Scheduled.WakeAt = std::max(WakeTime, this->Queue.now() + milliseconds(1));
+  this->Queue.at(Scheduled.WakeAt,
+                 [this, Index, Life = Scheduled.Life, When = Scheduled.WakeAt] {
                    Host &Woken = this->Hosts[Index];
                    if (Woken.Life != Life || Woken.WakeAt != When)
                      return;
@@ -403,17 +408,17 @@
 
 void HostSimulation::perform(std::size_t Index, const Action &Requested) {
   match(
-      Requested, [&](const SendToPeer &Is) { this->deliver(Index, Is); },
-      [&](const GatewayAction &Is) { this->perform(Index, Is); },
-      [&](const AnswerResolve &Is) { this->Answer = Is.Hosts; },
+      Requested, [&](const SendToPeer &Sent) { this->deliver(Index, Sent); },
+      [&](const GatewayAction &Nested) { this->perform(Index, Nested); },
+      [&](const AnswerResolve &Result) { this->Answer = Result.Hosts; },
       [&](const ReadHostList &) {
         ++this->Current.ListReads;
         HostListRead Read;
-        for (const Host &Each : this->Hosts)
-          if (Each.Life != 0)
-            Read.Hosts.push_back({Each.Self.Host, Each.Self.Zone,
-                                  Each.Self.Callers, Each.Self.Peers, false,
-                                  Each.Self.Processor});
+        for (const Host &Listed : this->Hosts)
+          if (Listed.Life != 0)
+            Read.Hosts.push_back({Listed.Self.Host, Listed.Self.Zone,
+                                  Listed.Self.Callers, Listed.Self.Peers, false,
+                                  Listed.Self.Processor});
         this->Queue.after(StoreDelay, [this, Index, Read = std::move(Read),
                                        Life = this->Hosts[Index].Life] {
           this->send(Index, Life, Read);
@@ -427,49 +432,50 @@
   const std::uint64_t Life = this->Hosts[Index].Life;
   match(
       Requested,
-      [&](const DispatchRelay &Is) {
-        ++this->Current.Sent[Is.Engine];
-        const auto Sheds = this->Shedding.find(Is.Engine);
+      [&](const DispatchRelay &Dispatch) {
+        ++this->Current.Sent[Dispatch.Engine];
+        const auto Sheds = this->Shedding.find(Dispatch.Engine);
         const bool Refuses = Sheds != this->Shedding.end();
         const Duration Backoff = Refuses ? Sheds->second : Duration(0);
-        std::vector<Arrival> &Arrivals = this->Arrived[Is.Engine];
+        std::vector<Arrival> &Arrivals = this->Arrived[Dispatch.Engine];
         Arrivals.push_back({this->Queue.now(), Index, Backoff});
-        if (this->Failing.contains(Is.Engine) ||
+        if (this->Failing.contains(Dispatch.Engine) ||
             this->FailedLinks.contains(Index)) {
-          this->Queue.after(ResetDelay, [this, Index, Life, Id = Is.Attempt] {
-            this->send(Index, Life,
-                       GatewayEvent(RelayEnded{Id, RelayBroken{}}));
-          });
+          this->Queue.after(
+              ResetDelay, [this, Index, Life, Id = Dispatch.Attempt] {
+                this->send(Index, Life,
+                           GatewayEvent(RelayEnded{Id, RelayBroken{}}));
+              });
           return;
         }
-        const RunningRequest Each{Index,
-                                  Life,
-                                  Is.Attempt,
-                                  Is.Request,
-                                  this->Queue.now(),
-                                  Arrivals.size() - 1};
+        const RunningRequest Running{Index,
+                                     Life,
+                                     Dispatch.Attempt,
+                                     Dispatch.Request,
+                                     this->Queue.now(),
+                                     Arrivals.size() - 1};
         if (Refuses)
-          this->refuseRun(Is.Engine, Each, Backoff);
+          this->refuseRun(Dispatch.Engine, Running, Backoff);
         else
-          this->serve(Is.Engine, Each);
+          this->serve(Dispatch.Engine, Running);
       },
-      [&](const RefuseRelay &Is) { this->handleRefusal(Index, Is); },
+      [&](const RefuseRelay &Refusal) { this->handleRefusal(Index, Refusal); },
       [&](const BreakRelay &) { ++this->Current.Lost[Index]; },
       [&](const DeliverFailure &) { ++this->Current.Lost[Index]; },
-      [&](const FollowStore &Is) {
+      [&](const FollowStore &Follow) {
         const bool Before =
-            std::exchange(this->Hosts[Index].ReadsStore, Is.Enabled);
-        if (Is.Enabled && !Before)
+            std::exchange(this->Hosts[Index].ReadsStore, Follow.Enabled);
+        if (Follow.Enabled && !Before)
           this->readStore(Index, Life);
       },
-      [&](const DecodeConfiguration &Is) {
-        const std::uint64_t Told =
-            std::stoull(Is.Document.substr(Is.Document.rfind(' ') + 1));
-        this->Queue.after(this->decodeTime(Index, Is.Document.size()),
-                          [this, Index, Life, Told] {
+      [&](const DecodeConfiguration &Decode) {
+        const std::uint64_t NewVersion =
+            std::stoull(Decode.Document.substr(Decode.Document.rfind(' ') + 1));
+        this->Queue.after(this->decodeTime(Index, Decode.Document.size()),
+                          [this, Index, Life, NewVersion] {
                             this->send(Index, Life,
                                        GatewayEvent(ConfigurationRead{
-                                           this->configurationAt(Told),
+                                           this->configurationAt(NewVersion),
                                            ConfigurationSource::Peer}));
                           });
       },
@@ -483,7 +489,7 @@
   if (Found != this->IndexById.end()) {
     To = Found->second;
   } else {
-    // A seed is written to by its address, as its name is not known yet.
+    // A seed is addressed by its address, because its name is not known yet.
     while (To < Seeds &&
            Sent.To.Value.find(addressOf(To).Ip + ":") == std::string::npos)
       ++To;
@@ -508,8 +514,8 @@
 
 void HostSimulation::readStore(std::size_t Index, std::uint64_t Life) {
   this->Queue.after(StoreDelay, [this, Index, Life] {
-    Host &Each = this->Hosts[Index];
-    if (!Each.Process || Each.Life != Life || !Each.ReadsStore)
+    Host &Reader = this->Hosts[Index];
+    if (!Reader.Process || Reader.Life != Life || !Reader.ReadsStore)
       return;
     ++this->Current.StoreReads;
     if (this->RefusedReaders.contains(Index)) {
@@ -522,14 +528,14 @@
     }
     EnginesRead Read;
     for (const EngineChange &Change : this->Registry)
-      if (!Each.Listed || Change.Offset >= Each.Next)
+      if (!Reader.Listed || Change.Offset >= Reader.Next)
         Read.Changes.push_back(Change);
-    Read.Complete = !Each.Listed;
+    Read.Complete = !Reader.Listed;
     Read.UpTo = this->RegistryEnd;
-    Each.Listed = true;
-    Each.Next = this->RegistryEnd;
+    Reader.Listed = true;
+    Reader.Next = this->RegistryEnd;
     const std::uint64_t Newest = this->Version;
-    if (std::exchange(Each.SeenVersion, Newest) != Newest)
+    if (std::exchange(Reader.SeenVersion, Newest) != Newest)
       this->send(Index, Life,
                  GatewayEvent(ConfigurationRead{this->configurationAt(Newest),
                                                 ConfigurationSource::Store}));
--- a/tests/auto/manyhosts/HostSimulation.h
+++ b/tests/auto/manyhosts/HostSimulation.h
@@ -1,6 +1,7 @@
 /// \file
-/// Hundreds of gateways' kernels in virtual time, which hear each other and
-/// read one store; for what they say to each other and what they come to know.
+/// Simulates the kernels of hundreds of gateways in virtual time. They exchange
+/// peer messages and read one store. Tests count the traffic between the hosts
+/// and check what each host knows.
 #pragma once
 
 #include "harness/EventQueue.h"
@@ -21,30 +22,31 @@
   static constexpr std::uint64_t ShortPrompt = 5000; ///< Tokens.
   static constexpr seconds CallerTimeLimit{10};
 
-  /// Starts so many hosts at once, in zones in turn; three of them are seeds.
+  /// Starts all hosts at once, distributed over the zones in turn. Three of
+  /// them are seeds.
   HostSimulation(std::size_t Hosts, std::size_t Engines);
   ~HostSimulation();
 
-  /// What a host has; without, it has as much as it needs.
+  /// The resources of a host. They are unlimited if not set.
   struct Resources {
     double Cores = 0;
-    double BytesPerSecond = 0; ///< Of its link, each way.
+    double BytesPerSecond = 0; ///< Bandwidth of its link in each direction.
   };
   void setResources(std::size_t Host, const Resources &NewResources) {
     this->Hosts[Host].Available = NewResources;
   }
-  /// The most bytes of messages that the host has held at once so far, to be
-  /// sent and to be taken in. Counted for hosts with means.
+  /// Returns the maximum number of bytes of messages that the host has buffered
+  /// at once, to be sent or processed. Counted only for hosts with resources.
   std::size_t peakBufferedBytes(std::size_t Host) const {
     return this->Hosts[Host].PeakBufferedBytes;
   }
-  /// Pairs of living hosts that reach each other of which one takes the other
-  /// for anything but alive.
+  /// Returns the number of pairs of running, connected hosts of which one has
+  /// the other in a state other than alive.
   std::size_t falseSuspicions() const;
 
   void run(Duration For);
   void kill(std::size_t Host);
-  /// Starts it anew, knowing nothing.
+  /// Starts a new process on the host, without any state.
   void restart(std::size_t Host);
   std::size_t size() const { return this->Hosts.size(); }
   std::size_t engines() const { return this->Engines.size(); }
@@ -52,70 +54,71 @@
     return this->Hosts[Host].Process != nullptr;
   }
 
-  /// The operator's configuration, or a newer one; read by those that follow.
+  /// Publishes a version of the configuration in the store.
   void publish(std::uint64_t Version);
-  /// Configurations from now on are documents of so many bytes.
+  /// Sets the size of the documents of later configurations.
   void setDocumentSize(std::size_t Bytes) { this->DocumentSize = Bytes; }
-  /// The engine says that it leaves.
+  /// Marks the registration of the engine as draining.
   void drain(std::size_t Engine);
-  /// The store refuses the host.
+  /// Makes the store refuse all reads of the host.
   void refuseStoreReads(std::size_t Host) { this->RefusedReaders.insert(Host); }
-  /// Whether the host reads the store itself.
+  /// Returns whether the host reads the store itself.
   bool isStoreReader(std::size_t Host) const {
     return this->Hosts[Host].ReadsStore;
   }
-  /// The engine closes every connection at once, whatever it is sent.
+  /// Makes the engine close every connection at once.
   void setFailing(std::size_t Engine, bool On);
-  /// Every connection that the host makes is closed at once.
+  /// Makes every connection of the host to an engine fail at once.
   void setLinkFailed(std::size_t Host, bool On);
-  /// The engine's answers name how many requests a second it takes, or none any
-  /// more.
+  /// Sets the limit of requests per second that the engine's answers state, or
+  /// removes it.
   void setLimit(std::size_t Engine, std::optional<double> PerSecond);
-  /// The engine turns away what it gets and asks each time for so much rest;
-  /// nothing: it serves again.
+  /// Makes the engine refuse all requests and ask for a backoff of \p Rest each
+  /// time. Without a value, the engine serves requests again.
   void setShedding(std::size_t Engine, std::optional<Duration> Backoff);
-  /// The engine's answers say that it leaves; its registration does not.
+  /// Makes the engine's answers, but not its registration, signal that it is
+  /// leaving.
   void setSignalsLeaving(std::size_t Engine) {
     this->SignalsLeaving.insert(this->Engines[Engine].Id);
   }
-  /// The host stands still for so long; what comes meanwhile waits.
+  /// Pauses the host. Events that arrive meanwhile are delayed.
   void pause(std::size_t Host, Duration For);
-  /// No message passes between the host and its peers.
+  /// Drops all messages between the host and its peers.
   void setPartitioned(std::size_t Host, bool On);
-  /// When requests reached the engine, and from which host.
+  /// A request that reached an engine.
   struct Arrival {
     Time At{};
     std::size_t From = 0;
-    Duration BackoffRequested{};   ///< By the refusal that it got; zero: none.
-    Time AnsweredAt = Never;       ///< Never: its caller left before.
-    bool SignalledLeaving = false; ///< By the answer.
+    Duration BackoffRequested{};   ///< Requested by the refusal; zero: none.
+    Time AnsweredAt = Never;       ///< Never: the caller disconnected before.
+    bool SignalledLeaving = false; ///< The answer signalled leaving.
   };
   const std::vector<Arrival> &arrivals(std::size_t Engine) const;
   Time now() const { return this->Queue.now(); }
 
-  /// A request to the host for a short prompt; it runs for \p RunsFor. Its
-  /// caller comes back once when it is told to, and leaves when no answer has
-  /// begun after two seconds.
+  /// Sends a request with a short prompt to the host. It runs for \p RunsFor.
+  /// Its caller retries once if told to, and disconnects if no answer has begun
+  /// after two seconds.
   void sendRequest(std::size_t Host, Duration RunsFor);
 
-  /// The hosts that one names to a caller now.
-  std::vector<std::size_t> resolvedHosts(std::size_t By);
+  /// Returns the hosts that the given host returns to a caller now.
+  std::vector<std::size_t> resolvedHosts(std::size_t Host);
   std::uint64_t versionAt(std::size_t Host) const;
   bool knowsLeaving(std::size_t Host, std::size_t Engine) const;
 
-  /// What all hosts did since the last call.
+  /// Counts of all hosts since the last call.
   struct Tally {
     std::map<std::string, std::uint64_t> Messages; ///< By kind.
-    std::uint64_t StoreReads = 0; ///< Of configuration and registry.
+    std::uint64_t StoreReads = 0; ///< Reads of configuration and registry.
     std::uint64_t ListReads = 0;
-    std::uint64_t Ticks = 0;                 ///< Wakes without an event.
+    std::uint64_t Ticks = 0;                 ///< Wake-ups without an event.
     std::uint64_t Links = 0;                 ///< Pairs of sender and receiver.
     std::map<UpstreamId, std::size_t> Sent;  ///< Requests to each engine.
     std::map<std::size_t, std::size_t> Lost; ///< Requests without an answer, by
                                              ///< host.
-    std::size_t InTime = 0; ///< Answers that began in time for their caller,
-    std::size_t Late = 0;   ///< and those that did not.
-    std::size_t RetryLaterAnswers = 0; ///< Callers who were told to come back.
+    std::size_t InTime = 0; ///< Answers that began within the objective.
+    std::size_t Late = 0;   ///< Answers that began after the objective.
+    std::size_t RetryLaterAnswers = 0; ///< Callers that were told to retry.
     std::uint64_t messages() const;
   };
   Tally takeTally();
@@ -125,29 +128,29 @@
   struct QueuedEvent {
     std::uint64_t Life = 0;
     Event Incoming;
-    std::size_t Bytes = 0; ///< Of the message that brought it.
+    std::size_t Bytes = 0; ///< Size of the message with the event.
   };
   struct Host {
     Identity Self;
-    std::unique_ptr<Kernel> Process; ///< Null: the process is not there.
+    std::unique_ptr<Kernel> Process; ///< Null: no process is running.
     std::uint64_t Life = 0;
     Resources Available;
     std::deque<QueuedEvent> Inbox;
     bool PumpScheduled = false;
-    Time BusyUntil{};     ///< Its processor,
-    Time SendsUntil{};    ///< and its link,
-    Time ReceivesUntil{}; ///< each way.
+    Time BusyUntil{};     ///< When its processor is free.
+    Time SendsUntil{};    ///< When its link is free for sending.
+    Time ReceivesUntil{}; ///< When its link is free for receiving.
     std::size_t BufferedBytes = 0;
     std::size_t PeakBufferedBytes = 0;
     Time WakeAt = Never;
     Time PausedUntil{};
     bool ReadsStore = true;
     bool Listed = false;
-    LogOffset Next = 0; ///< Of the registry, to read from.
+    LogOffset Next = 0; ///< Offset of the next read of the registry.
     std::uint64_t SeenVersion = 0;
   };
 
-  /// Somebody who asks one host.
+  /// A caller of one host.
   struct Caller {
     Time FirstRequestAt{};
     bool HasRetried = false;
@@ -155,38 +158,38 @@
     Duration RunsFor{};
   };
   using CallerKey = std::pair<std::size_t, RequestId>;
-  /// One try on an engine.
+  /// One attempt on an engine.
   struct RunningRequest {
     std::size_t Host = 0;
     std::uint64_t Life = 0;
     AttemptId Attempt;
     RequestId Request;
     Time SentAt{};
-    std::size_t Arrived = 0; ///< Its place among the engine's arrivals.
+    std::size_t Arrived = 0; ///< Its index among the engine's arrivals.
   };
 
-  void submit(std::size_t Host, const Caller &By);
-  void handleRefusal(std::size_t Host, const RefuseRelay &Is);
-  void serve(const UpstreamId &Engine, const RunningRequest &Each);
-  void refuseRun(const UpstreamId &Engine, const RunningRequest &Each,
+  void submit(std::size_t Host, const Caller &Origin);
+  void handleRefusal(std::size_t Host, const RefuseRelay &Refusal);
+  void serve(const UpstreamId &Engine, const RunningRequest &Running);
+  void refuseRun(const UpstreamId &Engine, const RunningRequest &Running,
                  Duration Backoff);
-  /// What the engine's answers say of it now.
+  /// Returns the signals that the engine's answers carry now.
   AnswerSignals signalsOf(const UpstreamId &Engine) const;
-  /// The answer's header comes to the host.
-  void answer(const UpstreamId &Engine, const RunningRequest &Each,
+  /// Sends the header of the answer to the host.
+  void answer(const UpstreamId &Engine, const RunningRequest &Running,
               const AnswerSignals &Signals);
-  void finish(const UpstreamId &Engine, const RunningRequest &Each);
+  void finish(const UpstreamId &Engine, const RunningRequest &Running);
   void start(std::size_t Index);
   void send(std::size_t Index, std::uint64_t Life, const Event &Incoming,
             std::size_t Bytes = 0);
-  /// The host decides, and does what it decided.
+  /// Passes the event to the host's kernel and performs its actions.
   void handle(std::size_t Index, const Event &Incoming);
-  /// Takes in what waits, as its processor allows.
+  /// Handles queued events as far as the host's processor allows.
   void processInbox(std::size_t Index);
-  /// How long the bytes are on their way over both hosts' links.
+  /// Returns the time to transfer the bytes over the links of both hosts.
   Duration transfer(std::size_t From, std::size_t To, std::size_t Bytes);
   void addBufferedBytes(std::size_t Index, std::size_t Bytes);
-  /// Sending takes the processor, too.
+  /// Charges the processor time of sending a message.
   void chargeSending(std::size_t Index, std::size_t Bytes);
   Duration decodeTime(std::size_t Index, std::size_t Bytes) const;
   std::shared_ptr<const GatewayConfiguration>
@@ -196,7 +199,7 @@
   void deliver(std::size_t From, const SendToPeer &Sent);
   void scheduleWake(std::size_t Index);
   void readStore(std::size_t Index, std::uint64_t Life);
-  /// Every engine renews its registration in turn.
+  /// Renews the registration of the engine periodically.
   void renewRegistration(std::size_t Engine);
   void registerEngine(std::size_t Engine);
 
@@ -204,7 +207,7 @@
   std::vector<Host> Hosts;
   std::map<HostId, std::size_t> IndexById;
   std::vector<EngineRecord> Engines;
-  std::vector<EngineChange> Registry; ///< Its newest records, by engine.
+  std::vector<EngineChange> Registry; ///< The newest record of each engine.
   LogOffset RegistryEnd = 1;
   std::uint64_t Version = 0;
   std::size_t DocumentSize = 0;
@@ -213,15 +216,15 @@
   std::uint64_t IncarnationCount = 0;
   std::uint64_t Requests = 0;
   std::map<CallerKey, Caller> Callers;
-  std::map<UpstreamId, std::size_t> BusySlots; ///< Places taken,
-  std::map<UpstreamId, std::deque<RunningRequest>>
-      Queued; ///< and who waits for one.
+  std::map<UpstreamId, std::size_t> BusySlots;
+  /// Requests that wait for a slot.
+  std::map<UpstreamId, std::deque<RunningRequest>> Queued;
   std::set<UpstreamId> Failing;
   std::set<std::size_t> FailedLinks;
   std::set<std::size_t> RefusedReaders;
   std::set<std::size_t> Partitioned;
   std::map<UpstreamId, double> Limits;
-  std::map<UpstreamId, Duration> Shedding; ///< With the rest asked for.
+  std::map<UpstreamId, Duration> Shedding; ///< With the requested backoff.
   std::set<UpstreamId> SignalsLeaving;
   std::map<UpstreamId, std::vector<Arrival>> Arrived;
   std::vector<Address> Answer;
--- a/tests/auto/manyhosts/ManyHostsTest.cpp
+++ b/tests/auto/manyhosts/ManyHostsTest.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// What a host says, reads and knows among hundreds: bounded by its own work,
-/// not by their number. Bounds come from what a host may spend at the size that
-/// the product aims at (docs/CAPACITY.md).
+/// Checks that the messages, store reads and state of a host among hundreds are
+/// bounded by its own work, not by the number of hosts. The bounds come from
+/// the resources of a host at the intended size of a deployment
+/// (docs/CAPACITY.md).
 #include "auto/manyhosts/HostSimulation.h"
 
 #include <gtest/gtest.h>
@@ -13,13 +14,14 @@
 constexpr std::size_t SmallSize = 100;
 constexpr std::size_t EngineCount = 112;
 
-/// Control may send 10 KB a second at a host; a heartbeat has some 400 bytes.
+/// Control traffic may use 10 KB per second and host; a heartbeat has some 400
+/// bytes.
 constexpr double MaxMessagesPerHost = 25;
 
-/// Calls to the store by all hosts together, on a calm day.
+/// Calls to the store by all hosts together, without faults.
 constexpr double MaxStoreReadsPerSecond = 20;
 
-/// A host among many keeps connections to few others.
+/// A host among many is connected only to a few others.
 constexpr double MaxLinksPerHost = 40;
 
 double perHostAndSecond(std::uint64_t Count, std::size_t Hosts, Duration Span) {
@@ -27,7 +29,7 @@
          inSeconds(Span);
 }
 
-/// Hosts that have started together and settled.
+/// Simulated hosts that started together and have settled.
 struct SettledHosts : HostSimulation {
   explicit SettledHosts(std::size_t Hosts)
       : HostSimulation(Hosts, EngineCount) {
@@ -43,7 +45,7 @@
   return Simulation.takeTally();
 }
 
-TEST(ManyHosts, WhatACalmHostSaysDoesNotGrowWithTheHosts) {
+TEST(ManyHosts, TrafficWithoutLoadIsIndependentOfHostCount) {
   constexpr seconds Span(10);
   const auto Small = tallyWithoutLoad(SmallSize, Span);
   const auto Large = tallyWithoutLoad(LargeSize, Span);
@@ -57,16 +59,16 @@
             MaxStoreReadsPerSecond * inSeconds(Span));
 }
 
-TEST(ManyHosts, RenewedRegistrationsAreNoNews) {
+TEST(ManyHosts, RenewedRegistrationsCauseNoTraffic) {
   const auto Tally = tallyWithoutLoad(SmallSize, seconds(10));
   EXPECT_EQ(Tally.Messages.count("engines asked"), 0U);
   EXPECT_EQ(Tally.Messages.count("engines"), 0U);
 }
 
-TEST(ManyHosts, StartedTogetherAllNameTheSameHostsBeforeCallersCome) {
+TEST(ManyHosts, HostsStartedTogetherAgreeBeforeCallersArrive) {
   HostSimulation Simulation(LargeSize, EngineCount);
   Simulation.publish(1);
-  // Callers come after fourteen seconds.
+  // The first callers arrive after fourteen seconds.
   Simulation.run(seconds(13));
   const auto Resolved = Simulation.resolvedHosts(0);
   EXPECT_GE(Resolved.size(), 16U);
@@ -77,7 +79,7 @@
   EXPECT_LE(Simulation.takeTally().StoreReads, LargeSize * 8);
 }
 
-TEST(ManyHosts, NewsIsEverywhereWithinTwoSeconds) {
+TEST(ManyHosts, ChangesReachAllHostsWithinTwoSeconds) {
   SettledHosts Simulation(LargeSize);
   Simulation.publish(2);
   Simulation.drain(17);
@@ -86,23 +88,24 @@
     EXPECT_EQ(Simulation.versionAt(Host), 2U) << Host;
     EXPECT_TRUE(Simulation.knowsLeaving(Host, 17)) << Host;
   }
-  // A host tells it to few others, and nobody asks for what did not change.
+  // A host relays the change to few others, and no host asks for unchanged
+  // records.
   EXPECT_LE(Simulation.takeTally().Messages["engines"], LargeSize * 6);
 }
 
-TEST(ManyHosts, NewsComesInTimeWhenTheStoreTurnsAllReadersAway) {
+TEST(ManyHosts, ChangesArriveInTimeWhenTheStoreRefusesAllReaders) {
   SettledHosts Simulation(SmallSize);
   for (std::size_t Host = 0; Host < SmallSize; ++Host)
     if (Simulation.isStoreReader(Host))
       Simulation.refuseStoreReads(Host);
   Simulation.publish(2);
-  // The aim: changes are in force within three seconds.
+  // The objective: changes are in force within three seconds.
   Simulation.run(seconds(3));
   for (std::size_t Host = 0; Host < SmallSize; ++Host)
     EXPECT_EQ(Simulation.versionAt(Host), 2U) << Host;
 }
 
-TEST(ManyHosts, FewHostsTakeTheCallersAndAllNameTheSame) {
+TEST(ManyHosts, FewHostsServeCallersAndAllHostsAgree) {
   SettledHosts Simulation(SmallSize);
   const auto Resolved = Simulation.resolvedHosts(0);
   EXPECT_GE(Resolved.size(), 16U);
@@ -110,12 +113,13 @@
   std::set<std::size_t> Zones;
   for (const std::size_t Host : Resolved)
     Zones.insert(Host % HostSimulation::Zones);
-  EXPECT_EQ(Zones.size(), HostSimulation::Zones) << "no zone's loss takes all";
+  EXPECT_EQ(Zones.size(), HostSimulation::Zones)
+      << "the loss of one zone must not affect all hosts";
   for (std::size_t Host = 1; Host < SmallSize; Host += 13)
     EXPECT_EQ(Simulation.resolvedHosts(Host), Resolved) << Host;
 }
 
-TEST(ManyHosts, HalfOfAllLostAtOnceAreReplacedWithinFiveSeconds) {
+TEST(ManyHosts, HalfOfTheHostsAreReplacedWithinFiveSeconds) {
   SettledHosts Simulation(SmallSize);
   for (std::size_t Host = 0; Host < SmallSize; Host += 2)
     Simulation.kill(Host);
@@ -131,7 +135,7 @@
   }
 }
 
-TEST(ManyHosts, ALostZoneIsReplacedAndReturns) {
+TEST(ManyHosts, LostZoneIsReplacedAndReturns) {
   SettledHosts Simulation(SmallSize);
   const auto Before = Simulation.resolvedHosts(1);
   for (std::size_t Host = 0; Host < SmallSize; Host += HostSimulation::Zones)
@@ -148,7 +152,8 @@
 TEST(ManyHosts, ActiveHostsSpreadShortPromptsOverTheEngines) {
   SettledHosts Simulation(SmallSize);
   const auto Active = Simulation.resolvedHosts(0);
-  // 150 a second for answers of some three seconds: 450 of 1,120 places.
+  // 150 requests per second with answers of some three seconds: 450 of 1,120
+  // slots.
   constexpr int Arrivals = 1500;
   for (int Index = 0; Index < Arrivals; ++Index) {
     Simulation.sendRequest(
@@ -157,22 +162,24 @@
     Simulation.run(Duration(6667));
   }
   const auto Tally = Simulation.takeTally();
-  std::size_t Most = 0;
+  std::size_t MaxCount = 0;
   std::size_t Sum = 0;
   for (const auto &[Engine, Count] : Tally.Sent) {
-    Most = std::max(Most, Count);
+    MaxCount = std::max(MaxCount, Count);
     Sum += Count;
   }
-  EXPECT_EQ(Sum, static_cast<std::size_t>(Arrivals)) << "all are sent at once";
-  // Gathered on the front, yet no engine has more at once than its slots: they
-  // are filled once, and then each turns over in the mean time of an answer.
+  EXPECT_EQ(Sum, static_cast<std::size_t>(Arrivals))
+      << "all requests are sent at once";
+  // Requests are concentrated on the first engines, but no engine has more of
+  // them at once than slots. The slots are filled once, and then each is reused
+  // after the mean time of an answer.
   constexpr double Slots = 16;
   constexpr double SpanS = 10;
   constexpr double MeanAnswerS = 3;
-  EXPECT_LE(static_cast<double>(Most), Slots * (1 + SpanS / MeanAnswerS));
+  EXPECT_LE(static_cast<double>(MaxCount), Slots * (1 + SpanS / MeanAnswerS));
 }
 
-/// Requests come to the active hosts in turn; those of \p Skipped get none.
+/// Sends requests to the active hosts in turn, except to those in \p Skipped.
 std::size_t offerLoad(HostSimulation &Simulation, int Count,
                       Duration RequestInterval,
                       const std::set<std::size_t> &Skipped = {}) {
@@ -195,7 +202,7 @@
   return Sum;
 }
 
-TEST(ManyHosts, EnginesThatFailAtOnceLoseHardlyAnyRequest) {
+TEST(ManyHosts, FailingEnginesLoseFewRequests) {
   HostSimulation Simulation(78, 69);
   Simulation.publish(1);
   Simulation.run(seconds(25));
@@ -207,11 +214,12 @@
   for (std::size_t Engine = 0; Engine < 8; ++Engine)
     Simulation.setFailing(Engine * 8, false);
   Simulation.run(seconds(1));
-  // The aim: no more than one in a hundred while an eighth of the engines fail.
+  // The objective: at most one request in a hundred is lost while an eighth of
+  // the engines fail.
   EXPECT_LE(lostRequests(Simulation.takeTally()) * 100, RequestCount);
 }
 
-TEST(ManyHosts, AHostWhoseLinkFailsTurnsNobodyAwayFromGoodEngines) {
+TEST(ManyHosts, HostWithFailedLinkDoesNotAffectHealthyEngines) {
   HostSimulation Simulation(78, 69);
   Simulation.publish(1);
   Simulation.run(seconds(25));
@@ -223,13 +231,13 @@
   EXPECT_EQ(lostRequests(Tally), 0U);
 }
 
-TEST(ManyHosts, WhenPlacesRunOutMostCallersAreInTimeAndNobodyIsLost) {
+TEST(ManyHosts, OverloadKeepsMostAnswersInTimeAndLosesFewCallers) {
   HostSimulation Simulation(16, 20);
   Simulation.publish(1);
   Simulation.run(seconds(10));
   Simulation.takeTally();
-  // 320 places for answers of two seconds, a sixth more than they can take; for
-  // as long as a burst lasts, then callers go on to come at half of it.
+  // 320 slots and answers of two seconds. The load is a sixth more than the
+  // slots can take for the duration of a burst, and then half of it.
   const auto Load = [&](int Count, Duration RequestInterval) {
     for (int Index = 0; Index < Count; ++Index) {
       Simulation.sendRequest(static_cast<std::size_t>(Index) %
@@ -242,16 +250,17 @@
   Load(500, Duration(11000));
   Simulation.run(seconds(5));
   const auto Tally = Simulation.takeTally();
-  // The aim: seven in ten, and nobody who was told to come back is lost.
+  // The objective: seven in ten are in time, and no caller that was told to
+  // retry is lost.
   EXPECT_GE(Tally.InTime, 1400U);
   EXPECT_LE(lostRequests(Tally), 20U);
 }
 
-TEST(ManyHosts, WhatDeadHostsHadOnEnginesTurnsNobodyAwayForLong) {
+TEST(ManyHosts, WorkOfDeadHostsIsSoonReleased) {
   HostSimulation Simulation(16, 20);
   Simulation.publish(1);
   Simulation.run(seconds(10));
-  // Five of six of 320 places are taken, on and on; ten of the hosts die.
+  // Five of six of 320 slots are always busy; ten of the hosts die.
   const auto Load = [&](std::size_t First, int Count) {
     for (int Index = 0; Index < Count; ++Index) {
       Simulation.sendRequest(First +
@@ -265,18 +274,18 @@
     Simulation.kill(Host);
   Load(10, 320);
   Simulation.takeTally();
-  // Their answers are over, so there are places for all who come.
+  // Their answers have ended, so there are slots for all requests.
   Load(10, 400);
   EXPECT_EQ(Simulation.takeTally().RetryLaterAnswers, 0U);
 }
 
-TEST(ManyHosts, AThousandEnginesAreDividedAndAllAreUsed) {
+TEST(ManyHosts, ThousandEnginesAreDividedAndAllUsed) {
   constexpr std::size_t Engines = 1000;
   HostSimulation Simulation(SmallSize, Engines);
   Simulation.publish(1);
   Simulation.run(seconds(25));
   Simulation.takeTally();
-  // 10,000 places; as many requests as fill a third of them.
+  // 10,000 slots; the requests fill a third of them.
   const std::size_t RequestCount = offerLoad(Simulation, 6000, Duration(800));
   const auto Tally = Simulation.takeTally();
   EXPECT_EQ(lostRequests(Tally), 0U);
@@ -284,7 +293,7 @@
   for (const auto &[Engine, Count] : Tally.Sent)
     Sum += Count;
   EXPECT_EQ(Sum, RequestCount);
-  // Each host tells its work to those that share its engines, not to all.
+  // Each host reports its work to the hosts that share its engines, not to all.
   constexpr double SpanS = 4.8;
   constexpr double ReportsPerSecond = 1000.0 / 30;
   constexpr double MaxSharers = 24;
@@ -292,7 +301,7 @@
             SmallSize * SpanS * ReportsPerSecond * MaxSharers);
 }
 
-TEST(ManyHosts, AHostThatStandsByIsHeardWhenItGetsRequests) {
+TEST(ManyHosts, StandbyHostReportsWorkWhenItGetsRequests) {
   SettledHosts Simulation(SmallSize);
   const auto Active = Simulation.resolvedHosts(0);
   std::size_t Standby = 0;
--- a/tests/auto/manyhosts/SimulatedResources.cpp
+++ b/tests/auto/manyhosts/SimulatedResources.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the crowd's hosts have: processors, links, and what documents cost
-/// them.
+/// Models the resources of the simulated hosts: processors, links and the cost
+/// of configuration documents.
 #include "auto/manyhosts/HostSimulation.h"
 
 #include "base/Random.h"
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// Processor time to take a message in and to send one, and for each byte of
-/// it; reading a configuration takes longer.
+/// Processor time to receive or send a message, and for each byte of it.
+/// Decoding a configuration takes longer.
 constexpr double MessageSeconds = 15e-6;
 constexpr double ByteSeconds = 10e-9;
 constexpr double DocumentByteSeconds = 20e-9;
 
-/// So many bytes as routes are written, each with names of its own.
+/// Returns at least \p Bytes bytes of routes, each with different names.
 std::string routesText(std::size_t Bytes) {
   Random Rng(Bytes);
   std::string Result;
@@ -36,49 +36,51 @@
 
 } // namespace
 
-/// What the hosts serve by: an answer of some two seconds in a full batch. The
-/// document ends with its version.
+/// Returns the configuration of the given version. An answer takes some two
+/// seconds in a full batch. The document ends with its version.
 std::shared_ptr<const GatewayConfiguration>
 HostSimulation::configurationAt(std::uint64_t NewVersion) {
-  auto &Known = this->Configurations[NewVersion];
-  if (Known)
-    return Known;
+  auto &Cached = this->Configurations[NewVersion];
+  if (Cached)
+    return Cached;
   auto Result =
       std::make_shared<GatewayConfiguration>(*gatewayDeclarations(NewVersion));
-  for (RouteEntry &Each : Result->Routes)
-    Each.TimeLimit = CallerTimeLimit;
+  for (RouteEntry &Route : Result->Routes)
+    Route.TimeLimit = CallerTimeLimit;
   EngineParameters &Engine = *Result->Services[ServiceId("ring")].Engine;
   Engine.MeanPromptTokens = ShortPrompt;
   Engine.MeanAnswerTokens = 1500;
   Result->Document = routesText(this->DocumentSize) + Result->Document;
-  Known = std::move(Result);
-  return Known;
+  Cached = std::move(Result);
+  return Cached;
 }
 
 void HostSimulation::processInbox(std::size_t Index) {
-  Host &Each = this->Hosts[Index];
-  while (!Each.Inbox.empty() && this->Queue.now() >= Each.BusyUntil) {
-    const QueuedEvent Next = std::move(Each.Inbox.front());
-    Each.Inbox.pop_front();
-    Each.BufferedBytes -= Next.Bytes;
-    if (!Each.Process || Each.Life != Next.Life)
+  Host &Receiver = this->Hosts[Index];
+  while (!Receiver.Inbox.empty() && this->Queue.now() >= Receiver.BusyUntil) {
+    const QueuedEvent Next = std::move(Receiver.Inbox.front());
+    Receiver.Inbox.pop_front();
+    Receiver.BufferedBytes -= Next.Bytes;
+    if (!Receiver.Process || Receiver.Life != Next.Life)
       continue;
-    Each.BusyUntil = this->Queue.now() + fromSeconds(messageCost(Next.Bytes) /
-                                                     Each.Available.Cores);
+    Receiver.BusyUntil =
+        this->Queue.now() +
+        fromSeconds(messageCost(Next.Bytes) / Receiver.Available.Cores);
     this->handle(Index, Next.Incoming);
   }
-  if (Each.Inbox.empty() || std::exchange(Each.PumpScheduled, true))
+  if (Receiver.Inbox.empty() || std::exchange(Receiver.PumpScheduled, true))
     return;
-  this->Queue.at(Each.BusyUntil, [this, Index] {
+  this->Queue.at(Receiver.BusyUntil, [this, Index] {
     this->Hosts[Index].PumpScheduled = false;
     this->processInbox(Index);
   });
 }
 
 void HostSimulation::chargeSending(std::size_t Index, std::size_t Bytes) {
-  Host &Each = this->Hosts[Index];
-  if (Each.Available.Cores > 0)
-    Each.BusyUntil += fromSeconds(messageCost(Bytes) / Each.Available.Cores);
+  Host &Sender = this->Hosts[Index];
+  if (Sender.Available.Cores > 0)
+    Sender.BusyUntil +=
+        fromSeconds(messageCost(Bytes) / Sender.Available.Cores);
 }
 
 Duration HostSimulation::decodeTime(std::size_t Index,
@@ -89,9 +91,10 @@
 }
 
 void HostSimulation::addBufferedBytes(std::size_t Index, std::size_t Bytes) {
-  Host &Each = this->Hosts[Index];
-  Each.BufferedBytes += Bytes;
-  Each.PeakBufferedBytes = std::max(Each.PeakBufferedBytes, Each.BufferedBytes);
+  Host &Buffering = this->Hosts[Index];
+  Buffering.BufferedBytes += Bytes;
+  Buffering.PeakBufferedBytes =
+      std::max(Buffering.PeakBufferedBytes, Buffering.BufferedBytes);
 }
 
 Duration HostSimulation::transfer(std::size_t From, std::size_t To,
--- a/tests/auto/manyhosts/SimulationLoad.h
+++ b/tests/auto/manyhosts/SimulationLoad.h
@@ -1,5 +1,5 @@
 /// \file
-/// Load for a crowd of hosts, and what the tests count of it.
+/// Generates load for the simulated hosts and counts its results.
 #pragma once
 
 #include "auto/manyhosts/HostSimulation.h"
@@ -10,21 +10,21 @@
 
 namespace banyanpick {
 
-/// How large a crowd is, and how its callers come.
+/// The size of a simulation and the rate of its requests.
 struct SimulationSize {
   std::size_t Hosts = 0;
   std::size_t Engines = 0;
-  Duration RequestInterval{}; ///< Two requests.
+  Duration RequestInterval{}; ///< Time between two requests.
 };
 
-/// For tests at several sizes.
+/// The sizes of tests that run at several sizes.
 inline constexpr std::array StandardSizes{
     SimulationSize{7, 14, milliseconds(20)},
     SimulationSize{16, 24, milliseconds(12)},
     SimulationSize{88, 51, milliseconds(8)},
     SimulationSize{300, 112, milliseconds(5)}};
 
-/// The name of a test at that size.
+/// Returns the name of a test at that size.
 template <class Info> std::string sizeName(const Info &Test) {
   return "Hosts" + std::to_string(Test.param.Hosts);
 }
@@ -34,14 +34,16 @@
 
 std::size_t lostRequests(const HostSimulation::Tally &Tally);
 
-/// Requests come in turn to the hosts that a living one names, for so long.
+/// Sends requests for the duration \p For, in turn to the hosts that a running
+/// host returns to callers. Returns the number of requests.
 std::size_t offerLoad(HostSimulation &Simulation, Duration For,
                       Duration RequestInterval);
 
-/// Revives the dead and ends all cuts.
+/// Restarts all stopped hosts and ends all partitions.
 void restoreAll(HostSimulation &Simulation);
 
-/// BANYANPICK_SEEDS sets how many seeds are run by hand.
+/// Returns the number of seeds to run. BANYANPICK_SEEDS sets it for runs by
+/// hand.
 std::uint64_t seedCount();
 
 } // namespace banyanpick
