--- a/src/plugins/fleet/UpstreamTable.cpp
+++ b/src/plugins/fleet/UpstreamTable.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t RefusalsUntilDead = 2;
 
 template <class Index, class Key>
-std::span<const std::uint32_t> lookUp(const Index &Map, const Key &Wanted) {
-  const auto Found = Map.find(Wanted);
+std::span<const std::uint32_t> lookUp(const Index &Map, const Key &SearchKey) {
+  const auto Found = Map.find(SearchKey);
   if (Found == Map.end())
     return {};
   return Found->second;
--- a/src/plugins/fleet/UpstreamTable.h
+++ b/src/plugins/fleet/UpstreamTable.h
@@ -27,7 +27,7 @@
 };
 
 /// The upstreams, ordered by name. An incarnation that is leaving gets no new
-/// work any more; only a later incarnation does.
+/// work again; only a later incarnation does.
 class UpstreamTable {
 public:
   UpstreamTable() = default;
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -233,12 +233,12 @@
 }
 
 void MembershipPlugin::connect(Actions &Out) const {
-  ConnectPeers Wanted;
+  ConnectPeers Connections;
   for (const Member &Peer : this->Peers.members())
-    Wanted.Peers.push_back(Peer.Listing);
+    Connections.Peers.push_back(Peer.Listing);
   for (HostListing &Listing : this->Seeds.unresolved(this->Peers.members()))
-    Wanted.Peers.push_back(std::move(Listing));
-  Out.add(std::move(Wanted));
+    Connections.Peers.push_back(std::move(Listing));
+  Out.add(std::move(Connections));
 }
 
 HostListing MembershipPlugin::ownListing() const {
--- a/tests/auto/groups/GroupsTest.cpp
+++ b/tests/auto/groups/GroupsTest.cpp
@@ -70,11 +70,11 @@
                                 const std::string &RefusingEngine = "") {
     std::vector<Action> All = Outputs;
     while (!actionsOf<TakeHold>(Outputs).empty()) {
-      const TakeHold Wanted = actionsOf<TakeHold>(Outputs).front();
-      this->Order.push_back(Wanted.Upstream.Value);
-      const bool Granted = Wanted.Upstream.Value != RefusingEngine;
+      const TakeHold Requested = actionsOf<TakeHold>(Outputs).front();
+      this->Order.push_back(Requested.Upstream.Value);
+      const bool Granted = Requested.Upstream.Value != RefusingEngine;
       Outputs = this->handle(
-          HoldAnswered{Wanted.Hold, Wanted.Upstream,
+          HoldAnswered{Requested.Hold, Requested.Upstream,
                        Granted ? HoldResult::Granted : HoldResult::Refused},
           Now);
       All.insert(All.end(), Outputs.begin(), Outputs.end());
--- a/tests/auto/membership/HostGroup.h
+++ b/tests/auto/membership/HostGroup.h
@@ -60,10 +60,10 @@
   const MembershipPlugin &at(std::size_t Index) const {
     return this->Hosts.at(Index)->Plugin;
   }
-  /// Returns the member entry of host \p Of on host \p From.
-  const Member &memberSeenBy(std::size_t From, std::size_t Of) const {
-    for (const Member &Peer : this->at(From).peers())
-      if (Peer.Listing.Id == name(Of))
+  /// Returns the entry of host \p Observed in the table of host \p Observer.
+  const Member &memberSeenBy(std::size_t Observer, std::size_t Observed) const {
+    for (const Member &Peer : this->at(Observer).peers())
+      if (Peer.Listing.Id == name(Observed))
         return Peer;
     throw std::out_of_range("not a peer");
   }
