--- a/src/plugins/fleet/UpstreamTable.h
+++ b/src/plugins/fleet/UpstreamTable.h
@@ -26,8 +26,8 @@
   bool NotifyPeers = false;
 };
 
-/// The upstreams, ordered by name. An incarnation that is leaving gets no new
-/// work again; only a later incarnation does.
+/// The upstreams, ordered by name. An incarnation that is leaving never gets
+/// new work again; only a later incarnation does.
 class UpstreamTable {
 public:
   UpstreamTable() = default;
