--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -214,7 +214,7 @@
   this->NextHeartbeat = Now;
 }
 
-void MembershipPlugin::learn(std::span<const HostListing> KnownHosts, Time Now,
+void MembershipPlugin::learn(std::span<const HostListing> Listings, Time Now,
                              Actions &Out) {
   bool Changed = false;
   for (const HostListing &Listing : Listings) {
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -43,7 +43,7 @@
 private:
   void applyHostList(const HostListRead &List, Time Now, Actions &Out);
   /// Adds hosts discovered by gossip and reconnects if any is new.
-  void learn(std::span<const HostListing> KnownHosts, Time Now, Actions &Out);
+  void learn(std::span<const HostListing> Listings, Time Now, Actions &Out);
   void connect(Actions &Out) const;
   HostListing ownListing() const;
   /// Returns the own listing and some of other hosts, more for \p Newcomer.
--- a/tests/auto/manyhosts/EngineRestsTest.cpp
+++ b/tests/auto/manyhosts/EngineRestsTest.cpp
@@ -18,7 +18,7 @@
   for (const HostSimulation::Arrival &Asked : Arrivals) {
     const auto InRest = std::ranges::count_if(Arrivals, [&](const auto &Each) {
       return Each.From == Asked.From && Each.At > Asked.At + HeededAfter &&
-             Each.At < Asked.At + Asked.BackoffRequested;
+             Each.At < Asked.At + Asked.RequestedBackoff;
     });
     Most = std::max(Most, static_cast<std::size_t>(InRest));
   }
@@ -43,7 +43,7 @@
   for (const std::size_t Engine : {0, 1}) {
     const auto &Arrivals = Crowd.arrivals(Engine);
     EXPECT_TRUE(std::ranges::any_of(Arrivals, [](const auto &Each) {
-      return Each.BackoffRequested > Duration(0);
+      return Each.RequestedBackoff > Duration(0);
     })) << "it never asked for rest";
     EXPECT_EQ(mostInOneRest(Arrivals), 0U);
   }
@@ -61,7 +61,7 @@
   for (std::size_t Engine = 0; Engine < Crowd.engines(); ++Engine)
     Sum += static_cast<std::size_t>(
         std::ranges::count_if(Crowd.arrivals(Engine), [](const auto &Each) {
-          return Each.BackoffRequested > Duration(0);
+          return Each.RequestedBackoff > Duration(0);
         }));
   return Sum;
 }
--- a/tests/auto/manyhosts/EngineSignalsTest.cpp
+++ b/tests/auto/manyhosts/EngineSignalsTest.cpp
@@ -144,11 +144,11 @@
             this->isExcused(Asked->From, Asked->At, Each->At))
           continue;
         const bool InRest = Each->At > Asked->At + RestHeededAfter &&
-                            Each->At < Asked->At + Asked->BackoffRequested;
+                            Each->At < Asked->At + Asked->RequestedBackoff;
         EXPECT_FALSE(InRest)
             << "engine " << Engine << " host " << Each->From << " asked at "
             << Asked->At.time_since_epoch().count() << " for "
-            << Asked->BackoffRequested.count() << ", sent at "
+            << Asked->RequestedBackoff.count() << ", sent at "
             << Each->At.time_since_epoch().count();
         const bool AfterWord =
             Asked->SignalledLeaving && Each->At > Asked->AnsweredAt;
--- a/tests/auto/manyhosts/HostSimulation.h
+++ b/tests/auto/manyhosts/HostSimulation.h
@@ -89,7 +89,7 @@
   struct Arrival {
     Time At{};
     std::size_t From = 0;
-    Duration BackoffRequested{};   ///< Requested by the refusal; zero: none.
+    Duration RequestedBackoff{};   ///< Requested by the refusal; zero: none.
     Time AnsweredAt = Never;       ///< Never: the caller disconnected before.
     bool SignalledLeaving = false; ///< The answer signalled leaving.
   };
