--- a/src/plugins/admission/AdmissionPlugin.cpp
+++ b/src/plugins/admission/AdmissionPlugin.cpp
@@ -17,94 +17,95 @@
 void AdmissionPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   this->Cost = &Context.services().get<CostModel>();
-  this->Numbers = &Context.random();
+  this->Rng = &Context.random();
   this->Margin = Values.fraction("admission", "margin");
-  this->LeastComeBack = Values.span("admission", "least_come_back");
-  this->MostComeBack = Values.span("admission", "most_come_back");
+  this->MinRetryAfter = Values.span("admission", "least_come_back");
+  this->MaxRetryAfter = Values.span("admission", "most_come_back");
   Context.services().list<AdmissionGate>().add(*this);
   Context.services().list<RequestObserver>().add(*this);
 }
 
-std::optional<NotRun> AdmissionPlugin::check(const Request &Asked, Time Now) {
-  if (Asked.Class.Target != TargetKind::Model)
+std::optional<NotRun> AdmissionPlugin::check(const Request &Req, Time Now) {
+  if (Req.Class.Target != TargetKind::Model)
     return std::nullopt;
-  return this->judge(Asked, this->waitHere(Asked, Now), this->Margin, Now);
+  return this->checkDeadlines(Req, this->predictQueueWait(Req, Now),
+                              this->Margin, Now);
 }
 
-std::optional<NotRun> AdmissionPlugin::reconsider(const Request &Asked,
+std::optional<NotRun> AdmissionPlugin::reconsider(const Request &Req,
                                                   Time Now) {
-  if (Asked.Class.Target != TargetKind::Model)
+  if (Req.Class.Target != TargetKind::Model)
     return std::nullopt;
   // What it waited is known now; only what is left has to fit.
-  return this->judge(Asked, Duration(0), 1, Now);
+  return this->checkDeadlines(Req, Duration(0), 1, Now);
 }
 
-void AdmissionPlugin::admitted(const Request &Asked, Time, Actions &) {
-  if (Asked.Class.Target == TargetKind::Model)
-    this->Waiting.add(Asked.id(), Asked.Class.Urgency, Asked.Head.PromptTokens);
+void AdmissionPlugin::admitted(const Request &Req, Time, Actions &) {
+  if (Req.Class.Target == TargetKind::Model)
+    this->Waiting.add(Req.id(), Req.Class.Urgency, Req.Head.PromptTokens);
 }
 
-void AdmissionPlugin::dispatched(const Request &Asked, const Attempt &, Time,
+void AdmissionPlugin::dispatched(const Request &Req, const Attempt &, Time,
                                  Actions &) {
-  this->Waiting.remove(Asked.id());
+  this->Waiting.remove(Req.id());
 }
 
-void AdmissionPlugin::ended(const Request &Asked, const FinalAnswer &, Time,
+void AdmissionPlugin::ended(const Request &Req, const FinalAnswer &, Time,
                             Actions &) {
-  this->Waiting.remove(Asked.id());
+  this->Waiting.remove(Req.id());
 }
 
-std::optional<NotRun> AdmissionPlugin::judge(const Request &Asked,
-                                             Duration WaitHere, double Factor,
-                                             Time Now) {
-  const std::optional<Prediction> Expected = this->Cost->predict(Asked, Now);
+std::optional<NotRun> AdmissionPlugin::checkDeadlines(const Request &Req,
+                                                      Duration QueueWait,
+                                                      double Factor, Time Now) {
+  const std::optional<Prediction> Expected = this->Cost->predict(Req, Now);
   if (!Expected &&
-      this->Cost->shareOfCapacity(ModelId(Asked.Class.TargetName), Now) <= 0)
-    return NotRun{RefusalReason::NoUpstream, this->comeBackAfter(Duration(0)),
+      this->Cost->shareOfCapacity(ModelId(Req.Class.TargetName), Now) <= 0)
+    return NotRun{RefusalReason::NoUpstream, this->retryAfter(Duration(0)),
                   "no engine that lives serves its model; ask again after the "
                   "time given"};
   if (!Expected)
     return std::nullopt;
-  const Duration FirstToken = scaled(WaitHere + Expected->FirstToken, Factor);
+  const Duration FirstToken = scaled(QueueWait + Expected->FirstToken, Factor);
   const Duration CompleteAnswer =
-      scaled(WaitHere + Expected->CompleteAnswer, Factor);
-  const Duration Excess = std::max(Now + FirstToken - Asked.FirstTokenBy,
-                                   Now + CompleteAnswer - Asked.Deadline);
+      scaled(QueueWait + Expected->CompleteAnswer, Factor);
+  const Duration Excess = std::max(Now + FirstToken - Req.FirstTokenBy,
+                                   Now + CompleteAnswer - Req.Deadline);
   if (Excess <= Duration(0))
     return std::nullopt;
-  return NotRun{RefusalReason::Overloaded, this->comeBackAfter(Excess),
+  return NotRun{RefusalReason::Overloaded, this->retryAfter(Excess),
                 "it can't end within its promise now; ask again after the time "
                 "given"};
 }
 
-Duration AdmissionPlugin::waitHere(const Request &Asked, Time Now) {
-  const ModelId Model(Asked.Class.TargetName);
-  const auto Ahead =
-      static_cast<double>(this->Waiting.ahead(Asked.Class.Urgency));
-  const double Speed = this->Cost->shareOfCapacity(Model, Now) *
-                       this->Cost->partLeft(Asked, Now);
-  return fromSeconds(Ahead / std::max(Speed, 1.0));
+Duration AdmissionPlugin::predictQueueWait(const Request &Req, Time Now) {
+  const ModelId Model(Req.Class.TargetName);
+  const auto TokensAhead =
+      static_cast<double>(this->Waiting.ahead(Req.Class.Urgency));
+  const double Speed =
+      this->Cost->shareOfCapacity(Model, Now) * this->Cost->partLeft(Req, Now);
+  return fromSeconds(TokensAhead / std::max(Speed, 1.0));
 }
 
-Duration AdmissionPlugin::comeBackAfter(Duration Excess) {
+Duration AdmissionPlugin::retryAfter(Duration Excess) {
   // Spread up to twice the excess, so that callers do not return in step.
   const Duration Base =
-      std::clamp(Excess, this->LeastComeBack, this->MostComeBack);
-  return scaled(Base, 1 + this->Numbers->fraction());
+      std::clamp(Excess, this->MinRetryAfter, this->MaxRetryAfter);
+  return scaled(Base, 1 + this->Rng->fraction());
 }
 
 namespace {
 
 std::vector<SettingDeclaration> settings() {
-  const std::string In = "admission";
+  const std::string Section = "admission";
   return {
-      {In, "margin", SettingKind::Fraction, "1.5",
+      {Section, "margin", SettingKind::Fraction, "1.5",
        "Factor on predicted durations before they are held against a promise.",
        0.1, 10},
-      {In, "least_come_back", SettingKind::Span, "500ms",
+      {Section, "least_come_back", SettingKind::Span, "500ms",
        "Shortest come-back hint; hints are spread up to twice their base.", 1e3,
        60e6},
-      {In, "most_come_back", SettingKind::Span, "30s",
+      {Section, "most_come_back", SettingKind::Span, "30s",
        "Longest base of a come-back hint.", 1e3, 3600e6},
   };
 }
--- a/src/plugins/admission/AdmissionPlugin.h
+++ b/src/plugins/admission/AdmissionPlugin.h
@@ -18,27 +18,27 @@
   void handle(const Event &, Time, Actions &) override {}
 
   // AdmissionGate
-  std::optional<NotRun> check(const Request &Asked, Time Now) override;
-  std::optional<NotRun> reconsider(const Request &Asked, Time Now) override;
+  std::optional<NotRun> check(const Request &Req, Time Now) override;
+  std::optional<NotRun> reconsider(const Request &Req, Time Now) override;
 
   // RequestObserver
-  void admitted(const Request &Asked, Time Now, Actions &Out) override;
-  void dispatched(const Request &Asked, const Attempt &Try, Time Now,
+  void admitted(const Request &Req, Time Now, Actions &Out) override;
+  void dispatched(const Request &Req, const Attempt &SentAttempt, Time Now,
                   Actions &Out) override;
-  void ended(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void ended(const Request &Req, const FinalAnswer &Answer, Time Now,
              Actions &Out) override;
 
 private:
-  std::optional<NotRun> judge(const Request &Asked, Duration WaitHere,
-                              double Factor, Time Now);
-  Duration waitHere(const Request &Asked, Time Now);
-  Duration comeBackAfter(Duration Excess);
+  std::optional<NotRun> checkDeadlines(const Request &Req, Duration QueueWait,
+                                       double Factor, Time Now);
+  Duration predictQueueWait(const Request &Req, Time Now);
+  Duration retryAfter(Duration Excess);
 
   CostModel *Cost = nullptr;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   double Margin = 1;
-  Duration LeastComeBack{};
-  Duration MostComeBack{};
+  Duration MinRetryAfter{};
+  Duration MaxRetryAfter{};
   AdmittedWork Waiting;
 };
 
--- a/src/plugins/admission/AdmittedWork.cpp
+++ b/src/plugins/admission/AdmittedWork.cpp
@@ -22,9 +22,9 @@
 
 std::uint64_t AdmittedWork::ahead(std::uint32_t Urgency) const {
   std::uint64_t Tokens = 0;
-  for (std::uint32_t Each = std::min(Urgency, Urgencies - 1); Each < Urgencies;
-       ++Each)
-    Tokens += this->Sums[Each];
+  for (std::uint32_t Level = std::min(Urgency, Urgencies - 1);
+       Level < Urgencies; ++Level)
+    Tokens += this->Sums[Level];
   return Tokens;
 }
 
