--- a/src/plugins/admission/AdmissionPlugin.cpp
+++ b/src/plugins/admission/AdmissionPlugin.cpp
@@ -36,7 +36,7 @@
                                                   Time Now) {
   if (Req.Class.Target != TargetKind::Model)
     return std::nullopt;
-  // What it waited is known now; only what is left has to fit.
+  // The time already waited is part of Now, so only the remaining time counts.
   return this->checkDeadlines(Req, Duration(0), 1, Now);
 }
 
@@ -88,7 +88,8 @@
 }
 
 Duration AdmissionPlugin::retryAfter(Duration Excess) {
-  // Spread up to twice the excess, so that callers do not return in step.
+  // Adds random jitter of up to the base delay, so that callers do not retry
+  // at the same time.
   const Duration Base =
       std::clamp(Excess, this->MinRetryAfter, this->MaxRetryAfter);
   return scaled(Base, 1 + this->Rng->fraction());
--- a/src/plugins/admission/AdmissionPlugin.h
+++ b/src/plugins/admission/AdmissionPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that refuses at once what can't end within its promise.
+/// The plug-in that refuses requests that cannot meet their deadlines.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -8,8 +8,9 @@
 
 namespace banyanpick {
 
-/// Provides an AdmissionGate. It compares the promise with the predicted wait
-/// here and on the best engine, when a request arrives and while it waits.
+/// Provides an AdmissionGate. Compares the deadlines of a request with the
+/// predicted wait on this host and on the best engine, on arrival and while
+/// the request waits.
 class AdmissionPlugin : public Plugin,
                         public AdmissionGate,
                         public RequestObserver {
--- a/src/plugins/admission/AdmittedWork.h
+++ b/src/plugins/admission/AdmittedWork.h
@@ -1,5 +1,5 @@
 /// \file
-/// The work that is admitted on this host and not yet sent to an engine.
+/// Tracks the work that is admitted on this host and not yet dispatched.
 #pragma once
 
 #include "base/StrongId.h"
@@ -9,14 +9,14 @@
 
 namespace banyanpick {
 
-/// Prompt tokens of waiting requests, by urgency.
+/// Sums the prompt tokens of waiting requests by urgency.
 class AdmittedWork {
 public:
   void add(const RequestId &Id, std::uint32_t Urgency, std::uint64_t Tokens);
-  /// Nothing happens if it does not wait.
+  /// Does nothing if the request is not waiting.
   void remove(const RequestId &Id);
 
-  /// Tokens that wait at this urgency or above.
+  /// Returns the waiting tokens at this urgency or above.
   std::uint64_t ahead(std::uint32_t Urgency) const;
 
 private:
