--- a/src/plugins/limits/DemandMeter.h
+++ b/src/plugins/limits/DemandMeter.h
@@ -13,11 +13,11 @@
   double rate(Time Now) const;
 
   /// Time constant of the mean.
-  static constexpr Duration Span = seconds(5);
+  static constexpr Duration TimeConstant = seconds(5);
 
 private:
   double PerSecond = 0;
-  Time Latest{};
+  Time LatestAt{};
 };
 
 } // namespace banyanpick
--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -14,31 +14,31 @@
 
 constexpr std::string_view Section = "limits";
 /// How long a team is looked at after its last request.
-constexpr Duration BusyAfterUse = seconds(60);
-constexpr Duration RepeatInterval = seconds(5);
+constexpr Duration ActiveAfterRequest = seconds(60);
+constexpr Duration TransferRepeatInterval = seconds(5);
 /// A demand is told again when it changed by so much, or after so long.
-constexpr double NewsFraction = 0.2;
-constexpr Duration NewsInterval = seconds(20);
+constexpr double ReportedChange = 0.2;
+constexpr Duration MaxReportInterval = seconds(20);
 constexpr Duration PruneInterval = seconds(60);
-constexpr Duration LongestComeBack = seconds(60);
+constexpr Duration MaxRetryAfter = seconds(60);
 
 bool isLimited(const TeamEntry &Limits) {
   return Limits.RequestsPerMinute > 0 || Limits.TokensPerMinute > 0 ||
          Limits.Concurrent > 0;
 }
 
-double tokensOf(const Request &Asked) {
-  return static_cast<double>(Asked.Head.PromptTokens + Asked.OutputTokens);
+double requestTokens(const Request &Req) {
+  return static_cast<double>(Req.Head.PromptTokens + Req.OutputTokens);
 }
 
 /// Tokens charged that the answer shows were not used.
-double unusedTokens(const Request &Asked, const FinalAnswer &Answer,
+double unusedTokens(const Request &Req, const FinalAnswer &Answer,
                     double Charged) {
-  const auto Bound = static_cast<double>(Asked.OutputTokens);
+  const auto MaxTokens = static_cast<double>(Req.OutputTokens);
   return match(
       Answer,
-      [&](const CompleteAnswer &Whole) {
-        return std::max(0.0, Bound - static_cast<double>(Whole.Count));
+      [&](const CompleteAnswer &Complete) {
+        return std::max(0.0, MaxTokens - static_cast<double>(Complete.Count));
       },
       [&](const NotRun &) { return Charged; },
       [](const auto &) { return 0.0; });
@@ -55,86 +55,86 @@
   this->Self = Context.self();
   this->InForce = &Context.services().get<CatalogueView>();
   this->Members = &Context.services().get<MembershipView>();
-  this->Numbers = &Context.random();
+  this->Rng = &Context.random();
   Context.services().list<AdmissionGate>().add(*this);
   Context.services().list<RequestObserver>().add(*this);
   Context.services().list<MembershipObserver>().add(*this);
 }
 
-void LimitsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Received = std::get_if<PeerMessageReceived>(&What))
-    this->takeIn(Received->Message, Now);
+void LimitsPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  if (const auto *Received = std::get_if<PeerMessageReceived>(&Incoming))
+    this->handlePeerMessage(Received->Message, Now);
   if (Now >= this->nextWake())
-    this->tellPeers(Now, Out);
+    this->reportToPeers(Now, Out);
   this->prune(Now);
 }
 
 Time LimitsPlugin::nextWake() const {
-  const Time Next = this->ToldAt + this->Policy.Interval;
-  return Next <= this->BusyUntil ? Next : Never;
+  const Time Next = this->ReportedAt + this->Policy.Interval;
+  return Next <= this->ActiveUntil ? Next : Never;
 }
 
 void LimitsPlugin::checkInvariants(InvariantMonitor &Monitor, Time Now) const {
-  for (const auto &[Team, Of] : this->Teams) {
-    Monitor.require(Of.Limit->isConsistent(),
+  for (const auto &[Team, State] : this->Teams) {
+    Monitor.require(State.Limit->isConsistent(),
                     "a limit's share is what was had, received and not given");
-    Monitor.require(Of.Limit->fraction(Now) <= 1,
+    Monitor.require(State.Limit->fraction(Now) <= 1,
                     "a host holds at most the whole limit");
   }
 }
 
-std::optional<NotRun> LimitsPlugin::check(const Request &Asked, Time Now) {
-  TeamState *Of = this->state(Asked.Team, Now);
-  if (!Of)
+std::optional<NotRun> LimitsPlugin::check(const Request &Req, Time Now) {
+  TeamState *State = this->state(Req.Team, Now);
+  if (!State)
     return std::nullopt;
-  Of->BusyUntil = Now + BusyAfterUse;
-  this->BusyUntil = std::max(this->BusyUntil, Of->BusyUntil);
-  const auto Reached = Of->Limit->check(tokensOf(Asked), Now);
+  State->ActiveUntil = Now + ActiveAfterRequest;
+  this->ActiveUntil = std::max(this->ActiveUntil, State->ActiveUntil);
+  const auto Reached = State->Limit->check(requestTokens(Req), Now);
   if (!Reached)
     return std::nullopt;
-  return this->refusal(*Of, *Reached, Now);
+  return this->refusal(*State, *Reached, Now);
 }
 
-NotRun LimitsPlugin::refusal(TeamState &Of, const LimitReached &Reached,
+NotRun LimitsPlugin::refusal(TeamState &State, const LimitReached &Reached,
                              Time Now) {
   // Each refused caller gets a later moment, at the pace of the limit.
-  const TeamEntry &Limits = Of.Declared;
+  const TeamEntry &Limits = State.Declared;
   const double PerSecond = std::max({1.0, Limits.RequestsPerMinute / 60.0,
                                      static_cast<double>(Limits.Concurrent)});
-  const Time Earliest = std::max(Now + Reached.Wait, Of.SlotAt);
-  Of.SlotAt = std::min(Earliest + fromSeconds(1 / PerSecond),
-                       Now + Reached.Wait + LongestComeBack);
+  const Time Earliest = std::max(Now + Reached.Wait, State.NextRetryAt);
+  State.NextRetryAt = std::min(Earliest + fromSeconds(1 / PerSecond),
+                               Now + Reached.Wait + MaxRetryAfter);
   const Duration Spread =
-      fromSeconds(inSeconds(this->Policy.Interval) * this->Numbers->fraction());
+      fromSeconds(inSeconds(this->Policy.Interval) * this->Rng->fraction());
   return {RefusalReason::OverLimit, Earliest - Now + Spread,
           fmt::format("the team's limit of {} is used up; come back after the "
                       "time given, resolve again, or ask an operator for a "
                       "higher limit",
-                      Reached.What)};
+                      Reached.LimitName)};
 }
 
-void LimitsPlugin::admitted(const Request &Asked, Time Now, Actions &) {
-  TeamState *Of = this->state(Asked.Team, Now);
-  if (!Of)
+void LimitsPlugin::admitted(const Request &Req, Time Now, Actions &) {
+  TeamState *State = this->state(Req.Team, Now);
+  if (!State)
     return;
-  const double Tokens = tokensOf(Asked);
-  Of->Limit->admitted(Tokens, Now);
-  this->Running[Asked.id()] = {Asked.Team, Tokens};
+  const double Tokens = requestTokens(Req);
+  State->Limit->admitted(Tokens, Now);
+  this->Running[Req.id()] = {Req.Team, Tokens};
 }
 
-void LimitsPlugin::ended(const Request &Asked, const FinalAnswer &Answer,
+void LimitsPlugin::ended(const Request &Req, const FinalAnswer &Answer,
                          Time Now, Actions &) {
-  const auto Found = this->Running.find(Asked.id());
+  const auto Found = this->Running.find(Req.id());
   if (Found == this->Running.end())
     return;
   const RunningRequest Ended = Found->second;
   this->Running.erase(Found);
-  const auto Of = this->Teams.find(Ended.Team);
-  if (Of == this->Teams.end())
+  const auto State = this->Teams.find(Ended.Team);
+  if (State == this->Teams.end())
     return;
   const bool HasRun = !std::holds_alternative<NotRun>(Answer);
-  Of->second.Limit->ended(unusedTokens(Asked, Answer, Ended.Tokens), HasRun,
-                          Now);
+  State->second.Limit->ended(unusedTokens(Req, Answer, Ended.Tokens), HasRun,
+                             Now);
 }
 
 void LimitsPlugin::memberChanged(const Member &, Time, Actions &) {
@@ -143,27 +143,27 @@
 
 void LimitsPlugin::refreshHosts(Time Now) {
   this->AreHostsStale = false;
-  const auto Seen = shareHosts(*this->Members);
-  if (Seen == this->Hosts)
+  const auto NewHosts = shareHosts(*this->Members);
+  if (NewHosts == this->Hosts)
     return;
-  for (const ShareHost &Before : this->Hosts) {
-    const HostId &Host = Before.Candidate.Host;
-    const auto After =
-        std::find_if(Seen.begin(), Seen.end(), [&](const ShareHost &Each) {
-          return Each.Candidate.Host == Host;
-        });
-    const bool IsOver = After == Seen.end() || After->Life != Before.Life;
-    const bool IsSilent = IsOver || After->IsDead;
-    for (auto &[Team, Of] : this->Teams) {
-      if (IsSilent)
-        Of.Limit->forgetDemand(Host);
-      if (IsOver)
-        Of.Limit->guestIsOver(Host);
+  for (const ShareHost &OldHost : this->Hosts) {
+    const HostId &Host = OldHost.Candidate.Host;
+    const auto NewHost = std::find_if(
+        NewHosts.begin(), NewHosts.end(),
+        [&](const ShareHost &Each) { return Each.Candidate.Host == Host; });
+    const bool HasEnded =
+        NewHost == NewHosts.end() || NewHost->Life != OldHost.Life;
+    const bool IsUnavailable = HasEnded || NewHost->IsDead;
+    for (auto &[Team, State] : this->Teams) {
+      if (IsUnavailable)
+        State.Limit->forgetDemand(Host);
+      if (HasEnded)
+        State.Limit->reclaimShareOf(Host);
     }
   }
-  this->Hosts = Seen;
-  ++this->MembersVersion;
-  this->MembersChangedAt = Now;
+  this->Hosts = NewHosts;
+  ++this->HostsVersion;
+  this->HostsChangedAt = Now;
 }
 
 const ShareHost *LimitsPlugin::find(const HostId &Host) const {
@@ -174,8 +174,8 @@
 }
 
 double LimitsPlugin::fraction(const TeamId &Team, Time Now) {
-  TeamState *Of = this->state(Team, Now);
-  return Of ? Of->Limit->fraction(Now) : 1;
+  TeamState *State = this->state(Team, Now);
+  return State ? State->Limit->fraction(Now) : 1;
 }
 
 LimitsPlugin::TeamState *LimitsPlugin::state(const TeamId &Team, Time Now) {
@@ -184,29 +184,30 @@
     return nullptr;
   if (this->AreHostsStale)
     this->refreshHosts(Now);
-  TeamState &Of = this->Teams[Team];
-  const bool IsUpToDate = Of.Limit && Of.MembersSeen == this->MembersVersion &&
-                          Of.Declared == *Declared;
+  TeamState &State = this->Teams[Team];
+  const bool IsUpToDate = State.Limit &&
+                          State.SplitHostsVersion == this->HostsVersion &&
+                          State.Declared == *Declared;
   if (IsUpToDate)
-    return &Of;
+    return &State;
   ShareView Split = shareView(Team, *Declared, this->Hosts);
-  if (!Of.Limit) {
-    Of.Limit = std::make_unique<TeamLimit>(*Declared, std::move(Split),
-                                           this->Self, this->Policy, Now);
+  if (!State.Limit) {
+    State.Limit = std::make_unique<TeamLimit>(*Declared, std::move(Split),
+                                              this->Self, this->Policy, Now);
   } else {
-    const bool IsOtherEntry = Of.Declared != *Declared;
-    Of.Limit->changeSplit(*Declared, std::move(Split),
-                          IsOtherEntry ? Now : this->MembersChangedAt, Now);
+    const bool IsOtherEntry = State.Declared != *Declared;
+    State.Limit->changeSplit(*Declared, std::move(Split),
+                             IsOtherEntry ? Now : this->HostsChangedAt, Now);
   }
-  Of.Declared = *Declared;
-  Of.MembersSeen = this->MembersVersion;
-  return &Of;
+  State.Declared = *Declared;
+  State.SplitHostsVersion = this->HostsVersion;
+  return &State;
 }
 
-void LimitsPlugin::takeIn(const PeerMessage &Message, Time Now) {
-  const auto Wake = [&](TeamState &Of) {
-    Of.BusyUntil = std::max(Of.BusyUntil, Now + BusyAfterUse);
-    this->BusyUntil = std::max(this->BusyUntil, Of.BusyUntil);
+void LimitsPlugin::handlePeerMessage(const PeerMessage &Message, Time Now) {
+  const auto MarkActive = [&](TeamState &State) {
+    State.ActiveUntil = std::max(State.ActiveUntil, Now + ActiveAfterRequest);
+    this->ActiveUntil = std::max(this->ActiveUntil, State.ActiveUntil);
   };
   if (this->AreHostsStale)
     this->refreshHosts(Now);
@@ -216,38 +217,38 @@
     return;
   if (const auto *Usage = std::get_if<TeamUsage>(&Message.Body)) {
     for (const TeamUsage::Item &Item : Usage->Items) {
-      TeamState *Of = Item.Lane == 0 ? this->state(Item.Team, Now) : nullptr;
-      if (!Of)
+      TeamState *State = Item.Lane == 0 ? this->state(Item.Team, Now) : nullptr;
+      if (!State)
         continue;
-      Of->Limit->heard(Message.From, Item, Now);
-      Wake(*Of);
+      State->Limit->updatePeerDemand(Message.From, Item, Now);
+      MarkActive(*State);
     }
   }
   if (const auto *Share = std::get_if<LimitShare>(&Message.Body)) {
-    TeamState *Of = this->state(Share->Team, Now);
-    if (!Of)
+    TeamState *State = this->state(Share->Team, Now);
+    if (!State)
       return;
-    Of->Limit->receive(Message.From, *Share, Now);
-    Wake(*Of);
+    State->Limit->receiveShare(Message.From, *Share, Now);
+    MarkActive(*State);
   }
 }
 
-void LimitsPlugin::tellPeers(Time Now, Actions &Out) {
-  this->ToldAt = Now;
+void LimitsPlugin::reportToPeers(Time Now, Actions &Out) {
+  this->ReportedAt = Now;
   ++this->Round;
   // A host that was forgotten is not told of as changed.
   this->refreshHosts(Now);
   std::map<HostId, TeamUsage> Usage;
-  std::uint64_t Told = 0;
+  std::uint64_t Reported = 0;
   auto It = this->Teams.upper_bound(this->Cursor);
-  for (std::size_t Seen = 0; Seen < this->Teams.size(); ++Seen) {
-    if (Told >= this->Policy.ItemsPerInterval)
+  for (std::size_t Visited = 0; Visited < this->Teams.size(); ++Visited) {
+    if (Reported >= this->Policy.ItemsPerInterval)
       break;
     if (It == this->Teams.end())
       It = this->Teams.begin();
     this->Cursor = It->first;
-    if (It->second.BusyUntil >= Now && this->state(It->first, Now))
-      Told += this->tellOf(It->first, It->second, Now, Usage, Out);
+    if (It->second.ActiveUntil >= Now && this->state(It->first, Now))
+      Reported += this->reportTeam(It->first, It->second, Now, Usage, Out);
     ++It;
   }
   for (auto &[To, Message] : Usage) {
@@ -255,63 +256,66 @@
     Out.add(SendToPeer{To, std::move(Message)});
   }
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Count, "limit_items_sent",
-                            "", static_cast<double>(Told)});
+                            "", static_cast<double>(Reported)});
 }
 
-std::uint64_t LimitsPlugin::tellOf(const TeamId &Team, TeamState &Of, Time Now,
-                                   std::map<HostId, TeamUsage> &Usage,
-                                   Actions &Out) {
-  const std::uint64_t Told = this->sendUsage(Team, Of, Now, Usage);
-  std::vector<ShareGift> Gifts = Of.Limit->give(Now);
-  for (const ShareGift &Gift : Gifts)
+std::uint64_t LimitsPlugin::reportTeam(const TeamId &Team, TeamState &State,
+                                       Time Now,
+                                       std::map<HostId, TeamUsage> &Usage,
+                                       Actions &Out) {
+  const std::uint64_t Reported = this->sendUsage(Team, State, Now, Usage);
+  std::vector<ShareTransfer> Transfers = State.Limit->transferByDemand(Now);
+  for (const ShareTransfer &Transfer : Transfers)
     Out.log(logEvent(events::LimitShareGiven)
                 .with("team", Team.Value)
-                .with("to", Gift.To.Value)
-                .with("units_in_all", Gift.UnitsInAll)
-                .with("of", Of.Limit->view().Units)
+                .with("to", Transfer.To.Value)
+                .with("units_in_all", Transfer.CumulativeUnits)
+                .with("of", State.Limit->view().Units)
                 .build());
-  if (Gifts.empty() && Now >= Of.RepeatAt) {
-    Gifts = Of.Limit->gifts();
-    Of.RepeatAt = Now + RepeatInterval;
+  if (Transfers.empty() && Now >= State.RepeatAt) {
+    Transfers = State.Limit->transfers();
+    State.RepeatAt = Now + TransferRepeatInterval;
   }
-  return Told + this->sendGifts(Team, Of, Gifts, Now, Out);
+  return Reported + this->sendTransfers(Team, State, Transfers, Now, Out);
 }
 
-std::uint64_t LimitsPlugin::sendUsage(const TeamId &Team, TeamState &Of,
+std::uint64_t LimitsPlugin::sendUsage(const TeamId &Team, TeamState &State,
                                       Time Now,
                                       std::map<HostId, TeamUsage> &Usage) {
-  const double Used = Of.Limit->used(Now);
-  const bool IsNews = std::abs(Used - Of.ToldUse) > Of.ToldUse * NewsFraction ||
-                      Now - Of.ToldAt >= NewsInterval;
-  if (!IsNews)
+  const double DemandFraction = State.Limit->ownDemandFraction(Now);
+  const bool IsChanged = std::abs(DemandFraction - State.ReportedDemand) >
+                             State.ReportedDemand * ReportedChange ||
+                         Now - State.ReportedAt >= MaxReportInterval;
+  if (!IsChanged)
     return 0;
-  Of.ToldUse = Used;
-  Of.ToldAt = Now;
-  TeamUsage::Item Item = Of.Limit->usage(Now);
+  State.ReportedDemand = DemandFraction;
+  State.ReportedAt = Now;
+  TeamUsage::Item Item = State.Limit->usage(Now);
   Item.Team = Team;
-  std::vector<HostId> Others = Of.Limit->guests(Now);
-  for (const BaseShare &Each : Of.Limit->view().Shares)
-    Others.push_back(Each.Host);
-  std::erase(Others, this->Self.Host);
-  for (const HostId &Each : Others)
+  std::vector<HostId> Recipients = State.Limit->hostsWithoutBaseShare(Now);
+  for (const BaseShare &Each : State.Limit->view().Shares)
+    Recipients.push_back(Each.Host);
+  std::erase(Recipients, this->Self.Host);
+  for (const HostId &Each : Recipients)
     Usage[Each].Items.push_back(Item);
-  return Others.size();
+  return Recipients.size();
 }
 
-std::uint64_t LimitsPlugin::sendGifts(const TeamId &Team, const TeamState &Of,
-                                      std::span<const ShareGift> Gifts,
-                                      Time Now, Actions &Out) {
-  const ShareView &View = Of.Limit->view();
+std::uint64_t
+LimitsPlugin::sendTransfers(const TeamId &Team, const TeamState &State,
+                            std::span<const ShareTransfer> Transfers, Time Now,
+                            Actions &Out) {
+  const ShareView &View = State.Limit->view();
   std::uint64_t Sent = 0;
-  for (const ShareGift &Gift : Gifts) {
-    const ShareHost *To = this->find(Gift.To);
+  for (const ShareTransfer &Transfer : Transfers) {
+    const ShareHost *To = this->find(Transfer.To);
     if (!To)
       continue;
-    const double Fraction =
-        static_cast<double>(Gift.UnitsInAll) / static_cast<double>(View.Units);
-    Out.add(
-        SendToPeer{Gift.To, LimitShare{Team, ++this->Transfers, Fraction, Now,
-                                       View.keyFor(Gift.To, To->Life)}});
+    const double Fraction = static_cast<double>(Transfer.CumulativeUnits) /
+                            static_cast<double>(View.Units);
+    Out.add(SendToPeer{Transfer.To,
+                       LimitShare{Team, ++this->TransferCount, Fraction, Now,
+                                  View.keyFor(Transfer.To, To->Life)}});
     ++Sent;
   }
   return Sent;
@@ -322,23 +326,23 @@
     return;
   this->PrunedAt = Now;
   std::erase_if(this->Teams, [&](const auto &Each) {
-    return Each.second.BusyUntil < Now && Each.second.Limit->isIdle(Now);
+    return Each.second.ActiveUntil < Now && Each.second.Limit->isIdle(Now);
   });
 }
 
 std::vector<SettingDeclaration> LimitsPlugin::settings() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "interval", SettingKind::Span, "1s",
+      {SectionName, "interval", SettingKind::Span, "1s",
        "How often shares of teams' limits are moved between hosts.", 1e5, 60e6},
-      {In, "epoch", SettingKind::Span, "5s",
+      {SectionName, "epoch", SettingKind::Span, "5s",
        "How long after a change among the hosts a larger share of a limit may "
        "be used; longer than hosts take to agree on the change.",
        1e5, 600e6},
-      {In, "burst", SettingKind::Span, "10s",
+      {SectionName, "burst", SettingKind::Span, "10s",
        "A limit a minute may be used ahead by what comes in in this time.", 1e5,
        60e6},
-      {In, "items", SettingKind::Whole, "64",
+      {SectionName, "items", SettingKind::Whole, "64",
        "How many demands and shares are told to peers in one interval.", 1,
        1e6},
   };
--- a/src/plugins/limits/LimitsPlugin.h
+++ b/src/plugins/limits/LimitsPlugin.h
@@ -23,16 +23,16 @@
 
   // Plugin
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   // AdmissionGate
-  std::optional<NotRun> check(const Request &Asked, Time Now) override;
+  std::optional<NotRun> check(const Request &Req, Time Now) override;
 
   // RequestObserver
-  void admitted(const Request &Asked, Time Now, Actions &Out) override;
-  void ended(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void admitted(const Request &Req, Time Now, Actions &Out) override;
+  void ended(const Request &Req, const FinalAnswer &Answer, Time Now,
              Actions &Out) override;
 
   // MembershipObserver
@@ -45,12 +45,13 @@
   struct TeamState {
     std::unique_ptr<TeamLimit> Limit;
     TeamEntry Declared;
-    std::uint64_t MembersSeen = 0; ///< Version of the hosts it was split by.
-    Time BusyUntil{};
-    double ToldUse = 0; ///< The demand last told to peers.
-    Time ToldAt{};
-    Time RepeatAt{}; ///< When gifts are told again.
-    Time SlotAt{};   ///< Come-back times promised so far.
+    std::uint64_t SplitHostsVersion =
+        0; ///< Version of the hosts it was split by.
+    Time ActiveUntil{};
+    double ReportedDemand = 0; ///< The demand last told to peers.
+    Time ReportedAt{};
+    Time RepeatAt{};    ///< When gifts are told again.
+    Time NextRetryAt{}; ///< Come-back times promised so far.
   };
   struct RunningRequest {
     TeamId Team;
@@ -60,34 +61,34 @@
   TeamState *state(const TeamId &Team, Time Now);
   void refreshHosts(Time Now);
   const ShareHost *find(const HostId &Host) const;
-  NotRun refusal(TeamState &Of, const LimitReached &Reached, Time Now);
-  void takeIn(const PeerMessage &Message, Time Now);
-  void tellPeers(Time Now, Actions &Out);
-  std::uint64_t tellOf(const TeamId &Team, TeamState &Of, Time Now,
-                       std::map<HostId, TeamUsage> &Usage, Actions &Out);
-  std::uint64_t sendUsage(const TeamId &Team, TeamState &Of, Time Now,
+  NotRun refusal(TeamState &State, const LimitReached &Reached, Time Now);
+  void handlePeerMessage(const PeerMessage &Message, Time Now);
+  void reportToPeers(Time Now, Actions &Out);
+  std::uint64_t reportTeam(const TeamId &Team, TeamState &State, Time Now,
+                           std::map<HostId, TeamUsage> &Usage, Actions &Out);
+  std::uint64_t sendUsage(const TeamId &Team, TeamState &State, Time Now,
                           std::map<HostId, TeamUsage> &Usage);
-  std::uint64_t sendGifts(const TeamId &Team, const TeamState &Of,
-                          std::span<const ShareGift> Gifts, Time Now,
-                          Actions &Out);
+  std::uint64_t sendTransfers(const TeamId &Team, const TeamState &State,
+                              std::span<const ShareTransfer> Transfers,
+                              Time Now, Actions &Out);
   void prune(Time Now);
 
   Identity Self;
   LimitsPolicy Policy;
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   std::map<TeamId, TeamState> Teams; ///< Those with limits and use.
   std::unordered_map<RequestId, RunningRequest> Running;
   std::vector<ShareHost> Hosts;
   bool AreHostsStale = true;
-  std::uint64_t MembersVersion = 1;
-  Time MembersChangedAt{};
-  std::uint64_t Transfers = 0;
+  std::uint64_t HostsVersion = 1;
+  Time HostsChangedAt{};
+  std::uint64_t TransferCount = 0;
   std::uint64_t Round = 0;
   TeamId Cursor; ///< The last team told of.
-  Time ToldAt{};
-  Time BusyUntil{}; ///< Of any team.
+  Time ReportedAt{};
+  Time ActiveUntil{}; ///< Of any team.
   Time PrunedAt{};
 };
 
--- a/src/plugins/limits/ShareView.cpp
+++ b/src/plugins/limits/ShareView.cpp
@@ -12,9 +12,9 @@
 constexpr std::uint64_t RateUnits = 1000;
 
 template <class Predicate>
-std::vector<HostId> chosen(const TeamId &Team, const TeamEntry &Limits,
-                           std::span<const ShareHost> Hosts,
-                           Predicate IsCandidate) {
+std::vector<HostId> chooseHosts(const TeamId &Team, const TeamEntry &Limits,
+                                std::span<const ShareHost> Hosts,
+                                Predicate IsCandidate) {
   std::vector<TeamHostCandidate> Candidates;
   for (const ShareHost &Each : Hosts) {
     if (IsCandidate(Each))
@@ -23,45 +23,46 @@
   return teamHosts(Team, Limits, Candidates);
 }
 
-const ShareHost &hostOf(const HostId &Id, std::span<const ShareHost> Hosts) {
+const ShareHost &findHost(const HostId &Id, std::span<const ShareHost> Hosts) {
   return *std::find_if(Hosts.begin(), Hosts.end(), [&](const ShareHost &Each) {
     return Each.Candidate.Host == Id;
   });
 }
 
 /// The hosts that hold shares, most preferred first.
-std::vector<HostId> holders(const TeamId &Team, const TeamEntry &Limits,
-                            std::span<const ShareHost> Hosts) {
-  auto All =
-      chosen(Team, Limits, Hosts, [](const ShareHost &) { return true; });
-  const auto Living =
-      std::count_if(All.begin(), All.end(), [&](const HostId &Each) {
-        return !hostOf(Each, Hosts).IsDead;
+std::vector<HostId> shareHolders(const TeamId &Team, const TeamEntry &Limits,
+                                 std::span<const ShareHost> Hosts) {
+  auto AllHosts =
+      chooseHosts(Team, Limits, Hosts, [](const ShareHost &) { return true; });
+  const auto AliveCount =
+      std::count_if(AllHosts.begin(), AllHosts.end(), [&](const HostId &Each) {
+        return !findHost(Each, Hosts).IsDead;
       });
-  const bool IsMajority = static_cast<std::size_t>(Living) * 2 > All.size();
+  const bool IsMajority =
+      static_cast<std::size_t>(AliveCount) * 2 > AllHosts.size();
   if (!IsMajority)
-    return All;
-  auto Result = chosen(Team, Limits, Hosts, [](const ShareHost &Each) {
+    return AllHosts;
+  auto Result = chooseHosts(Team, Limits, Hosts, [](const ShareHost &Each) {
     return !Each.IsDead && !Each.IsLeaving;
   });
   // One that leaves serves on until callers have asked anew; its share moves
   // to the others as its demand falls.
-  const auto WithLeaving = chosen(
+  const auto WithLeaving = chooseHosts(
       Team, Limits, Hosts, [](const ShareHost &Each) { return !Each.IsDead; });
   for (const HostId &Each : WithLeaving) {
-    if (hostOf(Each, Hosts).IsLeaving)
+    if (findHost(Each, Hosts).IsLeaving)
       Result.push_back(Each);
   }
   return Result;
 }
 
-std::uint64_t idOf(const ShareView &View, const TeamEntry &Limits,
-                   std::span<const ShareHost> Hosts) {
+std::uint64_t viewId(const ShareView &View, const TeamEntry &Limits,
+                     std::span<const ShareHost> Hosts) {
   std::string Text = fmt::format("{}/{}/{}", Limits.RequestsPerMinute,
                                  Limits.TokensPerMinute, Limits.Concurrent);
   for (const BaseShare &Each : View.Shares)
     Text += fmt::format("/{}:{:x}", Each.Host.Value,
-                        hostOf(Each.Host, Hosts).Life.Value);
+                        findHost(Each.Host, Hosts).Life.Value);
   return XXH64(Text.data(), Text.size(), 0);
 }
 
@@ -74,7 +75,7 @@
   return static_cast<std::size_t>(Found - this->Shares.begin());
 }
 
-std::uint64_t ShareView::baseOf(const HostId &Host) const {
+std::uint64_t ShareView::baseUnits(const HostId &Host) const {
   const std::size_t Index = this->find(Host);
   return Index < this->Shares.size() ? this->Shares[Index].Units : 0;
 }
@@ -101,13 +102,13 @@
                     std::span<const ShareHost> Hosts) {
   ShareView View;
   View.Units = Limits.Concurrent > 0 ? Limits.Concurrent : RateUnits;
-  const auto Holders = holders(Team, Limits, Hosts);
+  const auto Holders = shareHolders(Team, Limits, Hosts);
   for (std::size_t Rank = 0; Rank < Holders.size(); ++Rank) {
-    const std::uint64_t Rest = View.Units % Holders.size();
-    View.Shares.push_back(
-        {Holders[Rank], View.Units / Holders.size() + (Rank < Rest ? 1 : 0)});
+    const std::uint64_t Remainder = View.Units % Holders.size();
+    View.Shares.push_back({Holders[Rank], View.Units / Holders.size() +
+                                              (Rank < Remainder ? 1 : 0)});
   }
-  View.Id = idOf(View, Limits, Hosts);
+  View.Id = viewId(View, Limits, Hosts);
   return View;
 }
 
--- a/src/plugins/limits/ShareView.h
+++ b/src/plugins/limits/ShareView.h
@@ -40,7 +40,7 @@
 
   /// Position of the host in Shares, or Shares.size().
   std::size_t find(const HostId &Host) const;
-  std::uint64_t baseOf(const HostId &Host) const;
+  std::uint64_t baseUnits(const HostId &Host) const;
   /// Names the split in a message to a receiver. The lives of the split's
   /// hosts are a part of Id; that of another host is added, as what one life
   /// was given is not the next one's.
--- a/src/plugins/limits/TeamLimit.h
+++ b/src/plugins/limits/TeamLimit.h
@@ -5,7 +5,7 @@
 
 #include "kernel/Plugin.h"
 #include "plugins/limits/DemandMeter.h"
-#include "plugins/limits/ShareLedger.h"
+#include "plugins/limits/ShareTracker.h"
 #include "plugins/limits/TokenBucket.h"
 
 #include <deque>
@@ -23,7 +23,7 @@
 
 /// Why a request does not pass, and when the next one would.
 struct LimitReached {
-  std::string_view What; ///< A string literal.
+  std::string_view LimitName; ///< A string literal.
   Duration Wait{};
 };
 
@@ -46,23 +46,26 @@
   /// What this host tells its peers of its demand.
   TeamUsage::Item usage(Time Now) const;
   /// The same as a part of the limit; 1 is all of it.
-  double used(Time Now) const { return this->usedBy(this->usage(Now)); }
-  void heard(const HostId &From, const TeamUsage::Item &Usage, Time Now);
+  double ownDemandFraction(Time Now) const {
+    return this->demandFraction(this->usage(Now));
+  }
+  void updatePeerDemand(const HostId &From, const TeamUsage::Item &Usage,
+                        Time Now);
   /// Hosts without a base share that asked for some lately.
-  std::vector<HostId> guests(Time Now) const;
+  std::vector<HostId> hostsWithoutBaseShare(Time Now) const;
   /// A host has nothing to ask for now.
   void forgetDemand(const HostId &Host) { this->Peers.erase(Host); }
   /// A host's life is surely over. What it held as a guest is taken back; what
   /// it held as a host of the view is divided by the next view.
-  void guestIsOver(const HostId &Guest);
+  void reclaimShareOf(const HostId &Host);
   /// What is to be given to peers now.
-  std::vector<ShareGift> give(Time Now);
+  std::vector<ShareTransfer> transferByDemand(Time Now);
   /// Gifts so far, to be repeated.
-  std::vector<ShareGift> gifts() const;
+  std::vector<ShareTransfer> transfers() const;
   /// A peer gave; also to a view that is not the present one.
-  void receive(const HostId &From, const LimitShare &Share, Time Now);
+  void receiveShare(const HostId &From, const LimitShare &Share, Time Now);
 
-  const ShareView &view() const { return this->present().view(); }
+  const ShareView &view() const { return this->current().view(); }
   /// The part of the limit that this host uses now.
   double fraction(Time Now) const;
   std::uint32_t running() const { return this->Running; }
@@ -72,15 +75,15 @@
 
 private:
   struct PeerDemand {
-    double Used = 0; ///< Parts of the limit, like usedBy().
-    Time HeardAt{};
+    double DemandFraction = 0; ///< Parts of the limit, like demandFraction().
+    Time ReceivedAt{};
   };
 
-  const ShareLedger &present() const { return this->Ledgers.front(); }
-  ShareLedger &present() { return this->Ledgers.front(); }
+  const ShareTracker &current() const { return this->Trackers.front(); }
+  ShareTracker &current() { return this->Trackers.front(); }
   std::uint64_t units(Time Now) const;
   void applyShare(Time Now);
-  double usedBy(const TeamUsage::Item &Usage) const;
+  double demandFraction(const TeamUsage::Item &Usage) const;
   double peerDemand(const HostId &Peer, Time Now) const;
 
   TeamEntry Limits;
@@ -89,14 +92,14 @@
   LimitsPolicy Policy;
   /// The present view first, then those it may return to. A cut that heals
   /// brings back its view, with all that was given under it.
-  std::deque<ShareLedger> Ledgers;
-  Time HoldsFrom{};          ///< When the present share holds in full.
-  double FractionBefore = 1; ///< Bounds the share until then.
+  std::deque<ShareTracker> Trackers;
+  Time FullShareFrom{};        ///< When the present share holds in full.
+  double PreviousFraction = 1; ///< Bounds the share until then.
   TokenBucket Requests;
   TokenBucket Tokens;
-  DemandMeter AskedRequests;
-  DemandMeter AskedTokens;
-  DemandMeter RefusedAtOnce; ///< Refused for too many at once.
+  DemandMeter RequestDemand;
+  DemandMeter TokenDemand;
+  DemandMeter RefusedConcurrent; ///< Refused for too many at once.
   std::uint32_t Running = 0;
   std::map<HostId, PeerDemand> Peers;
 };
--- a/src/plugins/limits/TokenBucket.cpp
+++ b/src/plugins/limits/TokenBucket.cpp
@@ -34,10 +34,10 @@
 }
 
 void TokenBucket::advance(Time Now) {
-  if (Now <= this->Latest)
+  if (Now <= this->LatestAt)
     return;
-  const double Filled = inSeconds(Now - this->Latest) * this->PerSecond;
-  this->Latest = Now;
+  const double Filled = inSeconds(Now - this->LatestAt) * this->PerSecond;
+  this->LatestAt = Now;
   this->Level = std::min(this->capacity(), this->Level + Filled);
 }
 
--- a/src/plugins/limits/TokenBucket.h
+++ b/src/plugins/limits/TokenBucket.h
@@ -35,7 +35,7 @@
   Duration Burst;
   double PerSecond = 0;
   double Level = 0;
-  Time Latest{};
+  Time LatestAt{};
   bool IsStarted = false;
 };
 
--- a/tests/auto/limits/LimitsDeployment.h
+++ b/tests/auto/limits/LimitsDeployment.h
@@ -31,26 +31,26 @@
 
   /// A request of the team at a host; true when it is admitted.
   bool ask(std::size_t Host) {
-    const Request Asked = RequestMaker(++this->Requests)
-                              .prompt(900)
-                              .output(100)
-                              .arrived(this->Now, seconds(60));
+    const Request Req = RequestMaker(++this->Requests)
+                            .prompt(900)
+                            .output(100)
+                            .arrived(this->Now, seconds(60));
     Bench &At = *this->Hosts[Host];
-    const auto Refusal = At.Tested.check(Asked, this->Now);
+    const auto Refusal = At.Tested.check(Req, this->Now);
     if (Refusal) {
       this->LastRefusal = *Refusal;
       return false;
     }
     Actions Out;
-    At.Tested.admitted(Asked, this->Now, Out);
-    this->Running.emplace_back(Host, Asked);
+    At.Tested.admitted(Req, this->Now, Out);
+    this->Running.emplace_back(Host, Req);
     return true;
   }
   /// All that runs ends.
   void endAll() {
     Actions Out;
-    for (const auto &[Host, Asked] : this->Running)
-      this->Hosts[Host]->Tested.ended(Asked, CompleteAnswer{100, ""}, this->Now,
+    for (const auto &[Host, Req] : this->Running)
+      this->Hosts[Host]->Tested.ended(Req, CompleteAnswer{100, ""}, this->Now,
                                       Out);
     this->Running.clear();
   }
@@ -71,13 +71,13 @@
            std::stoul(Each.To.Value.substr(1))});
   }
   /// Delivers a message of those in flight, and keeps it when it is repeated.
-  void deliver(std::size_t Which, bool IsRepeated) {
-    const auto [Message, To] = this->InFlight[Which];
+  void deliver(std::size_t Index, bool IsRepeated) {
+    const auto [Message, To] = this->InFlight[Index];
     if (!IsRepeated)
       this->InFlight.erase(this->InFlight.begin() +
-                           static_cast<std::ptrdiff_t>(Which));
-    if (this->IsCut &&
-        this->IsCut(std::stoul(Message.From.Value.substr(1)), To))
+                           static_cast<std::ptrdiff_t>(Index));
+    if (this->IsPartitioned &&
+        this->IsPartitioned(std::stoul(Message.From.Value.substr(1)), To))
       return;
     this->send(
         To, this->Hosts[To]->handle(PeerMessageReceived{Message}, this->Now));
@@ -98,11 +98,11 @@
       this->Hosts[Host]->Members.setLife(HostId(name(Peer)),
                                          this->Hosts[Peer]->Self.Life);
       this->Hosts[Peer]->Members.setLife(HostId(name(Host)), Life);
-      this->see(Peer, Host, MemberState::Alive);
+      this->setMemberState(Peer, Host, MemberState::Alive);
     }
   }
   /// Whether the host has a part of the limit from the start.
-  bool hasBase(std::size_t Host) {
+  bool hasBaseShare(std::size_t Host) {
     Bench &At = *this->Hosts[Host];
     const auto Serving = ServingHosts(At.Entries.catalogue(), At.Members);
     const auto Chosen = Serving.of(team());
@@ -110,7 +110,7 @@
            Chosen.end();
   }
   /// Host \p At sees host \p Of in a state from now on.
-  void see(std::size_t At, std::size_t Of, MemberState State) {
+  void setMemberState(std::size_t At, std::size_t Of, MemberState State) {
     Bench &Seeing = *this->Hosts[At];
     Seeing.Members.setState(HostId(name(Of)), State);
     Actions Out;
@@ -136,7 +136,7 @@
   Time Now{seconds(1000)};
   std::vector<std::unique_ptr<Bench>> Hosts;
   std::vector<std::pair<PeerMessage, std::size_t>> InFlight; ///< To whom.
-  std::function<bool(std::size_t, std::size_t)> IsCut;
+  std::function<bool(std::size_t, std::size_t)> IsPartitioned;
   NotRun LastRefusal;
 
 private:
--- a/tests/auto/limits/LimitsTest.cpp
+++ b/tests/auto/limits/LimitsTest.cpp
@@ -122,11 +122,11 @@
 TEST(LimitsTest, DeadHostsShareReturnsAfterOneEpoch) {
   LimitsDeployment All(3, perMinute(600));
   offer(All, 0, 20, 20);
-  All.IsCut = [](std::size_t From, std::size_t To) {
+  All.IsPartitioned = [](std::size_t From, std::size_t To) {
     return From == 0 || To == 0;
   };
-  All.see(1, 0, MemberState::Dead);
-  All.see(2, 0, MemberState::Dead);
+  All.setMemberState(1, 0, MemberState::Dead);
+  All.setMemberState(2, 0, MemberState::Dead);
   const auto Living = [&] { return All.fraction(1) + All.fraction(2); };
   EXPECT_LT(Living(), 0.2);
   for (int Second = 0; Second < 4; ++Second)
@@ -139,7 +139,7 @@
 TEST(LimitsTest, HostOutsideTheTeamsHostsGetsAShareByDemand) {
   LimitsDeployment All(6, perMinute(600));
   std::size_t Guest = 0;
-  while (All.hasBase(Guest))
+  while (All.hasBaseShare(Guest))
     ++Guest;
   EXPECT_FALSE(All.ask(Guest));
   EXPECT_LE(All.LastRefusal.RetryAfter, seconds(3));
@@ -181,18 +181,18 @@
       All.tick(milliseconds(*rc::gen::inRange(100, 6000)));
       break;
     case 4:
-      if (!All.hasBase(Host) && *rc::gen::inRange(0, 4) == 0)
+      if (!All.hasBaseShare(Host) && *rc::gen::inRange(0, 4) == 0)
         All.restart(Host);
       break;
     default:
       if (All.InFlight.empty())
         break;
-      const auto Which = *rc::gen::inRange<std::size_t>(0, All.InFlight.size());
+      const auto Index = *rc::gen::inRange<std::size_t>(0, All.InFlight.size());
       if (*rc::gen::inRange(0, 5) == 0)
         All.InFlight.erase(All.InFlight.begin() +
-                           static_cast<std::ptrdiff_t>(Which));
+                           static_cast<std::ptrdiff_t>(Index));
       else
-        All.deliver(Which,
+        All.deliver(Index,
                     *rc::gen::arbitrary<bool>() && All.InFlight.size() < 50);
     }
     RC_ASSERT(All.sumOfFractions() <= 1 + Rounding);
@@ -204,22 +204,22 @@
 /// time, with demand wherever it likes; heals; at last all is as before. The
 /// worst sum of shares stays under what docs/DESIGN.md states.
 TEST(LimitsTest, OvershootUnderACutIsBounded) {
-  Random Numbers(20261202);
-  double WorstInCut = 0;
+  Random Rng(20261202);
+  double WorstInPartition = 0;
   double WorstAfter = 0;
-  const auto Watch = [](LimitsDeployment &All, double &Worst) {
+  const auto UpdateWorst = [](LimitsDeployment &All, double &Worst) {
     Worst = std::max(Worst, All.sumOfFractions());
   };
   for (int Round = 0; Round < 200; ++Round) {
-    const std::size_t Count = 2 + Numbers.below(4);
+    const std::size_t Count = 2 + Rng.below(4);
     LimitsDeployment All(Count, perMinute(300 * 4));
-    std::vector<std::uint64_t> Piece;
+    std::vector<std::uint64_t> Partition;
     std::vector<std::size_t> Load;
     for (std::size_t Host = 0; Host < Count; ++Host) {
-      Piece.push_back(Numbers.below(3));
-      Load.push_back(Numbers.below(3) == 0 ? 30 : 1);
+      Partition.push_back(Rng.below(3));
+      Load.push_back(Rng.below(3) == 0 ? 30 : 1);
     }
-    const auto Serve = [&](int Seconds, double &Worst) {
+    const auto ServeFor = [&](int Seconds, double &Worst) {
       for (int Second = 0; Second < Seconds; ++Second) {
         for (std::size_t Host = 0; Host < Count; ++Host) {
           for (std::size_t Index = 0; Index < Load[Host]; ++Index)
@@ -228,36 +228,36 @@
         All.endAll();
         All.tick(seconds(1));
         All.deliverAll();
-        Watch(All, Worst);
+        UpdateWorst(All, Worst);
       }
     };
     double WorstBefore = 0;
-    Serve(15, WorstBefore);
+    ServeFor(15, WorstBefore);
     EXPECT_LE(WorstBefore, 1 + Rounding);
-    const auto SeeAll = [&](MemberState State, double &Worst) {
+    const auto SetMemberStates = [&](MemberState State, double &Worst) {
       for (std::size_t At = 0; At < Count; ++At) {
         for (std::size_t Of = 0; Of < Count; ++Of) {
-          if (Piece[At] != Piece[Of])
-            All.see(At, Of, State);
+          if (Partition[At] != Partition[Of])
+            All.setMemberState(At, Of, State);
         }
-        Serve(static_cast<int>(Numbers.below(2)), Worst);
+        ServeFor(static_cast<int>(Rng.below(2)), Worst);
       }
     };
-    All.IsCut = [&](std::size_t From, std::size_t To) {
-      return Piece[From] != Piece[To];
+    All.IsPartitioned = [&](std::size_t From, std::size_t To) {
+      return Partition[From] != Partition[To];
     };
-    SeeAll(MemberState::Dead, WorstInCut);
-    Serve(20, WorstInCut);
-    All.IsCut = nullptr;
-    SeeAll(MemberState::Alive, WorstInCut);
-    Serve(6, WorstInCut);
-    Serve(15, WorstAfter);
+    SetMemberStates(MemberState::Dead, WorstInPartition);
+    ServeFor(20, WorstInPartition);
+    All.IsPartitioned = nullptr;
+    SetMemberStates(MemberState::Alive, WorstInPartition);
+    ServeFor(6, WorstInPartition);
+    ServeFor(15, WorstAfter);
     EXPECT_EQ(All.invariantsBroken(), 0u);
   }
-  RecordProperty("worst_in_cut", std::to_string(WorstInCut));
+  RecordProperty("worst_in_cut", std::to_string(WorstInPartition));
   std::printf("worst sum of shares: %.3f in a cut, %.3f after it healed\n",
-              WorstInCut, WorstAfter);
-  EXPECT_LT(WorstInCut, 2);
+              WorstInPartition, WorstAfter);
+  EXPECT_LT(WorstInPartition, 2);
   EXPECT_LE(WorstAfter, 1 + Rounding);
 }
 
--- a/tests/auto/limits/TeamHostsTest.cpp
+++ b/tests/auto/limits/TeamHostsTest.cpp
@@ -42,25 +42,26 @@
 }
 
 RC_GTEST_PROP(TeamHostsTest, OrderOfHostsDoesNotMatter, ()) {
-  auto Known = hosts(*rc::gen::inRange<std::size_t>(0, 30), 4);
+  auto Candidates = hosts(*rc::gen::inRange<std::size_t>(0, 30), 4);
   TeamEntry Limits;
   Limits.RequestsPerMinute = *rc::gen::inRange(1, 5000);
   const TeamId Team(*rc::gen::nonEmpty<std::string>());
-  const auto Before = teamHosts(Team, Limits, Known);
-  std::reverse(Known.begin(), Known.end());
-  RC_ASSERT(teamHosts(Team, Limits, Known) == Before);
+  const auto Before = teamHosts(Team, Limits, Candidates);
+  std::reverse(Candidates.begin(), Candidates.end());
+  RC_ASSERT(teamHosts(Team, Limits, Candidates) == Before);
 }
 
 RC_GTEST_PROP(TeamHostsTest, LostHostIsReplacedWithoutMovingTheOthers, ()) {
-  auto Known = hosts(*rc::gen::inRange<std::size_t>(5, 30), 1);
+  auto Candidates = hosts(*rc::gen::inRange<std::size_t>(5, 30), 1);
   TeamEntry Limits;
   Limits.RequestsPerMinute = *rc::gen::inRange(1, 1200);
   const TeamId Team(*rc::gen::nonEmpty<std::string>());
-  auto Before = teamHosts(Team, Limits, Known);
+  auto Before = teamHosts(Team, Limits, Candidates);
   const HostId Lost = Before[*rc::gen::inRange<std::size_t>(0, Before.size())];
-  std::erase_if(Known, [&](const auto &Each) { return Each.Host == Lost; });
+  std::erase_if(Candidates,
+                [&](const auto &Each) { return Each.Host == Lost; });
   std::erase(Before, Lost);
-  const auto After = teamHosts(Team, Limits, Known);
+  const auto After = teamHosts(Team, Limits, Candidates);
   for (const HostId &Kept : Before)
     RC_ASSERT(std::find(After.begin(), After.end(), Kept) != After.end());
 }
