--- a/src/plugins/limits/DemandMeter.h
+++ b/src/plugins/limits/DemandMeter.h
@@ -1,5 +1,5 @@
 /// \file
-/// An exponentially fading mean of a rate.
+/// An exponentially weighted moving average of a rate.
 #pragma once
 
 #include "base/Time.h"
@@ -9,10 +9,10 @@
 class DemandMeter {
 public:
   void add(double Amount, Time Now);
-  /// Amount a second, over about Span.
+  /// Returns the amount per second, averaged over about TimeConstant.
   double rate(Time Now) const;
 
-  /// Time constant of the mean.
+  /// Time constant of the average.
   static constexpr Duration TimeConstant = seconds(5);
 
 private:
--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr std::string_view Section = "limits";
-/// How long a team is looked at after its last request.
+/// How long a team stays active after its last request.
 constexpr Duration ActiveAfterRequest = seconds(60);
 constexpr Duration TransferRepeatInterval = seconds(5);
-/// A demand is told again when it changed by so much, or after so long.
+/// Demand is reported again after this relative change, or after
+/// MaxReportInterval.
 constexpr double ReportedChange = 0.2;
 constexpr Duration MaxReportInterval = seconds(20);
 constexpr Duration PruneInterval = seconds(60);
@@ -31,7 +32,7 @@
   return static_cast<double>(Req.Head.PromptTokens + Req.OutputTokens);
 }
 
-/// Tokens charged that the answer shows were not used.
+/// Returns the charged tokens that the request did not use.
 double unusedTokens(const Request &Req, const FinalAnswer &Answer,
                     double Charged) {
   const auto MaxTokens = static_cast<double>(Req.OutputTokens);
@@ -77,7 +78,8 @@
 void LimitsPlugin::checkInvariants(InvariantMonitor &Monitor, Time Now) const {
   for (const auto &[Team, State] : this->Teams) {
     Monitor.require(State.Limit->isConsistent(),
-                    "a limit's share is what was had, received and not given");
+                    "a limit's share is the base share plus received units "
+                    "minus sent units");
     Monitor.require(State.Limit->fraction(Now) <= 1,
                     "a host holds at most the whole limit");
   }
@@ -97,7 +99,7 @@
 
 NotRun LimitsPlugin::refusal(TeamState &State, const LimitReached &Reached,
                              Time Now) {
-  // Each refused caller gets a later moment, at the pace of the limit.
+  // Each refused caller gets a later retry time, at the rate of the limit.
   const TeamEntry &Limits = State.Declared;
   const double PerSecond = std::max({1.0, Limits.RequestsPerMinute / 60.0,
                                      static_cast<double>(Limits.Concurrent)});
@@ -150,7 +152,7 @@
     const HostId &Host = OldHost.Candidate.Host;
     const auto NewHost = std::find_if(
         NewHosts.begin(), NewHosts.end(),
-        [&](const ShareHost &Each) { return Each.Candidate.Host == Host; });
+        [&](const ShareHost &Item) { return Item.Candidate.Host == Host; });
     const bool HasEnded =
         NewHost == NewHosts.end() || NewHost->Life != OldHost.Life;
     const bool IsUnavailable = HasEnded || NewHost->IsDead;
@@ -169,7 +171,7 @@
 const ShareHost *LimitsPlugin::find(const HostId &Host) const {
   const auto Found = std::find_if(
       this->Hosts.begin(), this->Hosts.end(),
-      [&](const ShareHost &Each) { return Each.Candidate.Host == Host; });
+      [&](const ShareHost &Item) { return Item.Candidate.Host == Host; });
   return Found == this->Hosts.end() ? nullptr : &*Found;
 }
 
@@ -211,7 +213,7 @@
   };
   if (this->AreHostsStale)
     this->refreshHosts(Now);
-  // A life that is over, or taken to be, has nothing to give and to ask for.
+  // Messages from an ended incarnation or a dead host are ignored.
   const ShareHost *From = this->find(Message.From);
   if (!From || From->IsDead || From->Life != Message.FromLife)
     return;
@@ -236,7 +238,7 @@
 void LimitsPlugin::reportToPeers(Time Now, Actions &Out) {
   this->ReportedAt = Now;
   ++this->Round;
-  // A host that was forgotten is not told of as changed.
+  // Membership does not report the removal of a host as a change.
   this->refreshHosts(Now);
   std::map<HostId, TeamUsage> Usage;
   std::uint64_t Reported = 0;
@@ -293,11 +295,11 @@
   TeamUsage::Item Item = State.Limit->usage(Now);
   Item.Team = Team;
   std::vector<HostId> Recipients = State.Limit->hostsWithoutBaseShare(Now);
-  for (const BaseShare &Each : State.Limit->view().Shares)
-    Recipients.push_back(Each.Host);
+  for (const BaseShare &Share : State.Limit->view().Shares)
+    Recipients.push_back(Share.Host);
   std::erase(Recipients, this->Self.Host);
-  for (const HostId &Each : Recipients)
-    Usage[Each].Items.push_back(Item);
+  for (const HostId &Recipient : Recipients)
+    Usage[Recipient].Items.push_back(Item);
   return Recipients.size();
 }
 
@@ -325,8 +327,8 @@
   if (Now - this->PrunedAt < PruneInterval)
     return;
   this->PrunedAt = Now;
-  std::erase_if(this->Teams, [&](const auto &Each) {
-    return Each.second.ActiveUntil < Now && Each.second.Limit->isIdle(Now);
+  std::erase_if(this->Teams, [&](const auto &Entry) {
+    return Entry.second.ActiveUntil < Now && Entry.second.Limit->isIdle(Now);
   });
 }
 
--- a/src/plugins/limits/LimitsPlugin.h
+++ b/src/plugins/limits/LimitsPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that keeps teams within their declared limits.
+/// The plug-in that enforces the declared limits of teams.
 #pragma once
 
 #include "base/LogEvent.h"
@@ -11,9 +11,9 @@
 
 namespace banyanpick {
 
-/// An admission gate for requests a minute, tokens a minute and requests at
-/// once. Each limit holds over all entry hosts together: a host uses its share
-/// and moves parts of it to the peers that need them more.
+/// An admission gate for requests per minute, tokens per minute and concurrent
+/// requests. A limit applies to all entry hosts together: each host uses its
+/// share of the limit and transfers units to peers with more demand.
 class LimitsPlugin : public Plugin,
                      public AdmissionGate,
                      public RequestObserver,
@@ -38,20 +38,21 @@
   // MembershipObserver
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
 
-  /// The part of the team's limit that this host uses; 1 when unlimited.
+  /// Returns the fraction of the team's limit that this host may use, or 1 if
+  /// the team has no limits.
   double fraction(const TeamId &Team, Time Now);
 
 private:
   struct TeamState {
     std::unique_ptr<TeamLimit> Limit;
     TeamEntry Declared;
-    std::uint64_t SplitHostsVersion =
-        0; ///< Version of the hosts it was split by.
+    /// HostsVersion at the time of the split.
+    std::uint64_t SplitHostsVersion = 0;
     Time ActiveUntil{};
-    double ReportedDemand = 0; ///< The demand last told to peers.
+    double ReportedDemand = 0; ///< The demand last reported to peers.
     Time ReportedAt{};
-    Time RepeatAt{};    ///< When gifts are told again.
-    Time NextRetryAt{}; ///< Come-back times promised so far.
+    Time RepeatAt{};    ///< When transfers are sent again.
+    Time NextRetryAt{}; ///< Earliest retry time of the next refused caller.
   };
   struct RunningRequest {
     TeamId Team;
@@ -78,7 +79,7 @@
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
   Random *Rng = nullptr;
-  std::map<TeamId, TeamState> Teams; ///< Those with limits and use.
+  std::map<TeamId, TeamState> Teams; ///< Teams with limits that are in use.
   std::unordered_map<RequestId, RunningRequest> Running;
   std::vector<ShareHost> Hosts;
   bool AreHostsStale = true;
@@ -86,9 +87,9 @@
   Time HostsChangedAt{};
   std::uint64_t TransferCount = 0;
   std::uint64_t Round = 0;
-  TeamId Cursor; ///< The last team told of.
+  TeamId Cursor; ///< The last team reported.
   Time ReportedAt{};
-  Time ActiveUntil{}; ///< Of any team.
+  Time ActiveUntil{}; ///< The latest of all teams.
   Time PrunedAt{};
 };
 
--- a/src/plugins/limits/ShareTracker.cpp
+++ b/src/plugins/limits/ShareTracker.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// Part of the whole demand that each host is counted as having besides its
-/// own, so that a host without any keeps something for the first request.
+/// Fraction of the total demand that is added to the demand of each host, so
+/// that a host without demand keeps some units for its first request.
 constexpr double IdleDemand = 0.03;
 
-/// Moves smaller than this part of the whole are not worth a message.
+/// Transfers smaller than this part of the whole limit are not sent.
 constexpr std::uint64_t MinMoveDivisor = 50;
 
-/// The units that should have moved from one host to another since the base
-/// split: each host with too many gives to all that have too few, in
-/// proportion. The same on every host that knows the same demands.
+/// Computes the units that should have moved from one host to another since the
+/// base split. Each host with a surplus sends to all hosts with a deficit, in
+/// proportion. Hosts with the same demands compute the same flow.
 class TargetFlow {
 public:
   TargetFlow(const ShareView &View, std::span<const HostDemand> Demands)
@@ -65,8 +65,8 @@
                                std::uint64_t Free) {
   const TargetFlow Flow(this->Split, Demands);
   const auto OwnDemand =
-      std::find_if(Demands.begin(), Demands.end(), [&](const HostDemand &Each) {
-        return Each.Host == this->Self;
+      std::find_if(Demands.begin(), Demands.end(), [&](const HostDemand &Item) {
+        return Item.Host == this->Self;
       });
   const auto SelfIndex = static_cast<std::size_t>(OwnDemand - Demands.begin());
   const std::uint64_t MinMove =
@@ -77,7 +77,7 @@
     if (PeerIndex == SelfIndex || Left == 0)
       continue;
     PeerBalance &Peer = this->Balances[Demands[PeerIndex].Host];
-    // What went the other way comes back before anything is given.
+    // Received units are returned before own units are sent.
     const std::uint64_t TargetSent =
         Peer.Received + Flow.from(SelfIndex, PeerIndex) -
         std::min(Peer.Received, Flow.from(PeerIndex, SelfIndex));
@@ -115,7 +115,7 @@
   if (Found == this->Balances.end())
     return;
   const PeerBalance Peer = Found->second;
-  // A guest gives back to each no more than it had from it.
+  // A host without a base share never returns more than it received.
   this->Held += Peer.Sent - Peer.Received;
   this->Balances.erase(Found);
 }
@@ -134,9 +134,9 @@
                                        std::span<const HostDemand> Demands) {
   std::vector<std::uint64_t> Result;
   double TotalDemand = 0;
-  for (const HostDemand &Each : Demands) {
-    Result.push_back(View.baseUnits(Each.Host));
-    TotalDemand += Each.DemandFraction;
+  for (const HostDemand &Item : Demands) {
+    Result.push_back(View.baseUnits(Item.Host));
+    TotalDemand += Item.DemandFraction;
   }
   if (TotalDemand <= 0)
     return Result;
@@ -157,7 +157,7 @@
     if (Demands[Index].DemandFraction > Demands[MaxIndex].DemandFraction)
       MaxIndex = Index;
   }
-  // What rounding leaves goes to the host that asks for most.
+  // The rounding remainder goes to the host with the greatest demand.
   Result[MaxIndex] += Left;
   return Result;
 }
--- a/src/plugins/limits/ShareTracker.h
+++ b/src/plugins/limits/ShareTracker.h
@@ -1,8 +1,9 @@
 /// \file
-/// What one host holds of a team's limit in one view. Shares move by
-/// cumulative counts of units given, as in a bounded counter (Balegas et al.,
-/// 2015): the giver's own share falls before anything is sent, a repeat
-/// changes nothing, and a loss only loses capacity until the next repeat.
+/// The units of a team's limit that one host holds in one split. Hosts transfer
+/// units by cumulative counts, as in a bounded counter (Balegas et al., 2015).
+/// The sender reduces its own share before it sends a message. A repeated
+/// message has no effect. A lost message reduces the capacity until the message
+/// is repeated.
 #pragma once
 
 #include "plugins/limits/ShareView.h"
@@ -13,46 +14,49 @@
 
 namespace banyanpick {
 
-/// Units to be told to a receiver: all given to it since the view began.
+/// A transfer to a host: all units sent to it since the split took effect.
 struct ShareTransfer {
   HostId To;
   std::uint64_t CumulativeUnits = 0;
 };
 
-/// How much of the limit is asked for on a host.
+/// The demand for the limit on a host.
 struct HostDemand {
   HostId Host;
-  double DemandFraction = 0; ///< As a part of the whole limit.
+  double DemandFraction = 0; ///< As a fraction of the whole limit.
 };
 
-/// The view's hosts have base shares. Other hosts, guests, start with none and
-/// get some by demand, as callers may hold an older answer of resolve.
+/// The hosts of the split have base shares. Other hosts start without units and
+/// receive some by demand, because callers may use an older answer of resolve.
 class ShareTracker {
 public:
   ShareTracker(ShareView Split, HostId Self);
 
-  /// Units this host may use.
+  /// Returns the units that this host may use.
   std::uint64_t units() const { return this->Held; }
   const ShareView &view() const { return this->Split; }
   std::uint64_t totalUnits() const { return this->Split.Units; }
   double fraction() const;
 
-  /// Gives towards the split that \p Demands ask for, which name each host
-  /// once and this one among them. At most \p Free units are given.
+  /// Transfers units towards the split that matches \p Demands. \p Demands
+  /// contains each host once, including this one. At most \p Free units are
+  /// transferred.
   std::vector<ShareTransfer>
   transferByDemand(std::span<const HostDemand> Demands, std::uint64_t Free);
 
-  /// All gifts so far, to be repeated.
+  /// Returns all transfers so far, for repetition.
   std::vector<ShareTransfer> transfers() const;
 
-  /// A peer says what it gave to this host in all.
+  /// Handles a transfer from a peer. \p CumulativeUnits is the sum of all units
+  /// that the peer sent to this host.
   void receiveShare(const HostId &From, std::uint64_t CumulativeUnits);
 
-  /// The guest's life is over: what it held is this host's again as far as it
-  /// came from here.
+  /// Takes back the units that came from this host, after the incarnation of a
+  /// host without a base share has ended.
   void reclaimFrom(const HostId &Host);
 
-  /// Whether base, gifts and what was received agree with what is held.
+  /// Returns whether the base share plus the received units equals the held
+  /// units plus the sent units.
   bool isConsistent() const;
 
 private:
@@ -67,9 +71,10 @@
   std::uint64_t Held = 0;
 };
 
-/// The units each of the hosts should hold, in the order of \p Demands: by
-/// demand, with a small part for each of the view's hosts, and never more than
-/// the view's units together. The base split when nobody asks for anything.
+/// Returns the units that each host should hold, in the order of \p Demands.
+/// The units follow the demand, with a small part for each host of the split.
+/// Their sum never exceeds the units of the split. Returns the base split if
+/// there is no demand.
 std::vector<std::uint64_t> targetUnits(const ShareView &View,
                                        std::span<const HostDemand> Demands);
 
--- a/src/plugins/limits/ShareView.cpp
+++ b/src/plugins/limits/ShareView.cpp
@@ -16,42 +16,42 @@
                                 std::span<const ShareHost> Hosts,
                                 Predicate IsCandidate) {
   std::vector<TeamHostCandidate> Candidates;
-  for (const ShareHost &Each : Hosts) {
-    if (IsCandidate(Each))
-      Candidates.push_back(Each.Candidate);
+  for (const ShareHost &Item : Hosts) {
+    if (IsCandidate(Item))
+      Candidates.push_back(Item.Candidate);
   }
   return teamHosts(Team, Limits, Candidates);
 }
 
 const ShareHost &findHost(const HostId &Id, std::span<const ShareHost> Hosts) {
-  return *std::find_if(Hosts.begin(), Hosts.end(), [&](const ShareHost &Each) {
-    return Each.Candidate.Host == Id;
+  return *std::find_if(Hosts.begin(), Hosts.end(), [&](const ShareHost &Item) {
+    return Item.Candidate.Host == Id;
   });
 }
 
-/// The hosts that hold shares, most preferred first.
+/// Returns the hosts that hold base shares, most preferred first.
 std::vector<HostId> shareHolders(const TeamId &Team, const TeamEntry &Limits,
                                  std::span<const ShareHost> Hosts) {
   auto AllHosts =
       chooseHosts(Team, Limits, Hosts, [](const ShareHost &) { return true; });
   const auto AliveCount =
-      std::count_if(AllHosts.begin(), AllHosts.end(), [&](const HostId &Each) {
-        return !findHost(Each, Hosts).IsDead;
+      std::count_if(AllHosts.begin(), AllHosts.end(), [&](const HostId &Host) {
+        return !findHost(Host, Hosts).IsDead;
       });
   const bool IsMajority =
       static_cast<std::size_t>(AliveCount) * 2 > AllHosts.size();
   if (!IsMajority)
     return AllHosts;
-  auto Result = chooseHosts(Team, Limits, Hosts, [](const ShareHost &Each) {
-    return !Each.IsDead && !Each.IsLeaving;
+  auto Result = chooseHosts(Team, Limits, Hosts, [](const ShareHost &Item) {
+    return !Item.IsDead && !Item.IsLeaving;
   });
-  // One that leaves serves on until callers have asked anew; its share moves
-  // to the others as its demand falls.
+  // A leaving host serves until callers have resolved again. Its share moves to
+  // the other hosts as its demand falls.
   const auto WithLeaving = chooseHosts(
-      Team, Limits, Hosts, [](const ShareHost &Each) { return !Each.IsDead; });
-  for (const HostId &Each : WithLeaving) {
-    if (findHost(Each, Hosts).IsLeaving)
-      Result.push_back(Each);
+      Team, Limits, Hosts, [](const ShareHost &Item) { return !Item.IsDead; });
+  for (const HostId &Host : WithLeaving) {
+    if (findHost(Host, Hosts).IsLeaving)
+      Result.push_back(Host);
   }
   return Result;
 }
@@ -60,9 +60,9 @@
                      std::span<const ShareHost> Hosts) {
   std::string Text = fmt::format("{}/{}/{}", Limits.RequestsPerMinute,
                                  Limits.TokensPerMinute, Limits.Concurrent);
-  for (const BaseShare &Each : View.Shares)
-    Text += fmt::format("/{}:{:x}", Each.Host.Value,
-                        findHost(Each.Host, Hosts).Life.Value);
+  for (const BaseShare &Share : View.Shares)
+    Text += fmt::format("/{}:{:x}", Share.Host.Value,
+                        findHost(Share.Host, Hosts).Life.Value);
   return XXH64(Text.data(), Text.size(), 0);
 }
 
@@ -71,7 +71,7 @@
 std::size_t ShareView::find(const HostId &Host) const {
   const auto Found =
       std::find_if(this->Shares.begin(), this->Shares.end(),
-                   [&](const BaseShare &Each) { return Each.Host == Host; });
+                   [&](const BaseShare &Share) { return Share.Host == Host; });
   return static_cast<std::size_t>(Found - this->Shares.begin());
 }
 
@@ -90,11 +90,11 @@
 std::vector<ShareHost> shareHosts(const MembershipView &Members) {
   std::vector<ShareHost> Result;
   Result.push_back({{Members.self(), Members.selfZone()}, Members.selfLife()});
-  for (const Member &Each : Members.peers())
-    Result.push_back({{Each.Listing.Id, Each.Listing.Zone},
-                      Each.Life,
-                      Each.State == MemberState::Dead,
-                      Each.State == MemberState::Leaving});
+  for (const Member &Peer : Members.peers())
+    Result.push_back({{Peer.Listing.Id, Peer.Listing.Zone},
+                      Peer.Life,
+                      Peer.State == MemberState::Dead,
+                      Peer.State == MemberState::Leaving});
   return Result;
 }
 
--- a/src/plugins/limits/ShareView.h
+++ b/src/plugins/limits/ShareView.h
@@ -1,11 +1,11 @@
 /// \file
-/// How a team's limit is divided among entry hosts before any share moves: a
-/// pure function of what a host sees.
+/// The base split of a team's limit among entry hosts, before any units are
+/// transferred. A pure function of the membership view of a host.
 ///
-/// A dead host's part goes to the others only where more than half of the
-/// hosts that serve the team are seen to live. Of the pieces that a cut makes
-/// at most one can do so; all others keep what they have. So the shares in use
-/// on all hosts together stay under twice the limit, whatever the cut.
+/// The share of a dead host goes to the others only where more than half of
+/// the hosts that serve the team are alive. In a network partition at most one
+/// side has this majority; all other sides keep their shares. The shares in
+/// use on all hosts together therefore stay below twice the limit.
 #pragma once
 
 #include "kernel/Services.h"
@@ -16,7 +16,7 @@
 
 namespace banyanpick {
 
-/// An entry host as the split sees it.
+/// An entry host as an input of the split.
 struct ShareHost {
   TeamHostCandidate Candidate;
   Incarnation Life;
@@ -26,32 +26,34 @@
   bool operator==(const ShareHost &) const = default;
 };
 
-/// The units of a limit on a host before any moves.
+/// The units of a limit on a host before any transfers.
 struct BaseShare {
   HostId Host;
   std::uint64_t Units = 0;
 };
 
-/// One split. Hosts that see the same hosts and limits have the same view.
+/// One split of a limit. Hosts with the same membership view and the same
+/// limits compute the same split.
 struct ShareView {
-  std::uint64_t Id = 0;    ///< Hash of all that follows and of the lives.
-  std::uint64_t Units = 0; ///< Into how many units the limit is divided.
+  std::uint64_t Id = 0;    ///< Hash of the other fields, limits, incarnations.
+  std::uint64_t Units = 0; ///< Number of units that the limit is divided into.
   std::vector<BaseShare> Shares;
 
-  /// Position of the host in Shares, or Shares.size().
+  /// Returns the position of the host in Shares, or Shares.size().
   std::size_t find(const HostId &Host) const;
   std::uint64_t baseUnits(const HostId &Host) const;
-  /// Names the split in a message to a receiver. The lives of the split's
-  /// hosts are a part of Id; that of another host is added, as what one life
-  /// was given is not the next one's.
+  /// Returns the key of the split in a message to \p Receiver. Id contains the
+  /// incarnations of the hosts of the split. For any other host the key also
+  /// contains its incarnation, because a restarted host does not keep the units
+  /// that its previous incarnation received.
   std::uint64_t keyFor(const HostId &Receiver, Incarnation Life) const;
 };
 
-/// This host and its peers, as membership sees them.
+/// Returns this host and its peers from the membership view.
 std::vector<ShareHost> shareHosts(const MembershipView &Members);
 
-/// A limit on requests at once is divided into whole requests, others into a
-/// thousand units.
+/// Computes the base split. A limit on concurrent requests is divided into
+/// single requests, any other limit into a thousand units.
 ShareView shareView(const TeamId &Team, const TeamEntry &Limits,
                     std::span<const ShareHost> Hosts);
 
--- a/src/plugins/limits/TeamLimit.cpp
+++ b/src/plugins/limits/TeamLimit.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double SecondsPerMinute = 60;
-/// Views kept besides the present one.
+/// Splits kept, including the current one.
 constexpr std::size_t MaxTrackers = 8;
-/// A peer's demand counts as none when it was not heard of for so long.
+/// The demand of a peer expires after this many intervals without a report.
 constexpr int MaxDemandAgeIntervals = 60;
-/// Demand below this part of the limit counts as none.
+/// Demand below this fraction of the limit counts as zero.
 constexpr double MinDemand = 1e-3;
 
 } // namespace
@@ -34,9 +34,10 @@
   this->PreviousFraction = this->fraction(Now);
   this->FullShareFrom = ChangedAt + this->Policy.Epoch;
   this->Limits = NewLimits;
-  const auto Found = std::find_if(
-      this->Trackers.begin(), this->Trackers.end(),
-      [&](const ShareTracker &Each) { return Each.view().Id == Split.Id; });
+  const auto Found = std::find_if(this->Trackers.begin(), this->Trackers.end(),
+                                  [&](const ShareTracker &Tracker) {
+                                    return Tracker.view().Id == Split.Id;
+                                  });
   if (Found == this->Trackers.end()) {
     this->Trackers.emplace_front(std::move(Split), this->Self);
   } else {
@@ -129,9 +130,9 @@
 }
 
 void TeamLimit::reclaimShareOf(const HostId &Host) {
-  for (ShareTracker &Each : this->Trackers) {
-    if (Each.view().find(Host) == Each.view().Shares.size())
-      Each.reclaimFrom(Host);
+  for (ShareTracker &Tracker : this->Trackers) {
+    if (Tracker.view().find(Host) == Tracker.view().Shares.size())
+      Tracker.reclaimFrom(Host);
   }
 }
 
@@ -140,16 +141,17 @@
     return {};
   std::vector<HostDemand> Demands = {
       {this->Self, this->demandFraction(this->usage(Now))}};
-  for (const BaseShare &Each : this->view().Shares) {
-    if (Each.Host != this->Self)
-      Demands.push_back({Each.Host, this->peerDemand(Each.Host, Now)});
+  for (const BaseShare &Share : this->view().Shares) {
+    if (Share.Host != this->Self)
+      Demands.push_back({Share.Host, this->peerDemand(Share.Host, Now)});
   }
-  // A guest deals with the view's hosts only.
+  // A host without a base share exchanges units only with the hosts of the
+  // split.
   if (this->view().find(this->Self) < this->view().Shares.size()) {
     for (const HostId &Host : this->hostsWithoutBaseShare(Now))
       Demands.push_back({Host, this->peerDemand(Host, Now)});
   }
-  // What runs here holds its units until it ends.
+  // A running request holds its unit until it ends.
   const std::uint64_t Held = this->current().units();
   const std::uint64_t Busy = this->Limits.Concurrent > 0 ? this->Running : 0;
   const std::uint64_t Free = Held > Busy ? Held - Busy : 0;
@@ -164,12 +166,12 @@
 
 void TeamLimit::receiveShare(const HostId &From, const LimitShare &Share,
                              Time Now) {
-  for (ShareTracker &Each : this->Trackers) {
-    if (Each.view().keyFor(this->Self, this->SelfLife) != Share.View)
+  for (ShareTracker &Tracker : this->Trackers) {
+    if (Tracker.view().keyFor(this->Self, this->SelfLife) != Share.View)
       continue;
     const double Units =
-        Share.Fraction * static_cast<double>(Each.totalUnits());
-    Each.receiveShare(From, static_cast<std::uint64_t>(std::llround(Units)));
+        Share.Fraction * static_cast<double>(Tracker.totalUnits());
+    Tracker.receiveShare(From, static_cast<std::uint64_t>(std::llround(Units)));
   }
   this->applyShare(Now);
 }
@@ -181,10 +183,11 @@
 }
 
 bool TeamLimit::isIdle(Time Now) {
-  // What was given must not come back while its receiver may hold it.
+  // Discarding the state restores the base share, so transferred units must
+  // keep it while their receiver may hold them.
   const bool HasTransferred = std::any_of(
       this->Trackers.begin(), this->Trackers.end(),
-      [](const ShareTracker &Each) { return !Each.transfers().empty(); });
+      [](const ShareTracker &Tracker) { return !Tracker.transfers().empty(); });
   const bool IsOwing =
       this->Requests.level(Now) < 0 || this->Tokens.level(Now) < 0;
   return this->Running == 0 && !HasTransferred && !IsOwing;
@@ -193,11 +196,11 @@
 bool TeamLimit::isConsistent() const {
   return std::all_of(
       this->Trackers.begin(), this->Trackers.end(),
-      [](const ShareTracker &Each) { return Each.isConsistent(); });
+      [](const ShareTracker &Tracker) { return Tracker.isConsistent(); });
 }
 
 std::uint64_t TeamLimit::units(Time Now) const {
-  // A little more, as the fraction may lie just under a whole unit.
+  // Rounding of the fraction may leave it just below a whole unit.
   constexpr double Rounding = 1e-6;
   const auto TotalUnits = static_cast<double>(this->current().totalUnits());
   return static_cast<std::uint64_t>(this->fraction(Now) * TotalUnits +
--- a/src/plugins/limits/TeamLimit.h
+++ b/src/plugins/limits/TeamLimit.h
@@ -1,6 +1,6 @@
 /// \file
-/// One team's limits on one host: its share of them, what is used, and what
-/// is asked for here and on the other hosts.
+/// The limits of one team on one host: the share of the host, its use, and the
+/// demand on this host and on its peers.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -15,13 +15,13 @@
 namespace banyanpick {
 
 struct LimitsPolicy {
-  Duration Interval = seconds(1);      ///< Between two looks at the shares.
-  Duration Epoch = seconds(5);         ///< After which a changed split holds.
-  Duration Burst = seconds(10);        ///< What the buckets can hold.
-  std::uint64_t ItemsPerInterval = 64; ///< Told to peers, over all teams.
+  Duration Interval = seconds(1);      ///< Between two reports to peers.
+  Duration Epoch = seconds(5);         ///< Until a changed split is in effect.
+  Duration Burst = seconds(10);        ///< Capacity of the token buckets.
+  std::uint64_t ItemsPerInterval = 64; ///< Sent to peers, over all teams.
 };
 
-/// Why a request does not pass, and when the next one would.
+/// The limit that refuses a request, and the time until a request can pass.
 struct LimitReached {
   std::string_view LimitName; ///< A string literal.
   Duration Wait{};
@@ -32,50 +32,54 @@
   TeamLimit(const TeamEntry &Limits, ShareView Split, const Identity &Self,
             const LimitsPolicy &Policy, Time Now);
 
-  /// The split changed at \p ChangedAt. Until an epoch later the host holds
-  /// the lesser of its old and its new share, as others may not know yet.
+  /// Applies a split that changed at \p ChangedAt. For one epoch the host uses
+  /// the lesser of its old and its new share, because peers may not know the
+  /// change yet.
   void changeSplit(const TeamEntry &Limits, ShareView Split, Time ChangedAt,
                    Time Now);
 
-  /// Notes the demand; nothing when the request passes.
+  /// Records the demand. Returns nothing if the request passes.
   std::optional<LimitReached> check(double Tokens, Time Now);
   void admitted(double Tokens, Time Now);
-  /// A request ended, having used this much less than was charged for it.
+  /// Called when a request ended. \p UnusedTokens is the part of its charge
+  /// that it did not use.
   void ended(double UnusedTokens, bool HasRun, Time Now);
 
-  /// What this host tells its peers of its demand.
+  /// Returns the demand of this host as reported to its peers.
   TeamUsage::Item usage(Time Now) const;
-  /// The same as a part of the limit; 1 is all of it.
+  /// Returns the demand of this host as a fraction of the limit.
   double ownDemandFraction(Time Now) const {
     return this->demandFraction(this->usage(Now));
   }
   void updatePeerDemand(const HostId &From, const TeamUsage::Item &Usage,
                         Time Now);
-  /// Hosts without a base share that asked for some lately.
+  /// Returns the hosts without a base share that have recent demand.
   std::vector<HostId> hostsWithoutBaseShare(Time Now) const;
-  /// A host has nothing to ask for now.
+  /// Discards the demand of a host.
   void forgetDemand(const HostId &Host) { this->Peers.erase(Host); }
-  /// A host's life is surely over. What it held as a guest is taken back; what
-  /// it held as a host of the view is divided by the next view.
+  /// Called when the incarnation of a host has ended. Takes back the units that
+  /// it held without a base share. The next split divides its base share.
   void reclaimShareOf(const HostId &Host);
-  /// What is to be given to peers now.
+  /// Transfers units to peers and returns the transfers to send.
   std::vector<ShareTransfer> transferByDemand(Time Now);
-  /// Gifts so far, to be repeated.
+  /// Returns all transfers so far, for repetition.
   std::vector<ShareTransfer> transfers() const;
-  /// A peer gave; also to a view that is not the present one.
+  /// Handles a transfer from a peer, also for a split other than the current
+  /// one.
   void receiveShare(const HostId &From, const LimitShare &Share, Time Now);
 
   const ShareView &view() const { return this->current().view(); }
-  /// The part of the limit that this host uses now.
+  /// Returns the fraction of the limit that this host may use now.
   double fraction(Time Now) const;
   std::uint32_t running() const { return this->Running; }
-  /// Whether it can be forgotten: nothing runs, is owed, or was given away.
+  /// Returns whether the state can be discarded: no request runs, no bucket is
+  /// negative and no units were transferred.
   bool isIdle(Time Now);
   bool isConsistent() const;
 
 private:
   struct PeerDemand {
-    double DemandFraction = 0; ///< Parts of the limit, like demandFraction().
+    double DemandFraction = 0; ///< Of the limit, from demandFraction().
     Time ReceivedAt{};
   };
 
@@ -90,16 +94,16 @@
   HostId Self;
   Incarnation SelfLife;
   LimitsPolicy Policy;
-  /// The present view first, then those it may return to. A cut that heals
-  /// brings back its view, with all that was given under it.
+  /// The current split first, then earlier ones. When a network partition ends,
+  /// its earlier split applies again, with all transfers made in that split.
   std::deque<ShareTracker> Trackers;
-  Time FullShareFrom{};        ///< When the present share holds in full.
-  double PreviousFraction = 1; ///< Bounds the share until then.
+  Time FullShareFrom{};        ///< When the current share applies in full.
+  double PreviousFraction = 1; ///< Bounds the share until FullShareFrom.
   TokenBucket Requests;
   TokenBucket Tokens;
   DemandMeter RequestDemand;
   DemandMeter TokenDemand;
-  DemandMeter RefusedConcurrent; ///< Refused for too many at once.
+  DemandMeter RefusedConcurrent; ///< Refused by the concurrency limit.
   std::uint32_t Running = 0;
   std::map<HostId, PeerDemand> Peers;
 };
--- a/src/plugins/limits/TokenBucket.cpp
+++ b/src/plugins/limits/TokenBucket.cpp
@@ -19,7 +19,7 @@
     return Duration::max();
   if (this->Level >= Needed)
     return Duration(0);
-  // Rounded up, so that it passes when asked again at that moment.
+  // Rounded up, so that the request passes when it is checked at that time.
   return fromSeconds((Needed - this->Level) / this->PerSecond) + Duration(1);
 }
 
--- a/src/plugins/limits/TokenBucket.h
+++ b/src/plugins/limits/TokenBucket.h
@@ -1,28 +1,29 @@
 /// \file
-/// A token bucket that may go into debt for one request larger than itself.
+/// A token bucket whose level may become negative for one request that is
+/// larger than its capacity.
 #pragma once
 
 #include "base/Time.h"
 
 namespace banyanpick {
 
-/// Fills at a rate up to what it holds for Burst. A request passes when the
-/// bucket holds its cost, or is full; its whole cost is then taken, so that
-/// over time the rate is kept whatever the sizes of requests. The worst over a
-/// span T is rate * (T + Burst) and one request.
+/// Fills at a rate up to the amount that arrives in Burst. A request passes
+/// when the bucket holds its cost or is full. The full cost is then taken, so
+/// that the rate holds over time for all request sizes. At most
+/// rate * (T + Burst) plus one request passes in a time T.
 class TokenBucket {
 public:
   explicit TokenBucket(Duration Burst) : Burst(Burst) {}
 
-  /// \p PerSecond applies from \p Now on; what is in the bucket beyond the
-  /// new capacity is lost. The first call fills it.
+  /// \p PerSecond applies from \p Now on. The level above the new capacity is
+  /// discarded. The first call fills the bucket.
   void setRate(double PerSecond, Time Now);
 
-  /// How long until a request of this cost passes; zero: now. Duration::max()
-  /// when the rate is zero.
+  /// Returns the time until a request of this cost passes: zero if it passes
+  /// now, Duration::max() if the rate is zero.
   Duration waitFor(double Cost, Time Now);
 
-  /// Takes the cost, or gives it back when negative.
+  /// Takes the cost. A negative cost is added.
   void take(double Cost, Time Now);
 
   double level(Time Now);
