--- a/tests/auto/limits/LimitsDeployment.h
+++ b/tests/auto/limits/LimitsDeployment.h
@@ -1,6 +1,7 @@
 /// \file
-/// The limits plug-in on several entry hosts, with a network that can lose,
-/// repeat, reorder and be cut, and membership views set by the test.
+/// The limits plug-in on several entry hosts. The simulated network can lose,
+/// repeat and reorder messages and can be partitioned. The test sets the
+/// membership views.
 #pragma once
 
 #include "fakes/PluginViews.h"
@@ -29,24 +30,24 @@
     return "h" + std::to_string(Index);
   }
 
-  /// A request of the team at a host; true when it is admitted.
+  /// Sends a request of the team to a host. Returns whether it is admitted.
   bool ask(std::size_t Host) {
     const Request Req = RequestMaker(++this->Requests)
                             .prompt(900)
                             .output(100)
                             .arrived(this->Now, seconds(60));
-    Bench &At = *this->Hosts[Host];
-    const auto Refusal = At.Tested.check(Req, this->Now);
+    Bench &HostBench = *this->Hosts[Host];
+    const auto Refusal = HostBench.Tested.check(Req, this->Now);
     if (Refusal) {
       this->LastRefusal = *Refusal;
       return false;
     }
     Actions Out;
-    At.Tested.admitted(Req, this->Now, Out);
+    HostBench.Tested.admitted(Req, this->Now, Out);
     this->Running.emplace_back(Host, Req);
     return true;
   }
-  /// All that runs ends.
+  /// Ends all running requests.
   void endAll() {
     Actions Out;
     for (const auto &[Host, Req] : this->Running)
@@ -56,7 +57,7 @@
   }
   std::size_t running() const { return this->Running.size(); }
 
-  /// Time passes; every host that is due handles a tick.
+  /// Advances the time. Each host whose wake time is reached handles a tick.
   void tick(Duration Step) {
     this->Now += Step;
     for (std::size_t Index = 0; Index < this->Hosts.size(); ++Index) {
@@ -65,12 +66,12 @@
     }
   }
   void send(std::size_t From, const std::vector<SendToPeer> &Messages) {
-    for (const SendToPeer &Each : Messages)
+    for (const SendToPeer &Message : Messages)
       this->InFlight.push_back(
-          {{HostId(name(From)), this->Hosts[From]->Self.Life, Each.Body},
-           std::stoul(Each.To.Value.substr(1))});
+          {{HostId(name(From)), this->Hosts[From]->Self.Life, Message.Body},
+           std::stoul(Message.To.Value.substr(1))});
   }
-  /// Delivers a message of those in flight, and keeps it when it is repeated.
+  /// Delivers a message in flight. A repeated message also stays in flight.
   void deliver(std::size_t Index, bool IsRepeated) {
     const auto [Message, To] = this->InFlight[Index];
     if (!IsRepeated)
@@ -86,11 +87,11 @@
     while (!this->InFlight.empty())
       this->deliver(0, false);
   }
-  /// The host begins another life, and all others see it.
+  /// Restarts the host with a new incarnation that all its peers know.
   void restart(std::size_t Host) {
     const Incarnation Life(this->Hosts[Host]->Self.Life.Value + 1);
     std::erase_if(this->Running,
-                  [&](const auto &Each) { return Each.first == Host; });
+                  [&](const auto &Item) { return Item.first == Host; });
     this->Hosts[Host] = this->make(Host, this->Hosts.size(), Life.Value);
     for (std::size_t Peer = 0; Peer < this->Hosts.size(); ++Peer) {
       if (Peer == Host)
@@ -101,20 +102,22 @@
       this->setMemberState(Peer, Host, MemberState::Alive);
     }
   }
-  /// Whether the host has a part of the limit from the start.
+  /// Returns whether the host has a base share of the limit.
   bool hasBaseShare(std::size_t Host) {
-    Bench &At = *this->Hosts[Host];
-    const auto Serving = ServingHosts(At.Entries.catalogue(), At.Members);
+    Bench &HostBench = *this->Hosts[Host];
+    const auto Serving =
+        ServingHosts(HostBench.Entries.catalogue(), HostBench.Members);
     const auto Chosen = Serving.of(team());
-    return std::find(Chosen.begin(), Chosen.end(), At.Self.Host) !=
+    return std::find(Chosen.begin(), Chosen.end(), HostBench.Self.Host) !=
            Chosen.end();
   }
-  /// Host \p At sees host \p Of in a state from now on.
-  void setMemberState(std::size_t At, std::size_t Of, MemberState State) {
-    Bench &Seeing = *this->Hosts[At];
-    Seeing.Members.setState(HostId(name(Of)), State);
+  /// Sets the state of \p Peer in the membership view of \p Observer.
+  void setMemberState(std::size_t Observer, std::size_t Peer,
+                      MemberState State) {
+    Bench &HostBench = *this->Hosts[Observer];
+    HostBench.Members.setState(HostId(name(Peer)), State);
     Actions Out;
-    Seeing.Tested.memberChanged(Member(), this->Now, Out);
+    HostBench.Tested.memberChanged(Member(), this->Now, Out);
   }
 
   double fraction(std::size_t Host) {
@@ -128,30 +131,31 @@
   }
   std::size_t invariantsBroken() {
     InvariantMonitor Monitor;
-    for (const auto &Each : this->Hosts)
-      Each->Tested.checkInvariants(Monitor, this->Now);
+    for (const auto &Item : this->Hosts)
+      Item->Tested.checkInvariants(Monitor, this->Now);
     return Monitor.takeBroken().size();
   }
 
   Time Now{seconds(1000)};
   std::vector<std::unique_ptr<Bench>> Hosts;
-  std::vector<std::pair<PeerMessage, std::size_t>> InFlight; ///< To whom.
+  /// Messages in flight, each with the index of its receiver.
+  std::vector<std::pair<PeerMessage, std::size_t>> InFlight;
   std::function<bool(std::size_t, std::size_t)> IsPartitioned;
   NotRun LastRefusal;
 
 private:
   std::unique_ptr<Bench> make(std::size_t Index, std::size_t Count,
                               std::uint64_t Life) const {
-    auto Made = std::make_unique<Bench>(name(Index));
-    Made->Self.Life = Incarnation(Life);
-    Made->Members.Life = Incarnation(Life);
+    auto Result = std::make_unique<Bench>(name(Index));
+    Result->Self.Life = Incarnation(Life);
+    Result->Members.Life = Incarnation(Life);
     for (std::size_t Peer = 0; Peer < Count; ++Peer) {
       if (Peer != Index)
-        Made->Members.add(HostId(name(Peer)));
+        Result->Members.add(HostId(name(Peer)));
     }
-    Made->Entries.add(team(), this->Limits);
-    Made->start();
-    return Made;
+    Result->Entries.add(team(), this->Limits);
+    Result->start();
+    return Result;
   }
 
   TeamEntry Limits;
--- a/tests/auto/limits/LimitsTest.cpp
+++ b/tests/auto/limits/LimitsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Teams' limits over several entry hosts: shares, moves, cuts, deaths.
+/// Tests of team limits on several entry hosts: shares, transfers, network
+/// partitions and dead hosts.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -20,8 +21,8 @@
   return Limits;
 }
 
-/// Asks \p PerSecond times a second at a host for some seconds; how many were
-/// admitted. Requests end at once.
+/// Sends \p PerSecond requests per second to a host for some seconds. Returns
+/// how many were admitted. Requests end at once.
 std::size_t offer(LimitsDeployment &All, std::size_t Host, int Seconds,
                   int PerSecond) {
   std::size_t Admitted = 0;
@@ -34,7 +35,7 @@
   return Admitted;
 }
 
-TEST(TokenBucketTest, KeepsItsRateWhateverTheSizes) {
+TEST(TokenBucketTest, KeepsRateForAllRequestSizes) {
   TokenBucket Bucket(seconds(10));
   Time Now{seconds(1000)};
   Bucket.setRate(100, Now);
@@ -51,7 +52,7 @@
   EXPECT_GE(Taken, 100 * 600 * 0.9);
 }
 
-TEST(TokenBucketTest, PassesAfterTheWaitItTold) {
+TEST(TokenBucketTest, PassesAfterTheReturnedWait) {
   TokenBucket Bucket(seconds(1));
   const Time Now{seconds(1000)};
   Bucket.setRate(0.3, Now);
@@ -74,7 +75,7 @@
   EXPECT_LE(All.sumOfFractions(), 1 + Rounding);
 }
 
-TEST(LimitsTest, SpreadingOverHostsGainsNothing) {
+TEST(LimitsTest, SpreadingOverHostsDoesNotRaiseTheLimit) {
   LimitsDeployment All(3, perMinute(600));
   std::size_t Admitted = 0;
   for (int Second = 0; Second < 120; ++Second) {
@@ -88,10 +89,10 @@
   EXPECT_GE(Admitted, 1100u);
 }
 
-TEST(LimitsTest, ConcurrentIsKeptWhileSharesMove) {
+TEST(LimitsTest, ConcurrencyLimitHoldsWhileSharesMove) {
   LimitsDeployment All(3, perMinute(0, 8));
   for (int Second = 0; Second < 60; ++Second) {
-    // The caller moves from host to host and asks for more than it may have.
+    // The caller moves from host to host and sends more than its limit.
     for (int Index = 0; Index < 10; ++Index)
       All.ask(static_cast<std::size_t>(Second / 10) % 3);
     EXPECT_LE(All.running(), 8u);
@@ -103,7 +104,7 @@
   EXPECT_GT(All.fraction(2), 0.5);
 }
 
-TEST(LimitsTest, RefusalsSayWhenToComeBackSpreadInTime) {
+TEST(LimitsTest, RefusalsSpreadRetryTimes) {
   LimitsDeployment All(1, perMinute(60));
   while (All.ask(0)) {
   }
@@ -115,7 +116,8 @@
   }
   std::sort(Hints.begin(), Hints.end());
   EXPECT_GE(Hints.front(), milliseconds(500));
-  // At one request a second, twenty callers are told twenty seconds.
+  // At one request per second, the retry times of twenty callers span twenty
+  // seconds.
   EXPECT_GE(Hints.back() - Hints.front(), seconds(18));
 }
 
@@ -136,30 +138,31 @@
   EXPECT_NEAR(Living(), 1, 1e-6);
 }
 
-TEST(LimitsTest, HostOutsideTheTeamsHostsGetsAShareByDemand) {
+TEST(LimitsTest, HostWithoutBaseShareReceivesShareByDemand) {
   LimitsDeployment All(6, perMinute(600));
-  std::size_t Guest = 0;
-  while (All.hasBaseShare(Guest))
-    ++Guest;
-  EXPECT_FALSE(All.ask(Guest));
+  std::size_t Host = 0;
+  while (All.hasBaseShare(Host))
+    ++Host;
+  EXPECT_FALSE(All.ask(Host));
   EXPECT_LE(All.LastRefusal.RetryAfter, seconds(3));
-  offer(All, Guest, 20, 20);
-  EXPECT_GT(All.fraction(Guest), 0.8);
-  // What its life was given is taken back from it, and is not the next one's.
+  offer(All, Host, 20, 20);
+  EXPECT_GT(All.fraction(Host), 0.8);
+  // The units of the ended incarnation are taken back, and the restarted host
+  // does not get them from late messages.
   for (int Second = 0; Second < 6; ++Second)
     All.tick(seconds(1));
   const auto Late = All.InFlight;
-  All.restart(Guest);
+  All.restart(Host);
   EXPECT_GT(All.sumOfFractions(), 0.8);
   All.InFlight = Late;
   All.deliverAll();
-  EXPECT_EQ(All.fraction(Guest), 0);
+  EXPECT_EQ(All.fraction(Host), 0);
   EXPECT_LE(All.sumOfFractions(), 1 + Rounding);
 }
 
-/// Without changes of membership the shares never add up to more than the
-/// limit, whatever the network loses, repeats and reorders, and though hosts
-/// without a part from the start come, ask for some and restart.
+/// Without membership changes the sum of the shares never exceeds the limit.
+/// The network loses, repeats and reorders messages. Hosts without a base share
+/// receive units and restart.
 RC_GTEST_PROP(LimitsTest, SharesNeverExceedTheLimit, ()) {
   const auto Count = *rc::gen::inRange<std::size_t>(1, 7);
   LimitsDeployment All(Count, *rc::gen::arbitrary<bool>()
@@ -200,10 +203,11 @@
   }
 }
 
-/// Cuts the hosts into pieces at any moment, each host noticing in its own
-/// time, with demand wherever it likes; heals; at last all is as before. The
-/// worst sum of shares stays under what docs/DESIGN.md states.
-TEST(LimitsTest, OvershootUnderACutIsBounded) {
+/// Partitions the hosts at random times with random demand. The hosts detect
+/// the partition and its end at different times. The greatest sum of shares
+/// stays within the bound of docs/DESIGN.md, and the shares are restored after
+/// the partition ends.
+TEST(LimitsTest, OvershootDuringPartitionIsBounded) {
   Random Rng(20261202);
   double WorstInPartition = 0;
   double WorstAfter = 0;
@@ -235,10 +239,10 @@
     ServeFor(15, WorstBefore);
     EXPECT_LE(WorstBefore, 1 + Rounding);
     const auto SetMemberStates = [&](MemberState State, double &Worst) {
-      for (std::size_t At = 0; At < Count; ++At) {
-        for (std::size_t Of = 0; Of < Count; ++Of) {
-          if (Partition[At] != Partition[Of])
-            All.setMemberState(At, Of, State);
+      for (std::size_t Observer = 0; Observer < Count; ++Observer) {
+        for (std::size_t Peer = 0; Peer < Count; ++Peer) {
+          if (Partition[Observer] != Partition[Peer])
+            All.setMemberState(Observer, Peer, State);
         }
         ServeFor(static_cast<int>(Rng.below(2)), Worst);
       }
@@ -255,7 +259,7 @@
     EXPECT_EQ(All.invariantsBroken(), 0u);
   }
   RecordProperty("worst_in_cut", std::to_string(WorstInPartition));
-  std::printf("worst sum of shares: %.3f in a cut, %.3f after it healed\n",
+  std::printf("worst sum of shares: %.3f during a partition, %.3f after it\n",
               WorstInPartition, WorstAfter);
   EXPECT_LT(WorstInPartition, 2);
   EXPECT_LE(WorstAfter, 1 + Rounding);
--- a/tests/auto/limits/TeamHostsTest.cpp
+++ b/tests/auto/limits/TeamHostsTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The choice of a team's entry hosts.
+/// Tests the selection of a team's entry hosts.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -26,12 +26,12 @@
   const auto Chosen = teamHosts(TeamId("house-1"), Limits, hosts(9, 3));
   ASSERT_EQ(Chosen.size(), 3u);
   std::set<int> Zones;
-  for (const HostId &Each : Chosen)
-    Zones.insert(std::stoi(Each.Value.substr(5)) % 3);
+  for (const HostId &Host : Chosen)
+    Zones.insert(std::stoi(Host.Value.substr(5)) % 3);
   EXPECT_EQ(Zones.size(), 3u);
 }
 
-TEST(TeamHostsTest, HostsFollowTheLargestLimit) {
+TEST(TeamHostsTest, HostCountFollowsTheLargestLimit) {
   TeamEntry Limits;
   EXPECT_EQ(teamHostCount(Limits, 320), 320u);
   Limits.RequestsPerMinute = 3000;
@@ -41,7 +41,7 @@
   EXPECT_EQ(teamHostCount(Limits, 2), 2u);
 }
 
-RC_GTEST_PROP(TeamHostsTest, OrderOfHostsDoesNotMatter, ()) {
+RC_GTEST_PROP(TeamHostsTest, ChoiceIgnoresHostOrder, ()) {
   auto Candidates = hosts(*rc::gen::inRange<std::size_t>(0, 30), 4);
   TeamEntry Limits;
   Limits.RequestsPerMinute = *rc::gen::inRange(1, 5000);
@@ -59,7 +59,7 @@
   auto Before = teamHosts(Team, Limits, Candidates);
   const HostId Lost = Before[*rc::gen::inRange<std::size_t>(0, Before.size())];
   std::erase_if(Candidates,
-                [&](const auto &Each) { return Each.Host == Lost; });
+                [&](const auto &Item) { return Item.Host == Lost; });
   std::erase(Before, Lost);
   const auto After = teamHosts(Team, Limits, Candidates);
   for (const HostId &Kept : Before)
