--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -78,8 +78,8 @@
 void LimitsPlugin::checkInvariants(InvariantMonitor &Monitor, Time Now) const {
   for (const auto &[Team, State] : this->Teams) {
     Monitor.require(State.Limit->isConsistent(),
-                    "a limit's share is the base share plus received units "
-                    "minus sent units");
+                    "a limit's share is what it had plus received minus sent "
+                    "units");
     Monitor.require(State.Limit->fraction(Now) <= 1,
                     "a host holds at most the whole limit");
   }
