--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -12,19 +12,21 @@
 constexpr Duration PruneInterval = seconds(30);
 
 /// The chunks that an attempt delivered.
-double chunksOf(const Attempt &Try, const AttemptOutcome &Outcome) {
+double deliveredChunks(const Attempt &SentAttempt,
+                       const AttemptOutcome &Outcome) {
   const auto Since = [&](std::uint64_t Index) {
-    return Index > Try.StartIndex ? static_cast<double>(Index - Try.StartIndex)
-                                  : 0.0;
+    return Index > SentAttempt.StartIndex
+               ? static_cast<double>(Index - SentAttempt.StartIndex)
+               : 0.0;
   };
   return match(
-      Outcome, [&](const AttemptComplete &How) { return Since(How.Count); },
-      [&](const AttemptBroken &How) { return Since(How.NextIndex); },
+      Outcome, [&](const AttemptComplete &Ended) { return Since(Ended.Count); },
+      [&](const AttemptBroken &Ended) { return Since(Ended.NextIndex); },
       [](const auto &) { return 0.0; });
 }
 
 /// Whether the upstream surely did nothing for it.
-bool isUntouched(const AttemptOutcome &Outcome) {
+bool isNotExecuted(const AttemptOutcome &Outcome) {
   return std::holds_alternative<AttemptRefused>(Outcome) ||
          std::holds_alternative<AttemptNeverSent>(Outcome);
 }
@@ -33,14 +35,14 @@
 
 void FairnessPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  FairQueuePolicy Order;
-  Order.DecodeWeight = Values.fraction(Section, "decode_weight");
-  Order.AgingFraction = Values.fraction(Section, "aging_fraction");
-  this->Queue = std::make_unique<FairQueue>(Order);
-  UsageGossipPolicy Telling;
-  Telling.Interval = Values.span(Section, "usage_interval");
-  Telling.ItemsPerInterval = Values.whole(Section, "usage_items");
-  this->Gossip = std::make_unique<UsageGossip>(Telling);
+  RequestQueuesPolicy QueuesPolicy;
+  QueuesPolicy.DecodeWeight = Values.fraction(Section, "decode_weight");
+  QueuesPolicy.AgingFraction = Values.fraction(Section, "aging_fraction");
+  this->Queue = std::make_unique<RequestQueues>(QueuesPolicy);
+  UsageGossipPolicy GossipPolicy;
+  GossipPolicy.Interval = Values.span(Section, "usage_interval");
+  GossipPolicy.ItemsPerInterval = Values.whole(Section, "usage_items");
+  this->Gossip = std::make_unique<UsageGossip>(GossipPolicy);
   this->InForce = &Context.services().get<CatalogueView>();
   this->Members = &Context.services().get<MembershipView>();
   this->Poison = &Context.services().get<PoisonView>();
@@ -48,13 +50,13 @@
   Context.services().list<RequestObserver>().add(*this);
 }
 
-void FairnessPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Received = std::get_if<PeerMessageReceived>(&What)) {
+void FairnessPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  if (const auto *Received = std::get_if<PeerMessageReceived>(&Incoming)) {
     const auto *Usage = std::get_if<TeamUsage>(&Received->Message.Body);
     if (Usage)
-      this->takeIn(Received->Message, *Usage, Now);
+      this->handleUsage(Received->Message, *Usage, Now);
   }
-  this->tellPeers(Now, Out);
+  this->reportToPeers(Now, Out);
   this->prune(Now);
 }
 
@@ -69,49 +71,53 @@
   this->LatestVirtualTime = Virtual;
 }
 
-void FairnessPlugin::push(const Request &Waiting, Time Now) {
-  const bool IsSuspect = this->Poison->isSuspect(Waiting, Now);
-  const Time From = Now + this->Poison->spacing(Waiting, Now);
-  this->Queue->push(Waiting, IsSuspect, From, Now);
+void FairnessPlugin::push(const Request &Req, Time Now) {
+  const bool IsSuspect = this->Poison->isSuspect(Req, Now);
+  const Time NotBefore = Now + this->Poison->spacing(Req, Now);
+  this->Queue->push(Req, IsSuspect, NotBefore, Now);
 }
 
 void FairnessPlugin::remove(const RequestId &Id) { this->Queue->remove(Id); }
 
-std::vector<RequestId> FairnessPlugin::candidates(std::size_t Most, Time Now) {
-  return this->Queue->candidates(Most, Now);
+std::vector<RequestId> FairnessPlugin::candidates(std::size_t MaxCount,
+                                                  Time Now) {
+  return this->Queue->candidates(MaxCount, Now);
 }
 
-void FairnessPlugin::dispatched(const Request &Sent, const Attempt &Try,
+void FairnessPlugin::dispatched(const Request &Req, const Attempt &SentAttempt,
                                 Time Now, Actions &) {
-  const auto Prefill = static_cast<double>(Try.UncachedTokens);
-  this->Gossip->record(this->Queue->dispatched(Sent, Prefill), Now);
+  const auto Prefill = static_cast<double>(SentAttempt.UncachedTokens);
+  this->Gossip->record(this->Queue->dispatched(Req, Prefill), Now);
 }
 
-void FairnessPlugin::attemptEnded(const Request &Sent, const Attempt &Try,
+void FairnessPlugin::attemptEnded(const Request &Req,
+                                  const Attempt &SentAttempt,
                                   const AttemptOutcome &Outcome, Time Now,
                                   Actions &) {
-  const double Prefill =
-      isUntouched(Outcome) ? 0 : static_cast<double>(Try.UncachedTokens);
+  const double Prefill = isNotExecuted(Outcome)
+                             ? 0
+                             : static_cast<double>(SentAttempt.UncachedTokens);
   this->Gossip->record(
-      this->Queue->ended(Sent, Prefill, chunksOf(Try, Outcome)), Now);
+      this->Queue->ended(Req, Prefill, deliveredChunks(SentAttempt, Outcome)),
+      Now);
 }
 
-void FairnessPlugin::ended(const Request &Asked, const FinalAnswer &, Time,
+void FairnessPlugin::ended(const Request &Req, const FinalAnswer &, Time,
                            Actions &) {
-  this->Queue->forget(Asked.id());
+  this->Queue->forget(Req.id());
 }
 
-void FairnessPlugin::takeIn(const PeerMessage &Message, const TeamUsage &Usage,
-                            Time Now) {
+void FairnessPlugin::handleUsage(const PeerMessage &Message,
+                                 const TeamUsage &Usage, Time Now) {
   const Catalogue &Entries = this->InForce->catalogue();
-  for (const LaneWork &Work :
+  for (const QueueWork &Work :
        this->Gossip->received(Message.From, Message.FromLife, Usage, Now)) {
     if (const TeamEntry *Team = Entries.team(Work.Team))
       this->Queue->chargeRemote(Work, Team->Weight);
   }
 }
 
-void FairnessPlugin::tellPeers(Time Now, Actions &Out) {
+void FairnessPlugin::reportToPeers(Time Now, Actions &Out) {
   if (Now < this->Gossip->nextDue())
     return;
   const ServingHosts Serving(this->InForce->catalogue(), *this->Members);
@@ -135,17 +141,17 @@
 }
 
 std::vector<SettingDeclaration> FairnessPlugin::settings() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "decode_weight", SettingKind::Fraction, "4",
+      {SectionName, "decode_weight", SettingKind::Fraction, "4",
        "Work of one output token, in prompt tokens.", 0, 1000},
-      {In, "aging_fraction", SettingKind::Fraction, "0.5",
+      {SectionName, "aging_fraction", SettingKind::Fraction, "0.5",
        "Part of the promised time to the first token after which waiting work "
        "goes before all urgencies.",
        0, 1},
-      {In, "usage_interval", SettingKind::Span, "1s",
+      {SectionName, "usage_interval", SettingKind::Span, "1s",
        "How often peers are told of the work done for teams.", 1e5, 60e6},
-      {In, "usage_items", SettingKind::Whole, "32",
+      {SectionName, "usage_items", SettingKind::Whole, "32",
        "How many totals, over all peers together, are told in one interval.", 1,
        1e6},
   };
--- a/src/plugins/fairness/FairnessPlugin.h
+++ b/src/plugins/fairness/FairnessPlugin.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "kernel/Plugin.h"
-#include "plugins/fairness/FairQueue.h"
+#include "plugins/fairness/RequestQueues.h"
 #include "plugins/fairness/UsageGossip.h"
 
 #include <memory>
@@ -20,34 +20,35 @@
   static std::vector<SettingDeclaration> settings();
 
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
   // DispatchQueue
-  void push(const Request &Waiting, Time Now) override;
+  void push(const Request &Req, Time Now) override;
   void remove(const RequestId &Id) override;
-  std::vector<RequestId> candidates(std::size_t Most, Time Now) override;
+  std::vector<RequestId> candidates(std::size_t MaxCount, Time Now) override;
   std::size_t size() const override { return this->Queue->size(); }
 
   // RequestObserver
-  void dispatched(const Request &Sent, const Attempt &Try, Time Now,
+  void dispatched(const Request &Req, const Attempt &SentAttempt, Time Now,
                   Actions &Out) override;
-  void attemptEnded(const Request &Sent, const Attempt &Try,
+  void attemptEnded(const Request &Req, const Attempt &SentAttempt,
                     const AttemptOutcome &Outcome, Time Now,
                     Actions &Out) override;
-  void ended(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void ended(const Request &Req, const FinalAnswer &Answer, Time Now,
              Actions &Out) override;
 
 private:
-  void takeIn(const PeerMessage &Message, const TeamUsage &Usage, Time Now);
-  void tellPeers(Time Now, Actions &Out);
+  void handleUsage(const PeerMessage &Message, const TeamUsage &Usage,
+                   Time Now);
+  void reportToPeers(Time Now, Actions &Out);
   void prune(Time Now);
 
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
   const PoisonView *Poison = nullptr;
-  std::unique_ptr<FairQueue> Queue;
+  std::unique_ptr<RequestQueues> Queue;
   std::unique_ptr<UsageGossip> Gossip;
   Time PrunedAt{};
   mutable double LatestVirtualTime = 0; ///< At the last check.
--- a/src/plugins/fairness/LaneKey.cpp
+++ b/src/plugins/fairness/QueueKey.cpp
@@ -1,4 +1,4 @@
-#include "plugins/fairness/LaneKey.h"
+#include "plugins/fairness/QueueKey.h"
 
 #include <array>
 #include <fmt/format.h>
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::strong_ordering LaneKey::operator<=>(const LaneKey &Other) const {
+std::strong_ordering QueueKey::operator<=>(const QueueKey &Other) const {
   if (const auto Order = Other.Urgency <=> this->Urgency; std::is_neq(Order))
     return Order;
   if (const auto Order = this->LengthBucket <=> Other.LengthBucket;
@@ -36,25 +36,25 @@
   return this->TargetName <=> Other.TargetName;
 }
 
-LaneKey laneOf(const Request &Waiting, bool IsIsolated) {
-  LaneKey Lane;
-  Lane.Urgency = Waiting.Class.Urgency;
-  Lane.LengthBucket = bucketOf(Waiting.Head.PromptTokens);
-  Lane.IsIsolated = IsIsolated;
-  Lane.Target = Waiting.Class.Target;
-  Lane.TargetName = Waiting.Class.TargetName;
-  return Lane;
+QueueKey queueKey(const Request &Req, bool IsIsolated) {
+  QueueKey Key;
+  Key.Urgency = Req.Class.Urgency;
+  Key.LengthBucket = bucketOf(Req.Head.PromptTokens);
+  Key.IsIsolated = IsIsolated;
+  Key.Target = Req.Class.Target;
+  Key.TargetName = Req.Class.TargetName;
+  return Key;
 }
 
-LaneKey agedLaneOf(LaneKey Lane) {
-  Lane.Urgency = AgedUrgency;
-  return Lane;
+QueueKey agedQueueKey(QueueKey Key) {
+  Key.Urgency = AgedUrgency;
+  return Key;
 }
 
-std::uint32_t hashOf(const LaneKey &Lane) {
-  const std::string Text = fmt::format(
-      "{}/{}/{}/{}/{}", Lane.Urgency, Lane.LengthBucket, Lane.IsIsolated,
-      static_cast<int>(Lane.Target), Lane.TargetName);
+std::uint32_t queueHash(const QueueKey &Key) {
+  const std::string Text =
+      fmt::format("{}/{}/{}/{}/{}", Key.Urgency, Key.LengthBucket,
+                  Key.IsIsolated, static_cast<int>(Key.Target), Key.TargetName);
   const auto Hash = static_cast<std::uint32_t>(
       XXH64(Text.data(), Text.size(), 0) & 0xffffffffU);
   return Hash == 0 ? 1 : Hash;
--- a/src/plugins/fairness/LaneKey.h
+++ b/src/plugins/fairness/QueueKey.h
@@ -14,7 +14,7 @@
 /// with prompts of like length; what keeps one of them waiting most likely
 /// keeps the others waiting, so that no lane can block another. Lanes order
 /// by precedence: the one to be tried first is the least.
-struct LaneKey {
+struct QueueKey {
   /// Highest urgency first; AgedUrgency is above all of the catalogue's.
   std::uint32_t Urgency = 0;
   std::uint32_t LengthBucket = 0; ///< 0 holds the shortest prompts.
@@ -23,20 +23,20 @@
   TargetKind Target = TargetKind::Model;
   std::string TargetName;
 
-  std::strong_ordering operator<=>(const LaneKey &Other) const;
-  bool operator==(const LaneKey &) const = default;
+  std::strong_ordering operator<=>(const QueueKey &Other) const;
+  bool operator==(const QueueKey &) const = default;
 };
 
 /// Urgency of work that has waited for a good part of its promise.
 inline constexpr std::uint32_t AgedUrgency = 10;
 
 /// The lane of a request that has just come.
-LaneKey laneOf(const Request &Waiting, bool IsIsolated);
+QueueKey queueKey(const Request &Req, bool IsIsolated);
 
 /// The lane that its requests move to when they have waited for long.
-LaneKey agedLaneOf(LaneKey Lane);
+QueueKey agedQueueKey(QueueKey Key);
 
 /// A hash of the lane, the same on every host, never 0.
-std::uint32_t hashOf(const LaneKey &Lane);
+std::uint32_t queueHash(const QueueKey &Key);
 
 } // namespace banyanpick
--- a/src/plugins/fairness/FairLane.h
+++ b/src/plugins/fairness/StartTimeFairQueue.h
@@ -23,7 +23,7 @@
 /// divided by its weight; the team with the least tag is the most entitled.
 /// Times on this scale are token units for each unit of weight. Each operation
 /// costs O(log n) of the teams and requests that wait.
-class FairLane {
+class StartTimeFairQueue {
 public:
   /// Adds waiting work. The first in an empty lane begins a new busy period,
   /// in which all teams are equal again.
@@ -44,7 +44,7 @@
   void chargeRemote(const TeamId &Team, double Weight, double Tokens);
 
   /// The requests most entitled, in order.
-  std::vector<RequestId> candidates(std::size_t Most) const;
+  std::vector<RequestId> candidates(std::size_t MaxCount) const;
 
   std::size_t size() const { return this->Count; }
   /// Never falls.
--- a/src/plugins/fairness/UsageGossip.cpp
+++ b/src/plugins/fairness/UsageGossip.cpp
@@ -4,10 +4,10 @@
 
 namespace banyanpick {
 
-void UsageGossip::record(const LaneWork &Work, Time Now) {
-  if (Work.Lane == 0 || Work.Tokens == 0)
+void UsageGossip::record(const QueueWork &Work, Time Now) {
+  if (Work.QueueHash == 0 || Work.Tokens == 0)
     return;
-  OwnTotal &Total = this->Own[{Work.Team, Work.Lane}];
+  OwnTotal &Total = this->Own[{Work.Team, Work.QueueHash}];
   const bool WasPending = Total.IsChanged || Total.PeersLeft > 0;
   this->Pending += WasPending ? 0 : 1;
   Total.Tokens += Work.Tokens;
@@ -18,19 +18,20 @@
 std::vector<UsageForPeer> UsageGossip::due(const PeersOfTeam &Peers, Time Now) {
   if (Now < this->nextDue())
     return {};
-  this->ToldAt = Now;
+  this->SentAt = Now;
   ++this->Round;
   std::map<HostId, TeamUsage> Messages;
   std::uint64_t Left = this->Policy.ItemsPerInterval;
   auto It = this->Own.upper_bound(this->Cursor);
-  for (std::size_t Seen = 0; Seen < this->Own.size() && Left > 0; ++Seen) {
+  for (std::size_t Visited = 0; Visited < this->Own.size() && Left > 0;
+       ++Visited) {
     if (It == this->Own.end())
       It = this->Own.begin();
     this->Cursor = It->first;
     OwnTotal &Total = It->second;
     if (Total.IsChanged || Total.PeersLeft > 0)
-      Left -=
-          this->tell(It->first, Total, Peers(It->first.first), Left, Messages);
+      Left -= this->addToMessages(It->first, Total, Peers(It->first.first),
+                                  Left, Messages);
     ++It;
   }
   std::vector<UsageForPeer> Result;
@@ -40,17 +41,16 @@
   return Result;
 }
 
-std::uint64_t UsageGossip::tell(const WorkKey &Key, OwnTotal &Total,
-                                std::span<const HostId> Peers,
-                                std::uint64_t Most,
-                                std::map<HostId, TeamUsage> &Messages) {
+std::uint64_t UsageGossip::addToMessages(
+    const WorkKey &Key, OwnTotal &Total, std::span<const HostId> Peers,
+    std::uint64_t MaxItems, std::map<HostId, TeamUsage> &Messages) {
   if (Total.PeersLeft == 0) {
     Total.PeersLeft = Peers.size();
     Total.IsChanged = false;
   }
   Total.PeersLeft = std::min(Total.PeersLeft, Peers.size());
-  std::uint64_t Told = 0;
-  while (Total.PeersLeft > 0 && Told < Most) {
+  std::uint64_t Added = 0;
+  while (Total.PeersLeft > 0 && Added < MaxItems) {
     TeamUsage &Message = Messages[Peers[--Total.PeersLeft]];
     Message.Epoch = this->Round;
     TeamUsage::Item Item;
@@ -58,52 +58,53 @@
     Item.Lane = Key.second;
     Item.ServiceTokens = Total.Tokens;
     Message.Items.push_back(std::move(Item));
-    ++Told;
+    ++Added;
   }
   if (Total.PeersLeft == 0 && !Total.IsChanged)
     --this->Pending;
-  return Told;
+  return Added;
 }
 
 Time UsageGossip::nextDue() const {
-  return this->Pending == 0 ? Never : this->ToldAt + this->Policy.Interval;
+  return this->Pending == 0 ? Never : this->SentAt + this->Policy.Interval;
 }
 
-std::vector<LaneWork> UsageGossip::received(const HostId &From,
-                                            Incarnation FromLife,
-                                            const TeamUsage &Usage, Time Now) {
-  PeerBook &Book = this->Books[From];
-  if (Book.Life != FromLife) {
-    Book.Life = FromLife;
-    Book.Totals.clear();
+std::vector<QueueWork> UsageGossip::received(const HostId &From,
+                                             Incarnation FromLife,
+                                             const TeamUsage &Usage, Time Now) {
+  PeerState &Peer = this->PeerStates[From];
+  if (Peer.Life != FromLife) {
+    Peer.Life = FromLife;
+    Peer.Totals.clear();
   }
-  std::vector<LaneWork> Result;
+  std::vector<QueueWork> Result;
   for (const TeamUsage::Item &Item : Usage.Items) {
     if (Item.Lane == 0)
       continue;
-    const auto [Found, IsNew] = Book.Totals.try_emplace({Item.Team, Item.Lane});
+    const auto [Found, IsNew] = Peer.Totals.try_emplace({Item.Team, Item.Lane});
     PeerTotal &Total = Found->second;
-    const double Since = Item.ServiceTokens - Total.Tokens;
+    const double Difference = Item.ServiceTokens - Total.Tokens;
     Total = {Item.ServiceTokens, Now};
-    if (!IsNew && Since != 0)
-      Result.push_back({Item.Team, Item.Lane, Since});
+    if (!IsNew && Difference != 0)
+      Result.push_back({Item.Team, Item.Lane, Difference});
   }
   return Result;
 }
 
 void UsageGossip::prune(Time Now) {
-  const auto IsOld = [&](Time At) { return Now - At > this->Policy.Memory; };
+  const auto IsOld = [&](Time At) { return Now - At > this->Policy.MaxAge; };
   // Peers forget a total before its owner does, so that one that falls is a
   // correction and never a count begun anew.
   std::erase_if(this->Own, [&](const auto &Each) {
     const OwnTotal &Total = Each.second;
-    return Now - Total.ChangedAt > this->Policy.Memory * 2 &&
+    return Now - Total.ChangedAt > this->Policy.MaxAge * 2 &&
            !Total.IsChanged && Total.PeersLeft == 0;
   });
-  for (auto &[Host, Book] : this->Books)
-    std::erase_if(Book.Totals,
-                  [&](const auto &Each) { return IsOld(Each.second.HeardAt); });
-  std::erase_if(this->Books,
+  for (auto &[Host, Peer] : this->PeerStates)
+    std::erase_if(Peer.Totals, [&](const auto &Each) {
+      return IsOld(Each.second.ReceivedAt);
+    });
+  std::erase_if(this->PeerStates,
                 [](const auto &Each) { return Each.second.Totals.empty(); });
 }
 
--- a/src/plugins/fairness/UsageGossip.h
+++ b/src/plugins/fairness/UsageGossip.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "kernel/PeerMessage.h"
-#include "plugins/fairness/FairQueue.h"
+#include "plugins/fairness/RequestQueues.h"
 
 #include <functional>
 #include <map>
@@ -19,7 +19,7 @@
 struct UsageGossipPolicy {
   Duration Interval = seconds(1);
   std::uint64_t ItemsPerInterval = 64; ///< Over all peers together.
-  Duration Memory = seconds(600);      ///< How long a total is remembered.
+  Duration MaxAge = seconds(600);      ///< How long a total is remembered.
 };
 
 /// One message for one peer.
@@ -36,7 +36,7 @@
   explicit UsageGossip(const UsageGossipPolicy &Policy) : Policy(Policy) {}
 
   /// Work was done here.
-  void record(const LaneWork &Work, Time Now);
+  void record(const QueueWork &Work, Time Now);
 
   /// What is to be told now. At most ItemsPerInterval items go out in an
   /// interval; the others follow in turn.
@@ -47,8 +47,8 @@
 
   /// The work since the peer's last word; the first word of a life only sets
   /// where counting begins.
-  std::vector<LaneWork> received(const HostId &From, Incarnation FromLife,
-                                 const TeamUsage &Usage, Time Now);
+  std::vector<QueueWork> received(const HostId &From, Incarnation FromLife,
+                                  const TeamUsage &Usage, Time Now);
 
   /// Forgets totals that have not changed for long.
   void prune(Time Now);
@@ -64,24 +64,25 @@
   };
   struct PeerTotal {
     double Tokens = 0;
-    Time HeardAt{};
+    Time ReceivedAt{};
   };
-  struct PeerBook {
+  struct PeerState {
     Incarnation Life;
     std::map<WorkKey, PeerTotal> Totals;
   };
 
-  std::uint64_t tell(const WorkKey &Key, OwnTotal &Total,
-                     std::span<const HostId> Peers, std::uint64_t Most,
-                     std::map<HostId, TeamUsage> &Messages);
+  std::uint64_t addToMessages(const WorkKey &Key, OwnTotal &Total,
+                              std::span<const HostId> Peers,
+                              std::uint64_t MaxItems,
+                              std::map<HostId, TeamUsage> &Messages);
 
   UsageGossipPolicy Policy;
   std::map<WorkKey, OwnTotal> Own;
-  std::map<HostId, PeerBook> Books;
+  std::map<HostId, PeerState> PeerStates;
   std::size_t Pending = 0; ///< Totals not told to all peers yet.
   WorkKey Cursor;          ///< The last total looked at.
   std::uint64_t Round = 0;
-  Time ToldAt{};
+  Time SentAt{};
 };
 
 } // namespace banyanpick
--- a/tests/auto/fairness/FairnessHostsTest.cpp
+++ b/tests/auto/fairness/FairnessHostsTest.cpp
@@ -39,12 +39,12 @@
       Each->start();
   }
   void push(std::size_t Host, const std::string &Team) {
-    const Request Asked = RequestMaker(++this->Ids)
-                              .team(Team)
-                              .output(0)
-                              .arrived(this->Now, seconds(100'000));
-    this->Waiting[Asked.id()] = Asked;
-    this->Hosts[Host]->Tested.push(Asked, this->Now);
+    const Request Req = RequestMaker(++this->Ids)
+                            .team(Team)
+                            .output(0)
+                            .arrived(this->Now, seconds(100'000));
+    this->Waiting[Req.id()] = Req;
+    this->Hosts[Host]->Tested.push(Req, this->Now);
   }
   /// Dispatches at every host, passes a second and delivers what is told.
   void serve(std::size_t PerHost) {
@@ -53,12 +53,12 @@
         this->dispatchOne(*Each);
     }
     this->Now += seconds(1);
-    std::vector<std::pair<HostId, SendToPeer>> Told;
+    std::vector<std::pair<HostId, SendToPeer>> Messages;
     for (auto &Each : this->Hosts) {
       for (SendToPeer &Message : Each->handle(Tick(), this->Now))
-        Told.emplace_back(Each->Self.Host, std::move(Message));
+        Messages.emplace_back(Each->Self.Host, std::move(Message));
     }
-    for (const auto &[From, Message] : Told) {
+    for (const auto &[From, Message] : Messages) {
       const PeerMessage Sent{From, Incarnation(7), Message.Body};
       this->Bytes += encodePeerMessage(Sent).size();
       const auto To = std::stoul(Message.To.Value.substr(1));
--- a/tests/auto/fairness/FairQueueTest.cpp
+++ b/tests/auto/fairness/RequestQueuesTest.cpp
@@ -5,7 +5,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "fakes/RequestMaker.h"
-#include "plugins/fairness/FairQueue.h"
+#include "plugins/fairness/RequestQueues.h"
 
 #include <algorithm>
 
@@ -15,87 +15,87 @@
 constexpr Time Start{seconds(1000)};
 
 /// Takes the request out and charges its team, as the dispatcher does.
-void dispatch(FairQueue &Queue, const Request &Sent) {
-  Queue.remove(Sent.id());
-  Queue.dispatched(Sent, static_cast<double>(Sent.Head.PromptTokens));
+void dispatch(RequestQueues &Queues, const Request &Sent) {
+  Queues.remove(Sent.id());
+  Queues.dispatched(Sent, static_cast<double>(Sent.Head.PromptTokens));
 }
 
-TEST(FairQueueTest, LargeTeamDoesNotDelaySmallOne) {
-  FairQueue Queue{FairQueuePolicy()};
+TEST(RequestQueuesTest, LargeTeamDoesNotDelaySmallOne) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   for (std::uint64_t Id = 1; Id <= 100; ++Id)
-    Queue.push(RequestMaker(Id).team("large").build(), false, Start, Start);
+    Queues.push(RequestMaker(Id).team("large").build(), false, Start, Start);
   const Request Small = RequestMaker(200).team("small").build();
-  dispatch(Queue, RequestMaker(1).team("large").build());
-  Queue.push(Small, false, Start, Start);
-  const auto Order = Queue.candidates(4, Start);
+  dispatch(Queues, RequestMaker(1).team("large").build());
+  Queues.push(Small, false, Start, Start);
+  const auto Order = Queues.candidates(4, Start);
   EXPECT_LE(std::find(Order.begin(), Order.end(), Small.id()) - Order.begin(),
             1);
 }
 
-TEST(FairQueueTest, WeightsDivideTheWork) {
-  FairQueue Queue{FairQueuePolicy()};
+TEST(RequestQueuesTest, WeightsDivideTheWork) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   std::map<std::uint64_t, Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 400; ++Id) {
     const bool IsHeavy = Id % 2 == 0;
     Waiting[Id] = RequestMaker(Id)
                       .team(IsHeavy ? "heavy" : "light", IsHeavy ? 3 : 1)
                       .build();
-    Queue.push(Waiting[Id], false, Start, Start);
+    Queues.push(Waiting[Id], false, Start, Start);
   }
   int Heavy = 0;
   for (int Step = 0; Step < 200; ++Step) {
-    const std::uint64_t Next = Queue.candidates(1, Start).front().Value;
+    const std::uint64_t Next = Queues.candidates(1, Start).front().Value;
     Heavy += Next % 2 == 0 ? 1 : 0;
-    dispatch(Queue, Waiting[Next]);
+    dispatch(Queues, Waiting[Next]);
   }
   EXPECT_NEAR(Heavy, 150, 2);
 }
 
-TEST(FairQueueTest, UrgentGoesFirstUntilLongWorkHasAged) {
-  FairQueue Queue{FairQueuePolicy()};
+TEST(RequestQueuesTest, UrgentGoesFirstUntilLongWorkHasAged) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   const Request Long =
       RequestMaker(1).prompt(500'000).urgency(1).arrived(Start, seconds(60));
   // Work of its own promise, 60 s, ages after 30 s.
-  Queue.push(Long, false, Start, Start);
+  Queues.push(Long, false, Start, Start);
   const auto Urgent = [](std::uint64_t Id, Time Now) {
     return RequestMaker(Id).urgency(9).arrived(Now, seconds(60)).build();
   };
-  Queue.push(Urgent(2, Start), false, Start, Start);
-  EXPECT_EQ(Queue.candidates(2, Start).front(), RequestId(2));
+  Queues.push(Urgent(2, Start), false, Start, Start);
+  EXPECT_EQ(Queues.candidates(2, Start).front(), RequestId(2));
   const Time Later = Start + seconds(31);
-  Queue.remove(RequestId(2));
-  Queue.push(Urgent(3, Later), false, Later, Later);
-  EXPECT_EQ(Queue.candidates(2, Later).front(), RequestId(1));
+  Queues.remove(RequestId(2));
+  Queues.push(Urgent(3, Later), false, Later, Later);
+  EXPECT_EQ(Queues.candidates(2, Later).front(), RequestId(1));
 }
 
-TEST(FairQueueTest, BlockedLaneLeavesRoomForOthers) {
-  FairQueue Queue{FairQueuePolicy()};
+TEST(RequestQueuesTest, BlockedLaneLeavesRoomForOthers) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   for (std::uint64_t Id = 1; Id <= 100; ++Id)
-    Queue.push(RequestMaker(Id).urgency(9).prompt(200'000).build(), false,
-               Start, Start);
-  Queue.push(RequestMaker(200).urgency(0).build(), false, Start, Start);
-  const auto Order = Queue.candidates(16, Start);
+    Queues.push(RequestMaker(Id).urgency(9).prompt(200'000).build(), false,
+                Start, Start);
+  Queues.push(RequestMaker(200).urgency(0).build(), false, Start, Start);
+  const auto Order = Queues.candidates(16, Start);
   EXPECT_NE(std::find(Order.begin(), Order.end(), RequestId(200)), Order.end());
 }
 
-TEST(FairQueueTest, UnusedWorkIsGivenBack) {
-  FairQueue Queue{FairQueuePolicy()};
+TEST(RequestQueuesTest, UnusedWorkIsGivenBack) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   std::vector<Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 6; ++Id) {
     Waiting.push_back(
         RequestMaker(Id).team(Id % 2 == 0 ? "b" : "a").output(10'000).build());
-    Queue.push(Waiting.back(), false, Start, Start);
+    Queues.push(Waiting.back(), false, Start, Start);
   }
-  dispatch(Queue, Waiting[0]); // a
-  dispatch(Queue, Waiting[1]); // b
-  Queue.ended(Waiting[1], 1000, 1);
-  EXPECT_EQ(Queue.candidates(1, Start).front(), RequestId(4));
+  dispatch(Queues, Waiting[0]); // a
+  dispatch(Queues, Waiting[1]); // b
+  Queues.ended(Waiting[1], 1000, 1);
+  EXPECT_EQ(Queues.candidates(1, Start).front(), RequestId(4));
 }
 
 /// Any order of operations keeps the queue consistent, gives each waiting
 /// request once, and never lets virtual time fall.
-RC_GTEST_PROP(FairQueueTest, StaysConsistent, ()) {
-  FairQueue Queue{FairQueuePolicy()};
+RC_GTEST_PROP(RequestQueuesTest, StaysConsistent, ()) {
+  RequestQueues Queues{RequestQueuesPolicy()};
   std::map<std::uint64_t, Request> Waiting;
   std::vector<Request> Running;
   Time Now = Start;
@@ -110,22 +110,22 @@
             return Each.id().Value == Id;
           }))
         break;
-      const Request Asked =
+      const Request Req =
           RequestMaker(Id)
               .team(std::string(1, static_cast<char>('a' + Id % 5)))
               .urgency(Id % 3)
               .prompt(Id * 5000)
               .arrived(Now, seconds(4));
-      Queue.push(Waiting.try_emplace(Id, Asked).first->second, Id % 7 == 0,
-                 Now + milliseconds(Id % 5 == 0 ? 500 : 0), Now);
+      Queues.push(Waiting.try_emplace(Id, Req).first->second, Id % 7 == 0,
+                  Now + milliseconds(Id % 5 == 0 ? 500 : 0), Now);
       break;
     }
     case 2: {
-      const auto Chosen = Queue.candidates(3, Now);
+      const auto Chosen = Queues.candidates(3, Now);
       if (Chosen.empty())
         break;
       const Request Sent = Waiting.at(Chosen.back().Value);
-      dispatch(Queue, Sent);
+      dispatch(Queues, Sent);
       Waiting.erase(Chosen.back().Value);
       Running.push_back(Sent);
       break;
@@ -133,30 +133,31 @@
     case 3: {
       if (Running.empty())
         break;
-      Queue.ended(Running.back(), 0, 10);
-      Queue.forget(Running.back().id());
+      Queues.ended(Running.back(), 0, 10);
+      Queues.forget(Running.back().id());
       Running.pop_back();
       break;
     }
     case 4:
-      Queue.chargeRemote({TeamId("a"), hashOf(laneOf(RequestMaker(1), false)),
-                          *rc::gen::inRange(-5000, 50'000) * 1.0},
-                         1);
+      Queues.chargeRemote({TeamId("a"),
+                           queueHash(queueKey(RequestMaker(1), false)),
+                           *rc::gen::inRange(-5000, 50'000) * 1.0},
+                          1);
       break;
     default:
-      Queue.forget(RequestId(Id));
+      Queues.forget(RequestId(Id));
       Waiting.erase(Id);
       std::erase_if(Running,
                     [&](const Request &Each) { return Each.id().Value == Id; });
       Now += milliseconds(*rc::gen::inRange(0, 3000));
-      Queue.prune(Now);
+      Queues.prune(Now);
     }
-    RC_ASSERT(Queue.isConsistent());
-    RC_ASSERT(Queue.virtualTime() >= Virtual);
-    Virtual = Queue.virtualTime();
-    RC_ASSERT(Queue.size() == Waiting.size());
+    RC_ASSERT(Queues.isConsistent());
+    RC_ASSERT(Queues.virtualTime() >= Virtual);
+    Virtual = Queues.virtualTime();
+    RC_ASSERT(Queues.size() == Waiting.size());
     // Those that were held back come in the next second.
-    auto All = Queue.candidates(1000, Now += seconds(1));
+    auto All = Queues.candidates(1000, Now += seconds(1));
     RC_ASSERT(All.size() == Waiting.size());
     std::sort(All.begin(), All.end());
     RC_ASSERT(std::adjacent_find(All.begin(), All.end()) == All.end());
