--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view Section = "fairness";
 constexpr Duration PruneInterval = seconds(30);
 
-/// The chunks that an attempt delivered.
+/// Returns the number of chunks that an attempt delivered.
 double deliveredChunks(const Attempt &SentAttempt,
                        const AttemptOutcome &Outcome) {
   const auto Since = [&](std::uint64_t Index) {
@@ -25,7 +25,7 @@
       [](const auto &) { return 0.0; });
 }
 
-/// Whether the upstream surely did nothing for it.
+/// Returns whether the upstream certainly did no work for the attempt.
 bool isNotExecuted(const AttemptOutcome &Outcome) {
   return std::holds_alternative<AttemptRefused>(Outcome) ||
          std::holds_alternative<AttemptNeverSent>(Outcome);
@@ -64,10 +64,10 @@
 
 void FairnessPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
   Monitor.require(this->Queue->isConsistent(),
-                  "a request waits in one lane at most");
+                  "a request waits in at most one queue");
   const double Virtual = this->Queue->virtualTime();
   Monitor.require(Virtual >= this->LatestVirtualTime,
-                  "virtual time never falls");
+                  "virtual time never decreases");
   this->LatestVirtualTime = Virtual;
 }
 
@@ -124,11 +124,11 @@
   const auto PeersOf = [&](const TeamId &Team) {
     return Serving.peersOf(Team);
   };
-  for (UsageForPeer &Each : this->Gossip->due(PeersOf, Now)) {
+  for (UsageForPeer &Message : this->Gossip->due(PeersOf, Now)) {
     Out.add(RecordMeasurement{RecordMeasurement::Kind::Count,
                               "usage_items_sent", "",
-                              static_cast<double>(Each.Usage.Items.size())});
-    Out.add(SendToPeer{Each.To, std::move(Each.Usage)});
+                              static_cast<double>(Message.Usage.Items.size())});
+    Out.add(SendToPeer{Message.To, std::move(Message.Usage)});
   }
 }
 
--- a/src/plugins/fairness/FairnessPlugin.h
+++ b/src/plugins/fairness/FairnessPlugin.h
@@ -10,8 +10,8 @@
 
 namespace banyanpick {
 
-/// Provides DispatchQueue: fair queueing among teams by tokens of work, done
-/// here and, as far as it is told, on the other entry hosts.
+/// Provides DispatchQueue: fair queueing among teams by tokens of work. Counts
+/// the work of this host and the work that other entry hosts report.
 class FairnessPlugin : public Plugin,
                        public DispatchQueue,
                        public RequestObserver {
@@ -51,7 +51,7 @@
   std::unique_ptr<RequestQueues> Queue;
   std::unique_ptr<UsageGossip> Gossip;
   Time PrunedAt{};
-  mutable double LatestVirtualTime = 0; ///< At the last check.
+  mutable double LatestVirtualTime = 0; ///< At the last invariant check.
 };
 
 } // namespace banyanpick
--- a/src/plugins/fairness/QueueKey.cpp
+++ b/src/plugins/fairness/QueueKey.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Prompt lengths at which a longer bucket begins.
+/// Prompt lengths in tokens at which the next bucket begins.
 constexpr std::array<std::uint64_t, 3> BucketBounds = {8'000, 32'000, 100'000};
 
 std::uint32_t bucketOf(std::uint64_t PromptTokens) {
--- a/src/plugins/fairness/QueueKey.h
+++ b/src/plugins/fairness/QueueKey.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the requests of one queue have in common.
+/// The common properties of the requests in one queue.
 #pragma once
 
 #include "kernel/Request.h"
@@ -10,16 +10,17 @@
 
 namespace banyanpick {
 
-/// Requests of one lane compete for the same upstreams at the same urgency,
-/// with prompts of like length; what keeps one of them waiting most likely
-/// keeps the others waiting, so that no lane can block another. Lanes order
-/// by precedence: the one to be tried first is the least.
+/// Requests of one queue compete for the same upstreams at the same urgency,
+/// with prompts of similar length. The cause that makes one of them wait most
+/// likely applies to all of them, so that no queue blocks another. Queues are
+/// ordered by precedence: the queue with the least key comes first.
 struct QueueKey {
-  /// Highest urgency first; AgedUrgency is above all of the catalogue's.
+  /// Highest urgency first. AgedUrgency is above all urgencies of the
+  /// catalogue.
   std::uint32_t Urgency = 0;
   std::uint32_t LengthBucket = 0; ///< 0 holds the shortest prompts.
-  bool IsIsolated = false;        ///< Suspects, kept apart from other work.
-  bool IsHeld = false;            ///< Waits for its turn; not to be tried yet.
+  bool IsIsolated = false;        ///< Suspects, isolated from other work.
+  bool IsHeld = false;            ///< Held back; not to be dispatched yet.
   TargetKind Target = TargetKind::Model;
   std::string TargetName;
 
@@ -27,16 +28,17 @@
   bool operator==(const QueueKey &) const = default;
 };
 
-/// Urgency of work that has waited for a good part of its promise.
+/// Urgency of work that has used a large part of its time to first token by
+/// waiting.
 inline constexpr std::uint32_t AgedUrgency = 10;
 
-/// The lane of a request that has just come.
+/// Returns the key of the queue for a new request.
 QueueKey queueKey(const Request &Req, bool IsIsolated);
 
-/// The lane that its requests move to when they have waited for long.
+/// Returns the key of the queue that receives the aged requests of \p Key.
 QueueKey agedQueueKey(QueueKey Key);
 
-/// A hash of the lane, the same on every host, never 0.
+/// Returns a hash of the key. It is the same on every host and never 0.
 std::uint32_t queueHash(const QueueKey &Key);
 
 } // namespace banyanpick
--- a/src/plugins/fairness/RequestQueues.cpp
+++ b/src/plugins/fairness/RequestQueues.cpp
@@ -35,14 +35,14 @@
   this->releaseHeld(Now);
   this->moveAged(Now);
   std::vector<const StartTimeFairQueue *> Busy;
-  for (auto &[Key, Each] : this->Queues) {
-    if (Each.Work.size() != 0 && !Key.IsHeld)
-      Busy.push_back(&Each.Work);
+  for (auto &[Key, Item] : this->Queues) {
+    if (Item.Work.size() != 0 && !Key.IsHeld)
+      Busy.push_back(&Item.Work);
   }
   std::vector<RequestId> Result;
   if (Busy.empty() || MaxCount == 0)
     return Result;
-  // The first half of the lanes tried goes by precedence, the rest in turn.
+  // The first half of the chosen queues goes by precedence, the rest in turn.
   if (Busy.size() > MaxCount) {
     const auto Remainder =
         Busy.begin() + static_cast<std::ptrdiff_t>(MaxCount / 2);
@@ -52,11 +52,11 @@
                 Busy.end());
     Busy.resize(MaxCount);
   }
-  // What a lane leaves of its part falls to those after it.
+  // The unused part of a queue goes to the queues after it.
   std::size_t QueuesLeft = Busy.size();
-  for (const StartTimeFairQueue *Each : Busy) {
+  for (const StartTimeFairQueue *Item : Busy) {
     const std::size_t Part = (MaxCount - Result.size()) / QueuesLeft--;
-    const auto Chosen = Each->candidates(Part);
+    const auto Chosen = Item->candidates(Part);
     Result.insert(Result.end(), Chosen.begin(), Chosen.end());
   }
   return Result;
@@ -106,25 +106,25 @@
 
 void RequestQueues::prune(Time Now) {
   for (auto It = this->Queues.begin(); It != this->Queues.end();) {
-    const Queue &Each = It->second;
+    const Queue &Item = It->second;
     const bool IsUnused =
-        Each.Work.size() == 0 && Now - Each.UsedAt > this->Policy.MaxIdleTime;
+        Item.Work.size() == 0 && Now - Item.UsedAt > this->Policy.MaxIdleTime;
     if (IsUnused)
-      this->DroppedVirtual += Each.Work.virtualTime();
+      this->DroppedVirtual += Item.Work.virtualTime();
     It = IsUnused ? this->Queues.erase(It) : std::next(It);
   }
 }
 
 bool RequestQueues::isConsistent() const {
   std::size_t Waiting = 0;
-  for (const auto &[Key, Each] : this->Queues) {
-    if (!Each.Work.isConsistent())
+  for (const auto &[Key, Item] : this->Queues) {
+    if (!Item.Work.isConsistent())
       return false;
-    Waiting += Each.Work.size();
+    Waiting += Item.Work.size();
   }
   const auto Marked =
       std::count_if(this->Requests.begin(), this->Requests.end(),
-                    [](const auto &Each) { return Each.second.IsWaiting; });
+                    [](const auto &Item) { return Item.second.IsWaiting; });
   return Waiting == this->Count &&
          static_cast<std::size_t>(Marked) == this->Count &&
          this->Aging.size() <= this->Count;
@@ -132,19 +132,19 @@
 
 double RequestQueues::virtualTime() const {
   double Sum = this->DroppedVirtual;
-  for (const auto &[Key, Each] : this->Queues)
-    Sum += Each.Work.virtualTime();
+  for (const auto &[Key, Item] : this->Queues)
+    Sum += Item.Work.virtualTime();
   return Sum;
 }
 
-void RequestQueues::enqueue(TrackedRequest &Entry, const QueueKey &Into,
+void RequestQueues::enqueue(TrackedRequest &Entry, const QueueKey &Key,
                             Time Now) {
-  Queue &Entered = this->Queues[Into];
-  Entered.UsedAt = Now;
-  if (Entered.Hash == 0)
-    Entered.Hash = queueHash(Into);
-  Entered.Work.push(Entry.Team, Entry.Weight, Entry.Work);
-  Entry.Current = Into;
+  Queue &Target = this->Queues[Key];
+  Target.UsedAt = Now;
+  if (Target.Hash == 0)
+    Target.Hash = queueHash(Key);
+  Target.Work.push(Entry.Team, Entry.Weight, Entry.Work);
+  Entry.Current = Key;
   Entry.IsWaiting = true;
   ++this->Count;
 }
@@ -190,9 +190,9 @@
   Entry.Work.Tokens =
       this->workTokens(static_cast<double>(Req.Head.PromptTokens),
                        static_cast<double>(Req.OutputTokens));
-  const Duration Promise = Req.FirstTokenBy - Req.ArrivedAt;
+  const Duration Available = Req.FirstTokenBy - Req.ArrivedAt;
   Entry.AgesAt = Req.ArrivedAt +
-                 fromSeconds(inSeconds(Promise) * this->Policy.AgingFraction);
+                 fromSeconds(inSeconds(Available) * this->Policy.AgingFraction);
   return Entry;
 }
 
@@ -202,9 +202,9 @@
 }
 
 StartTimeFairQueue *RequestQueues::findByHash(std::uint32_t Hash) {
-  for (auto &[Key, Each] : this->Queues) {
-    if (Each.Hash == Hash)
-      return &Each.Work;
+  for (auto &[Key, Item] : this->Queues) {
+    if (Item.Hash == Hash)
+      return &Item.Work;
   }
   return nullptr;
 }
--- a/src/plugins/fairness/RequestQueues.h
+++ b/src/plugins/fairness/RequestQueues.h
@@ -1,5 +1,5 @@
 /// \file
-/// All waiting requests of one host, in lanes that teams share fairly.
+/// All waiting requests of one host, in queues that teams share fairly.
 #pragma once
 
 #include "plugins/fairness/QueueKey.h"
@@ -12,53 +12,58 @@
 
 namespace banyanpick {
 
-/// How work is measured and when it ages.
+/// The measure of work and the time after which it ages.
 struct RequestQueuesPolicy {
-  double DecodeWeight = 4;    ///< Work of an output token, in prompt tokens.
-  double AgingFraction = 0.5; ///< Part of the promise after which work ages.
-  Duration MaxIdleTime = seconds(60); ///< How long an unused lane is kept.
+  double DecodeWeight = 4; ///< Work of an output token, in prompt tokens.
+  /// Part of the promised time to first token after which work ages.
+  double AgingFraction = 0.5;
+  Duration MaxIdleTime = seconds(60); ///< How long an unused queue is kept.
 };
 
-/// Work done for a team in a lane.
+/// Work done for a team in a queue.
 struct QueueWork {
   TeamId Team;
-  std::uint32_t QueueHash = 0; ///< queueHash() its key.
+  std::uint32_t QueueHash = 0; ///< queueHash() of its key.
   double Tokens = 0;           ///< Negative for a correction.
 };
 
-/// Requests enter lanes by urgency, length and target. Those that have used
-/// up a part of their promise by waiting move to a lane above all urgencies,
-/// so that long work meets its promise beside a flood of urgent work.
+/// Requests are queued by urgency, length and target. A request that has used
+/// part of its time to first token by waiting moves to a queue above all
+/// urgencies, so that long work meets its deadline under a load of urgent work.
 class RequestQueues {
 public:
   explicit RequestQueues(const RequestQueuesPolicy &Policy) : Policy(Policy) {}
 
-  /// Adds it unless it waits already; it is not to be tried before \p From.
+  /// Adds the request unless it is already waiting. The request is not
+  /// dispatched before \p NotBefore.
   void push(const Request &Req, bool IsIsolated, Time NotBefore, Time Now);
-  /// Takes it out of its lane.
+  /// Removes the request from its queue.
   void remove(const RequestId &Id);
-  /// The requests to try, most entitled first. Every lane with waiting work
-  /// has a part of \p Most; lanes beyond \p Most take turns.
+  /// Returns the requests to dispatch, in the order of service. Every queue
+  /// with waiting work gets a part of \p MaxCount. If there are more queues
+  /// than \p MaxCount, the queues beyond the first half take turns.
   std::vector<RequestId> candidates(std::size_t MaxCount, Time Now);
 
-  /// A try was sent: the team is charged for the work expected of it.
+  /// Called when an attempt is sent. Charges the team for the expected work.
   QueueWork dispatched(const Request &Req, double PrefillTokens);
-  /// The try ended after this much work; the charge is corrected.
+  /// Called when the attempt ended after this much work. Corrects the charge.
   QueueWork ended(const Request &Req, double PrefillTokens,
                   double OutputTokens);
-  /// The request has its final answer.
+  /// Called when the request has its final answer.
   void forget(const RequestId &Id);
-  /// A peer did work for a team.
+  /// Called when a peer reports work for a team.
   void chargeRemote(const QueueWork &Work, double Weight);
 
-  /// Drops lanes that nothing has used for a while.
+  /// Drops queues that were not used for MaxIdleTime.
   void prune(Time Now);
 
   std::size_t size() const { return this->Count; }
   std::size_t queueCount() const { return this->Queues.size(); }
-  /// Whether every request waits in one lane at most, and all lanes agree.
+  /// Returns whether every request waits in at most one queue and all queues
+  /// are consistent.
   bool isConsistent() const;
-  /// The sum of all lanes' virtual times and of those dropped; never falls.
+  /// Returns the sum of the virtual times of all queues, including dropped
+  /// ones. It never decreases.
   double virtualTime() const;
 
 private:
@@ -70,17 +75,17 @@
   /// A request from its first push to its final answer.
   struct TrackedRequest {
     QueueKey Base;
-    QueueKey Current; ///< Base, or its aged lane.
+    QueueKey Current; ///< Base, or the key of its held or aged queue.
     TeamId Team;
     double Weight = 1;
     WaitingWork Work;
     Time AgesAt{};
     Time HeldUntil{};
-    double Charged = 0; ///< For the try that runs.
+    double Charged = 0; ///< For the running attempt.
     bool IsWaiting = false;
   };
 
-  void enqueue(TrackedRequest &Of, const QueueKey &Into, Time Now);
+  void enqueue(TrackedRequest &Of, const QueueKey &Key, Time Now);
   void dequeue(TrackedRequest &Of);
   void moveAged(Time Now);
   void releaseHeld(Time Now);
@@ -94,8 +99,8 @@
   std::set<std::pair<Time, RequestId>> Aging; ///< Waiting, by AgesAt.
   std::set<std::pair<Time, RequestId>> Held;  ///< By HeldUntil.
   std::size_t Count = 0;
-  std::size_t Rotation = 0;  ///< Rotates over lanes when there are many.
-  double DroppedVirtual = 0; ///< Virtual times of lanes dropped.
+  std::size_t Rotation = 0;  ///< Rotates over the queues if there are many.
+  double DroppedVirtual = 0; ///< Sum of the virtual times of dropped queues.
 };
 
 } // namespace banyanpick
--- a/src/plugins/fairness/StartTimeFairQueue.cpp
+++ b/src/plugins/fairness/StartTimeFairQueue.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Lower weights would let one request outlast every other team's patience.
+/// With a lower weight, the charge of one request would delay its team for
+/// longer than the requests of any other team can wait.
 constexpr double MinWeight = 1e-3;
 
 } // namespace
--- a/src/plugins/fairness/StartTimeFairQueue.h
+++ b/src/plugins/fairness/StartTimeFairQueue.h
@@ -1,6 +1,6 @@
 /// \file
-/// Start-time fair queueing among teams (Goyal, Vin and Cheng, 1996), over
-/// tokens of work.
+/// Start-time fair queueing among teams (Goyal, Vin and Cheng, 1996), measured
+/// in tokens of work.
 #pragma once
 
 #include "base/StrongId.h"
@@ -12,54 +12,54 @@
 
 namespace banyanpick {
 
-/// One waiting request as a lane knows it.
+/// A waiting request in a queue.
 struct WaitingWork {
   RequestId Id;
   Time ArrivedAt{};
   double Tokens = 0; ///< Expected work, in token units.
 };
 
-/// One queue shared by teams. A team's tag rises with the work done for it,
-/// divided by its weight; the team with the least tag is the most entitled.
-/// Times on this scale are token units for each unit of weight. Each operation
-/// costs O(log n) of the teams and requests that wait.
+/// A queue shared by teams. The tag of a team rises with the work done for it,
+/// divided by its weight. The team with the least tag is served first. Virtual
+/// times and tags are in token units per unit of weight. Each operation costs
+/// O(log n) of the waiting teams and requests.
 class StartTimeFairQueue {
 public:
-  /// Adds waiting work. The first in an empty lane begins a new busy period,
-  /// in which all teams are equal again.
+  /// Adds waiting work. The first work in an empty queue begins a new busy
+  /// period, in which all teams start equal.
   void push(const TeamId &Team, double Weight, const WaitingWork &Work);
 
-  /// Takes work out; false when it is not here.
+  /// Removes waiting work. Returns false if it is not in the queue.
   bool remove(const TeamId &Team, Time ArrivedAt, const RequestId &Id);
 
-  /// Work of the team was begun.
+  /// Called when work of the team starts.
   void charge(const TeamId &Team, double Weight, double Tokens);
 
-  /// Work charged before turned out to differ by \p Tokens.
+  /// Corrects an earlier charge by \p Tokens.
   void correct(const TeamId &Team, double Tokens);
 
-  /// Another host did work for the team, or corrects what it told. What it puts
-  /// the team behind is bounded by RemoteMemory times \p Tokens, so that work
-  /// done where nobody else waited is soon forgotten.
+  /// Called when another host reports work for the team or corrects an earlier
+  /// report. The delay of the team is bounded by RemoteMemory times \p Tokens,
+  /// so that work on a host where no other team waited has a short effect.
   void chargeRemote(const TeamId &Team, double Weight, double Tokens);
 
-  /// The requests most entitled, in order.
+  /// Returns the first \p MaxCount requests in the order of service.
   std::vector<RequestId> candidates(std::size_t MaxCount) const;
 
   std::size_t size() const { return this->Count; }
-  /// Never falls.
+  /// Returns the virtual time. It never decreases.
   double virtualTime() const { return this->Virtual; }
-  /// Whether what is waiting, the count and the tags agree.
+  /// Returns whether the waiting work, the count and the tags agree.
   bool isConsistent() const;
 
 private:
   using WorkKey = std::pair<Time, RequestId>;
 
-  /// A team's part of the lane.
+  /// The state of one team in the queue.
   struct Flow {
     double Weight = 1;
-    double Floor = 0;  ///< Virtual time when the team began to wait.
-    double Finish = 0; ///< Tag at which its work so far ends.
+    double Floor = 0;  ///< Virtual time at which the team began to wait.
+    double Finish = 0; ///< Finish tag of the work done so far.
     std::map<WorkKey, double> Waiting; ///< Expected work, oldest first.
 
     double start() const { return std::max(this->Floor, this->Finish); }
@@ -70,11 +70,12 @@
   void setFinish(const TeamId &Team, Flow &Of, double Finish);
   void beginBusyPeriod();
 
-  /// How many times the last work told a team may be put behind by it.
+  /// Bound on the delay that remote work causes to a team, as a multiple of the
+  /// last reported work.
   static constexpr double RemoteMemory = 10;
 
   FlowMap Flows;
-  std::set<std::pair<double, TeamId>> Heads; ///< Waiting teams by start tag.
+  std::set<std::pair<double, TeamId>> Heads; ///< Waiting teams, by start tag.
   std::size_t Count = 0;
   double Virtual = 0;
 };
--- a/src/plugins/fairness/UsageGossip.cpp
+++ b/src/plugins/fairness/UsageGossip.cpp
@@ -93,19 +93,19 @@
 
 void UsageGossip::prune(Time Now) {
   const auto IsOld = [&](Time At) { return Now - At > this->Policy.MaxAge; };
-  // Peers forget a total before its owner does, so that one that falls is a
-  // correction and never a count begun anew.
-  std::erase_if(this->Own, [&](const auto &Each) {
-    const OwnTotal &Total = Each.second;
+  // Peers drop a total before its owner does, so that a lower total is always a
+  // correction and never a restarted count.
+  std::erase_if(this->Own, [&](const auto &Entry) {
+    const OwnTotal &Total = Entry.second;
     return Now - Total.ChangedAt > this->Policy.MaxAge * 2 &&
            !Total.IsChanged && Total.PeersLeft == 0;
   });
   for (auto &[Host, Peer] : this->PeerStates)
-    std::erase_if(Peer.Totals, [&](const auto &Each) {
-      return IsOld(Each.second.ReceivedAt);
+    std::erase_if(Peer.Totals, [&](const auto &Entry) {
+      return IsOld(Entry.second.ReceivedAt);
     });
   std::erase_if(this->PeerStates,
-                [](const auto &Each) { return Each.second.Totals.empty(); });
+                [](const auto &Entry) { return Entry.second.Totals.empty(); });
 }
 
 } // namespace banyanpick
--- a/src/plugins/fairness/UsageGossip.h
+++ b/src/plugins/fairness/UsageGossip.h
@@ -1,7 +1,7 @@
 /// \file
-/// Tells the peers that serve a team how much work was done for it here, and
-/// takes in what they tell. Totals are cumulative, so that a lost, repeated or
-/// skipped message does no harm.
+/// Reports the work done for teams on this host to the peers that serve these
+/// teams, and handles the reports of peers. Totals are cumulative, so that a
+/// lost, repeated or skipped message has no lasting effect.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -15,14 +15,14 @@
 
 namespace banyanpick {
 
-/// Bounds of what is told.
+/// Bounds of the reports.
 struct UsageGossipPolicy {
   Duration Interval = seconds(1);
   std::uint64_t ItemsPerInterval = 64; ///< Over all peers together.
-  Duration MaxAge = seconds(600);      ///< How long a total is remembered.
+  Duration MaxAge = seconds(600);      ///< How long a peer's total is kept.
 };
 
-/// One message for one peer.
+/// A message for one peer.
 struct UsageForPeer {
   HostId To;
   TeamUsage Usage;
@@ -30,27 +30,28 @@
 
 class UsageGossip {
 public:
-  /// The peers that serve a team, without this host.
+  /// Returns the peers that serve a team, without this host.
   using PeersOfTeam = std::function<std::vector<HostId>(const TeamId &)>;
 
   explicit UsageGossip(const UsageGossipPolicy &Policy) : Policy(Policy) {}
 
-  /// Work was done here.
+  /// Records work done on this host.
   void record(const QueueWork &Work, Time Now);
 
-  /// What is to be told now. At most ItemsPerInterval items go out in an
-  /// interval; the others follow in turn.
+  /// Returns the messages to send now. At most ItemsPerInterval items are sent
+  /// in an interval. The remaining items follow in later intervals.
   std::vector<UsageForPeer> due(const PeersOfTeam &Peers, Time Now);
 
-  /// When due() has something to tell.
+  /// Returns the next time at which due() has messages.
   Time nextDue() const;
 
-  /// The work since the peer's last word; the first word of a life only sets
-  /// where counting begins.
+  /// Returns the work since the previous report of the peer. The first report
+  /// of an incarnation only sets the base of the totals.
   std::vector<QueueWork> received(const HostId &From, Incarnation FromLife,
                                   const TeamUsage &Usage, Time Now);
 
-  /// Forgets totals that have not changed for long.
+  /// Drops totals that have not changed for MaxAge; own totals after twice
+  /// that.
   void prune(Time Now);
 
 private:
@@ -60,7 +61,7 @@
     double Tokens = 0;
     Time ChangedAt{};
     bool IsChanged = false;    ///< Since the last round of peers began.
-    std::size_t PeersLeft = 0; ///< In the round that runs.
+    std::size_t PeersLeft = 0; ///< In the current round of peers.
   };
   struct PeerTotal {
     double Tokens = 0;
@@ -79,8 +80,8 @@
   UsageGossipPolicy Policy;
   std::map<WorkKey, OwnTotal> Own;
   std::map<HostId, PeerState> PeerStates;
-  std::size_t Pending = 0; ///< Totals not told to all peers yet.
-  WorkKey Cursor;          ///< The last total looked at.
+  std::size_t Pending = 0; ///< Totals not yet sent to all peers.
+  WorkKey Cursor;          ///< The last total visited.
   std::uint64_t Round = 0;
   Time SentAt{};
 };
