--- a/tests/auto/fairness/FairnessHostsTest.cpp
+++ b/tests/auto/fairness/FairnessHostsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Fairness among teams over several entry hosts, and what it costs to tell.
+/// Tests fairness among teams over several entry hosts and the traffic of the
+/// usage reports.
 #include <gtest/gtest.h>
 
 #include "fakes/PluginViews.h"
@@ -14,8 +15,8 @@
 
 using Bench = PluginBench<FairnessPlugin>;
 
-/// Hosts with a backlog of some teams each; every host dispatches the same
-/// number of requests a second, the one most entitled first.
+/// Hosts with a backlog of requests from several teams. Every host dispatches
+/// the same number of requests per second, in the order of its queues.
 class Backlog {
 public:
   explicit Backlog(std::size_t Count) {
@@ -31,12 +32,12 @@
   void declare(const std::string &Team, std::uint32_t RequestsPerMinute) {
     TeamEntry Limits;
     Limits.RequestsPerMinute = RequestsPerMinute;
-    for (auto &Each : this->Hosts)
-      Each->Entries.add(TeamId(Team), Limits);
+    for (auto &Host : this->Hosts)
+      Host->Entries.add(TeamId(Team), Limits);
   }
   void start() {
-    for (auto &Each : this->Hosts)
-      Each->start();
+    for (auto &Host : this->Hosts)
+      Host->start();
   }
   void push(std::size_t Host, const std::string &Team) {
     const Request Req = RequestMaker(++this->Ids)
@@ -46,17 +47,18 @@
     this->Waiting[Req.id()] = Req;
     this->Hosts[Host]->Tested.push(Req, this->Now);
   }
-  /// Dispatches at every host, passes a second and delivers what is told.
+  /// Dispatches requests on every host, advances the time by one second and
+  /// delivers the messages between hosts.
   void serve(std::size_t PerHost) {
-    for (auto &Each : this->Hosts) {
+    for (auto &Host : this->Hosts) {
       for (std::size_t Index = 0; Index < PerHost; ++Index)
-        this->dispatchOne(*Each);
+        this->dispatchOne(*Host);
     }
     this->Now += seconds(1);
     std::vector<std::pair<HostId, SendToPeer>> Messages;
-    for (auto &Each : this->Hosts) {
-      for (SendToPeer &Message : Each->handle(Tick(), this->Now))
-        Messages.emplace_back(Each->Self.Host, std::move(Message));
+    for (auto &Host : this->Hosts) {
+      for (SendToPeer &Message : Host->handle(Tick(), this->Now))
+        Messages.emplace_back(Host->Self.Host, std::move(Message));
     }
     for (const auto &[From, Message] : Messages) {
       const PeerMessage Sent{From, Incarnation(7), Message.Body};
@@ -72,15 +74,15 @@
   Time Now{seconds(1000)};
 
 private:
-  void dispatchOne(Bench &At) {
-    const auto Next = At.Tested.candidates(1, this->Now);
+  void dispatchOne(Bench &Host) {
+    const auto Next = Host.Tested.candidates(1, this->Now);
     if (Next.empty())
       return;
     const Request Sent = this->Waiting.at(Next.front());
     Actions Out;
-    At.Tested.remove(Sent.id());
-    At.Tested.dispatched(Sent, attemptOf(Sent, Sent.id().Value, "e"), this->Now,
-                         Out);
+    Host.Tested.remove(Sent.id());
+    Host.Tested.dispatched(Sent, attemptOf(Sent, Sent.id().Value, "e"),
+                           this->Now, Out);
     this->Work[Sent.Team] += static_cast<double>(Sent.Head.PromptTokens);
   }
 
@@ -88,7 +90,7 @@
   std::uint64_t Ids = 0;
 };
 
-/// Jain's index of the teams' work: 1 when all are equal.
+/// Returns Jain's fairness index of the work per team; 1 if all are equal.
 double jain(const std::map<TeamId, double> &Work) {
   double Sum = 0;
   double Squares = 0;
@@ -99,7 +101,7 @@
   return Sum * Sum / (static_cast<double>(Work.size()) * Squares);
 }
 
-TEST(FairnessHostsTest, LargeTeamGainsNothingBySpreading) {
+TEST(FairnessHostsTest, SpreadingDoesNotFavourALargeTeam) {
   Backlog All(3);
   All.declare("large", 600);
   for (int Host = 0; Host < 3; ++Host)
@@ -117,8 +119,8 @@
   EXPECT_GE(jain(All.Work), 0.98);
 }
 
-/// One of 320 hosts, with 300 active teams of the largest kind.
-TEST(FairnessHostsTest, BytesToldStayBounded) {
+/// One of 320 hosts, with 300 active teams that have the largest limits.
+TEST(FairnessHostsTest, ReportedBytesAreBounded) {
   constexpr int Teams = 300;
   constexpr int Seconds = 20;
   Backlog All(1);
@@ -142,12 +144,12 @@
                                       Out);
     }
     All.Now += seconds(1);
-    for (SendToPeer &Each : All.Hosts[0]->handle(Tick(), All.Now))
+    for (SendToPeer &Message : All.Hosts[0]->handle(Tick(), All.Now))
       Bytes += encodePeerMessage(
-                   {HostId("host-0"), Incarnation(7), std::move(Each.Body)})
+                   {HostId("host-0"), Incarnation(7), std::move(Message.Body)})
                    .size();
   }
-  std::printf("usage told: %.0f bytes a second\n",
+  std::printf("usage reports: %.0f bytes a second\n",
               static_cast<double>(Bytes) / Seconds);
   EXPECT_LE(Bytes / Seconds, 5000u);
 }
--- a/tests/auto/fairness/RequestQueuesTest.cpp
+++ b/tests/auto/fairness/RequestQueuesTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The order of waiting requests: shares of teams, urgency and ageing.
+/// Tests the order of waiting requests: shares of teams, urgency and ageing.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr Time Start{seconds(1000)};
 
-/// Takes the request out and charges its team, as the dispatcher does.
+/// Removes the request and charges its team, as the dispatcher does.
 void dispatch(RequestQueues &Queues, const Request &Sent) {
   Queues.remove(Sent.id());
   Queues.dispatched(Sent, static_cast<double>(Sent.Head.PromptTokens));
@@ -32,7 +32,7 @@
             1);
 }
 
-TEST(RequestQueuesTest, WeightsDivideTheWork) {
+TEST(RequestQueuesTest, WorkIsDividedByWeights) {
   RequestQueues Queues{RequestQueuesPolicy()};
   std::map<std::uint64_t, Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 400; ++Id) {
@@ -51,11 +51,11 @@
   EXPECT_NEAR(Heavy, 150, 2);
 }
 
-TEST(RequestQueuesTest, UrgentGoesFirstUntilLongWorkHasAged) {
+TEST(RequestQueuesTest, UrgentWorkGoesFirstUntilLongWorkHasAged) {
   RequestQueues Queues{RequestQueuesPolicy()};
   const Request Long =
       RequestMaker(1).prompt(500'000).urgency(1).arrived(Start, seconds(60));
-  // Work of its own promise, 60 s, ages after 30 s.
+  // Work with a time to first token of 60 s ages after 30 s.
   Queues.push(Long, false, Start, Start);
   const auto Urgent = [](std::uint64_t Id, Time Now) {
     return RequestMaker(Id).urgency(9).arrived(Now, seconds(60)).build();
@@ -68,7 +68,7 @@
   EXPECT_EQ(Queues.candidates(2, Later).front(), RequestId(1));
 }
 
-TEST(RequestQueuesTest, BlockedLaneLeavesRoomForOthers) {
+TEST(RequestQueuesTest, BlockedQueueDoesNotBlockOtherQueues) {
   RequestQueues Queues{RequestQueuesPolicy()};
   for (std::uint64_t Id = 1; Id <= 100; ++Id)
     Queues.push(RequestMaker(Id).urgency(9).prompt(200'000).build(), false,
@@ -78,7 +78,7 @@
   EXPECT_NE(std::find(Order.begin(), Order.end(), RequestId(200)), Order.end());
 }
 
-TEST(RequestQueuesTest, UnusedWorkIsGivenBack) {
+TEST(RequestQueuesTest, UnusedWorkIsCreditedToTheTeam) {
   RequestQueues Queues{RequestQueuesPolicy()};
   std::vector<Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 6; ++Id) {
@@ -92,8 +92,8 @@
   EXPECT_EQ(Queues.candidates(1, Start).front(), RequestId(4));
 }
 
-/// Any order of operations keeps the queue consistent, gives each waiting
-/// request once, and never lets virtual time fall.
+/// Any order of operations keeps the queues consistent, returns each waiting
+/// request once and never decreases the virtual time.
 RC_GTEST_PROP(RequestQueuesTest, StaysConsistent, ()) {
   RequestQueues Queues{RequestQueuesPolicy()};
   std::map<std::uint64_t, Request> Waiting;
@@ -106,8 +106,8 @@
     switch (*rc::gen::inRange(0, 6)) {
     case 0:
     case 1: {
-      if (std::any_of(Running.begin(), Running.end(), [&](const Request &Each) {
-            return Each.id().Value == Id;
+      if (std::any_of(Running.begin(), Running.end(), [&](const Request &Item) {
+            return Item.id().Value == Id;
           }))
         break;
       const Request Req =
@@ -148,7 +148,7 @@
       Queues.forget(RequestId(Id));
       Waiting.erase(Id);
       std::erase_if(Running,
-                    [&](const Request &Each) { return Each.id().Value == Id; });
+                    [&](const Request &Item) { return Item.id().Value == Id; });
       Now += milliseconds(*rc::gen::inRange(0, 3000));
       Queues.prune(Now);
     }
@@ -156,7 +156,7 @@
     RC_ASSERT(Queues.virtualTime() >= Virtual);
     Virtual = Queues.virtualTime();
     RC_ASSERT(Queues.size() == Waiting.size());
-    // Those that were held back come in the next second.
+    // Requests that are held back become candidates within the next second.
     auto All = Queues.candidates(1000, Now += seconds(1));
     RC_ASSERT(All.size() == Waiting.size());
     std::sort(All.begin(), All.end());
