--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -64,7 +64,7 @@
 
 void FairnessPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
   Monitor.require(this->Queue->isConsistent(),
-                  "a request waits in at most one queue");
+                  "a request waits in one lane at most");
   const double Virtual = this->Queue->virtualTime();
   Monitor.require(Virtual >= this->LatestVirtualTime,
                   "virtual time never decreases");
