--- a/src/plugins/quarantine/QuarantineList.cpp
+++ b/src/plugins/quarantine/QuarantineList.cpp
@@ -14,20 +14,21 @@
   return {Content, 0, Now};
 }
 
-bool QuarantineList::merge(const QuarantinedContent &Told, Time Now) {
-  const bool IsRelease = Told.Crashes == 0;
-  const Time DecidedAt = IsRelease ? Told.Until : Told.Until - this->Length;
+bool QuarantineList::merge(const QuarantinedContent &Received, Time Now) {
+  const bool IsRelease = Received.Crashes == 0;
+  const Time DecidedAt =
+      IsRelease ? Received.Until : Received.Until - this->Length;
   // Nothing older than a quarantine's length can still have an effect.
   if (DecidedAt + this->Length <= Now)
     return false;
-  const auto [Found, IsNew] = this->Decisions.try_emplace(Told.Content);
-  Decision &Known = Found->second;
+  const auto [Found, IsNew] = this->Decisions.try_emplace(Received.Content);
+  Decision &Latest = Found->second;
   const bool IsLater =
-      DecidedAt > Known.DecidedAt ||
-      (DecidedAt == Known.DecidedAt && IsRelease && Known.Crashes > 0);
+      DecidedAt > Latest.DecidedAt ||
+      (DecidedAt == Latest.DecidedAt && IsRelease && Latest.Crashes > 0);
   if (!IsNew && !IsLater)
     return false;
-  Known = {Told.Crashes, DecidedAt, Told.Until};
+  Latest = {Received.Crashes, DecidedAt, Received.Until};
   return true;
 }
 
@@ -40,17 +41,17 @@
   const auto Found = this->Decisions.find(Content);
   if (Found == this->Decisions.end())
     return std::nullopt;
-  const Decision &Known = Found->second;
-  if (Known.Crashes == 0 || Known.Until <= Now)
+  const Decision &Latest = Found->second;
+  if (Latest.Crashes == 0 || Latest.Until <= Now)
     return std::nullopt;
-  return Known.Until;
+  return Latest.Until;
 }
 
 std::vector<QuarantinedContent> QuarantineList::all(Time Now) const {
   std::vector<QuarantinedContent> Result;
-  for (const auto &[Content, Known] : this->Decisions) {
+  for (const auto &[Content, Latest] : this->Decisions) {
     if (this->isQuarantined(Content, Now))
-      Result.push_back({Content, Known.Crashes, Known.Until});
+      Result.push_back({Content, Latest.Crashes, Latest.Until});
   }
   return Result;
 }
--- a/src/plugins/quarantine/QuarantineList.h
+++ b/src/plugins/quarantine/QuarantineList.h
@@ -31,7 +31,7 @@
   /// told later.
   QuarantinedContent release(Fingerprint Content, Time Now);
   /// Somebody else's decision. True when it changed anything.
-  bool merge(const QuarantinedContent &Told, Time Now);
+  bool merge(const QuarantinedContent &Received, Time Now);
 
   bool isQuarantined(Fingerprint Content, Time Now) const;
   std::optional<Time> quarantinedUntil(Fingerprint Content, Time Now) const;
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -16,13 +16,13 @@
 /// Crashes of a notice that only tells of a suspicion.
 constexpr std::uint32_t SuspicionCrashes = 1;
 /// End of a notice that only ends a suspicion: too old to release anything.
-constexpr Time SuspicionOver{};
+constexpr Time SuspicionEnded{};
 
 std::string hex(Fingerprint Content) {
   return fmt::format("{:016x}", Content.Value);
 }
 
-QuarantineNotice noticeOf(const QuarantinedContent &Decided) {
+QuarantineNotice makeNotice(const QuarantinedContent &Decided) {
   return {Decided.Content, Decided.Crashes, Decided.Until, {}, {}};
 }
 
@@ -31,49 +31,50 @@
 void QuarantinePlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   SuspectPolicy Policy;
-  Policy.Memory = Values.span(Section, "suspect_memory");
+  Policy.Retention = Values.span(Section, "suspect_memory");
   Policy.IsolateUpTo = Values.whole(Section, "isolate_up_to");
   Policy.CommonCause = Values.span(Section, "common_cause");
-  this->Suspects = std::make_unique<SuspectBook>(Policy);
+  this->Suspects = std::make_unique<SuspectTracker>(Policy);
   this->Quarantined =
       std::make_unique<QuarantineList>(Values.span(Section, "length"));
-  Services &Offered = Context.services();
-  this->InForce = &Offered.get<CatalogueView>();
-  this->Members = &Offered.get<MembershipView>();
-  this->Log = &Offered.get<LogWriter>();
-  this->Numbers = &Context.random();
-  Offered.provide<PoisonView>(*this);
-  Offered.provide<QuarantineControl>(*this);
-  Offered.list<AdmissionGate>().add(*this);
-  Offered.list<RequestObserver>().add(*this);
-  Offered.list<FleetObserver>().add(*this);
-  Offered.list<MembershipObserver>().add(*this);
-  Offered.list<LogObserver>().add(*this);
-  Offered.list<StatusContributor>().add(*this);
+  Services &PluginServices = Context.services();
+  this->InForce = &PluginServices.get<CatalogueView>();
+  this->Members = &PluginServices.get<MembershipView>();
+  this->Log = &PluginServices.get<LogWriter>();
+  this->Rng = &Context.random();
+  PluginServices.provide<PoisonView>(*this);
+  PluginServices.provide<QuarantineControl>(*this);
+  PluginServices.list<AdmissionGate>().add(*this);
+  PluginServices.list<RequestObserver>().add(*this);
+  PluginServices.list<FleetObserver>().add(*this);
+  PluginServices.list<MembershipObserver>().add(*this);
+  PluginServices.list<LogObserver>().add(*this);
+  PluginServices.list<StatusContributor>().add(*this);
 }
 
-void QuarantinePlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Received = std::get_if<PeerMessageReceived>(&What)) {
+void QuarantinePlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
+  if (const auto *Received = std::get_if<PeerMessageReceived>(&Incoming)) {
     const auto *Notice = std::get_if<QuarantineNotice>(&Received->Message.Body);
     if (Notice)
-      this->learn(*Notice, Now, Out);
+      this->handleNotice(*Notice, Now, Out);
   }
   this->prune(Now);
 }
 
-bool QuarantinePlugin::isSuspect(const Request &Asked, Time Now) const {
-  return this->Suspects->isIsolated(Asked.Head.Content, Now);
+bool QuarantinePlugin::isSuspect(const Request &Req, Time Now) const {
+  return this->Suspects->isIsolated(Req.Head.Content, Now);
 }
 
 bool QuarantinePlugin::isQuarantined(Fingerprint Content, Time Now) const {
   return this->Quarantined->isQuarantined(Content, Now);
 }
 
-Duration QuarantinePlugin::spacing(const Request &Asked, Time Now) const {
+Duration QuarantinePlugin::spacing(const Request &Req, Time Now) const {
   // A slot must leave most of the time that was promised.
-  constexpr int Parts = 4;
-  const Duration Most = std::max(Duration(0), (Asked.Deadline - Now) / Parts);
-  return std::min(Most, this->Suspects->spacing(Asked.Head.Content, Now));
+  constexpr int DeadlineParts = 4;
+  const Duration MaxSpacing =
+      std::max(Duration(0), (Req.Deadline - Now) / DeadlineParts);
+  return std::min(MaxSpacing, this->Suspects->spacing(Req.Head.Content, Now));
 }
 
 void QuarantinePlugin::release(Fingerprint Content, Time Now, Actions &Out) {
@@ -82,50 +83,53 @@
   Out.log(logEvent(events::QuarantineReleased)
               .with("content", hex(Content))
               .build());
-  this->tellEverybody(Decided, Now, Out);
+  this->publishDecision(Decided, Now, Out);
 }
 
-std::optional<NotRun> QuarantinePlugin::check(const Request &Asked, Time Now) {
-  const auto Until =
-      this->Quarantined->quarantinedUntil(Asked.Head.Content, Now);
+std::optional<NotRun> QuarantinePlugin::check(const Request &Req, Time Now) {
+  const auto Until = this->Quarantined->quarantinedUntil(Req.Head.Content, Now);
   if (!Until)
     return std::nullopt;
   // Spread, so that held-back callers do not all return at the same moment.
   const Duration Left = *Until - Now;
   const Duration Spread =
-      fromSeconds(inSeconds(Left) * 0.1 * this->Numbers->fraction());
+      fromSeconds(inSeconds(Left) * 0.1 * this->Rng->fraction());
   return NotRun{RefusalReason::Quarantined, Left + Spread,
                 "this content crashed upstreams; change it, or ask an operator "
                 "to release quarantine " +
-                    hex(Asked.Head.Content)};
+                    hex(Req.Head.Content)};
 }
 
-std::optional<NotRun> QuarantinePlugin::reconsider(const Request &Asked,
+std::optional<NotRun> QuarantinePlugin::reconsider(const Request &Req,
                                                    Time Now) {
-  return this->check(Asked, Now);
+  return this->check(Req, Now);
 }
 
-void QuarantinePlugin::dispatched(const Request &Asked, const Attempt &Try,
-                                  Time Now, Actions &Out) {
-  this->Suspects->started(Asked, Try);
-  if (!this->Suspects->isIsolated(Asked.Head.Content, Now))
+void QuarantinePlugin::dispatched(const Request &Req,
+                                  const Attempt &SentAttempt, Time Now,
+                                  Actions &Out) {
+  this->Suspects->attemptStarted(Req, SentAttempt);
+  if (!this->Suspects->isIsolated(Req.Head.Content, Now))
     return;
-  this->Announced.insert(Try.Id);
-  this->tellWhere(Asked, Try.Upstream, Try.UpstreamLife, Now, Out);
+  this->AnnouncedAttempts.insert(SentAttempt.Id);
+  this->sendSuspectLocation(Req, SentAttempt.Upstream, SentAttempt.UpstreamLife,
+                            Now, Out);
 }
 
-void QuarantinePlugin::attemptEnded(const Request &Asked, const Attempt &Try,
+void QuarantinePlugin::attemptEnded(const Request &Req,
+                                    const Attempt &SentAttempt,
                                     const AttemptOutcome &Outcome, Time Now,
                                     Actions &Out) {
   const auto *Broken = std::get_if<AttemptBroken>(&Outcome);
   if (Broken && Broken->UpstreamDied)
-    this->judge(this->Suspects->diedRunning(Try, Now), Now, Out);
-  this->Suspects->finished(Try.Id);
-  const bool WasAnnounced = this->Announced.erase(Try.Id) > 0;
+    this->handleSuspects(this->Suspects->attemptBroken(SentAttempt, Now), Now,
+                         Out);
+  this->Suspects->attemptFinished(SentAttempt.Id);
+  const bool WasAnnounced = this->AnnouncedAttempts.erase(SentAttempt.Id) > 0;
   if (std::holds_alternative<AttemptComplete>(Outcome))
-    this->clear(Asked.Head.Content, Out);
-  else if (WasAnnounced && this->Suspects->isSuspect(Asked.Head.Content, Now))
-    this->tellWhere(Asked, UpstreamId(), Incarnation(), Now, Out);
+    this->clear(Req.Head.Content, Out);
+  else if (WasAnnounced && this->Suspects->isSuspect(Req.Head.Content, Now))
+    this->sendSuspectLocation(Req, UpstreamId(), Incarnation(), Now, Out);
 }
 
 void QuarantinePlugin::clear(Fingerprint Content, Actions &Out) {
@@ -135,16 +139,16 @@
       logEvent(events::SuspectCleared).with("content", hex(Content)).build());
   for (HostId &Peer : this->Members->livePeers())
     Out.add(SendToPeer{std::move(Peer),
-                       QuarantineNotice{Content, 0, SuspicionOver, {}, {}}});
+                       QuarantineNotice{Content, 0, SuspicionEnded, {}, {}}});
 }
 
 void QuarantinePlugin::upstreamChanged(const Upstream &Changed, Time Now,
                                        Actions &Out) {
   if (Changed.State != UpstreamState::Dead)
     return;
-  this->judge(
-      this->Suspects->died(Changed.Listing.Id, Changed.Listing.Life, Now), Now,
-      Out);
+  this->handleSuspects(this->Suspects->upstreamDied(Changed.Listing.Id,
+                                                    Changed.Listing.Life, Now),
+                       Now, Out);
 }
 
 void QuarantinePlugin::memberChanged(const Member &Changed, Time Now,
@@ -152,31 +156,31 @@
   if (Changed.State != MemberState::Alive)
     return;
   const HostId &Peer = Changed.Listing.Id;
-  if (const auto Found = this->Briefed.find(Peer);
-      Found != this->Briefed.end() && Found->second == Changed.Life)
+  if (const auto Found = this->NotifiedPeers.find(Peer);
+      Found != this->NotifiedPeers.end() && Found->second == Changed.Life)
     return;
-  this->Briefed[Peer] = Changed.Life;
+  this->NotifiedPeers[Peer] = Changed.Life;
   for (const QuarantinedContent &Each : this->Quarantined->all(Now))
-    Out.add(SendToPeer{Peer, noticeOf(Each)});
+    Out.add(SendToPeer{Peer, makeNotice(Each)});
 }
 
-void QuarantinePlugin::recordRead(const StoredRecord &Read, Time Now,
+void QuarantinePlugin::recordRead(const StoredRecord &Stored, Time Now,
                                   Actions &Out) {
-  const auto *Found = std::get_if<QuarantineRecord>(&Read.Record.Body);
+  const auto *Found = std::get_if<QuarantineRecord>(&Stored.Record.Body);
   if (Found)
-    this->learn({Found->Content, Found->Crashes, Found->Until, {}, {}}, Now,
-                Out);
+    this->handleNotice({Found->Content, Found->Crashes, Found->Until, {}, {}},
+                       Now, Out);
 }
 
-void QuarantinePlugin::appendSettled(const RecordId &Id, bool Taken, Time Now,
-                                     Actions &Out) {
+void QuarantinePlugin::appendSettled(const RecordId &Id, bool IsAppended,
+                                     Time Now, Actions &Out) {
   const auto Found = this->Appends.find(Id);
   if (Found == this->Appends.end())
     return;
   const QuarantinedContent Decided = Found->second;
   this->Appends.erase(Found);
   const bool IsRelease = Decided.Crashes == 0;
-  if (!Taken && (IsRelease || Decided.Until > Now))
+  if (!IsAppended && (IsRelease || Decided.Until > Now))
     this->record(Decided, Now, Out);
 }
 
@@ -185,10 +189,10 @@
     Report.Quarantined.push_back({Each.Content, Each.Crashes, Each.Until});
 }
 
-void QuarantinePlugin::judge(std::span<const Suspected> Accused, Time Now,
-                             Actions &Out) {
-  for (const Suspected &Each : Accused) {
-    if (Each.IsCondemned) {
+void QuarantinePlugin::handleSuspects(std::span<const Suspected> NewSuspects,
+                                      Time Now, Actions &Out) {
+  for (const Suspected &Each : NewSuspects) {
+    if (Each.IsCause) {
       this->quarantine(Each, Now, Out);
       continue;
     }
@@ -198,66 +202,67 @@
                 .with("deaths", Each.Deaths)
                 .with("isolated", Each.IsIsolated ? "yes" : "no")
                 .build());
-    this->tellTeamHosts(Each.Team,
-                        {Each.Content, SuspicionCrashes, Now, {}, {}}, Out);
+    this->notifyTeamHosts(Each.Team,
+                          {Each.Content, SuspicionCrashes, Now, {}, {}}, Out);
   }
 }
 
-void QuarantinePlugin::quarantine(const Suspected &Condemned, Time Now,
+void QuarantinePlugin::quarantine(const Suspected &Suspect, Time Now,
                                   Actions &Out) {
-  this->Suspects->clear(Condemned.Content);
+  this->Suspects->clear(Suspect.Content);
   const QuarantinedContent Decided =
-      this->Quarantined->add(Condemned.Content, Condemned.Deaths, Now);
+      this->Quarantined->add(Suspect.Content, Suspect.Deaths, Now);
   Out.count("quarantines");
   Out.log(logEvent(events::ContentQuarantined)
-              .with("content", hex(Condemned.Content))
-              .with("team", Condemned.Team.Value)
-              .with("deaths", Condemned.Deaths)
+              .with("content", hex(Suspect.Content))
+              .with("team", Suspect.Team.Value)
+              .with("deaths", Suspect.Deaths)
               .build());
-  this->tellEverybody(Decided, Now, Out);
+  this->publishDecision(Decided, Now, Out);
 }
 
-void QuarantinePlugin::learn(const QuarantineNotice &Notice, Time Now,
-                             Actions &Out) {
+void QuarantinePlugin::handleNotice(const QuarantineNotice &Notice, Time Now,
+                                    Actions &Out) {
   if (Notice.Crashes == SuspicionCrashes) {
-    this->Suspects->learn(Notice.Content, Now);
+    this->Suspects->addSuspect(Notice.Content, Now);
     if (Notice.Upstream.Value.empty())
-      this->Suspects->endedElsewhere(Notice.Content, Now);
+      this->Suspects->endPeerRun(Notice.Content, Now);
     else
-      this->Suspects->learnWhere(Notice.Content, Notice.Upstream, Now);
+      this->Suspects->setPeerRun(Notice.Content, Notice.Upstream, Now);
     return;
   }
   this->Suspects->clear(Notice.Content);
-  const bool IsNews = this->Quarantined->merge(
+  const bool HasChanged = this->Quarantined->merge(
       {Notice.Content, Notice.Crashes, Notice.Until}, Now);
-  if (IsNews && Notice.Crashes > 0)
+  if (HasChanged && Notice.Crashes > 0)
     Out.log(logEvent(events::QuarantineLearnt)
                 .with("content", hex(Notice.Content))
                 .with("deaths", Notice.Crashes)
                 .build());
 }
 
-void QuarantinePlugin::tellWhere(const Request &Asked,
-                                 const UpstreamId &Upstream, Incarnation Life,
-                                 Time Now, Actions &Out) const {
-  const QuarantineNotice Notice{Asked.Head.Content, SuspicionCrashes, Now,
+void QuarantinePlugin::sendSuspectLocation(const Request &Req,
+                                           const UpstreamId &Upstream,
+                                           Incarnation Life, Time Now,
+                                           Actions &Out) const {
+  const QuarantineNotice Notice{Req.Head.Content, SuspicionCrashes, Now,
                                 Upstream, Life};
   for (HostId &Peer : this->Members->livePeers())
     Out.add(SendToPeer{std::move(Peer), Notice});
 }
 
-void QuarantinePlugin::tellTeamHosts(const TeamId &Team,
-                                     const QuarantineNotice &Notice,
-                                     Actions &Out) const {
+void QuarantinePlugin::notifyTeamHosts(const TeamId &Team,
+                                       const QuarantineNotice &Notice,
+                                       Actions &Out) const {
   const ServingHosts Serving(this->InForce->catalogue(), *this->Members);
   for (HostId &Peer : Serving.peersOf(Team))
     Out.add(SendToPeer{std::move(Peer), Notice});
 }
 
-void QuarantinePlugin::tellEverybody(const QuarantinedContent &Decided,
-                                     Time Now, Actions &Out) {
+void QuarantinePlugin::publishDecision(const QuarantinedContent &Decided,
+                                       Time Now, Actions &Out) {
   for (HostId &Peer : this->Members->livePeers())
-    Out.add(SendToPeer{std::move(Peer), noticeOf(Decided)});
+    Out.add(SendToPeer{std::move(Peer), makeNotice(Decided)});
   this->record(Decided, Now, Out);
 }
 
@@ -278,20 +283,20 @@
 }
 
 std::vector<SettingDeclaration> QuarantinePlugin::settings() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "length", SettingKind::Span, "30min",
+      {SectionName, "length", SettingKind::Span, "30min",
        "How long content that crashed upstreams is refused; the same on all "
        "hosts.",
        1e6, 86400e6},
-      {In, "suspect_memory", SettingKind::Span, "10min",
+      {SectionName, "suspect_memory", SettingKind::Span, "10min",
        "How long content that ran on an upstream that died is suspected.", 1e6,
        86400e6},
-      {In, "isolate_up_to", SettingKind::Whole, "4",
+      {SectionName, "isolate_up_to", SettingKind::Whole, "4",
        "With at most this many contents running on an upstream that died, each "
        "is kept apart at its next try.",
        1, 1000},
-      {In, "common_cause", SettingKind::Span, "2s",
+      {SectionName, "common_cause", SettingKind::Span, "2s",
        "Deaths of upstreams nearer than this may have one cause outside them.",
        0, 600e6},
   };
--- a/src/plugins/quarantine/QuarantinePlugin.h
+++ b/src/plugins/quarantine/QuarantinePlugin.h
@@ -5,7 +5,7 @@
 #include "kernel/Plugin.h"
 #include "plugins/quarantine/QuarantineControl.h"
 #include "plugins/quarantine/QuarantineList.h"
-#include "plugins/quarantine/SuspectBook.h"
+#include "plugins/quarantine/SuspectTracker.h"
 
 #include <memory>
 #include <set>
@@ -29,24 +29,24 @@
   static std::vector<SettingDeclaration> settings();
 
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
 
   // PoisonView
-  bool isSuspect(const Request &Asked, Time Now) const override;
+  bool isSuspect(const Request &Req, Time Now) const override;
   bool isQuarantined(Fingerprint Content, Time Now) const override;
-  Duration spacing(const Request &Asked, Time Now) const override;
+  Duration spacing(const Request &Req, Time Now) const override;
 
   // QuarantineControl
   void release(Fingerprint Content, Time Now, Actions &Out) override;
 
   // AdmissionGate
-  std::optional<NotRun> check(const Request &Asked, Time Now) override;
-  std::optional<NotRun> reconsider(const Request &Asked, Time Now) override;
+  std::optional<NotRun> check(const Request &Req, Time Now) override;
+  std::optional<NotRun> reconsider(const Request &Req, Time Now) override;
 
   // RequestObserver
-  void dispatched(const Request &Asked, const Attempt &Try, Time Now,
+  void dispatched(const Request &Req, const Attempt &SentAttempt, Time Now,
                   Actions &Out) override;
-  void attemptEnded(const Request &Asked, const Attempt &Try,
+  void attemptEnded(const Request &Req, const Attempt &SentAttempt,
                     const AttemptOutcome &Outcome, Time Now,
                     Actions &Out) override;
 
@@ -56,35 +56,38 @@
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
 
   // LogObserver
-  void recordRead(const StoredRecord &Read, Time Now, Actions &Out) override;
-  void appendSettled(const RecordId &Id, bool Taken, Time Now,
+  void recordRead(const StoredRecord &Stored, Time Now, Actions &Out) override;
+  void appendSettled(const RecordId &Id, bool IsAppended, Time Now,
                      Actions &Out) override;
 
   // StatusContributor
   void contribute(StatusReport &Report, Time Now) const override;
 
 private:
-  void judge(std::span<const Suspected> Accused, Time Now, Actions &Out);
-  void quarantine(const Suspected &Condemned, Time Now, Actions &Out);
-  void learn(const QuarantineNotice &Notice, Time Now, Actions &Out);
+  void handleSuspects(std::span<const Suspected> NewSuspects, Time Now,
+                      Actions &Out);
+  void quarantine(const Suspected &Suspect, Time Now, Actions &Out);
+  void handleNotice(const QuarantineNotice &Notice, Time Now, Actions &Out);
   void clear(Fingerprint Content, Actions &Out);
-  void tellWhere(const Request &Asked, const UpstreamId &Upstream,
-                 Incarnation Life, Time Now, Actions &Out) const;
-  void tellTeamHosts(const TeamId &Team, const QuarantineNotice &Notice,
-                     Actions &Out) const;
-  void tellEverybody(const QuarantinedContent &Decided, Time Now, Actions &Out);
+  void sendSuspectLocation(const Request &Req, const UpstreamId &Upstream,
+                           Incarnation Life, Time Now, Actions &Out) const;
+  void notifyTeamHosts(const TeamId &Team, const QuarantineNotice &Notice,
+                       Actions &Out) const;
+  void publishDecision(const QuarantinedContent &Decided, Time Now,
+                       Actions &Out);
   void record(const QuarantinedContent &Decided, Time Now, Actions &Out);
   void prune(Time Now);
 
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
   LogWriter *Log = nullptr;
-  Random *Numbers = nullptr;
-  std::unique_ptr<SuspectBook> Suspects;
+  Random *Rng = nullptr;
+  std::unique_ptr<SuspectTracker> Suspects;
   std::unique_ptr<QuarantineList> Quarantined;
   std::map<RecordId, QuarantinedContent> Appends; ///< Not settled yet.
-  std::map<HostId, Incarnation> Briefed;          ///< Peers told of everything.
-  std::set<AttemptId> Announced; ///< Runs of suspects that peers know of.
+  std::map<HostId, Incarnation> NotifiedPeers;    ///< Peers told of everything.
+  std::set<AttemptId>
+      AnnouncedAttempts; ///< Runs of suspects that peers know of.
   Time PrunedAt{};
 };
 
--- a/src/plugins/quarantine/SuspectBook.h
+++ b/src/plugins/quarantine/SuspectTracker.h
@@ -25,7 +25,7 @@
 namespace banyanpick {
 
 struct SuspectPolicy {
-  Duration Memory = seconds(600); ///< How long a suspicion is kept.
+  Duration Retention = seconds(600); ///< How long a suspicion is kept.
   /// With at most this many contents running at a first death, each is kept
   /// apart at its next try.
   std::uint64_t IsolateUpTo = 4;
@@ -39,31 +39,31 @@
   TeamId Team;
   std::uint32_t Deaths = 0;
   bool IsIsolated = false;
-  bool IsCondemned = false; ///< To be quarantined.
+  bool IsCause = false; ///< To be quarantined.
 };
 
-class SuspectBook {
+class SuspectTracker {
 public:
-  explicit SuspectBook(const SuspectPolicy &Policy) : Policy(Policy) {}
+  explicit SuspectTracker(const SuspectPolicy &Policy) : Policy(Policy) {}
 
   /// A try began.
-  void started(const Request &Asked, const Attempt &Try);
+  void attemptStarted(const Request &Req, const Attempt &SentAttempt);
   /// A try ended, however it did.
-  void finished(const AttemptId &Id);
+  void attemptFinished(const AttemptId &Id);
 
   /// An upstream died while this try ran on it.
-  std::vector<Suspected> diedRunning(const Attempt &Try, Time Now);
+  std::vector<Suspected> attemptBroken(const Attempt &SentAttempt, Time Now);
   /// An upstream is known to be dead.
-  std::vector<Suspected> died(const UpstreamId &Upstream, Incarnation Life,
-                              Time Now);
+  std::vector<Suspected> upstreamDied(const UpstreamId &Upstream,
+                                      Incarnation Life, Time Now);
 
   /// A peer saw an upstream die with the content running.
-  void learn(Fingerprint Content, Time Now);
+  void addSuspect(Fingerprint Content, Time Now);
   /// A peer runs the suspect on this upstream now.
-  void learnWhere(Fingerprint Content, const UpstreamId &Upstream, Time Now);
+  void setPeerRun(Fingerprint Content, const UpstreamId &Upstream, Time Now);
   /// A peer does not run it any more. It still counts for a moment, as the
   /// peer may have seen the upstream's death before this host does.
-  void endedElsewhere(Fingerprint Content, Time Now);
+  void endPeerRun(Fingerprint Content, Time Now);
   /// The content ran to its end, or was judged. True when it was a suspect.
   bool clear(Fingerprint Content);
 
@@ -78,7 +78,7 @@
   std::size_t suspects() const { return this->Suspicions.size(); }
 
 private:
-  struct RunningTry {
+  struct RunningAttempt {
     Fingerprint Content;
     TeamId Team;
     std::vector<UpstreamId> Upstreams; ///< More than one for a group.
@@ -102,20 +102,21 @@
     std::vector<Fingerprint> Contents;
   };
 
-  std::vector<Suspected> note(const UpstreamId &Upstream, Incarnation Life,
-                              Time Now);
-  std::map<Fingerprint, TeamId> takeRunning(const UpstreamId &Upstream);
-  void accuse(Suspicion &Of, std::size_t Suspects, bool MayBeCommonCause) const;
+  std::vector<Suspected> recordDeath(const UpstreamId &Upstream,
+                                     Incarnation Life, Time Now);
+  std::map<Fingerprint, TeamId> takeVictims(const UpstreamId &Upstream);
+  void addEvidence(Suspicion &Entry, std::size_t Suspects,
+                   bool MayBeCommonCause) const;
   bool mayBeCommonCause(Fingerprint Content, Time Now) const;
-  std::size_t suspectsElsewhere(const UpstreamId &Upstream,
+  std::size_t countPeerSuspects(const UpstreamId &Upstream,
                                 const std::map<Fingerprint, TeamId> &Victims,
                                 Time Now) const;
   const Suspicion *find(Fingerprint Content, Time Now) const;
 
   SuspectPolicy Policy;
-  std::map<AttemptId, RunningTry> Running;
+  std::map<AttemptId, RunningAttempt> Running;
   std::map<Fingerprint, Suspicion> Suspicions;
-  std::map<Fingerprint, PeerRun> Elsewhere;
+  std::map<Fingerprint, PeerRun> PeerRuns;
   std::deque<Death> Deaths; ///< Of the last while, oldest first.
 };
 
--- a/tests/auto/quarantine/QuarantineTest.cpp
+++ b/tests/auto/quarantine/QuarantineTest.cpp
@@ -31,11 +31,11 @@
 
   std::vector<SendToPeer> run(std::uint64_t Content,
                               const std::string &Upstream) {
-    const Request Asked = RequestMaker(++this->Ids).content(Content).build();
-    const Attempt Try = attemptOf(Asked, this->Ids, Upstream);
-    this->Running.emplace_back(Asked, Try);
+    const Request Req = RequestMaker(++this->Ids).content(Content).build();
+    const Attempt SentAttempt = attemptOf(Req, this->Ids, Upstream);
+    this->Running.emplace_back(Req, SentAttempt);
     return this->sent([&](Actions &Out) {
-      this->Tested.dispatched(Asked, Try, this->Now, Out);
+      this->Tested.dispatched(Req, SentAttempt, this->Now, Out);
     });
   }
   /// Ends what runs on the upstream with this outcome.
@@ -45,9 +45,9 @@
       const auto IsThere = [&](const auto &Each) {
         return Each.second.Upstream.Value == Upstream;
       };
-      for (const auto &[Asked, Try] : this->Running) {
-        if (Try.Upstream.Value == Upstream)
-          this->Tested.attemptEnded(Asked, Try, Outcome, this->Now, Out);
+      for (const auto &[Req, SentAttempt] : this->Running) {
+        if (SentAttempt.Upstream.Value == Upstream)
+          this->Tested.attemptEnded(Req, SentAttempt, Outcome, this->Now, Out);
       }
       std::erase_if(this->Running, IsThere);
     });
@@ -91,9 +91,9 @@
   // A host to come learns it from the log, and refuses a re-send by content.
   Host H3("h3");
   Actions Out;
-  StoredRecord Read;
-  Read.Record.Body = H1.Log.Appended[0];
-  H3.Tested.recordRead(Read, Start, Out);
+  StoredRecord Stored;
+  Stored.Record.Body = H1.Log.Appended[0];
+  H3.Tested.recordRead(Stored, Start, Out);
   const auto Refusal = H3.Tested.check(RequestMaker(999).content(66).build(),
                                        Start + seconds(1));
   ASSERT_TRUE(Refusal);
