--- a/src/plugins/quarantine/QuarantineControl.h
+++ b/src/plugins/quarantine/QuarantineControl.h
@@ -1,5 +1,5 @@
 /// \file
-/// What operators can do about a quarantine.
+/// The operator interface of the quarantine.
 #pragma once
 
 #include "base/StrongId.h"
@@ -7,11 +7,11 @@
 
 namespace banyanpick {
 
-/// Lets quarantined content run again at an operator's word.
+/// Releases quarantined content on behalf of an operator.
 class QuarantineControl {
 public:
   virtual ~QuarantineControl() = default;
-  /// Releases the content on this host and tells the others.
+  /// Releases the content on this host and notifies the other hosts.
   virtual void release(Fingerprint Content, Time Now, Actions &Out) = 0;
 };
 
--- a/src/plugins/quarantine/QuarantineList.cpp
+++ b/src/plugins/quarantine/QuarantineList.cpp
@@ -18,7 +18,7 @@
   const bool IsRelease = Received.Crashes == 0;
   const Time DecidedAt =
       IsRelease ? Received.Until : Received.Until - this->Length;
-  // Nothing older than a quarantine's length can still have an effect.
+  // A decision older than the length of a quarantine has no effect.
   if (DecidedAt + this->Length <= Now)
     return false;
   const auto [Found, IsNew] = this->Decisions.try_emplace(Received.Content);
@@ -57,8 +57,8 @@
 }
 
 void QuarantineList::prune(Time Now) {
-  std::erase_if(this->Decisions, [&](const auto &Each) {
-    return Each.second.DecidedAt + this->Length <= Now;
+  std::erase_if(this->Decisions, [&](const auto &Entry) {
+    return Entry.second.DecidedAt + this->Length <= Now;
   });
 }
 
--- a/src/plugins/quarantine/QuarantineList.h
+++ b/src/plugins/quarantine/QuarantineList.h
@@ -1,6 +1,6 @@
 /// \file
-/// The contents that may not run, as decided on any host. Decisions may come
-/// in any order and repeatedly; the latest wins.
+/// The quarantined contents, as decided on any host. Decisions may arrive in
+/// any order and repeatedly. The latest decision wins.
 #pragma once
 
 #include "base/StrongId.h"
@@ -12,7 +12,7 @@
 
 namespace banyanpick {
 
-/// A content that may not run until a moment.
+/// A content that may not run before Until.
 struct QuarantinedContent {
   Fingerprint Content;
   std::uint32_t Crashes = 0;
@@ -21,28 +21,28 @@
 
 class QuarantineList {
 public:
-  /// \p Length is how long a quarantine lasts; the same on all hosts, as the
-  /// moment of a decision is worked out from its end.
+  /// \p Length is the duration of a quarantine. It must be equal on all hosts,
+  /// because the time of a decision is computed from its end.
   explicit QuarantineList(Duration Length) : Length(Length) {}
 
-  /// Quarantined from now on.
+  /// Quarantines the content from \p Now on.
   QuarantinedContent add(Fingerprint Content, std::uint32_t Crashes, Time Now);
-  /// Free from now on; a quarantine decided earlier is void, also when it is
-  /// told later.
+  /// Releases the content from \p Now on. An earlier quarantine is void, even
+  /// if its notice arrives later.
   QuarantinedContent release(Fingerprint Content, Time Now);
-  /// Somebody else's decision. True when it changed anything.
+  /// Merges a decision of another host. Returns whether anything changed.
   bool merge(const QuarantinedContent &Received, Time Now);
 
   bool isQuarantined(Fingerprint Content, Time Now) const;
   std::optional<Time> quarantinedUntil(Fingerprint Content, Time Now) const;
-  /// What is quarantined now, ordered by content.
+  /// Returns the contents that are quarantined now, ordered by content.
   std::vector<QuarantinedContent> all(Time Now) const;
 
   void prune(Time Now);
 
 private:
   struct Decision {
-    std::uint32_t Crashes = 0; ///< 0: released.
+    std::uint32_t Crashes = 0; ///< 0 if released.
     Time DecidedAt{};
     Time Until{};
   };
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -13,9 +13,10 @@
 
 constexpr std::string_view Section = "quarantine";
 constexpr Duration PruneInterval = seconds(10);
-/// Crashes of a notice that only tells of a suspicion.
+/// Value of Crashes in a notice that only reports a suspicion.
 constexpr std::uint32_t SuspicionCrashes = 1;
-/// End of a notice that only ends a suspicion: too old to release anything.
+/// Value of Until in a notice that only ends a suspicion. It is too old to
+/// release a quarantine.
 constexpr Time SuspicionEnded{};
 
 std::string hex(Fingerprint Content) {
@@ -70,7 +71,7 @@
 }
 
 Duration QuarantinePlugin::spacing(const Request &Req, Time Now) const {
-  // A slot must leave most of the time that was promised.
+  // The spacing must leave most of the time until the deadline.
   constexpr int DeadlineParts = 4;
   const Duration MaxSpacing =
       std::max(Duration(0), (Req.Deadline - Now) / DeadlineParts);
@@ -90,7 +91,8 @@
   const auto Until = this->Quarantined->quarantinedUntil(Req.Head.Content, Now);
   if (!Until)
     return std::nullopt;
-  // Spread, so that held-back callers do not all return at the same moment.
+  // Adds random jitter, so that refused callers do not all retry at the same
+  // time.
   const Duration Left = *Until - Now;
   const Duration Spread =
       fromSeconds(inSeconds(Left) * 0.1 * this->Rng->fraction());
@@ -160,8 +162,8 @@
       Found != this->NotifiedPeers.end() && Found->second == Changed.Life)
     return;
   this->NotifiedPeers[Peer] = Changed.Life;
-  for (const QuarantinedContent &Each : this->Quarantined->all(Now))
-    Out.add(SendToPeer{Peer, makeNotice(Each)});
+  for (const QuarantinedContent &Item : this->Quarantined->all(Now))
+    Out.add(SendToPeer{Peer, makeNotice(Item)});
 }
 
 void QuarantinePlugin::recordRead(const StoredRecord &Stored, Time Now,
@@ -185,25 +187,25 @@
 }
 
 void QuarantinePlugin::contribute(StatusReport &Report, Time Now) const {
-  for (const QuarantinedContent &Each : this->Quarantined->all(Now))
-    Report.Quarantined.push_back({Each.Content, Each.Crashes, Each.Until});
+  for (const QuarantinedContent &Item : this->Quarantined->all(Now))
+    Report.Quarantined.push_back({Item.Content, Item.Crashes, Item.Until});
 }
 
 void QuarantinePlugin::handleSuspects(std::span<const Suspected> NewSuspects,
                                       Time Now, Actions &Out) {
-  for (const Suspected &Each : NewSuspects) {
-    if (Each.IsCause) {
-      this->quarantine(Each, Now, Out);
+  for (const Suspected &Suspect : NewSuspects) {
+    if (Suspect.IsCause) {
+      this->quarantine(Suspect, Now, Out);
       continue;
     }
-    Out.count("suspects", Each.IsIsolated ? "isolated" : "spread");
+    Out.count("suspects", Suspect.IsIsolated ? "isolated" : "spread");
     Out.log(logEvent(events::ContentSuspected)
-                .with("content", hex(Each.Content))
-                .with("deaths", Each.Deaths)
-                .with("isolated", Each.IsIsolated ? "yes" : "no")
+                .with("content", hex(Suspect.Content))
+                .with("deaths", Suspect.Deaths)
+                .with("isolated", Suspect.IsIsolated ? "yes" : "no")
                 .build());
-    this->notifyTeamHosts(Each.Team,
-                          {Each.Content, SuspicionCrashes, Now, {}, {}}, Out);
+    this->notifyTeamHosts(
+        Suspect.Team, {Suspect.Content, SuspicionCrashes, Now, {}, {}}, Out);
   }
 }
 
--- a/src/plugins/quarantine/QuarantinePlugin.h
+++ b/src/plugins/quarantine/QuarantinePlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that keeps content that crashes upstreams away from them.
+/// The plug-in that quarantines content that crashes upstreams.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -13,8 +13,8 @@
 namespace banyanpick {
 
 /// Provides PoisonView and QuarantineControl, and refuses quarantined content.
-/// A suspicion is told to the peers that serve the team, a quarantine to all
-/// peers at once and, through the log, to hosts to come.
+/// Sends a suspicion to the peers that serve the team. Sends a quarantine to
+/// all peers at once and appends it to the log for hosts that join later.
 class QuarantinePlugin : public Plugin,
                          public PoisonView,
                          public QuarantineControl,
@@ -85,9 +85,10 @@
   std::unique_ptr<SuspectTracker> Suspects;
   std::unique_ptr<QuarantineList> Quarantined;
   std::map<RecordId, QuarantinedContent> Appends; ///< Not settled yet.
-  std::map<HostId, Incarnation> NotifiedPeers;    ///< Peers told of everything.
-  std::set<AttemptId>
-      AnnouncedAttempts; ///< Runs of suspects that peers know of.
+  /// Peers that received all quarantines, with their incarnations.
+  std::map<HostId, Incarnation> NotifiedPeers;
+  /// Attempts of suspects that peers were notified of.
+  std::set<AttemptId> AnnouncedAttempts;
   Time PrunedAt{};
 };
 
--- a/src/plugins/quarantine/SuspectTracker.cpp
+++ b/src/plugins/quarantine/SuspectTracker.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// What a death adds for one that can't be told apart from others: three such
-/// condemn, so that no content takes more than four upstreams with it.
+/// Evidence of a death that several suspects share. Three such deaths after the
+/// first one quarantine a content, so that no content crashes more than four
+/// upstreams.
 constexpr double SharedEvidence = 0.34;
 
-/// A suspect's run on a peer counts for so long when nothing more is heard.
+/// Time after which a suspect's run on a peer expires without further notices.
 constexpr Duration PeerRunTimeout = seconds(120);
 
-/// Turns of suspects that shared the blame.
+/// Time slots of suspects with shared evidence.
 constexpr std::uint64_t Slots = 4;
 constexpr Duration SlotLength = milliseconds(250);
 
@@ -35,7 +36,7 @@
 std::vector<Suspected> SuspectTracker::attemptBroken(const Attempt &SentAttempt,
                                                      Time Now) {
   const auto Found = this->Running.find(SentAttempt.Id);
-  // A try counted already shows a death that was noted before.
+  // A counted attempt belongs to a death that is already recorded.
   if (Found == this->Running.end() || Found->second.IsCounted)
     return {};
   return this->recordDeath(SentAttempt.Upstream, SentAttempt.UpstreamLife, Now);
@@ -45,8 +46,8 @@
                                                     Incarnation Life,
                                                     Time Now) {
   const bool IsKnown = std::any_of(
-      this->Deaths.begin(), this->Deaths.end(), [&](const Death &Each) {
-        return Each.Upstream == Upstream && Each.Life == Life;
+      this->Deaths.begin(), this->Deaths.end(), [&](const Death &Recorded) {
+        return Recorded.Upstream == Upstream && Recorded.Life == Life;
       });
   if (IsKnown)
     return {};
@@ -105,11 +106,11 @@
 
 bool SuspectTracker::mayBeCommonCause(Fingerprint Content, Time Now) const {
   return std::any_of(
-      this->Deaths.begin(), this->Deaths.end(), [&](const Death &Each) {
-        const bool IsNear = Now - Each.At <= this->Policy.CommonCause;
+      this->Deaths.begin(), this->Deaths.end(), [&](const Death &Recorded) {
+        const bool IsNear = Now - Recorded.At <= this->Policy.CommonCause;
         const bool RanThere =
-            std::find(Each.Contents.begin(), Each.Contents.end(), Content) !=
-            Each.Contents.end();
+            std::find(Recorded.Contents.begin(), Recorded.Contents.end(),
+                      Content) != Recorded.Contents.end();
         return IsNear && !RanThere;
       });
 }
@@ -119,8 +120,8 @@
                                   const std::map<Fingerprint, TeamId> &Victims,
                                   Time Now) const {
   const auto Count = std::count_if(
-      this->PeerRuns.begin(), this->PeerRuns.end(), [&](const auto &Each) {
-        const auto &[Content, Run] = Each;
+      this->PeerRuns.begin(), this->PeerRuns.end(), [&](const auto &Entry) {
+        const auto &[Content, Run] = Entry;
         return Run.Upstream == Upstream && Run.Until > Now &&
                !Victims.contains(Content);
       });
@@ -142,7 +143,8 @@
   const Suspicion *Found = this->find(Content, Now);
   if (!Found || Found->Evidence <= 0)
     return Duration(0);
-  // Another slot after each death, so that two do not meet for ever.
+  // The slot changes after each death, so that two suspects do not share a slot
+  // permanently.
   const std::uint64_t Slot =
       (Content.Value >> (2 * (Found->Deaths % 32))) % Slots;
   return SlotLength * static_cast<Duration::rep>(Slot);
@@ -179,9 +181,9 @@
 
 void SuspectTracker::prune(Time Now) {
   std::erase_if(this->Suspicions,
-                [&](const auto &Each) { return Each.second.Until <= Now; });
+                [&](const auto &Entry) { return Entry.second.Until <= Now; });
   std::erase_if(this->PeerRuns,
-                [&](const auto &Each) { return Each.second.Until <= Now; });
+                [&](const auto &Entry) { return Entry.second.Until <= Now; });
   while (!this->Deaths.empty() &&
          Now - this->Deaths.front().At > this->Policy.Retention)
     this->Deaths.pop_front();
--- a/src/plugins/quarantine/SuspectTracker.h
+++ b/src/plugins/quarantine/SuspectTracker.h
@@ -1,18 +1,20 @@
 /// \file
-/// Which contents were running when upstreams died, and how far that speaks
+/// Tracks which contents were running when upstreams died, and the evidence
 /// against each of them.
 ///
-/// The first death makes every content that ran there a suspect. Of a later
-/// death the suspects that ran there are held to be the cause, as one that
-/// crashes each upstream was among them: one alone is condemned at once;
-/// several share the blame and are kept apart from then on, so that the next
-/// death tells them apart. After a death with many running, few can be kept
-/// apart without starving the rest; these go on spread over the fleet, as the
-/// next death leaves only few. A death near that of another upstream which
-/// did not run the content may have a common cause (a rack, a switch) and
-/// counts as shared. Hosts tell each other where their suspects run, as they
-/// may choose the same upstream; those that shared the blame wait for a slot
-/// of their own before they are tried again.
+/// The first death of an upstream makes every content that ran there a suspect.
+/// For a later death, the suspects that ran there are the possible causes,
+/// because content that crashes every upstream was among them. A single suspect
+/// is the cause and is quarantined at once. Several suspects share the evidence
+/// and are isolated from each other, so that the next death distinguishes them.
+///
+/// If many contents ran at the first death, they cannot all be isolated without
+/// starving other work. They continue to run spread over the fleet, because the
+/// next death leaves only few suspects. A death close to the death of another
+/// upstream that did not run the content may have a common cause (a rack, a
+/// switch) and counts as shared evidence. Hosts send each other the upstreams
+/// of their suspects, because they may choose the same upstream. Suspects with
+/// shared evidence wait for their own time slot before their next attempt.
 #pragma once
 
 #include "kernel/Request.h"
@@ -26,14 +28,14 @@
 
 struct SuspectPolicy {
   Duration Retention = seconds(600); ///< How long a suspicion is kept.
-  /// With at most this many contents running at a first death, each is kept
-  /// apart at its next try.
+  /// If at most this many contents ran at a first death, each of them is
+  /// isolated in its next attempt.
   std::uint64_t IsolateUpTo = 4;
-  /// Deaths of upstreams nearer than this may have a common cause.
+  /// Deaths of upstreams within this time may have a common cause.
   Duration CommonCause = seconds(2);
 };
 
-/// An upstream's death spoke against a content.
+/// A content that ran on an upstream when the upstream died.
 struct Suspected {
   Fingerprint Content;
   TeamId Team;
@@ -46,32 +48,36 @@
 public:
   explicit SuspectTracker(const SuspectPolicy &Policy) : Policy(Policy) {}
 
-  /// A try began.
+  /// Called when an attempt starts.
   void attemptStarted(const Request &Req, const Attempt &SentAttempt);
-  /// A try ended, however it did.
+  /// Called when an attempt has ended, with any outcome.
   void attemptFinished(const AttemptId &Id);
 
-  /// An upstream died while this try ran on it.
+  /// Called when an upstream died during this attempt. Returns the contents
+  /// that ran there.
   std::vector<Suspected> attemptBroken(const Attempt &SentAttempt, Time Now);
-  /// An upstream is known to be dead.
+  /// Called when an upstream is known to be dead. Returns the contents that ran
+  /// there, or nothing if the death is already recorded.
   std::vector<Suspected> upstreamDied(const UpstreamId &Upstream,
                                       Incarnation Life, Time Now);
 
-  /// A peer saw an upstream die with the content running.
+  /// Called when a peer reports that an upstream died while it ran the content.
   void addSuspect(Fingerprint Content, Time Now);
-  /// A peer runs the suspect on this upstream now.
+  /// Called when a peer starts to run the suspect on this upstream.
   void setPeerRun(Fingerprint Content, const UpstreamId &Upstream, Time Now);
-  /// A peer does not run it any more. It still counts for a moment, as the
-  /// peer may have seen the upstream's death before this host does.
+  /// Called when a peer no longer runs the suspect. The run still counts for
+  /// CommonCause, because the peer may have detected the death of the upstream
+  /// before this host does.
   void endPeerRun(Fingerprint Content, Time Now);
-  /// The content ran to its end, or was judged. True when it was a suspect.
+  /// Called when the content completed, was quarantined or was released.
+  /// Returns whether it was a suspect.
   bool clear(Fingerprint Content);
 
   bool isSuspect(Fingerprint Content, Time Now) const;
-  /// Whether its next try must be kept apart.
+  /// Returns whether the next attempt of the content must be isolated.
   bool isIsolated(Fingerprint Content, Time Now) const;
-  /// How long its next try should wait, so that suspects that can't be told
-  /// apart run one after another on all hosts.
+  /// Returns the delay before the next attempt, so that suspects with shared
+  /// evidence run one after another on all hosts.
   Duration spacing(Fingerprint Content, Time Now) const;
 
   void prune(Time Now);
@@ -82,15 +88,15 @@
     Fingerprint Content;
     TeamId Team;
     std::vector<UpstreamId> Upstreams; ///< More than one for a group.
-    bool IsCounted = false;            ///< Its upstream's death was noted.
+    bool IsCounted = false;            ///< The upstream's death is recorded.
   };
   struct Suspicion {
     std::uint32_t Deaths = 0;
-    double Evidence = 0; ///< Condemned at 1.
+    double Evidence = 0; ///< The content is quarantined at 1.
     bool IsIsolated = false;
     Time Until{};
   };
-  /// A suspect on a peer.
+  /// A suspect that runs on a peer.
   struct PeerRun {
     UpstreamId Upstream;
     Time Until{};
@@ -117,7 +123,7 @@
   std::map<AttemptId, RunningAttempt> Running;
   std::map<Fingerprint, Suspicion> Suspicions;
   std::map<Fingerprint, PeerRun> PeerRuns;
-  std::deque<Death> Deaths; ///< Of the last while, oldest first.
+  std::deque<Death> Deaths; ///< Within Retention, oldest first.
 };
 
 } // namespace banyanpick
