--- a/tests/auto/quarantine/QuarantineTest.cpp
+++ b/tests/auto/quarantine/QuarantineTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Content that crashes upstreams: found, told apart from innocents, kept
-/// away everywhere, released.
+/// Tests the quarantine of content that crashes upstreams: detection,
+/// distinction from unaffected content, refusal on all hosts, release.
 #include <gtest/gtest.h>
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
@@ -15,13 +15,13 @@
 constexpr Time Start{seconds(1000)};
 Fingerprint poison() { return Fingerprint(66); }
 
-/// Runs contents on upstreams and lets upstreams die.
+/// A host that runs contents on upstreams. Upstreams can be made to die.
 class Host : public PluginBench<QuarantinePlugin> {
 public:
   explicit Host(const std::string &Name) : PluginBench(Name) {
-    for (const char *Each : {"h1", "h2", "h3"}) {
-      if (Name != Each)
-        this->Members.add(HostId(Each));
+    for (const char *Peer : {"h1", "h2", "h3"}) {
+      if (Name != Peer)
+        this->Members.add(HostId(Peer));
     }
     TeamEntry Limits;
     Limits.RequestsPerMinute = 60;
@@ -38,12 +38,12 @@
       this->Tested.dispatched(Req, SentAttempt, this->Now, Out);
     });
   }
-  /// Ends what runs on the upstream with this outcome.
+  /// Ends all attempts on the upstream with this outcome.
   std::vector<SendToPeer> end(const std::string &Upstream,
                               const AttemptOutcome &Outcome) {
     return this->sent([&](Actions &Out) {
-      const auto IsThere = [&](const auto &Each) {
-        return Each.second.Upstream.Value == Upstream;
+      const auto IsThere = [&](const auto &Run) {
+        return Run.second.Upstream.Value == Upstream;
       };
       for (const auto &[Req, SentAttempt] : this->Running) {
         if (SentAttempt.Upstream.Value == Upstream)
@@ -74,7 +74,7 @@
   std::vector<std::pair<Request, Attempt>> Running;
 };
 
-TEST(QuarantineTest, SecondDeathAloneQuarantinesEverywhere) {
+TEST(QuarantineTest, SecondDeathOfOnlySuspectQuarantinesOnAllHosts) {
   Host H1("h1");
   H1.run(66, "e1");
   EXPECT_EQ(H1.die("e1").size(), 2u);
@@ -88,7 +88,8 @@
   Host H2("h2");
   H2.receive(Sent[0].Body);
   EXPECT_TRUE(H2.isQuarantined(poison()));
-  // A host to come learns it from the log, and refuses a re-send by content.
+  // A host that joins later reads the quarantine from the log and refuses the
+  // content in a new request.
   Host H3("h3");
   Actions Out;
   StoredRecord Stored;
@@ -101,7 +102,7 @@
   EXPECT_GT(Refusal->RetryAfter, seconds(60));
 }
 
-TEST(QuarantineTest, ResendToAnotherHostIsTheSecondDeath) {
+TEST(QuarantineTest, ResendToAnotherHostCountsAsSecondDeath) {
   Host H1("h1");
   Host H2("h2");
   H1.run(66, "e1");
@@ -112,9 +113,10 @@
   EXPECT_TRUE(H2.isQuarantined(poison()));
 }
 
-/// One poison among sixty: nobody is starved by isolation, and the innocents
-/// stay free though many upstreams die with them running.
-TEST(QuarantineTest, OneAmongSixtyIsFoundAndTheOthersStayFree) {
+/// One of sixty contents crashes upstreams. Isolation starves no other content,
+/// and the unaffected contents are not quarantined although they run on
+/// upstreams that die.
+TEST(QuarantineTest, OneAmongSixtyIsFoundAndTheOthersAreNotQuarantined) {
   Host H1("h1");
   for (std::uint64_t Content = 1; Content <= 60; ++Content)
     H1.run(Content == 30 ? 66 : Content, "e0");
@@ -128,7 +130,7 @@
   for (int Engine = 1; Engine <= 12; ++Engine)
     H1.end("e" + std::to_string(Engine), AttemptComplete{1, ""});
   EXPECT_TRUE(H1.isIsolated(66));
-  EXPECT_TRUE(H1.isIsolated(6)); // Ran beside it both times.
+  EXPECT_TRUE(H1.isIsolated(6)); // Ran on the same upstream both times.
   EXPECT_FALSE(H1.isIsolated(1));
   H1.run(66, "e20");
   H1.run(6, "e21");
@@ -140,15 +142,15 @@
     EXPECT_FALSE(H1.isQuarantined(Fingerprint(Content)));
 }
 
-/// Hosts keep their suspects apart without knowing of each other's, and choose
-/// the same upstream. Two dead upstreams do not tell the suspects apart.
-TEST(QuarantineTest, SuspectsOfTwoHostsOnOneUpstreamShareTheBlame) {
+/// Two hosts isolate their own suspects but choose the same upstream. Two dead
+/// upstreams do not distinguish the suspects.
+TEST(QuarantineTest, SuspectsOfTwoHostsOnOneUpstreamShareEvidence) {
   Host H1("h1");
   Host H2("h2");
   const auto Pass = [](const std::vector<SendToPeer> &Sent, Host &To) {
-    for (const SendToPeer &Each : Sent) {
-      if (Each.To == To.Self.Host)
-        To.receive(Each.Body);
+    for (const SendToPeer &Message : Sent) {
+      if (Message.To == To.Self.Host)
+        To.receive(Message.Body);
     }
   };
   H1.run(66, "e1");
@@ -171,7 +173,7 @@
   EXPECT_FALSE(H2.isIsolated(1));
 }
 
-TEST(QuarantineTest, InnocentIsClearedByFinishing) {
+TEST(QuarantineTest, SuspectIsClearedByCompletion) {
   Host H1("h1");
   H1.run(1, "e1");
   H1.die("e1");
@@ -187,7 +189,7 @@
   EXPECT_FALSE(H1.isQuarantined(Fingerprint(1)));
 }
 
-TEST(QuarantineTest, RackFailureCondemnsNobody) {
+TEST(QuarantineTest, RackFailureQuarantinesNoContent) {
   Host H1("h1");
   H1.run(1, "e1");
   H1.die("e1");
@@ -199,7 +201,7 @@
   EXPECT_TRUE(H1.isIsolated(1));
 }
 
-TEST(QuarantineTest, DeathTwiceReportedCountsOnce) {
+TEST(QuarantineTest, DeathReportedTwiceCountsOnce) {
   Host H1("h1");
   H1.run(66, "e1");
   Upstream Dead;
@@ -212,30 +214,31 @@
   H1.die("e1");
   H1.Tested.upstreamChanged(Dead, Start, Out);
   EXPECT_FALSE(H1.isQuarantined(poison()));
-  // Its next life is another one, also while the fleet knows only the first.
+  // The death of its next incarnation counts again, even while the fleet view
+  // contains only the first incarnation.
   H1.run(66, "e1");
   H1.Now += seconds(3);
   H1.die("e1");
   EXPECT_TRUE(H1.isQuarantined(poison()));
 }
 
-TEST(QuarantineTest, ExpiresByItself) {
+TEST(QuarantineTest, QuarantineExpires) {
   QuarantineList List(seconds(1800));
   List.add(poison(), 2, Start);
   EXPECT_TRUE(List.isQuarantined(poison(), Start + seconds(1799)));
   EXPECT_FALSE(List.isQuarantined(poison(), Start + seconds(1800)));
 }
 
-/// Decisions told in any order, some repeatedly, leave every host with the
-/// latest one.
+/// Hosts that receive decisions in any order and repeatedly keep the latest
+/// decision.
 RC_GTEST_PROP(QuarantineTest, LatestDecisionWinsInAnyOrder, ()) {
   const int Count = *rc::gen::inRange(1, 8);
   QuarantineList Deciding(seconds(1800));
-  std::vector<QuarantinedContent> Told;
+  std::vector<QuarantinedContent> Sent;
   Time Now = Start;
   for (int Step = 0; Step < Count; ++Step) {
     Now += seconds(*rc::gen::inRange(1, 100));
-    Told.push_back(*rc::gen::arbitrary<bool>()
+    Sent.push_back(*rc::gen::arbitrary<bool>()
                        ? Deciding.add(poison(), 2, Now)
                        : Deciding.release(poison(), Now));
   }
@@ -243,15 +246,15 @@
   const auto Order = *rc::gen::container<std::vector<int>>(
       std::size_t(2) * Count, rc::gen::inRange(0, Count));
   for (const int Index : Order)
-    Learning.merge(Told[static_cast<std::size_t>(Index)], Now);
-  Learning.merge(Told.back(), Now);
+    Learning.merge(Sent[static_cast<std::size_t>(Index)], Now);
+  Learning.merge(Sent.back(), Now);
   for (const int Index : Order)
-    Learning.merge(Told[static_cast<std::size_t>(Index)], Now);
+    Learning.merge(Sent[static_cast<std::size_t>(Index)], Now);
   RC_ASSERT(Learning.isQuarantined(poison(), Now) ==
             Deciding.isQuarantined(poison(), Now));
 }
 
-TEST(QuarantineTest, ReleaseReachesPeersAndHoldsAgainstLateNotices) {
+TEST(QuarantineTest, ReleaseReachesPeersAndOverridesLateNotices) {
   Host H1("h1");
   H1.run(66, "e1");
   H1.die("e1");
