--- a/src/plugins/admission/AdmissionPlugin.cpp
+++ b/src/plugins/admission/AdmissionPlugin.cpp
@@ -82,8 +82,8 @@
   const ModelId Model(Req.Class.TargetName);
   const auto TokensAhead =
       static_cast<double>(this->Waiting.ahead(Req.Class.Urgency));
-  const double Speed =
-      this->Cost->shareOfCapacity(Model, Now) * this->Cost->partLeft(Req, Now);
+  const double Speed = this->Cost->shareOfCapacity(Model, Now) *
+                       this->Cost->remainingShare(Req, Now);
   return fromSeconds(TokensAhead / std::max(Speed, 1.0));
 }
 
--- a/src/plugins/routing/ApplicationChoice.cpp
+++ b/src/plugins/routing/ApplicationChoice.cpp
@@ -15,23 +15,23 @@
 
 } // namespace
 
-Selection chooseApplication(const FleetView &Fleet, const Request &Wanted,
+Selection chooseApplication(const FleetView &Fleet, const Request &Req,
                             const SelectionLimits &Limits,
-                            const ZoneId &SelfZone, Random &Numbers) {
+                            const ZoneId &SelfZone, Random &Rng) {
   const Upstream *Best = nullptr;
   Rank BestRank;
-  for (const std::uint32_t Each : Fleet.applications(Wanted.Class.TargetName)) {
-    const Upstream &Here = Fleet.upstreams()[Each];
-    if (Here.State != UpstreamState::Live ||
-        Limits.Excluded.contains(Here.Listing.Id))
+  for (const std::uint32_t Each : Fleet.applications(Req.Class.TargetName)) {
+    const Upstream &Engine = Fleet.upstreams()[Each];
+    if (Engine.State != UpstreamState::Live ||
+        Limits.Excluded.contains(Engine.Listing.Id))
       continue;
-    const std::uint32_t Calls = Here.OutstandingHere + Here.PeerRequests;
-    const Rank HereRank{Calls >= BusyCalls, Here.Listing.Zone != SelfZone,
-                        Calls, Numbers.below(~std::uint64_t(0))};
-    if (Best && BestRank <= HereRank)
+    const std::uint32_t Calls = Engine.OutstandingHere + Engine.PeerRequests;
+    const Rank EngineRank{Calls >= BusyCalls, Engine.Listing.Zone != SelfZone,
+                          Calls, Rng.below(~std::uint64_t(0))};
+    if (Best && BestRank <= EngineRank)
       continue;
-    Best = &Here;
-    BestRank = HereRank;
+    Best = &Engine;
+    BestRank = EngineRank;
   }
   if (!Best)
     return NothingFits{true, Duration(0)};
--- a/src/plugins/routing/ApplicationChoice.h
+++ b/src/plugins/routing/ApplicationChoice.h
@@ -9,8 +9,8 @@
 
 /// The live application engine with the least outstanding calls, those of the
 /// own zone first.
-Selection chooseApplication(const FleetView &Fleet, const Request &Wanted,
+Selection chooseApplication(const FleetView &Fleet, const Request &Req,
                             const SelectionLimits &Limits,
-                            const ZoneId &SelfZone, Random &Numbers);
+                            const ZoneId &SelfZone, Random &Rng);
 
 } // namespace banyanpick
--- a/src/plugins/routing/BaselinePolicies.cpp
+++ b/src/plugins/routing/BaselinePolicies.cpp
@@ -13,24 +13,24 @@
   return std::max<std::uint64_t>(Reported, Engine.OutstandingHere);
 }
 
-std::uint64_t tokensToDo(const Upstream &Engine) {
+std::uint64_t pendingPrefillTokens(const Upstream &Engine) {
   return Engine.Report.QueuedPrefillTokens + Engine.UnreportedPrefillTokens;
 }
 
 /// The position with the smallest measure; ties by chance.
 template <class Measure>
-std::uint32_t least(std::span<const Upstream> Fleet,
-                    std::span<const std::uint32_t> Usable, Random &Numbers,
-                    Measure Of) {
+std::uint32_t findLeast(std::span<const Upstream> Fleet,
+                        std::span<const std::uint32_t> Usable, Random &Rng,
+                        Measure MeasureOf) {
   std::uint32_t Best = Usable.front();
   std::uint64_t BestValue = ~std::uint64_t(0);
   std::uint64_t Ties = 0;
   for (const std::uint32_t Each : Usable) {
-    const std::uint64_t Value = Of(Fleet[Each]);
+    const std::uint64_t Value = MeasureOf(Fleet[Each]);
     Ties = Value == BestValue ? Ties + 1 : 1;
-    const bool Better =
-        Value < BestValue || (Value == BestValue && Numbers.below(Ties) == 0);
-    if (!Better) {
+    const bool IsBetter =
+        Value < BestValue || (Value == BestValue && Rng.below(Ties) == 0);
+    if (!IsBetter) {
       continue;
     }
     Best = Each;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::optional<BaselinePolicy> baselineNamed(std::string_view Name) {
+std::optional<BaselinePolicy> findBaseline(std::string_view Name) {
   if (Name == "random")
     return RandomPolicy{};
   if (Name == "round-robin")
@@ -54,18 +54,17 @@
 }
 
 std::uint32_t choose(BaselinePolicy &Policy, std::span<const Upstream> Fleet,
-                     std::span<const std::uint32_t> Usable, Random &Numbers) {
+                     std::span<const std::uint32_t> Usable, Random &Rng) {
   return match(
-      Policy,
-      [&](RandomPolicy &) { return Usable[Numbers.below(Usable.size())]; },
-      [&](RoundRobinPolicy &Turn) {
-        return Usable[Turn.Next++ % Usable.size()];
+      Policy, [&](RandomPolicy &) { return Usable[Rng.below(Usable.size())]; },
+      [&](RoundRobinPolicy &RoundRobin) {
+        return Usable[RoundRobin.Next++ % Usable.size()];
       },
       [&](LeastOutstandingPolicy &) {
-        return least(Fleet, Usable, Numbers, outstanding);
+        return findLeast(Fleet, Usable, Rng, outstanding);
       },
       [&](LeastTokensPolicy &) {
-        return least(Fleet, Usable, Numbers, tokensToDo);
+        return findLeast(Fleet, Usable, Rng, pendingPrefillTokens);
       });
 }
 
--- a/src/plugins/routing/BaselinePolicies.h
+++ b/src/plugins/routing/BaselinePolicies.h
@@ -25,10 +25,10 @@
                                     LeastOutstandingPolicy, LeastTokensPolicy>;
 
 /// The policy of that name, or nothing for `predicted`.
-std::optional<BaselinePolicy> baselineNamed(std::string_view Name);
+std::optional<BaselinePolicy> findBaseline(std::string_view Name);
 
 /// One of the usable engines (positions in \p Fleet); there is at least one.
 std::uint32_t choose(BaselinePolicy &Policy, std::span<const Upstream> Fleet,
-                     std::span<const std::uint32_t> Usable, Random &Numbers);
+                     std::span<const std::uint32_t> Usable, Random &Rng);
 
 } // namespace banyanpick
--- a/src/plugins/routing/CapacityShare.cpp
+++ b/src/plugins/routing/CapacityShare.cpp
@@ -4,11 +4,11 @@
 
 namespace banyanpick {
 
-double CapacityShare::of(const ModelId &Model, const FleetView &Fleet,
-                         const MembershipView &Members, Time Now) {
-  Judged &Known = this->ByModel[Model];
-  if (Now < Known.At + Lifetime)
-    return Known.Share;
+double CapacityShare::hostShare(const ModelId &Model, const FleetView &Fleet,
+                                const MembershipView &Members, Time Now) {
+  CachedShare &Cached = this->ByModel[Model];
+  if (Now < Cached.UpdatedAt + Lifetime)
+    return Cached.Share;
   double Sum = 0;
   for (const std::uint32_t Each : Fleet.enginesWith(Model)) {
     const Upstream &Engine = Fleet.upstreams()[Each];
@@ -16,8 +16,8 @@
       Sum += prefillSpeed(Engine);
   }
   const double Hosts = 1 + static_cast<double>(Members.livePeers().size());
-  Known = {Now, Sum / Hosts};
-  return Known.Share;
+  Cached = {Now, Sum / Hosts};
+  return Cached.Share;
 }
 
 } // namespace banyanpick
--- a/src/plugins/routing/CapacityShare.h
+++ b/src/plugins/routing/CapacityShare.h
@@ -13,17 +13,17 @@
 class CapacityShare {
 public:
   /// Tokens a second.
-  double of(const ModelId &Model, const FleetView &Fleet,
-            const MembershipView &Members, Time Now);
+  double hostShare(const ModelId &Model, const FleetView &Fleet,
+                   const MembershipView &Members, Time Now);
 
 private:
-  struct Judged {
-    Time At{};
+  struct CachedShare {
+    Time UpdatedAt{};
     double Share = 0;
   };
   static constexpr Duration Lifetime = milliseconds(100);
 
-  std::unordered_map<ModelId, Judged> ByModel;
+  std::unordered_map<ModelId, CachedShare> ByModel;
 };
 
 } // namespace banyanpick
--- a/src/plugins/routing/DemandRates.cpp
+++ b/src/plugins/routing/DemandRates.cpp
@@ -10,29 +10,29 @@
 constexpr Duration HalfLife = seconds(10);
 
 /// What is left of a sum after the time.
-double remaining(Duration Passed) {
-  return std::exp2(-std::min(inSeconds(Passed) / inSeconds(HalfLife), 60.0));
+double decayFactor(Duration Elapsed) {
+  return std::exp2(-std::min(inSeconds(Elapsed) / inSeconds(HalfLife), 60.0));
 }
 
 } // namespace
 
-void DemandRates::arrived(std::uint32_t Urgency, std::uint64_t Tokens,
-                          Time Now) {
-  const double Left = remaining(Now - this->DecayedAt);
+void DemandRates::addDemand(std::uint32_t Urgency, std::uint64_t Tokens,
+                            Time Now) {
+  const double Factor = decayFactor(Now - this->DecayedAt);
   for (double &Each : this->Decayed)
-    Each *= Left;
+    Each *= Factor;
   this->DecayedAt = Now;
   this->Decayed[std::min(Urgency, Urgencies - 1)] +=
       static_cast<double>(Tokens);
 }
 
-double DemandRates::above(std::uint32_t Urgency, Time Now) const {
+double DemandRates::rateAbove(std::uint32_t Urgency, Time Now) const {
   double Sum = 0;
   for (std::uint32_t Each = Urgency + 1; Each < Urgencies; ++Each)
     Sum += this->Decayed[Each];
   // A steady rate adds up to itself times the mean life.
   const double MeanLife = inSeconds(HalfLife) / std::log(2.0);
-  return Sum * remaining(Now - this->DecayedAt) / MeanLife;
+  return Sum * decayFactor(Now - this->DecayedAt) / MeanLife;
 }
 
 } // namespace banyanpick
--- a/src/plugins/routing/DemandRates.h
+++ b/src/plugins/routing/DemandRates.h
@@ -12,10 +12,10 @@
 /// Prompt tokens a second by urgency, averaged with a half-life.
 class DemandRates {
 public:
-  void arrived(std::uint32_t Urgency, std::uint64_t Tokens, Time Now);
+  void addDemand(std::uint32_t Urgency, std::uint64_t Tokens, Time Now);
 
   /// Tokens a second of work more urgent than this.
-  double above(std::uint32_t Urgency, Time Now) const;
+  double rateAbove(std::uint32_t Urgency, Time Now) const;
 
 private:
   static constexpr std::uint32_t Urgencies = 10;
--- a/src/plugins/routing/EngineCost.cpp
+++ b/src/plugins/routing/EngineCost.cpp
@@ -11,7 +11,8 @@
 constexpr double DefaultDecodeSpeed = 30;
 
 /// Prefill that the report counts at or above the priority.
-std::uint64_t reportedAhead(const LoadReport &Report, std::uint32_t Priority) {
+std::uint64_t reportedTokensAhead(const LoadReport &Report,
+                                  std::uint32_t Priority) {
   if (Report.Backlog.empty())
     return Report.QueuedPrefillTokens;
   std::uint64_t Tokens = 0;
@@ -31,7 +32,7 @@
 EngineEstimate EngineCost::estimate(const Upstream &Engine,
                                     const EngineDemand &Demand,
                                     Time Now) const {
-  const double Speed = prefillSpeed(Engine) * Demand.PartLeft;
+  const double Speed = prefillSpeed(Engine) * Demand.RemainingShare;
   const double Decode = Engine.Report.DecodeTokensPerSecond > 0
                             ? Engine.Report.DecodeTokensPerSecond
                             : DefaultDecodeSpeed;
@@ -39,17 +40,17 @@
       fromSeconds(static_cast<double>(Demand.UncachedTokens) / Speed);
   EngineEstimate Result;
   Result.Wait =
-      fromSeconds(this->workAhead(Engine, Demand.Priority, Now) / Speed) +
+      fromSeconds(this->tokensAhead(Engine, Demand.Priority, Now) / Speed) +
       this->memoryWait(Engine, Demand.MemoryTokens);
-  Duration Caused{};
-  if (this->hasLowerWork(Engine, Demand.Priority)) {
+  Duration CausedDelay{};
+  if (this->hasLowerPriorityWork(Engine, Demand.Priority)) {
     Result.Wait += this->Values.StepDelay;
-    Caused = fromSeconds(inSeconds(Prefill) * this->Values.DelayWeight);
+    CausedDelay = fromSeconds(inSeconds(Prefill) * this->Values.DelayWeight);
   }
   Result.FirstToken = Result.Wait + Prefill;
   if (this->Values.Parts.Zones && Engine.Listing.Zone != this->SelfZone)
     Result.FirstToken += this->Values.CrossZoneDelay;
-  Result.Score = Result.FirstToken + Caused;
+  Result.Score = Result.FirstToken + CausedDelay;
   Result.HasMemory = Demand.MemoryTokens <= this->freeMemory(Engine);
   Result.CompleteAnswer =
       Result.FirstToken +
@@ -59,26 +60,26 @@
 
 std::uint64_t EngineCost::freeMemory(const Upstream &Engine) const {
   const WorkSum Sent =
-      this->Book.sentSince(Engine.Listing.Id, Engine.Report.MeasuredAt, 0);
+      this->Tracker.sentSince(Engine.Listing.Id, Engine.Report.MeasuredAt, 0);
   return Engine.Report.FreeMemoryTokens -
          std::min(Engine.Report.FreeMemoryTokens, Sent.MemoryTokens);
 }
 
-double EngineCost::workAhead(const Upstream &Engine, std::uint32_t Priority,
-                             Time Now) const {
+double EngineCost::tokensAhead(const Upstream &Engine, std::uint32_t Priority,
+                               Time Now) const {
   const RoutingParts &Parts = this->Values.Parts;
   const LoadReport &Report = Engine.Report;
-  double Ahead = static_cast<double>(reportedAhead(Report, Priority));
+  double Tokens = static_cast<double>(reportedTokensAhead(Report, Priority));
   if (Parts.PeerWork)
-    Ahead += static_cast<double>(Engine.PeerPrefillTokens);
+    Tokens += static_cast<double>(Engine.PeerPrefillTokens);
   if (Parts.OwnWork)
-    Ahead += static_cast<double>(
-        this->Book.sentSince(Engine.Listing.Id, Report.MeasuredAt, Priority)
+    Tokens += static_cast<double>(
+        this->Tracker.sentSince(Engine.Listing.Id, Report.MeasuredAt, Priority)
             .PrefillTokens);
   if (Parts.ReportAge)
-    Ahead -= inSeconds(std::max(Now - Report.MeasuredAt, Duration(0))) *
-             prefillSpeed(Engine);
-  return std::max(Ahead, 0.0);
+    Tokens -= inSeconds(std::max(Now - Report.MeasuredAt, Duration(0))) *
+              prefillSpeed(Engine);
+  return std::max(Tokens, 0.0);
 }
 
 Duration EngineCost::memoryWait(const Upstream &Engine,
@@ -91,8 +92,8 @@
   return fromSeconds(Share * inSeconds(this->Values.MemoryTurnover));
 }
 
-bool EngineCost::hasLowerWork(const Upstream &Engine,
-                              std::uint32_t Priority) const {
+bool EngineCost::hasLowerPriorityWork(const Upstream &Engine,
+                                      std::uint32_t Priority) const {
   const auto &Backlog = Engine.Report.Backlog;
   return std::any_of(
       Backlog.begin(), Backlog.end(), [Priority](const PriorityBacklog &Each) {
--- a/src/plugins/routing/EngineCost.h
+++ b/src/plugins/routing/EngineCost.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "plugins/routing/RoutingSettings.h"
-#include "plugins/routing/WorkBook.h"
+#include "plugins/routing/SentWorkTracker.h"
 
 namespace banyanpick {
 
@@ -14,7 +14,7 @@
   std::uint64_t MemoryTokens = 0;
   std::uint64_t OutputTokens = 0;
   /// Part of the engine that more urgent work leaves, in (0, 1].
-  double PartLeft = 1;
+  double RemainingShare = 1;
 };
 
 /// What the request can expect there.
@@ -30,9 +30,9 @@
 /// at its priority / measured prefill speed + uncached tokens / speed.
 class EngineCost {
 public:
-  EngineCost(const RoutingSettings &Values, const WorkBook &Book,
+  EngineCost(const RoutingSettings &Values, const SentWorkTracker &Tracker,
              const ZoneId &SelfZone)
-      : Values(Values), Book(Book), SelfZone(SelfZone) {}
+      : Values(Values), Tracker(Tracker), SelfZone(SelfZone) {}
 
   EngineEstimate estimate(const Upstream &Engine, const EngineDemand &Demand,
                           Time Now) const;
@@ -41,13 +41,14 @@
   std::uint64_t freeMemory(const Upstream &Engine) const;
 
 private:
-  double workAhead(const Upstream &Engine, std::uint32_t Priority,
-                   Time Now) const;
+  double tokensAhead(const Upstream &Engine, std::uint32_t Priority,
+                     Time Now) const;
   Duration memoryWait(const Upstream &Engine, std::uint64_t Needed) const;
-  bool hasLowerWork(const Upstream &Engine, std::uint32_t Priority) const;
+  bool hasLowerPriorityWork(const Upstream &Engine,
+                            std::uint32_t Priority) const;
 
   const RoutingSettings &Values;
-  const WorkBook &Book;
+  const SentWorkTracker &Tracker;
   const ZoneId &SelfZone;
 };
 
--- a/src/plugins/routing/LongWork.cpp
+++ b/src/plugins/routing/LongPromptPool.cpp
@@ -1,4 +1,4 @@
-#include "plugins/routing/LongWork.h"
+#include "plugins/routing/LongPromptPool.h"
 
 #include "base/RendezvousHash.h"
 
@@ -19,10 +19,10 @@
 constexpr double Hysteresis = 0.1;
 
 /// Before any demand was seen.
-constexpr double FirstShare = 0.3;
+constexpr double InitialShare = 0.3;
 
 /// Some engines never take long work.
-constexpr double GreatestShare = 0.75;
+constexpr double MaxShare = 0.75;
 
 /// The order in which engines are opened; the highest first.
 std::uint64_t rank(const UpstreamId &Engine) {
@@ -31,36 +31,37 @@
 
 } // namespace
 
-void LongWork::arrived(bool IsLong, std::uint64_t Tokens, Time Now) {
+void LongPromptPool::addDemand(bool IsLong, std::uint64_t Tokens, Time Now) {
   this->decay(Now);
   this->AllTokens += static_cast<double>(Tokens);
   if (IsLong)
     this->LongTokens += static_cast<double>(Tokens);
 }
 
-std::uint32_t LongWork::countOpen(std::uint32_t Engines) {
-  const double Wanted =
+std::uint32_t LongPromptPool::countOpen(std::uint32_t Engines) {
+  const double TargetShare =
       this->AllTokens > 0
-          ? std::min(GreatestShare,
-                     Headroom * this->LongTokens / this->AllTokens)
-          : FirstShare;
-  if (this->OpenShare == 0 || std::abs(Wanted - this->OpenShare) > Hysteresis)
-    this->OpenShare = Wanted;
+          ? std::min(MaxShare, Headroom * this->LongTokens / this->AllTokens)
+          : InitialShare;
+  if (this->OpenShare == 0 ||
+      std::abs(TargetShare - this->OpenShare) > Hysteresis)
+    this->OpenShare = TargetShare;
   const auto Open =
       static_cast<std::uint32_t>(std::ceil(this->OpenShare * Engines));
   return std::clamp(Open, std::uint32_t(1),
                     std::max(std::uint32_t(1), Engines - 1));
 }
 
-void LongWork::judge(const ModelId &Model, const FleetView &Fleet, Time Now) {
+void LongPromptPool::update(const ModelId &Model, const FleetView &Fleet,
+                            Time Now) {
   ModelPool &Pool = this->Pools[Model];
   const auto Upstreams = Fleet.upstreams();
-  const bool Fresh =
-      Now < Pool.JudgedAt + JudgeInterval && Pool.Known == Upstreams.size();
-  if (Fresh)
+  const bool IsCurrent = Now < Pool.UpdatedAt + UpdateInterval &&
+                         Pool.FleetSize == Upstreams.size();
+  if (IsCurrent)
     return;
-  Pool.JudgedAt = Now;
-  Pool.Known = Upstreams.size();
+  Pool.UpdatedAt = Now;
+  Pool.FleetSize = Upstreams.size();
   for (const std::uint32_t Each : Pool.Open)
     if (Each < Upstreams.size())
       this->OpenIds.erase(Upstreams[Each].Listing.Id);
@@ -80,14 +81,15 @@
   }
 }
 
-std::span<const std::uint32_t> LongWork::open(const ModelId &Model) const {
+std::span<const std::uint32_t>
+LongPromptPool::open(const ModelId &Model) const {
   const auto Found = this->Pools.find(Model);
   if (Found == this->Pools.end())
     return {};
   return Found->second.Open;
 }
 
-void LongWork::decay(Time Now) {
+void LongPromptPool::decay(Time Now) {
   const double HalfLives =
       inSeconds(Now - this->DecayedAt) / inSeconds(HalfLife);
   const double Factor = std::exp2(-std::min(HalfLives, 60.0));
--- a/src/plugins/routing/LongWork.h
+++ b/src/plugins/routing/LongPromptPool.h
@@ -13,14 +13,14 @@
 /// How many engines take long prompts: their share of demand in tokens, with
 /// hysteresis. The engines are those with the highest rendezvous weights, so
 /// that hosts that differ in the number still agree on most of them.
-class LongWork {
+class LongPromptPool {
 public:
   /// Demand for this many uncached tokens arrived.
-  void arrived(bool IsLong, std::uint64_t Tokens, Time Now);
+  void addDemand(bool IsLong, std::uint64_t Tokens, Time Now);
 
   /// Judges again which of the model's engines are open, at most every
-  /// JudgeInterval.
-  void judge(const ModelId &Model, const FleetView &Fleet, Time Now);
+  /// UpdateInterval.
+  void update(const ModelId &Model, const FleetView &Fleet, Time Now);
 
   /// Positions in FleetView::upstreams() of the open engines.
   std::span<const std::uint32_t> open(const ModelId &Model) const;
@@ -33,13 +33,13 @@
 
 private:
   struct ModelPool {
-    Time JudgedAt{};
-    std::size_t Known = 0;
+    Time UpdatedAt{};
+    std::size_t FleetSize = 0;
     std::vector<std::uint32_t> Open;
   };
   void decay(Time Now);
 
-  static constexpr Duration JudgeInterval = milliseconds(500);
+  static constexpr Duration UpdateInterval = milliseconds(500);
 
   double LongTokens = 0;
   double AllTokens = 0;
--- a/src/plugins/routing/PredictedChoice.cpp
+++ b/src/plugins/routing/PredictedChoice.cpp
@@ -12,8 +12,10 @@
 /// The part of an engine's memory that one member of a group may hold.
 constexpr double GroupShare = 0.9;
 
-bool contains(std::span<const std::uint32_t> Many, std::uint32_t One) {
-  return std::find(Many.begin(), Many.end(), One) != Many.end();
+bool contains(std::span<const std::uint32_t> Positions,
+              std::uint32_t Position) {
+  return std::find(Positions.begin(), Positions.end(), Position) !=
+         Positions.end();
 }
 
 } // namespace
@@ -32,44 +34,43 @@
   return Result;
 }
 
-bool PredictedChoice::isBehind(const Candidate &Best,
-                               const ChoiceDemand &Demand, Time Now) const {
+bool PredictedChoice::shouldWait(const Candidate &Best,
+                                 const ChoiceDemand &Demand, Time Now) const {
   if (!this->Values.Parts.QueueBound)
     return false;
   const Duration Bound =
       Demand.IsLong ? this->Values.LongQueue : this->Values.EngineQueue;
   // A first try that can't keep its promise waits to be refused, unless an
   // engine catches up; a retry goes on in any case.
-  const bool IsLate =
-      Now + Best.Estimate.FirstToken > Demand.Wanted.FirstTokenBy;
+  const bool IsLate = Now + Best.Estimate.FirstToken > Demand.Req.FirstTokenBy;
   if (IsLate && Demand.Limits.Excluded.empty())
     return true;
   return !Best.Estimate.HasMemory || Best.Estimate.Wait > Bound;
 }
 
 std::vector<std::uint32_t>
-PredictedChoice::group(const ChoiceDemand &Demand,
-                       std::uint64_t &TokensEach) const {
-  const ModelId Model(Demand.Wanted.Class.TargetName);
+PredictedChoice::chooseGroup(const ChoiceDemand &Demand,
+                             std::uint64_t &TokensEach) const {
+  const ModelId Model(Demand.Req.Class.TargetName);
   std::vector<std::uint32_t> Engines =
       this->allUsable(this->Fleet.enginesWith(Model), Demand);
   const auto Upstreams = this->Fleet.upstreams();
-  const auto FreeOf = [&](std::uint32_t Position) {
-    const double Most =
+  const auto FreeTokens = [&](std::uint32_t Position) {
+    const double MaxTokens =
         GroupShare *
         static_cast<double>(Upstreams[Position].Report.MemoryTokens);
     return std::min(this->Cost.freeMemory(Upstreams[Position]),
-                    static_cast<std::uint64_t>(Most));
+                    static_cast<std::uint64_t>(MaxTokens));
   };
   std::stable_sort(Engines.begin(), Engines.end(),
                    [&](std::uint32_t Left, std::uint32_t Right) {
-                     return FreeOf(Left) > FreeOf(Right);
+                     return FreeTokens(Left) > FreeTokens(Right);
                    });
-  const std::size_t Most =
-      std::min<std::size_t>(Engines.size(), this->Values.MostGroupEngines);
-  for (std::size_t Count = 2; Count <= Most; ++Count) {
+  const std::size_t MaxCount =
+      std::min<std::size_t>(Engines.size(), this->Values.MaxGroupEngines);
+  for (std::size_t Count = 2; Count <= MaxCount; ++Count) {
     TokensEach = (Demand.MemoryTokens + Count - 1) / Count;
-    if (FreeOf(Engines[Count - 1]) < TokensEach)
+    if (FreeTokens(Engines[Count - 1]) < TokensEach)
       continue;
     Engines.resize(Count);
     return Engines;
@@ -90,36 +91,36 @@
                                     const ChoiceDemand &Demand,
                                     Time Now) const {
   const Upstream &Engine = this->Fleet.upstreams()[Position];
-  const std::uint64_t Prompt = Demand.Wanted.Head.PromptTokens;
+  const std::uint64_t Prompt = Demand.Req.Head.PromptTokens;
   Candidate Result;
   Result.Position = Position;
   Result.UncachedTokens = Prompt;
   if (this->Values.Parts.Cache)
     Result.UncachedTokens -=
         std::min(Prompt, this->Cache.cachedTokens(Engine.Listing.Id,
-                                                  Demand.Wanted.Head.Blocks));
-  EngineDemand Asked;
-  Asked.Priority = Demand.Priority;
-  Asked.UncachedTokens = Result.UncachedTokens;
-  Asked.MemoryTokens = Demand.MemoryTokens;
-  Asked.PartLeft = Demand.PartLeft;
-  Asked.OutputTokens = Demand.Wanted.OutputTokens;
-  Result.Estimate = this->Cost.estimate(Engine, Asked, Now);
+                                                  Demand.Req.Head.Blocks));
+  EngineDemand Required;
+  Required.Priority = Demand.Priority;
+  Required.UncachedTokens = Result.UncachedTokens;
+  Required.MemoryTokens = Demand.MemoryTokens;
+  Required.RemainingShare = Demand.RemainingShare;
+  Required.OutputTokens = Demand.Req.OutputTokens;
+  Result.Estimate = this->Cost.estimate(Engine, Required, Now);
   return Result;
 }
 
 std::vector<std::uint32_t> PredictedChoice::sample(const ChoiceDemand &Demand) {
-  const ModelId Model(Demand.Wanted.Class.TargetName);
+  const ModelId Model(Demand.Req.Class.TargetName);
   const auto Engines = this->Fleet.enginesWith(Model);
   if (Demand.Limits.Isolated) {
     const auto Usable = this->allUsable(Engines, Demand);
     if (Usable.empty())
       return {};
-    return {this->quietest(Usable)};
+    return {this->findLeastBusy(Usable)};
   }
   std::vector<std::uint32_t> Drawn;
   if (Demand.IsLong && this->Values.Parts.LongPool)
-    Drawn = this->draw(this->Long.open(Model), Demand);
+    Drawn = this->draw(this->LongPrompts.open(Model), Demand);
   if (Drawn.empty())
     Drawn = this->draw(Engines, Demand);
   if (Drawn.empty())
@@ -132,20 +133,22 @@
                       const ChoiceDemand &Demand) {
   if (!this->Values.Parts.Sampling)
     return this->allUsable(Engines, Demand);
-  std::uint64_t Own = this->Values.OwnCandidates;
-  std::uint64_t Other = this->Values.OtherCandidates;
-  std::uint64_t Draws = (Own + Other) * DrawsPerCandidate;
+  std::uint64_t OwnLeft = this->Values.OwnCandidates;
+  std::uint64_t OtherLeft = this->Values.OtherCandidates;
+  std::uint64_t Draws = (OwnLeft + OtherLeft) * DrawsPerCandidate;
   std::vector<std::uint32_t> Drawn;
-  while (Draws-- > 0 && Own + Other > 0 && Drawn.size() < Engines.size()) {
-    const std::uint32_t Each = Engines[this->Numbers.below(Engines.size())];
+  while (Draws-- > 0 && OwnLeft + OtherLeft > 0 &&
+         Drawn.size() < Engines.size()) {
+    const std::uint32_t Each = Engines[this->Rng.below(Engines.size())];
     const Upstream &Engine = this->Fleet.upstreams()[Each];
-    std::uint64_t &Left = Engine.Listing.Zone == this->SelfZone ? Own : Other;
-    const bool Taken = Left > 0 && !contains(Drawn, Each) &&
-                       this->isUsable(Each, Demand) &&
-                       !this->Book.hasIsolated(Engine.Listing.Id);
-    if (!Taken)
+    std::uint64_t &Remaining =
+        Engine.Listing.Zone == this->SelfZone ? OwnLeft : OtherLeft;
+    const bool IsAccepted = Remaining > 0 && !contains(Drawn, Each) &&
+                            this->isUsable(Each, Demand) &&
+                            !this->Tracker.hasIsolated(Engine.Listing.Id);
+    if (!IsAccepted)
       continue;
-    --Left;
+    --Remaining;
     Drawn.push_back(Each);
   }
   return Drawn;
@@ -162,16 +165,16 @@
 }
 
 std::uint32_t
-PredictedChoice::quietest(std::span<const std::uint32_t> Usable) const {
-  const auto Busyness = [this](std::uint32_t Position) {
+PredictedChoice::findLeastBusy(std::span<const std::uint32_t> Usable) const {
+  const auto LoadOf = [this](std::uint32_t Position) {
     const Upstream &Engine = this->Fleet.upstreams()[Position];
-    return std::pair(this->Book.hasIsolated(Engine.Listing.Id),
+    return std::pair(this->Tracker.hasIsolated(Engine.Listing.Id),
                      Engine.Report.Running + Engine.Report.Queued +
-                         this->Book.attempts(Engine.Listing.Id));
+                         this->Tracker.attempts(Engine.Listing.Id));
   };
   return *std::min_element(Usable.begin(), Usable.end(),
                            [&](std::uint32_t Left, std::uint32_t Right) {
-                             return Busyness(Left) < Busyness(Right);
+                             return LoadOf(Left) < LoadOf(Right);
                            });
 }
 
--- a/src/plugins/routing/RoutingPlugin.cpp
+++ b/src/plugins/routing/RoutingPlugin.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 /// When to look again for an engine that is not behind.
-constexpr Duration LookAgain = milliseconds(20);
+constexpr Duration RecheckInterval = milliseconds(20);
 
 /// Engine priorities reach from 0 to 255, urgencies from 0 to 9.
 constexpr std::uint32_t PriorityPerUrgency = 20;
 
 /// Even beside a flood of urgent work some is left to the rest.
-constexpr double LeastPartLeft = 0.1;
+constexpr double MinRemainingShare = 0.1;
 
 /// A single engine takes prompts up to this part of its memory.
 constexpr double SingleEngineShare = 0.95;
@@ -25,138 +25,139 @@
 } // namespace
 
 void RoutingPlugin::initialize(PluginContext &Context) {
-  Services &Offered = Context.services();
+  Services &PluginServices = Context.services();
   this->Values = RoutingSettings::from(Context.settings());
   this->SelfZone = Context.self().Zone;
-  this->Numbers = &Context.random();
-  this->Fleet = &Offered.get<FleetView>();
-  this->Members = &Offered.get<MembershipView>();
-  this->Baseline = baselineNamed(this->Values.Policy);
+  this->Rng = &Context.random();
+  this->Fleet = &PluginServices.get<FleetView>();
+  this->Members = &PluginServices.get<MembershipView>();
+  this->Baseline = findBaseline(this->Values.Policy);
   this->Predicted = std::make_unique<PredictedChoice>(
-      this->Values, *this->Fleet, Offered.get<PrefixCacheView>(), this->Book,
-      this->Long, this->SelfZone, *this->Numbers);
-  Offered.provide<UpstreamSelector>(*this);
-  Offered.provide<CostModel>(*this);
-  Offered.list<RequestObserver>().add(*this);
+      this->Values, *this->Fleet, PluginServices.get<PrefixCacheView>(),
+      this->Tracker, this->LongPrompts, this->SelfZone, *this->Rng);
+  PluginServices.provide<UpstreamSelector>(*this);
+  PluginServices.provide<CostModel>(*this);
+  PluginServices.list<RequestObserver>().add(*this);
 }
 
-Selection RoutingPlugin::select(const Request &Wanted,
+Selection RoutingPlugin::select(const Request &Req,
                                 const SelectionLimits &Limits, Time Now,
                                 Actions &Out) {
-  if (Wanted.Class.Target == TargetKind::Application) {
-    Selection Chosen = chooseApplication(*this->Fleet, Wanted, Limits,
-                                         this->SelfZone, *this->Numbers);
+  if (Req.Class.Target == TargetKind::Application) {
+    Selection Chosen = chooseApplication(*this->Fleet, Req, Limits,
+                                         this->SelfZone, *this->Rng);
     if (const auto *Choice = std::get_if<Selected>(&Chosen))
-      this->logChoice(Wanted, *Choice, {}, Out);
+      this->logChoice(Req, *Choice, {}, Out);
     return Chosen;
   }
   if (Limits.Isolated)
-    this->Isolated.insert(Wanted.id());
-  this->Long.judge(ModelId(Wanted.Class.TargetName), *this->Fleet, Now);
-  return this->selectEngine(this->demandOf(Wanted, Limits, Now), Now, Out);
+    this->Isolated.insert(Req.id());
+  this->LongPrompts.update(ModelId(Req.Class.TargetName), *this->Fleet, Now);
+  return this->selectEngine(this->makeDemand(Req, Limits, Now), Now, Out);
 }
 
-std::optional<Prediction> RoutingPlugin::predict(const Request &Asked,
-                                                 Time Now) {
-  this->Long.judge(ModelId(Asked.Class.TargetName), *this->Fleet, Now);
+std::optional<Prediction> RoutingPlugin::predict(const Request &Req, Time Now) {
+  this->LongPrompts.update(ModelId(Req.Class.TargetName), *this->Fleet, Now);
   const SelectionLimits NoLimits;
-  const ChoiceDemand Demand = this->demandOf(Asked, NoLimits, Now);
-  const auto Compared = this->Predicted->candidates(Demand, Now);
-  if (Compared.empty())
+  const ChoiceDemand Demand = this->makeDemand(Req, NoLimits, Now);
+  const auto Candidates = this->Predicted->candidates(Demand, Now);
+  if (Candidates.empty())
     return std::nullopt;
-  const EngineEstimate &Best = Compared.front().Estimate;
+  const EngineEstimate &Best = Candidates.front().Estimate;
   return Prediction{Best.FirstToken, Best.CompleteAnswer};
 }
 
-double RoutingPlugin::partLeft(const Request &Asked, Time Now) {
-  const ModelId Model(Asked.Class.TargetName);
+double RoutingPlugin::remainingShare(const Request &Req, Time Now) {
+  const ModelId Model(Req.Class.TargetName);
   const double Share = this->shareOfCapacity(Model, Now);
-  const double Above = this->Rates.above(Asked.Class.Urgency, Now);
-  return std::clamp(1 - Above / std::max(Share, 1.0), LeastPartLeft, 1.0);
+  const double Above = this->Rates.rateAbove(Req.Class.Urgency, Now);
+  return std::clamp(1 - Above / std::max(Share, 1.0), MinRemainingShare, 1.0);
 }
 
 double RoutingPlugin::shareOfCapacity(const ModelId &Model, Time Now) {
-  return this->Share.of(Model, *this->Fleet, *this->Members, Now);
+  return this->Share.hostShare(Model, *this->Fleet, *this->Members, Now);
 }
 
-std::uint32_t RoutingPlugin::priority(const Request &Asked) const {
+std::uint32_t RoutingPlugin::priority(const Request &Req) const {
   // Equal urgency is served in order of arrival on the engine: whatever rises
   // there with time spent waiting lets later work overtake earlier work.
   if (!this->Values.Parts.Priorities)
     return 0;
-  return PriorityPerUrgency * Asked.Class.Urgency;
+  return PriorityPerUrgency * Req.Class.Urgency;
 }
 
-void RoutingPlugin::admitted(const Request &Asked, Time Now, Actions &) {
-  const std::uint64_t Tokens = Asked.Head.PromptTokens;
-  if (Asked.Class.Target != TargetKind::Model)
+void RoutingPlugin::admitted(const Request &Req, Time Now, Actions &) {
+  const std::uint64_t Tokens = Req.Head.PromptTokens;
+  if (Req.Class.Target != TargetKind::Model)
     return;
-  this->Long.arrived(Tokens >= this->Values.LongPrompt, Tokens, Now);
-  this->Rates.arrived(Asked.Class.Urgency, Tokens, Now);
+  this->LongPrompts.addDemand(Tokens >= this->Values.LongPrompt, Tokens, Now);
+  this->Rates.addDemand(Req.Class.Urgency, Tokens, Now);
 }
 
-void RoutingPlugin::dispatched(const Request &Asked, const Attempt &Try,
+void RoutingPlugin::dispatched(const Request &Req, const Attempt &SentAttempt,
                                Time Now, Actions &) {
-  if (Asked.Class.Target != TargetKind::Model)
+  if (Req.Class.Target != TargetKind::Model)
     return;
   SentWork Work;
-  Work.Attempt = Try.Id;
+  Work.Attempt = SentAttempt.Id;
   Work.SentAt = Now;
-  Work.Priority = Try.Priority;
-  Work.PrefillTokens = Try.UncachedTokens;
+  Work.Priority = SentAttempt.Priority;
+  Work.PrefillTokens = SentAttempt.UncachedTokens;
   Work.MemoryTokens =
-      Try.Group.empty() ? Asked.Head.PromptTokens + Asked.OutputTokens : 0;
-  Work.IsLong = Try.UncachedTokens >= this->Values.LongPrompt;
-  Work.IsIsolated = this->Isolated.contains(Asked.id());
-  this->Book.sent(Try.Upstream, Work);
+      SentAttempt.Group.empty() ? Req.Head.PromptTokens + Req.OutputTokens : 0;
+  Work.IsLong = SentAttempt.UncachedTokens >= this->Values.LongPrompt;
+  Work.IsIsolated = this->Isolated.contains(Req.id());
+  this->Tracker.sent(SentAttempt.Upstream, Work);
 }
 
-void RoutingPlugin::firstToken(const Request &, const Attempt &Try, Time,
-                               Actions &) {
-  this->Book.firstToken(Try.Upstream, Try.Id);
+void RoutingPlugin::firstToken(const Request &, const Attempt &SentAttempt,
+                               Time, Actions &) {
+  this->Tracker.firstToken(SentAttempt.Upstream, SentAttempt.Id);
 }
 
-void RoutingPlugin::attemptEnded(const Request &, const Attempt &Try,
+void RoutingPlugin::attemptEnded(const Request &, const Attempt &SentAttempt,
                                  const AttemptOutcome &, Time, Actions &) {
-  this->Book.ended(Try.Upstream, Try.Id);
+  this->Tracker.ended(SentAttempt.Upstream, SentAttempt.Id);
 }
 
-void RoutingPlugin::ended(const Request &Asked, const FinalAnswer &, Time,
+void RoutingPlugin::ended(const Request &Req, const FinalAnswer &, Time,
                           Actions &) {
-  this->Isolated.erase(Asked.id());
+  this->Isolated.erase(Req.id());
 }
 
-ChoiceDemand RoutingPlugin::demandOf(const Request &Wanted,
-                                     const SelectionLimits &Limits, Time Now) {
-  return {Wanted,
+ChoiceDemand RoutingPlugin::makeDemand(const Request &Req,
+                                       const SelectionLimits &Limits,
+                                       Time Now) {
+  return {Req,
           Limits,
-          this->priority(Wanted),
-          Wanted.Head.PromptTokens + Wanted.OutputTokens,
-          Wanted.Head.PromptTokens >= this->Values.LongPrompt,
-          this->partLeft(Wanted, Now)};
+          this->priority(Req),
+          Req.Head.PromptTokens + Req.OutputTokens,
+          Req.Head.PromptTokens >= this->Values.LongPrompt,
+          this->remainingShare(Req, Now)};
 }
 
 Selection RoutingPlugin::selectEngine(const ChoiceDemand &Demand, Time Now,
                                       Actions &Out) {
-  const ModelId Model(Demand.Wanted.Class.TargetName);
-  const auto Compared = this->Predicted->candidates(Demand, Now);
-  if (Compared.empty())
-    return NothingFits{this->Fleet->enginesWith(Model).empty(), LookAgain};
+  const ModelId Model(Demand.Req.Class.TargetName);
+  const auto Candidates = this->Predicted->candidates(Demand, Now);
+  if (Candidates.empty())
+    return NothingFits{this->Fleet->enginesWith(Model).empty(),
+                       RecheckInterval};
   std::vector<std::uint32_t> Positions;
-  Positions.reserve(Compared.size());
-  for (const Candidate &Each : Compared)
+  Positions.reserve(Candidates.size());
+  for (const Candidate &Each : Candidates)
     Positions.push_back(Each.Position);
 
-  Selection Result = NothingFits{false, LookAgain};
+  Selection Result = NothingFits{false, RecheckInterval};
   if (this->exceedsOneEngine(Demand, Positions))
     Result = this->selectGroup(Demand, Now);
   else if (this->Baseline)
     Result =
         this->selectByBaseline(Demand, this->Fleet->enginesWith(Model), Now);
-  else if (!this->Predicted->isBehind(Compared.front(), Demand, Now))
-    Result = this->chosen(Compared.front(), Demand);
+  else if (!this->Predicted->shouldWait(Candidates.front(), Demand, Now))
+    Result = this->makeSelected(Candidates.front(), Demand);
   if (const auto *Choice = std::get_if<Selected>(&Result))
-    this->logChoice(Demand.Wanted, *Choice, Compared, Out);
+    this->logChoice(Demand.Req, *Choice, Candidates, Out);
   return Result;
 }
 
@@ -169,35 +170,35 @@
     if (this->Predicted->isUsable(Each, Demand))
       Usable.push_back(Each);
   if (Usable.empty())
-    return NothingFits{false, LookAgain};
-  const std::uint32_t Taken =
-      choose(*this->Baseline, this->Fleet->upstreams(), Usable, *this->Numbers);
-  Selected Choice =
-      this->chosen(this->Predicted->estimate(Taken, Demand, Now), Demand);
+    return NothingFits{false, RecheckInterval};
+  const std::uint32_t Position =
+      choose(*this->Baseline, this->Fleet->upstreams(), Usable, *this->Rng);
+  Selected Choice = this->makeSelected(
+      this->Predicted->estimate(Position, Demand, Now), Demand);
   Choice.Priority = 0;
   return Choice;
 }
 
 Selection RoutingPlugin::selectGroup(const ChoiceDemand &Demand, Time Now) {
   std::uint64_t TokensEach = 0;
-  const auto Engines = this->Predicted->group(Demand, TokensEach);
+  const auto Engines = this->Predicted->chooseGroup(Demand, TokensEach);
   if (Engines.empty())
-    return NothingFits{false, LookAgain};
+    return NothingFits{false, RecheckInterval};
   Candidate Best = this->Predicted->estimate(Engines.front(), Demand, Now);
   for (const std::uint32_t Each : Engines) {
     const Candidate Other = this->Predicted->estimate(Each, Demand, Now);
     if (Other.Estimate.Score < Best.Estimate.Score)
       Best = Other;
   }
-  Selected Choice = this->chosen(Best, Demand);
+  Selected Choice = this->makeSelected(Best, Demand);
   Choice.GroupTokensEach = TokensEach;
   for (const std::uint32_t Each : Engines)
     Choice.Group.push_back(this->Fleet->upstreams()[Each].Listing.Id);
   return Choice;
 }
 
-Selected RoutingPlugin::chosen(const Candidate &Best,
-                               const ChoiceDemand &Demand) const {
+Selected RoutingPlugin::makeSelected(const Candidate &Best,
+                                     const ChoiceDemand &Demand) const {
   Selected Choice;
   Choice.Upstream = this->Fleet->upstreams()[Best.Position].Listing.Id;
   Choice.Priority = Demand.Priority;
@@ -208,19 +209,19 @@
 
 bool RoutingPlugin::exceedsOneEngine(
     const ChoiceDemand &Demand, std::span<const std::uint32_t> Usable) const {
-  std::uint64_t Greatest = 0;
+  std::uint64_t MaxMemory = 0;
   for (const std::uint32_t Each : Usable)
-    Greatest =
-        std::max(Greatest, this->Fleet->upstreams()[Each].Report.MemoryTokens);
+    MaxMemory =
+        std::max(MaxMemory, this->Fleet->upstreams()[Each].Report.MemoryTokens);
   return static_cast<double>(Demand.MemoryTokens) >
-         SingleEngineShare * static_cast<double>(Greatest);
+         SingleEngineShare * static_cast<double>(MaxMemory);
 }
 
-void RoutingPlugin::logChoice(const Request &Wanted, const Selected &Choice,
-                              std::span<const Candidate> Compared,
+void RoutingPlugin::logChoice(const Request &Req, const Selected &Choice,
+                              std::span<const Candidate> Candidates,
                               Actions &Out) const {
   std::string Scores;
-  for (const Candidate &Each : Compared) {
+  for (const Candidate &Each : Candidates) {
     Scores += this->Fleet->upstreams()[Each.Position].Listing.Id.Value;
     Scores += ':';
     Scores += std::to_string(Each.Estimate.FirstToken.count());
@@ -229,8 +230,8 @@
   if (!Scores.empty())
     Scores.pop_back();
   Out.log(logEvent(events::RequestRouted)
-              .with("request", Wanted.id().Value)
-              .with("team", Wanted.Team.Value)
+              .with("request", Req.id().Value)
+              .with("team", Req.Team.Value)
               .with("upstream", Choice.Upstream.Value)
               .with("priority", Choice.Priority)
               .with("uncached_tokens", Choice.UncachedTokens)
--- a/src/plugins/routing/RoutingPlugin.h
+++ b/src/plugins/routing/RoutingPlugin.h
@@ -24,50 +24,51 @@
   void handle(const Event &, Time, Actions &) override {}
 
   // UpstreamSelector
-  Selection select(const Request &Wanted, const SelectionLimits &Limits,
-                   Time Now, Actions &Out) override;
+  Selection select(const Request &Req, const SelectionLimits &Limits, Time Now,
+                   Actions &Out) override;
 
   // CostModel
-  std::optional<Prediction> predict(const Request &Asked, Time Now) override;
-  double partLeft(const Request &Asked, Time Now) override;
+  std::optional<Prediction> predict(const Request &Req, Time Now) override;
+  double remainingShare(const Request &Req, Time Now) override;
   double shareOfCapacity(const ModelId &Model, Time Now) override;
-  std::uint32_t priority(const Request &Asked) const override;
+  std::uint32_t priority(const Request &Req) const override;
 
   // RequestObserver
-  void admitted(const Request &Asked, Time Now, Actions &Out) override;
-  void dispatched(const Request &Asked, const Attempt &Try, Time Now,
+  void admitted(const Request &Req, Time Now, Actions &Out) override;
+  void dispatched(const Request &Req, const Attempt &SentAttempt, Time Now,
                   Actions &Out) override;
-  void firstToken(const Request &Asked, const Attempt &Try, Time Now,
+  void firstToken(const Request &Req, const Attempt &SentAttempt, Time Now,
                   Actions &Out) override;
-  void attemptEnded(const Request &Asked, const Attempt &Try,
+  void attemptEnded(const Request &Req, const Attempt &SentAttempt,
                     const AttemptOutcome &Outcome, Time Now,
                     Actions &Out) override;
-  void ended(const Request &Asked, const FinalAnswer &Answer, Time Now,
+  void ended(const Request &Req, const FinalAnswer &Answer, Time Now,
              Actions &Out) override;
 
 private:
-  ChoiceDemand demandOf(const Request &Wanted, const SelectionLimits &Limits,
-                        Time Now);
+  ChoiceDemand makeDemand(const Request &Req, const SelectionLimits &Limits,
+                          Time Now);
   Selection selectEngine(const ChoiceDemand &Demand, Time Now, Actions &Out);
   Selection selectByBaseline(const ChoiceDemand &Demand,
                              std::span<const std::uint32_t> Usable, Time Now);
   Selection selectGroup(const ChoiceDemand &Demand, Time Now);
-  Selected chosen(const Candidate &Best, const ChoiceDemand &Demand) const;
+  Selected makeSelected(const Candidate &Best,
+                        const ChoiceDemand &Demand) const;
   bool exceedsOneEngine(const ChoiceDemand &Demand,
                         std::span<const std::uint32_t> Usable) const;
-  void logChoice(const Request &Wanted, const Selected &Choice,
-                 std::span<const Candidate> Compared, Actions &Out) const;
+  void logChoice(const Request &Req, const Selected &Choice,
+                 std::span<const Candidate> Candidates, Actions &Out) const;
 
   RoutingSettings Values;
   ZoneId SelfZone;
-  Random *Numbers = nullptr;
+  Random *Rng = nullptr;
   const FleetView *Fleet = nullptr;
   std::optional<BaselinePolicy> Baseline;
   const MembershipView *Members = nullptr;
-  WorkBook Book;
+  SentWorkTracker Tracker;
   DemandRates Rates;
   CapacityShare Share;
-  LongWork Long;
+  LongPromptPool LongPrompts;
   std::unique_ptr<PredictedChoice> Predicted;
   std::set<RequestId> Isolated; ///< Suspects chosen for, until they end.
 };
--- a/src/plugins/routing/RoutingSettings.cpp
+++ b/src/plugins/routing/RoutingSettings.cpp
@@ -31,18 +31,18 @@
   return Result;
 }
 
-RoutingParts partsWithout(std::string_view Left) {
+RoutingParts partsWithout(std::string_view Excluded) {
   RoutingParts Result;
   for (const PartName &Each : PartNames)
-    if (Each.Name == Left)
+    if (Each.Name == Excluded)
       Result.*Each.Switch = false;
   return Result;
 }
 
 std::vector<SettingDeclaration> choices() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In,
+      {SectionName,
        "policy",
        SettingKind::Choice,
        "predicted",
@@ -51,42 +51,42 @@
        0,
        {"predicted", "random", "round-robin", "least-outstanding",
         "least-tokens"}},
-      {In, "without", SettingKind::Choice, "nothing",
+      {SectionName, "without", SettingKind::Choice, "nothing",
        "A part of the prediction to leave out, for measurements.", 0, 0,
        partChoices()},
   };
 }
 
 std::vector<SettingDeclaration> bounds() {
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
-      {In, "own_candidates", SettingKind::Whole, "4",
+      {SectionName, "own_candidates", SettingKind::Whole, "4",
        "Engines of the own zone that are compared for one request.", 1, 64},
-      {In, "other_candidates", SettingKind::Whole, "2",
+      {SectionName, "other_candidates", SettingKind::Whole, "2",
        "Engines of other zones that are compared for one request.", 0, 64},
-      {In, "cross_zone_delay", SettingKind::Span, "4ms",
+      {SectionName, "cross_zone_delay", SettingKind::Span, "4ms",
        "Time an engine in another zone must be faster by to be chosen.", 0,
        10e6},
-      {In, "engine_queue", SettingKind::Span, "300ms",
+      {SectionName, "engine_queue", SettingKind::Span, "300ms",
        "Prefill ahead of a request on an engine beyond which it waits here.",
        1e3, 60e6},
-      {In, "long_queue", SettingKind::Span, "2s",
+      {SectionName, "long_queue", SettingKind::Span, "2s",
        "The same bound for long prompts.", 1e3, 600e6},
-      {In, "long_prompt", SettingKind::Whole, "50000",
+      {SectionName, "long_prompt", SettingKind::Whole, "50000",
        "Uncached prompt tokens from which a request counts as long.", 1024,
        1e9},
-      {In, "step_delay", SettingKind::Span, "20ms",
+      {SectionName, "step_delay", SettingKind::Span, "20ms",
        "Expected rest of a running step when an engine prefills work of lower "
        "priority.",
        0, 10e6},
-      {In, "memory_turnover", SettingKind::Span, "10s",
+      {SectionName, "memory_turnover", SettingKind::Span, "10s",
        "Time in which an engine's occupied memory becomes free on average.",
        1e3, 600e6},
-      {In, "delay_weight", SettingKind::Fraction, "1",
+      {SectionName, "delay_weight", SettingKind::Fraction, "1",
        "Weight of the delay that a request causes to work of lower priority on "
        "an engine against its own time to the first token.",
        0, 100},
-      {In, "most_group_engines", SettingKind::Whole, "6",
+      {SectionName, "most_group_engines", SettingKind::Whole, "6",
        "Engines that may hold memory together for one prompt.", 2, 64},
   };
 }
@@ -113,7 +113,7 @@
   Result.StepDelay = Values.span(Section, "step_delay");
   Result.MemoryTurnover = Values.span(Section, "memory_turnover");
   Result.DelayWeight = Values.fraction(Section, "delay_weight");
-  Result.MostGroupEngines = Values.whole(Section, "most_group_engines");
+  Result.MaxGroupEngines = Values.whole(Section, "most_group_engines");
   return Result;
 }
 
--- a/src/plugins/routing/RoutingSettings.h
+++ b/src/plugins/routing/RoutingSettings.h
@@ -35,7 +35,7 @@
   std::uint64_t LongPrompt = 0;      ///< Uncached tokens from which it is long.
   Duration StepDelay{};              ///< Of a running step with lower work.
   Duration MemoryTurnover{}; ///< In which an engine's memory turns over.
-  std::uint64_t MostGroupEngines = 0;
+  std::uint64_t MaxGroupEngines = 0;
   double DelayWeight = 0; ///< Of the delay that others suffer.
 
   static std::vector<SettingDeclaration> declarations();
--- a/src/plugins/routing/WorkBook.h
+++ b/src/plugins/routing/SentWorkTracker.h
@@ -29,7 +29,7 @@
   std::uint32_t Requests = 0;
 };
 
-class WorkBook {
+class SentWorkTracker {
 public:
   void sent(const UpstreamId &Engine, SentWork Work);
   void firstToken(const UpstreamId &Engine, const AttemptId &Attempt);
@@ -45,7 +45,7 @@
 
 private:
   SentWork *find(const UpstreamId &Engine, const AttemptId &Attempt);
-  const std::vector<SentWork> *on(const UpstreamId &Engine) const;
+  const std::vector<SentWork> *findItems(const UpstreamId &Engine) const;
 
   std::unordered_map<UpstreamId, std::vector<SentWork>> ByEngine;
 };
--- a/tests/auto/routing/EngineCostTest.cpp
+++ b/tests/auto/routing/EngineCostTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Predictions from lagged reports, and the engines open to long prompts.
 #include "plugins/routing/EngineCost.h"
-#include "plugins/routing/LongWork.h"
+#include "plugins/routing/LongPromptPool.h"
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 
 constexpr Time Now = Time(seconds(1000));
 
-class Cost : public testing::Test {
+class EngineCostTest : public testing::Test {
 protected:
-  Cost() {
+  EngineCostTest() {
     this->Engine.Listing.Id = UpstreamId("e");
     this->Engine.Report.MeasuredAt = Now;
     this->Engine.Report.PrefillTokensPerSecond = 10'000;
@@ -26,43 +26,43 @@
     Demand.Priority = Priority;
     Demand.UncachedTokens = 10'000;
     Demand.MemoryTokens = 50'000;
-    return EngineCost(this->Values, this->Book, this->Zone)
+    return EngineCost(this->Values, this->Tracker, this->Zone)
         .estimate(this->Engine, Demand, When);
   }
 
   RoutingSettings Values;
-  WorkBook Book;
+  SentWorkTracker Tracker;
   ZoneId Zone;
   Upstream Engine;
 };
 
-TEST_F(Cost, CountsTheWorkAheadAtItsPriority) {
+TEST_F(EngineCostTest, CountsTheWorkAheadAtItsPriority) {
   EXPECT_EQ(this->estimate(180).FirstToken, seconds(2));
   EXPECT_EQ(this->estimate(40).FirstToken, seconds(4));
   this->Engine.Report.Backlog.clear();
   EXPECT_EQ(this->estimate(180).FirstToken, seconds(4));
 }
 
-TEST_F(Cost, JoinsTheReportWithOwnWorkAndItsAge) {
-  this->Book.sent(UpstreamId("e"),
-                  {AttemptId{}, Now + seconds(1), 180, 40'000, 60'000});
+TEST_F(EngineCostTest, JoinsTheReportWithOwnWorkAndItsAge) {
+  this->Tracker.sent(UpstreamId("e"),
+                     {AttemptId{}, Now + seconds(1), 180, 40'000, 60'000});
   EXPECT_EQ(this->estimate(180, Now + seconds(1)).FirstToken, seconds(5));
   EXPECT_FALSE(this->estimate(180, Now + seconds(1)).HasMemory);
-  this->Book.firstToken(UpstreamId("e"), AttemptId{});
+  this->Tracker.firstToken(UpstreamId("e"), AttemptId{});
   EXPECT_EQ(this->estimate(180, Now + seconds(1)).FirstToken, seconds(1));
 }
 
-TEST(LongWork, FollowsDemandAndLeavesSomeEnginesWithout) {
-  LongWork Long;
-  Long.arrived(true, 50'000, Now);
-  Long.arrived(false, 50'000, Now);
-  const std::uint32_t Open = Long.countOpen(16);
+TEST(LongPromptPool, FollowsDemandAndLeavesSomeEnginesWithout) {
+  LongPromptPool Pool;
+  Pool.addDemand(true, 50'000, Now);
+  Pool.addDemand(false, 50'000, Now);
+  const std::uint32_t Open = Pool.countOpen(16);
   EXPECT_EQ(Open, 10U);
-  Long.arrived(false, 5'000, Now);
-  EXPECT_EQ(Long.countOpen(16), Open) << "a small change is not followed";
-  Long.arrived(true, 10'000'000, Now);
-  EXPECT_EQ(Long.countOpen(16), 12U);
-  EXPECT_EQ(Long.countOpen(2), 1U);
+  Pool.addDemand(false, 5'000, Now);
+  EXPECT_EQ(Pool.countOpen(16), Open) << "a small change is not followed";
+  Pool.addDemand(true, 10'000'000, Now);
+  EXPECT_EQ(Pool.countOpen(16), 12U);
+  EXPECT_EQ(Pool.countOpen(2), 1U);
 }
 
 } // namespace
