--- a/src/plugins/routing/ApplicationChoice.cpp
+++ b/src/plugins/routing/ApplicationChoice.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Calls that may run on an application engine before another zone's is
-/// worth the way.
+/// An application engine with at least this many calls is busy. An engine of
+/// another zone is then preferred in spite of the network delay.
 constexpr std::uint32_t BusyCalls = 32;
 
-/// Orders candidates: not overfull, own zone, least outstanding, chance.
+/// Order of candidates: not busy, own zone, fewest outstanding calls, random.
 using Rank = std::tuple<bool, bool, std::uint32_t, std::uint64_t>;
 
 } // namespace
@@ -20,8 +20,9 @@
                             const ZoneId &SelfZone, Random &Rng) {
   const Upstream *Best = nullptr;
   Rank BestRank;
-  for (const std::uint32_t Each : Fleet.applications(Req.Class.TargetName)) {
-    const Upstream &Engine = Fleet.upstreams()[Each];
+  for (const std::uint32_t Position :
+       Fleet.applications(Req.Class.TargetName)) {
+    const Upstream &Engine = Fleet.upstreams()[Position];
     if (Engine.State != UpstreamState::Live ||
         Limits.Excluded.contains(Engine.Listing.Id))
       continue;
--- a/src/plugins/routing/ApplicationChoice.h
+++ b/src/plugins/routing/ApplicationChoice.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chooses the application engine of a plain call.
+/// Chooses the application engine for a call without a model.
 #pragma once
 
 #include "base/Random.h"
@@ -7,8 +7,8 @@
 
 namespace banyanpick {
 
-/// The live application engine with the least outstanding calls, those of the
-/// own zone first.
+/// Returns the live application engine with the fewest outstanding calls.
+/// Engines of the own zone come first, unless they are busy.
 Selection chooseApplication(const FleetView &Fleet, const Request &Req,
                             const SelectionLimits &Limits,
                             const ZoneId &SelfZone, Random &Rng);
--- a/src/plugins/routing/BaselinePolicies.cpp
+++ b/src/plugins/routing/BaselinePolicies.cpp
@@ -17,7 +17,7 @@
   return Engine.Report.QueuedPrefillTokens + Engine.UnreportedPrefillTokens;
 }
 
-/// The position with the smallest measure; ties by chance.
+/// Returns the position with the smallest measure. Breaks ties at random.
 template <class Measure>
 std::uint32_t findLeast(std::span<const Upstream> Fleet,
                         std::span<const std::uint32_t> Usable, Random &Rng,
@@ -25,15 +25,15 @@
   std::uint32_t Best = Usable.front();
   std::uint64_t BestValue = ~std::uint64_t(0);
   std::uint64_t Ties = 0;
-  for (const std::uint32_t Each : Usable) {
-    const std::uint64_t Value = MeasureOf(Fleet[Each]);
+  for (const std::uint32_t Position : Usable) {
+    const std::uint64_t Value = MeasureOf(Fleet[Position]);
     Ties = Value == BestValue ? Ties + 1 : 1;
     const bool IsBetter =
         Value < BestValue || (Value == BestValue && Rng.below(Ties) == 0);
     if (!IsBetter) {
       continue;
     }
-    Best = Each;
+    Best = Position;
     BestValue = Value;
   }
   return Best;
--- a/src/plugins/routing/BaselinePolicies.h
+++ b/src/plugins/routing/BaselinePolicies.h
@@ -1,5 +1,5 @@
 /// \file
-/// Well-known policies that the prediction is measured against.
+/// Standard policies, as a baseline for measurements of the prediction.
 #pragma once
 
 #include "base/Random.h"
@@ -16,18 +16,19 @@
 struct RoundRobinPolicy {
   std::uint64_t Next = 0;
 };
-/// Fewest running and waiting requests, by report and own count.
+/// Fewest running and waiting requests, by load report and own count.
 struct LeastOutstandingPolicy {};
-/// Fewest prefill tokens to do, by report and own count.
+/// Fewest pending prefill tokens, by load report and own count.
 struct LeastTokensPolicy {};
 
 using BaselinePolicy = std::variant<RandomPolicy, RoundRobinPolicy,
                                     LeastOutstandingPolicy, LeastTokensPolicy>;
 
-/// The policy of that name, or nothing for `predicted`.
+/// Returns the policy with this name, or nothing for `predicted`.
 std::optional<BaselinePolicy> findBaseline(std::string_view Name);
 
-/// One of the usable engines (positions in \p Fleet); there is at least one.
+/// Chooses one of the usable engines. \p Usable contains positions in \p Fleet
+/// and is not empty.
 std::uint32_t choose(BaselinePolicy &Policy, std::span<const Upstream> Fleet,
                      std::span<const std::uint32_t> Usable, Random &Rng);
 
--- a/src/plugins/routing/CapacityShare.cpp
+++ b/src/plugins/routing/CapacityShare.cpp
@@ -10,8 +10,8 @@
   if (Now < Cached.UpdatedAt + Lifetime)
     return Cached.Share;
   double Sum = 0;
-  for (const std::uint32_t Each : Fleet.enginesWith(Model)) {
-    const Upstream &Engine = Fleet.upstreams()[Each];
+  for (const std::uint32_t Position : Fleet.enginesWith(Model)) {
+    const Upstream &Engine = Fleet.upstreams()[Position];
     if (Engine.State == UpstreamState::Live)
       Sum += prefillSpeed(Engine);
   }
--- a/src/plugins/routing/CapacityShare.h
+++ b/src/plugins/routing/CapacityShare.h
@@ -1,5 +1,5 @@
 /// \file
-/// This host's share of the fleet's prefill.
+/// This host's share of the prefill capacity of the fleet.
 #pragma once
 
 #include "kernel/Services.h"
@@ -8,11 +8,12 @@
 
 namespace banyanpick {
 
-/// The prefill of all live engines of a model, divided among the entry hosts
-/// that live. Judged again every so often, since it walks the fleet.
+/// Divides the prefill capacity of all live engines of a model among the live
+/// entry hosts. The result is cached for Lifetime, because the computation
+/// visits all engines of the model.
 class CapacityShare {
 public:
-  /// Tokens a second.
+  /// Returns the share in tokens per second.
   double hostShare(const ModelId &Model, const FleetView &Fleet,
                    const MembershipView &Members, Time Now);
 
--- a/src/plugins/routing/CostModel.h
+++ b/src/plugins/routing/CostModel.h
@@ -1,5 +1,5 @@
 /// \file
-/// What other plug-ins may ask of routing's predictions.
+/// The interface to the predictions of the routing plug-in.
 #pragma once
 
 #include "kernel/Request.h"
@@ -8,25 +8,25 @@
 
 namespace banyanpick {
 
-/// How long a request would take if it were sent to an engine now.
+/// The predicted duration of a request that is sent to an engine now.
 struct Prediction {
   Duration FirstToken{};     ///< Until the first token.
-  Duration CompleteAnswer{}; ///< Until the whole answer.
+  Duration CompleteAnswer{}; ///< Until the end of the answer.
 };
 
-/// Predicts from load reports and the work sent since.
+/// Predicts durations from load reports and the work sent since.
 class CostModel {
 public:
   virtual ~CostModel() = default;
-  /// The best among a few engines; nothing when no engine that lives and
-  /// told its load could take it.
+  /// Returns the best prediction among a few engines. Returns nothing if no
+  /// live engine with a load report can take the request.
   virtual std::optional<Prediction> predict(const Request &Req, Time Now) = 0;
-  /// The part of this host's share of the fleet that more urgent work leaves
-  /// to the request, in (0, 1].
+  /// Returns the fraction of this host's share of the fleet that more urgent
+  /// work leaves to the request, in (0, 1].
   virtual double remainingShare(const Request &Req, Time Now) = 0;
-  /// This host's share of the fleet's prefill, tokens a second.
+  /// Returns this host's share of the prefill capacity, in tokens per second.
   virtual double shareOfCapacity(const ModelId &Model, Time Now) = 0;
-  /// The engine priority that the request gets; higher goes first.
+  /// Returns the engine priority of the request. Higher priorities go first.
   virtual std::uint32_t priority(const Request &Req) const = 0;
 };
 
--- a/src/plugins/routing/DemandRates.h
+++ b/src/plugins/routing/DemandRates.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much work of each urgency is admitted here.
+/// The rate of work that is admitted on this host, by urgency.
 #pragma once
 
 #include "base/Time.h"
@@ -9,12 +9,12 @@
 
 namespace banyanpick {
 
-/// Prompt tokens a second by urgency, averaged with a half-life.
+/// Prompt tokens per second by urgency, averaged with exponential decay.
 class DemandRates {
 public:
   void addDemand(std::uint32_t Urgency, std::uint64_t Tokens, Time Now);
 
-  /// Tokens a second of work more urgent than this.
+  /// Returns the tokens per second of all work above this urgency.
   double rateAbove(std::uint32_t Urgency, Time Now) const;
 
 private:
--- a/src/plugins/routing/EngineCost.cpp
+++ b/src/plugins/routing/EngineCost.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-/// Taken for an engine that has measured nothing yet.
+/// Speeds in tokens per second of an engine without measurements.
 constexpr double DefaultPrefillSpeed = 20'000;
 constexpr double DefaultDecodeSpeed = 30;
 
-/// Prefill that the report counts at or above the priority.
+/// Returns the reported prefill tokens at or above the priority.
 std::uint64_t reportedTokensAhead(const LoadReport &Report,
                                   std::uint32_t Priority) {
   if (Report.Backlog.empty())
     return Report.QueuedPrefillTokens;
   std::uint64_t Tokens = 0;
-  for (const PriorityBacklog &Each : Report.Backlog)
-    if (Each.Priority >= Priority)
-      Tokens += Each.PrefillTokens;
+  for (const PriorityBacklog &Item : Report.Backlog)
+    if (Item.Priority >= Priority)
+      Tokens += Item.PrefillTokens;
   return Tokens;
 }
 
@@ -96,8 +96,8 @@
                                       std::uint32_t Priority) const {
   const auto &Backlog = Engine.Report.Backlog;
   return std::any_of(
-      Backlog.begin(), Backlog.end(), [Priority](const PriorityBacklog &Each) {
-        return Each.Priority < Priority && Each.PrefillTokens > 0;
+      Backlog.begin(), Backlog.end(), [Priority](const PriorityBacklog &Item) {
+        return Item.Priority < Priority && Item.PrefillTokens > 0;
       });
 }
 
--- a/src/plugins/routing/EngineCost.h
+++ b/src/plugins/routing/EngineCost.h
@@ -1,5 +1,5 @@
 /// \file
-/// Predicts when a request would get its first token on an engine.
+/// Predicts the time to first token of a request on an engine.
 #pragma once
 
 #include "plugins/routing/RoutingSettings.h"
@@ -7,27 +7,28 @@
 
 namespace banyanpick {
 
-/// What a request asks of an engine.
+/// The demand of a request on an engine.
 struct EngineDemand {
   std::uint32_t Priority = 0;
   std::uint64_t UncachedTokens = 0;
   std::uint64_t MemoryTokens = 0;
   std::uint64_t OutputTokens = 0;
-  /// Part of the engine that more urgent work leaves, in (0, 1].
+  /// Fraction of the engine that more urgent work leaves, in (0, 1].
   double RemainingShare = 1;
 };
 
-/// What the request can expect there.
+/// The predicted service of a request on an engine.
 struct EngineEstimate {
   Duration Wait{};           ///< Until its prefill begins.
-  Duration FirstToken{};     ///< From now, with delays between zones.
+  Duration FirstToken{};     ///< From now, with the delay between zones.
   Duration CompleteAnswer{}; ///< From now.
-  bool HasMemory = false;    ///< Its memory is believed to be free now.
-  Duration Score{};          ///< What is compared; less is better.
+  bool HasMemory = false;    ///< The estimated free memory is sufficient.
+  Duration Score{};          ///< Sort key of candidates; less is better.
 };
 
-/// Joins the lagged report with the work sent since: first token = work ahead
-/// at its priority / measured prefill speed + uncached tokens / speed.
+/// Combines the delayed load report with the work sent since the report. Time
+/// to first token = tokens ahead at the priority / measured prefill speed +
+/// uncached tokens / speed.
 class EngineCost {
 public:
   EngineCost(const RoutingSettings &Values, const SentWorkTracker &Tracker,
@@ -37,7 +38,7 @@
   EngineEstimate estimate(const Upstream &Engine, const EngineDemand &Demand,
                           Time Now) const;
 
-  /// Memory believed to be free now, in tokens.
+  /// Returns the estimated free memory, in tokens.
   std::uint64_t freeMemory(const Upstream &Engine) const;
 
 private:
@@ -52,7 +53,7 @@
   const ZoneId &SelfZone;
 };
 
-/// Prefill speed of the engine, never 0.
+/// Returns the prefill speed of the engine in tokens per second, never 0.
 double prefillSpeed(const Upstream &Engine);
 
 } // namespace banyanpick
--- a/src/plugins/routing/LongPromptPool.cpp
+++ b/src/plugins/routing/LongPromptPool.cpp
@@ -9,22 +9,23 @@
 
 namespace {
 
-/// Demand this old counts half.
+/// Demand of this age counts half.
 constexpr Duration HalfLife = seconds(30);
 
-/// Long demand is lumpy; engines beyond its share absorb it.
+/// Long prompts arrive in bursts. Open engines beyond the share of long prompts
+/// in the demand absorb the bursts.
 constexpr double Headroom = 1.25;
 
-/// The share in force follows the wanted one when they differ by more.
+/// The current share changes when it differs by more than this from the target.
 constexpr double Hysteresis = 0.1;
 
-/// Before any demand was seen.
+/// Share before any demand arrives.
 constexpr double InitialShare = 0.3;
 
-/// Some engines never take long work.
+/// The remaining engines never take long prompts.
 constexpr double MaxShare = 0.75;
 
-/// The order in which engines are opened; the highest first.
+/// Returns the rank of an engine. Engines with the highest rank are open first.
 std::uint64_t rank(const UpstreamId &Engine) {
   return rendezvousWeight("open to long prompts", Engine.Value);
 }
@@ -62,14 +63,14 @@
     return;
   Pool.UpdatedAt = Now;
   Pool.FleetSize = Upstreams.size();
-  for (const std::uint32_t Each : Pool.Open)
-    if (Each < Upstreams.size())
-      this->OpenIds.erase(Upstreams[Each].Listing.Id);
+  for (const std::uint32_t Position : Pool.Open)
+    if (Position < Upstreams.size())
+      this->OpenIds.erase(Upstreams[Position].Listing.Id);
 
   std::vector<std::pair<std::uint64_t, std::uint32_t>> Ranked;
-  for (const std::uint32_t Each : Fleet.enginesWith(Model))
-    if (Upstreams[Each].State == UpstreamState::Live)
-      Ranked.emplace_back(rank(Upstreams[Each].Listing.Id), Each);
+  for (const std::uint32_t Position : Fleet.enginesWith(Model))
+    if (Upstreams[Position].State == UpstreamState::Live)
+      Ranked.emplace_back(rank(Upstreams[Position].Listing.Id), Position);
   std::sort(Ranked.rbegin(), Ranked.rend());
   Ranked.resize(std::min<std::size_t>(
       Ranked.size(),
--- a/src/plugins/routing/LongPromptPool.h
+++ b/src/plugins/routing/LongPromptPool.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which engines are open to long prompts.
+/// Selects the engines that are open to long prompts.
 #pragma once
 
 #include "kernel/Services.h"
@@ -10,25 +10,26 @@
 
 namespace banyanpick {
 
-/// How many engines take long prompts: their share of demand in tokens, with
-/// hysteresis. The engines are those with the highest rendezvous weights, so
-/// that hosts that differ in the number still agree on most of them.
+/// The number of open engines follows the share of long prompts in the demand
+/// in tokens, with hysteresis. The engines with the highest rendezvous weights
+/// are open, so that hosts with different numbers agree on most of them.
 class LongPromptPool {
 public:
-  /// Demand for this many uncached tokens arrived.
+  /// Called when demand for this many uncached tokens arrives.
   void addDemand(bool IsLong, std::uint64_t Tokens, Time Now);
 
-  /// Judges again which of the model's engines are open, at most every
-  /// UpdateInterval.
+  /// Updates the open engines of the model, at most once per UpdateInterval
+  /// unless the fleet size changes.
   void update(const ModelId &Model, const FleetView &Fleet, Time Now);
 
-  /// Positions in FleetView::upstreams() of the open engines.
+  /// Returns the positions of the open engines in FleetView::upstreams().
   std::span<const std::uint32_t> open(const ModelId &Model) const;
   bool isOpen(const UpstreamId &Engine) const {
     return this->OpenIds.contains(Engine);
   }
 
-  /// How many of \p Engines are open; at least one and, beyond one, never all.
+  /// Returns how many of \p Engines are open: at least one and, with more than
+  /// one engine, never all.
   std::uint32_t countOpen(std::uint32_t Engines);
 
 private:
@@ -44,7 +45,7 @@
   double LongTokens = 0;
   double AllTokens = 0;
   Time DecayedAt{};
-  double OpenShare = 0; ///< In force; follows the demand with hysteresis.
+  double OpenShare = 0; ///< Current share; follows demand with hysteresis.
   std::unordered_map<ModelId, ModelPool> Pools;
   std::unordered_set<UpstreamId> OpenIds;
 };
--- a/src/plugins/routing/PredictedChoice.cpp
+++ b/src/plugins/routing/PredictedChoice.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Draws made for each candidate wanted before the sample is taken as it is.
+/// Maximum number of random draws for each requested candidate. The sample may
+/// remain smaller than requested.
 constexpr std::uint64_t DrawsPerCandidate = 12;
 
-/// The part of an engine's memory that one member of a group may hold.
+/// Fraction of its memory that an engine may use as a member of a group.
 constexpr double GroupShare = 0.9;
 
 bool contains(std::span<const std::uint32_t> Positions,
@@ -23,8 +24,8 @@
 std::vector<Candidate> PredictedChoice::candidates(const ChoiceDemand &Demand,
                                                    Time Now) {
   std::vector<Candidate> Result;
-  for (const std::uint32_t Each : this->sample(Demand))
-    Result.push_back(this->estimate(Each, Demand, Now));
+  for (const std::uint32_t Position : this->sample(Demand))
+    Result.push_back(this->estimate(Position, Demand, Now));
   std::stable_sort(Result.begin(), Result.end(),
                    [](const Candidate &Left, const Candidate &Right) {
                      if (Left.Estimate.HasMemory != Right.Estimate.HasMemory)
@@ -40,8 +41,8 @@
     return false;
   const Duration Bound =
       Demand.IsLong ? this->Values.LongQueue : this->Values.EngineQueue;
-  // A first try that can't keep its promise waits to be refused, unless an
-  // engine catches up; a retry goes on in any case.
+  // A first attempt that cannot meet its deadline waits. It is refused unless
+  // an engine becomes available in time. A retry is sent in any case.
   const bool IsLate = Now + Best.Estimate.FirstToken > Demand.Req.FirstTokenBy;
   if (IsLate && Demand.Limits.Excluded.empty())
     return true;
@@ -139,17 +140,17 @@
   std::vector<std::uint32_t> Drawn;
   while (Draws-- > 0 && OwnLeft + OtherLeft > 0 &&
          Drawn.size() < Engines.size()) {
-    const std::uint32_t Each = Engines[this->Rng.below(Engines.size())];
-    const Upstream &Engine = this->Fleet.upstreams()[Each];
+    const std::uint32_t Position = Engines[this->Rng.below(Engines.size())];
+    const Upstream &Engine = this->Fleet.upstreams()[Position];
     std::uint64_t &Remaining =
         Engine.Listing.Zone == this->SelfZone ? OwnLeft : OtherLeft;
-    const bool IsAccepted = Remaining > 0 && !contains(Drawn, Each) &&
-                            this->isUsable(Each, Demand) &&
+    const bool IsAccepted = Remaining > 0 && !contains(Drawn, Position) &&
+                            this->isUsable(Position, Demand) &&
                             !this->Tracker.hasIsolated(Engine.Listing.Id);
     if (!IsAccepted)
       continue;
     --Remaining;
-    Drawn.push_back(Each);
+    Drawn.push_back(Position);
   }
   return Drawn;
 }
@@ -158,9 +159,9 @@
 PredictedChoice::allUsable(std::span<const std::uint32_t> Engines,
                            const ChoiceDemand &Demand) const {
   std::vector<std::uint32_t> Usable;
-  for (const std::uint32_t Each : Engines)
-    if (this->isUsable(Each, Demand))
-      Usable.push_back(Each);
+  for (const std::uint32_t Position : Engines)
+    if (this->isUsable(Position, Demand))
+      Usable.push_back(Position);
   return Usable;
 }
 
--- a/src/plugins/routing/PredictedChoice.h
+++ b/src/plugins/routing/PredictedChoice.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chooses the engine that is predicted to give the first token earliest.
+/// Chooses the engine with the least predicted time to first token.
 #pragma once
 
 #include "base/Random.h"
@@ -12,21 +12,21 @@
 
 namespace banyanpick {
 
-/// One engine that was compared.
+/// An engine that is compared with others.
 struct Candidate {
   std::uint32_t Position = 0; ///< In FleetView::upstreams().
   std::uint64_t UncachedTokens = 0;
   EngineEstimate Estimate;
 };
 
-/// What a choice is made for.
+/// The request that an engine is chosen for, with its demand.
 struct ChoiceDemand {
   const Request &Req;
   const SelectionLimits &Limits;
   std::uint32_t Priority = 0;
-  std::uint64_t MemoryTokens = 0; ///< Prompt and bound of the answer.
+  std::uint64_t MemoryTokens = 0; ///< Prompt plus maximum output.
   bool IsLong = false;
-  double RemainingShare = 1; ///< Of an engine, by more urgent work.
+  double RemainingShare = 1; ///< Of an engine, left by more urgent work.
 };
 
 class PredictedChoice {
@@ -39,19 +39,21 @@
         LongPrompts(LongPrompts), SelfZone(SelfZone), Rng(Rng),
         Cost(Values, Tracker, SelfZone) {}
 
-  /// A few candidates with their estimates, best first.
+  /// Returns a few candidates with their estimates, best first.
   std::vector<Candidate> candidates(const ChoiceDemand &Demand, Time Now);
 
-  /// Whether the engine is so far behind that the request should wait here.
+  /// Returns whether the request should wait on this host: the best engine is
+  /// too busy or lacks memory, or a first attempt would miss its deadline.
   bool shouldWait(const Candidate &Best, const ChoiceDemand &Demand,
                   Time Now) const;
 
-  /// The engines that could hold the prompt's memory together now, best
-  /// first, with the memory of each in \p TokensEach; empty when none could.
+  /// Returns engines that can hold the memory of the prompt together now, best
+  /// first, and writes the tokens per engine to \p TokensEach. Returns an empty
+  /// list if there is no such group.
   std::vector<std::uint32_t> chooseGroup(const ChoiceDemand &Demand,
                                          std::uint64_t &TokensEach) const;
 
-  /// Whether the engine may get the request at all.
+  /// Returns whether the engine may receive the request.
   bool isUsable(std::uint32_t Position, const ChoiceDemand &Demand) const;
 
   Candidate estimate(std::uint32_t Position, const ChoiceDemand &Demand,
--- a/src/plugins/routing/RoutingPlugin.cpp
+++ b/src/plugins/routing/RoutingPlugin.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// When to look again for an engine that is not behind.
+/// Time until the next selection if no engine can take a request now.
 constexpr Duration RecheckInterval = milliseconds(20);
 
-/// Engine priorities reach from 0 to 255, urgencies from 0 to 9.
+/// Engine priorities range from 0 to 255, urgencies from 0 to 9.
 constexpr std::uint32_t PriorityPerUrgency = 20;
 
-/// Even beside a flood of urgent work some is left to the rest.
+/// Fraction of the capacity that is left to other work under any load of urgent
+/// work.
 constexpr double MinRemainingShare = 0.1;
 
-/// A single engine takes prompts up to this part of its memory.
+/// A single engine takes prompts up to this fraction of its memory.
 constexpr double SingleEngineShare = 0.95;
 
 } // namespace
@@ -79,8 +80,8 @@
 }
 
 std::uint32_t RoutingPlugin::priority(const Request &Req) const {
-  // Equal urgency is served in order of arrival on the engine: whatever rises
-  // there with time spent waiting lets later work overtake earlier work.
+  // Engines serve equal urgency in order of arrival. A priority that rises with
+  // the waiting time would let later work overtake earlier work.
   if (!this->Values.Parts.Priorities)
     return 0;
   return PriorityPerUrgency * Req.Class.Urgency;
@@ -145,8 +146,8 @@
                        RecheckInterval};
   std::vector<std::uint32_t> Positions;
   Positions.reserve(Candidates.size());
-  for (const Candidate &Each : Candidates)
-    Positions.push_back(Each.Position);
+  for (const Candidate &Item : Candidates)
+    Positions.push_back(Item.Position);
 
   Selection Result = NothingFits{false, RecheckInterval};
   if (this->exceedsOneEngine(Demand, Positions))
@@ -166,9 +167,9 @@
                                 std::span<const std::uint32_t> Engines,
                                 Time Now) {
   std::vector<std::uint32_t> Usable;
-  for (const std::uint32_t Each : Engines)
-    if (this->Predicted->isUsable(Each, Demand))
-      Usable.push_back(Each);
+  for (const std::uint32_t Position : Engines)
+    if (this->Predicted->isUsable(Position, Demand))
+      Usable.push_back(Position);
   if (Usable.empty())
     return NothingFits{false, RecheckInterval};
   const std::uint32_t Position =
@@ -185,15 +186,15 @@
   if (Engines.empty())
     return NothingFits{false, RecheckInterval};
   Candidate Best = this->Predicted->estimate(Engines.front(), Demand, Now);
-  for (const std::uint32_t Each : Engines) {
-    const Candidate Other = this->Predicted->estimate(Each, Demand, Now);
+  for (const std::uint32_t Position : Engines) {
+    const Candidate Other = this->Predicted->estimate(Position, Demand, Now);
     if (Other.Estimate.Score < Best.Estimate.Score)
       Best = Other;
   }
   Selected Choice = this->makeSelected(Best, Demand);
   Choice.GroupTokensEach = TokensEach;
-  for (const std::uint32_t Each : Engines)
-    Choice.Group.push_back(this->Fleet->upstreams()[Each].Listing.Id);
+  for (const std::uint32_t Position : Engines)
+    Choice.Group.push_back(this->Fleet->upstreams()[Position].Listing.Id);
   return Choice;
 }
 
@@ -210,9 +211,9 @@
 bool RoutingPlugin::exceedsOneEngine(
     const ChoiceDemand &Demand, std::span<const std::uint32_t> Usable) const {
   std::uint64_t MaxMemory = 0;
-  for (const std::uint32_t Each : Usable)
-    MaxMemory =
-        std::max(MaxMemory, this->Fleet->upstreams()[Each].Report.MemoryTokens);
+  for (const std::uint32_t Position : Usable)
+    MaxMemory = std::max(
+        MaxMemory, this->Fleet->upstreams()[Position].Report.MemoryTokens);
   return static_cast<double>(Demand.MemoryTokens) >
          SingleEngineShare * static_cast<double>(MaxMemory);
 }
@@ -221,10 +222,10 @@
                               std::span<const Candidate> Candidates,
                               Actions &Out) const {
   std::string Scores;
-  for (const Candidate &Each : Candidates) {
-    Scores += this->Fleet->upstreams()[Each.Position].Listing.Id.Value;
+  for (const Candidate &Item : Candidates) {
+    Scores += this->Fleet->upstreams()[Item.Position].Listing.Id.Value;
     Scores += ':';
-    Scores += std::to_string(Each.Estimate.FirstToken.count());
+    Scores += std::to_string(Item.Estimate.FirstToken.count());
     Scores += ' ';
   }
   if (!Scores.empty())
--- a/src/plugins/routing/RoutingPlugin.h
+++ b/src/plugins/routing/RoutingPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that chooses the upstream of each try.
+/// The plug-in that chooses the upstream of each attempt.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -70,7 +70,7 @@
   CapacityShare Share;
   LongPromptPool LongPrompts;
   std::unique_ptr<PredictedChoice> Predicted;
-  std::set<RequestId> Isolated; ///< Suspects chosen for, until they end.
+  std::set<RequestId> Isolated; ///< Isolated requests, until they end.
 };
 
 } // namespace banyanpick
--- a/src/plugins/routing/RoutingSettings.cpp
+++ b/src/plugins/routing/RoutingSettings.cpp
@@ -6,7 +6,7 @@
 
 constexpr std::string_view Section = "routing";
 
-/// A part's name in the setting `without`, and where it is switched.
+/// The name of a part in the setting `without`, and its switch.
 struct PartName {
   std::string_view Name;
   bool RoutingParts::*Switch;
@@ -26,16 +26,16 @@
 
 std::vector<std::string> partChoices() {
   std::vector<std::string> Result{"nothing"};
-  for (const PartName &Each : PartNames)
-    Result.emplace_back(Each.Name);
+  for (const PartName &Part : PartNames)
+    Result.emplace_back(Part.Name);
   return Result;
 }
 
 RoutingParts partsWithout(std::string_view Excluded) {
   RoutingParts Result;
-  for (const PartName &Each : PartNames)
-    if (Each.Name == Excluded)
-      Result.*Each.Switch = false;
+  for (const PartName &Part : PartNames)
+    if (Part.Name == Excluded)
+      Result.*Part.Switch = false;
   return Result;
 }
 
--- a/src/plugins/routing/SentWorkTracker.cpp
+++ b/src/plugins/routing/SentWorkTracker.cpp
@@ -19,8 +19,8 @@
   const auto Found = this->ByEngine.find(Engine);
   if (Found == this->ByEngine.end())
     return;
-  std::erase_if(Found->second, [&Attempt](const SentWork &Each) {
-    return Each.Attempt == Attempt;
+  std::erase_if(Found->second, [&Attempt](const SentWork &Item) {
+    return Item.Attempt == Attempt;
   });
   if (Found->second.empty())
     this->ByEngine.erase(Found);
@@ -32,14 +32,14 @@
   const std::vector<SentWork> *Items = this->findItems(Engine);
   if (!Items)
     return Sum;
-  // The newest stand last.
-  for (auto Each = Items->rbegin(); Each != Items->rend(); ++Each) {
-    if (Each->SentAt <= Since)
+  // The newest items are last.
+  for (auto It = Items->rbegin(); It != Items->rend(); ++It) {
+    if (It->SentAt <= Since)
       break;
-    Sum.MemoryTokens += Each->MemoryTokens;
+    Sum.MemoryTokens += It->MemoryTokens;
     ++Sum.Requests;
-    if (Each->Priority >= Priority)
-      Sum.PrefillTokens += Each->PrefillTokens;
+    if (It->Priority >= Priority)
+      Sum.PrefillTokens += It->PrefillTokens;
   }
   return Sum;
 }
@@ -47,8 +47,8 @@
 std::uint64_t SentWorkTracker::longPrefill(const UpstreamId &Engine) const {
   std::uint64_t Tokens = 0;
   if (const std::vector<SentWork> *Items = this->findItems(Engine))
-    for (const SentWork &Each : *Items)
-      Tokens += Each.IsLong ? Each.PrefillTokens : 0;
+    for (const SentWork &Item : *Items)
+      Tokens += Item.IsLong ? Item.PrefillTokens : 0;
   return Tokens;
 }
 
@@ -56,7 +56,7 @@
   const std::vector<SentWork> *Items = this->findItems(Engine);
   return Items &&
          std::any_of(Items->begin(), Items->end(),
-                     [](const SentWork &Each) { return Each.IsIsolated; });
+                     [](const SentWork &Item) { return Item.IsIsolated; });
 }
 
 std::size_t SentWorkTracker::attempts(const UpstreamId &Engine) const {
@@ -69,9 +69,9 @@
   const auto Found = this->ByEngine.find(Engine);
   if (Found == this->ByEngine.end())
     return nullptr;
-  for (SentWork &Each : Found->second)
-    if (Each.Attempt == Attempt)
-      return &Each;
+  for (SentWork &Item : Found->second)
+    if (Item.Attempt == Attempt)
+      return &Item;
   return nullptr;
 }
 
--- a/src/plugins/routing/SentWorkTracker.h
+++ b/src/plugins/routing/SentWorkTracker.h
@@ -1,6 +1,6 @@
 /// \file
-/// The attempts of this host that run on engines, with the prefill expected of
-/// each.
+/// Tracks the attempts of this host that run on engines, with their expected
+/// prefill.
 #pragma once
 
 #include "kernel/Services.h"
@@ -11,18 +11,18 @@
 
 namespace banyanpick {
 
-/// One own attempt on an engine.
+/// An attempt of this host on an engine.
 struct SentWork {
   AttemptId Attempt;
   Time SentAt{};
   std::uint32_t Priority = 0;
-  std::uint64_t PrefillTokens = 0; ///< 0 once the first token came.
-  std::uint64_t MemoryTokens = 0;  ///< Prompt and bound of the answer.
+  std::uint64_t PrefillTokens = 0; ///< 0 after the first token.
+  std::uint64_t MemoryTokens = 0;  ///< Prompt plus maximum output.
   bool IsLong = false;
-  bool IsIsolated = false; ///< A suspect of crashing engines.
+  bool IsIsolated = false; ///< Suspected of crashing engines.
 };
 
-/// Sums over some of the attempts on an engine.
+/// Sums over several attempts on an engine.
 struct WorkSum {
   std::uint64_t PrefillTokens = 0;
   std::uint64_t MemoryTokens = 0;
@@ -35,10 +35,11 @@
   void firstToken(const UpstreamId &Engine, const AttemptId &Attempt);
   void ended(const UpstreamId &Engine, const AttemptId &Attempt);
 
-  /// Attempts sent after \p Since at or above the priority.
+  /// Returns the sums over attempts sent after \p Since. PrefillTokens only
+  /// counts attempts at or above the priority.
   WorkSum sentSince(const UpstreamId &Engine, Time Since,
                     std::uint32_t Priority) const;
-  /// Prefill of long attempts that gave no token yet.
+  /// Returns the prefill tokens of long attempts before their first token.
   std::uint64_t longPrefill(const UpstreamId &Engine) const;
   bool hasIsolated(const UpstreamId &Engine) const;
   std::size_t attempts(const UpstreamId &Engine) const;
