--- a/tests/auto/routing/EngineCostTest.cpp
+++ b/tests/auto/routing/EngineCostTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Predictions from lagged reports, and the engines open to long prompts.
+/// Tests predictions from delayed load reports and the selection of engines
+/// that are open to long prompts.
 #include "plugins/routing/EngineCost.h"
 #include "plugins/routing/LongPromptPool.h"
 
@@ -36,14 +37,14 @@
   Upstream Engine;
 };
 
-TEST_F(EngineCostTest, CountsTheWorkAheadAtItsPriority) {
+TEST_F(EngineCostTest, CountsTokensAheadAtItsPriority) {
   EXPECT_EQ(this->estimate(180).FirstToken, seconds(2));
   EXPECT_EQ(this->estimate(40).FirstToken, seconds(4));
   this->Engine.Report.Backlog.clear();
   EXPECT_EQ(this->estimate(180).FirstToken, seconds(4));
 }
 
-TEST_F(EngineCostTest, JoinsTheReportWithOwnWorkAndItsAge) {
+TEST_F(EngineCostTest, CombinesReportWithItsAgeAndOwnWork) {
   this->Tracker.sent(UpstreamId("e"),
                      {AttemptId{}, Now + seconds(1), 180, 40'000, 60'000});
   EXPECT_EQ(this->estimate(180, Now + seconds(1)).FirstToken, seconds(5));
@@ -52,14 +53,14 @@
   EXPECT_EQ(this->estimate(180, Now + seconds(1)).FirstToken, seconds(1));
 }
 
-TEST(LongPromptPool, FollowsDemandAndLeavesSomeEnginesWithout) {
+TEST(LongPromptPool, FollowsDemandAndKeepsSomeEnginesClosed) {
   LongPromptPool Pool;
   Pool.addDemand(true, 50'000, Now);
   Pool.addDemand(false, 50'000, Now);
   const std::uint32_t Open = Pool.countOpen(16);
   EXPECT_EQ(Open, 10U);
   Pool.addDemand(false, 5'000, Now);
-  EXPECT_EQ(Pool.countOpen(16), Open) << "a small change is not followed";
+  EXPECT_EQ(Pool.countOpen(16), Open) << "a small change has no effect";
   Pool.addDemand(true, 10'000'000, Now);
   EXPECT_EQ(Pool.countOpen(16), 12U);
   EXPECT_EQ(Pool.countOpen(2), 1U);
