--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -38,7 +38,7 @@
   RequestQueuesPolicy QueuesPolicy;
   QueuesPolicy.DecodeWeight = Values.fraction(Section, "decode_weight");
   QueuesPolicy.AgingFraction = Values.fraction(Section, "aging_fraction");
-  this->Queue = std::make_unique<RequestQueues>(QueuesPolicy);
+  this->Queues = std::make_unique<RequestQueues>(QueuesPolicy);
   UsageGossipPolicy GossipPolicy;
   GossipPolicy.Interval = Values.span(Section, "usage_interval");
   GossipPolicy.ItemsPerInterval = Values.whole(Section, "usage_items");
@@ -63,9 +63,9 @@
 Time FairnessPlugin::nextWake() const { return this->Gossip->nextDue(); }
 
 void FairnessPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
-  Monitor.require(this->Queue->isConsistent(),
+  Monitor.require(this->Queues->isConsistent(),
                   "a request waits in one lane at most");
-  const double Virtual = this->Queue->virtualTime();
+  const double Virtual = this->Queues->virtualTime();
   Monitor.require(Virtual >= this->LatestVirtualTime,
                   "virtual time never decreases");
   this->LatestVirtualTime = Virtual;
@@ -74,20 +74,20 @@
 void FairnessPlugin::push(const Request &Req, Time Now) {
   const bool IsSuspect = this->Poison->isSuspect(Req, Now);
   const Time NotBefore = Now + this->Poison->spacing(Req, Now);
-  this->Queue->push(Req, IsSuspect, NotBefore, Now);
+  this->Queues->push(Req, IsSuspect, NotBefore, Now);
 }
 
-void FairnessPlugin::remove(const RequestId &Id) { this->Queue->remove(Id); }
+void FairnessPlugin::remove(const RequestId &Id) { this->Queues->remove(Id); }
 
 std::vector<RequestId> FairnessPlugin::candidates(std::size_t MaxCount,
                                                   Time Now) {
-  return this->Queue->candidates(MaxCount, Now);
+  return this->Queues->candidates(MaxCount, Now);
 }
 
 void FairnessPlugin::dispatched(const Request &Req, const Attempt &SentAttempt,
                                 Time Now, Actions &) {
   const auto Prefill = static_cast<double>(SentAttempt.UncachedTokens);
-  this->Gossip->record(this->Queue->dispatched(Req, Prefill), Now);
+  this->Gossip->record(this->Queues->dispatched(Req, Prefill), Now);
 }
 
 void FairnessPlugin::attemptEnded(const Request &Req,
@@ -98,13 +98,13 @@
                              ? 0
                              : static_cast<double>(SentAttempt.UncachedTokens);
   this->Gossip->record(
-      this->Queue->ended(Req, Prefill, deliveredChunks(SentAttempt, Outcome)),
+      this->Queues->ended(Req, Prefill, deliveredChunks(SentAttempt, Outcome)),
       Now);
 }
 
 void FairnessPlugin::ended(const Request &Req, const FinalAnswer &, Time,
                            Actions &) {
-  this->Queue->forget(Req.id());
+  this->Queues->forget(Req.id());
 }
 
 void FairnessPlugin::handleUsage(const PeerMessage &Message,
@@ -113,7 +113,7 @@
   for (const QueueWork &Work :
        this->Gossip->received(Message.From, Message.FromLife, Usage, Now)) {
     if (const TeamEntry *Team = Entries.team(Work.Team))
-      this->Queue->chargeRemote(Work, Team->Weight);
+      this->Queues->chargeRemote(Work, Team->Weight);
   }
 }
 
@@ -136,7 +136,7 @@
   if (Now - this->PrunedAt < PruneInterval)
     return;
   this->PrunedAt = Now;
-  this->Queue->prune(Now);
+  this->Queues->prune(Now);
   this->Gossip->prune(Now);
 }
 
--- a/src/plugins/fairness/FairnessPlugin.h
+++ b/src/plugins/fairness/FairnessPlugin.h
@@ -28,7 +28,7 @@
   void push(const Request &Req, Time Now) override;
   void remove(const RequestId &Id) override;
   std::vector<RequestId> candidates(std::size_t MaxCount, Time Now) override;
-  std::size_t size() const override { return this->Queue->size(); }
+  std::size_t size() const override { return this->Queues->size(); }
 
   // RequestObserver
   void dispatched(const Request &Req, const Attempt &SentAttempt, Time Now,
@@ -48,7 +48,7 @@
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
   const PoisonView *Poison = nullptr;
-  std::unique_ptr<RequestQueues> Queue;
+  std::unique_ptr<RequestQueues> Queues;
   std::unique_ptr<UsageGossip> Gossip;
   Time PrunedAt{};
   mutable double LatestVirtualTime = 0; ///< At the last invariant check.
--- a/src/plugins/fairness/RequestQueues.h
+++ b/src/plugins/fairness/RequestQueues.h
@@ -85,8 +85,8 @@
     bool IsWaiting = false;
   };
 
-  void enqueue(TrackedRequest &Of, const QueueKey &Key, Time Now);
-  void dequeue(TrackedRequest &Of);
+  void enqueue(TrackedRequest &Entry, const QueueKey &Key, Time Now);
+  void dequeue(TrackedRequest &Entry);
   void moveAged(Time Now);
   void releaseHeld(Time Now);
   TrackedRequest &findOrAdd(const Request &Req, bool IsIsolated);
--- a/src/plugins/fairness/StartTimeFairQueue.cpp
+++ b/src/plugins/fairness/StartTimeFairQueue.cpp
@@ -68,7 +68,7 @@
   }
   Flow &TeamFlow = this->flow(Team, Weight);
   const double Work = Tokens / TeamFlow.Weight;
-  const double MaxFinish = this->Virtual + Work * RemoteMemory;
+  const double MaxFinish = this->Virtual + Work * RemoteDelayFactor;
   const double RemoteFinish = std::max(TeamFlow.start(), this->Virtual) + Work;
   this->setFinish(Team, TeamFlow,
                   std::max(TeamFlow.Finish, std::min(RemoteFinish, MaxFinish)));
--- a/src/plugins/fairness/StartTimeFairQueue.h
+++ b/src/plugins/fairness/StartTimeFairQueue.h
@@ -39,8 +39,9 @@
   void correct(const TeamId &Team, double Tokens);
 
   /// Called when another host reports work for the team or corrects an earlier
-  /// report. The delay of the team is bounded by RemoteMemory times \p Tokens,
-  /// so that work on a host where no other team waited has a short effect.
+  /// report. The delay of the team is bounded by RemoteDelayFactor times \p
+  /// Tokens, so that work on a host where no other team waited has a short
+  /// effect.
   void chargeRemote(const TeamId &Team, double Weight, double Tokens);
 
   /// Returns the first \p MaxCount requests in the order of service.
@@ -67,12 +68,12 @@
   using FlowMap = std::map<TeamId, Flow>;
 
   Flow &flow(const TeamId &Team, double Weight);
-  void setFinish(const TeamId &Team, Flow &Of, double Finish);
+  void setFinish(const TeamId &Team, Flow &TeamFlow, double Finish);
   void beginBusyPeriod();
 
   /// Bound on the delay that remote work causes to a team, as a multiple of the
   /// last reported work.
-  static constexpr double RemoteMemory = 10;
+  static constexpr double RemoteDelayFactor = 10;
 
   FlowMap Flows;
   std::set<std::pair<double, TeamId>> Heads; ///< Waiting teams, by start tag.
--- a/src/plugins/fairness/UsageGossip.cpp
+++ b/src/plugins/fairness/UsageGossip.cpp
@@ -21,17 +21,17 @@
   this->SentAt = Now;
   ++this->Round;
   std::map<HostId, TeamUsage> Messages;
-  std::uint64_t Left = this->Policy.ItemsPerInterval;
+  std::uint64_t Remaining = this->Policy.ItemsPerInterval;
   auto It = this->Own.upper_bound(this->Cursor);
-  for (std::size_t Visited = 0; Visited < this->Own.size() && Left > 0;
+  for (std::size_t Visited = 0; Visited < this->Own.size() && Remaining > 0;
        ++Visited) {
     if (It == this->Own.end())
       It = this->Own.begin();
     this->Cursor = It->first;
     OwnTotal &Total = It->second;
     if (Total.IsChanged || Total.PeersLeft > 0)
-      Left -= this->addToMessages(It->first, Total, Peers(It->first.first),
-                                  Left, Messages);
+      Remaining -= this->addToMessages(It->first, Total, Peers(It->first.first),
+                                       Remaining, Messages);
     ++It;
   }
   std::vector<UsageForPeer> Result;
--- a/src/plugins/limits/ShareTracker.cpp
+++ b/src/plugins/limits/ShareTracker.cpp
@@ -71,10 +71,10 @@
   const auto SelfIndex = static_cast<std::size_t>(OwnDemand - Demands.begin());
   const std::uint64_t MinMove =
       std::max<std::uint64_t>(1, this->Split.Units / MinMoveDivisor);
-  std::uint64_t Left = std::min(Free, this->Held);
+  std::uint64_t Remaining = std::min(Free, this->Held);
   std::vector<ShareTransfer> Result;
   for (std::size_t PeerIndex = 0; PeerIndex < Demands.size(); ++PeerIndex) {
-    if (PeerIndex == SelfIndex || Left == 0)
+    if (PeerIndex == SelfIndex || Remaining == 0)
       continue;
     PeerBalance &Peer = this->Balances[Demands[PeerIndex].Host];
     // Received units are returned before own units are sent.
@@ -83,8 +83,8 @@
         std::min(Peer.Received, Flow.from(PeerIndex, SelfIndex));
     if (TargetSent < Peer.Sent + MinMove)
       continue;
-    const std::uint64_t Moved = std::min(TargetSent - Peer.Sent, Left);
-    Left -= Moved;
+    const std::uint64_t Moved = std::min(TargetSent - Peer.Sent, Remaining);
+    Remaining -= Moved;
     this->Held -= Moved;
     Peer.Sent += Moved;
     Result.push_back({Demands[PeerIndex].Host, Peer.Sent});
@@ -143,7 +143,7 @@
   const double IdleWeight = TotalDemand * IdleDemand;
   const double TotalWeight =
       TotalDemand + IdleWeight * static_cast<double>(View.Shares.size());
-  std::uint64_t Left = View.Units;
+  std::uint64_t Remaining = View.Units;
   std::size_t MaxIndex = 0;
   for (std::size_t Index = 0; Index < Demands.size(); ++Index) {
     const bool HasNoBaseShare =
@@ -153,12 +153,12 @@
         TotalWeight;
     Result[Index] =
         static_cast<std::uint64_t>(Part * static_cast<double>(View.Units));
-    Left -= Result[Index];
+    Remaining -= Result[Index];
     if (Demands[Index].DemandFraction > Demands[MaxIndex].DemandFraction)
       MaxIndex = Index;
   }
   // The rounding remainder goes to the host with the greatest demand.
-  Result[MaxIndex] += Left;
+  Result[MaxIndex] += Remaining;
   return Result;
 }
 
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -93,10 +93,10 @@
     return std::nullopt;
   // Adds random jitter, so that refused callers do not all retry at the same
   // time.
-  const Duration Left = *Until - Now;
+  const Duration Remaining = *Until - Now;
   const Duration Spread =
-      fromSeconds(inSeconds(Left) * 0.1 * this->Rng->fraction());
-  return NotRun{RefusalReason::Quarantined, Left + Spread,
+      fromSeconds(inSeconds(Remaining) * 0.1 * this->Rng->fraction());
+  return NotRun{RefusalReason::Quarantined, Remaining + Spread,
                 "this content crashed upstreams; change it, or ask an operator "
                 "to release quarantine " +
                     hex(Req.Head.Content)};
--- a/src/plugins/quarantine/SuspectTracker.cpp
+++ b/src/plugins/quarantine/SuspectTracker.cpp
@@ -56,17 +56,17 @@
 
 std::vector<Suspected> SuspectTracker::recordDeath(const UpstreamId &Upstream,
                                                    Incarnation Life, Time Now) {
-  const auto Victims = this->takeVictims(Upstream);
+  const auto Affected = this->takeAffectedContents(Upstream);
   Death NewDeath{Upstream, Life, Now, {}};
-  std::size_t Suspects = this->countPeerSuspects(Upstream, Victims, Now);
-  for (const auto &[Content, Team] : Victims) {
+  std::size_t Suspects = this->countPeerSuspects(Upstream, Affected, Now);
+  for (const auto &[Content, Team] : Affected) {
     NewDeath.Contents.push_back(Content);
     Suspects += this->isSuspect(Content, Now) ? 1 : 0;
   }
   this->Deaths.push_back(std::move(NewDeath));
 
   std::vector<Suspected> Result;
-  for (const auto &[Content, Team] : Victims) {
+  for (const auto &[Content, Team] : Affected) {
     const bool IsRepeated = this->isSuspect(Content, Now);
     Suspicion &Entry = this->Suspicions[Content];
     if (!IsRepeated)
@@ -76,7 +76,7 @@
     if (IsRepeated)
       this->addEvidence(Entry, Suspects, this->mayBeCommonCause(Content, Now));
     else
-      Entry.IsIsolated = Victims.size() <= this->Policy.IsolateUpTo;
+      Entry.IsIsolated = Affected.size() <= this->Policy.IsolateUpTo;
     Result.push_back(
         {Content, Team, Entry.Deaths, Entry.IsIsolated, Entry.Evidence >= 1});
   }
@@ -91,7 +91,7 @@
 }
 
 std::map<Fingerprint, TeamId>
-SuspectTracker::takeVictims(const UpstreamId &Upstream) {
+SuspectTracker::takeAffectedContents(const UpstreamId &Upstream) {
   std::map<Fingerprint, TeamId> Result;
   for (auto &[Id, Run] : this->Running) {
     const bool IsThere = std::find(Run.Upstreams.begin(), Run.Upstreams.end(),
@@ -107,7 +107,7 @@
 bool SuspectTracker::mayBeCommonCause(Fingerprint Content, Time Now) const {
   return std::any_of(
       this->Deaths.begin(), this->Deaths.end(), [&](const Death &Recorded) {
-        const bool IsNear = Now - Recorded.At <= this->Policy.CommonCause;
+        const bool IsNear = Now - Recorded.DiedAt <= this->Policy.CommonCause;
         const bool RanThere =
             std::find(Recorded.Contents.begin(), Recorded.Contents.end(),
                       Content) != Recorded.Contents.end();
@@ -117,13 +117,13 @@
 
 std::size_t
 SuspectTracker::countPeerSuspects(const UpstreamId &Upstream,
-                                  const std::map<Fingerprint, TeamId> &Victims,
+                                  const std::map<Fingerprint, TeamId> &Affected,
                                   Time Now) const {
   const auto Count = std::count_if(
       this->PeerRuns.begin(), this->PeerRuns.end(), [&](const auto &Entry) {
         const auto &[Content, Run] = Entry;
         return Run.Upstream == Upstream && Run.Until > Now &&
-               !Victims.contains(Content);
+               !Affected.contains(Content);
       });
   return static_cast<std::size_t>(Count);
 }
@@ -185,7 +185,7 @@
   std::erase_if(this->PeerRuns,
                 [&](const auto &Entry) { return Entry.second.Until <= Now; });
   while (!this->Deaths.empty() &&
-         Now - this->Deaths.front().At > this->Policy.Retention)
+         Now - this->Deaths.front().DiedAt > this->Policy.Retention)
     this->Deaths.pop_front();
 }
 
--- a/src/plugins/quarantine/SuspectTracker.h
+++ b/src/plugins/quarantine/SuspectTracker.h
@@ -104,18 +104,19 @@
   struct Death {
     UpstreamId Upstream;
     Incarnation Life;
-    Time At{};
+    Time DiedAt{};
     std::vector<Fingerprint> Contents;
   };
 
   std::vector<Suspected> recordDeath(const UpstreamId &Upstream,
                                      Incarnation Life, Time Now);
-  std::map<Fingerprint, TeamId> takeVictims(const UpstreamId &Upstream);
+  std::map<Fingerprint, TeamId>
+  takeAffectedContents(const UpstreamId &Upstream);
   void addEvidence(Suspicion &Entry, std::size_t Suspects,
                    bool MayBeCommonCause) const;
   bool mayBeCommonCause(Fingerprint Content, Time Now) const;
   std::size_t countPeerSuspects(const UpstreamId &Upstream,
-                                const std::map<Fingerprint, TeamId> &Victims,
+                                const std::map<Fingerprint, TeamId> &Affected,
                                 Time Now) const;
   const Suspicion *find(Fingerprint Content, Time Now) const;
 
--- a/tests/auto/fairness/FairnessHostsTest.cpp
+++ b/tests/auto/fairness/FairnessHostsTest.cpp
@@ -102,49 +102,50 @@
 }
 
 TEST(FairnessHostsTest, SpreadingDoesNotFavourALargeTeam) {
-  Backlog All(3);
-  All.declare("large", 600);
+  Backlog Backlogs(3);
+  Backlogs.declare("large", 600);
   for (int Host = 0; Host < 3; ++Host)
-    All.declare("small" + std::to_string(Host), 600);
-  All.start();
+    Backlogs.declare("small" + std::to_string(Host), 600);
+  Backlogs.start();
   for (std::size_t Host = 0; Host < 3; ++Host) {
     for (int Index = 0; Index < 3000; ++Index) {
-      All.push(Host, "large");
-      All.push(Host, "small" + std::to_string(Host));
+      Backlogs.push(Host, "large");
+      Backlogs.push(Host, "small" + std::to_string(Host));
     }
   }
   for (int Second = 0; Second < 120; ++Second)
-    All.serve(20);
-  std::printf("Jain's index over three hosts: %.4f\n", jain(All.Work));
-  EXPECT_GE(jain(All.Work), 0.98);
+    Backlogs.serve(20);
+  std::printf("Jain's index over three hosts: %.4f\n", jain(Backlogs.Work));
+  EXPECT_GE(jain(Backlogs.Work), 0.98);
 }
 
 /// One of 320 hosts, with 300 active teams that have the largest limits.
 TEST(FairnessHostsTest, ReportedBytesAreBounded) {
   constexpr int Teams = 300;
   constexpr int Seconds = 20;
-  Backlog All(1);
+  Backlog Backlogs(1);
   for (int Peer = 1; Peer < 320; ++Peer)
-    All.Hosts[0]->Members.add(HostId("host-" + std::to_string(Peer)));
+    Backlogs.Hosts[0]->Members.add(HostId("host-" + std::to_string(Peer)));
   for (int Team = 0; Team < Teams; ++Team)
-    All.declare("member-house-" + std::to_string(Team), 3000);
-  All.start();
+    Backlogs.declare("member-house-" + std::to_string(Team), 3000);
+  Backlogs.start();
   std::size_t Bytes = 0;
   for (int Second = 0; Second < Seconds; ++Second) {
     for (int Team = 0; Team < Teams; ++Team)
-      All.push(0, "member-house-" + std::to_string(Team));
+      Backlogs.push(0, "member-house-" + std::to_string(Team));
     Actions Out;
-    for (const RequestId &Id : All.Hosts[0]->Tested.candidates(Teams, All.Now))
-      All.Hosts[0]->Tested.remove(Id);
+    for (const RequestId &Id :
+         Backlogs.Hosts[0]->Tested.candidates(Teams, Backlogs.Now))
+      Backlogs.Hosts[0]->Tested.remove(Id);
     for (int Team = 0; Team < Teams; ++Team) {
       const Request Sent = RequestMaker(100'000 + Team)
                                .team("member-house-" + std::to_string(Team))
                                .prompt(50'000 + Second);
-      All.Hosts[0]->Tested.dispatched(Sent, attemptOf(Sent, 1, "e"), All.Now,
-                                      Out);
+      Backlogs.Hosts[0]->Tested.dispatched(Sent, attemptOf(Sent, 1, "e"),
+                                           Backlogs.Now, Out);
     }
-    All.Now += seconds(1);
-    for (SendToPeer &Message : All.Hosts[0]->handle(Tick(), All.Now))
+    Backlogs.Now += seconds(1);
+    for (SendToPeer &Message : Backlogs.Hosts[0]->handle(Tick(), Backlogs.Now))
       Bytes += encodePeerMessage(
                    {HostId("host-0"), Incarnation(7), std::move(Message.Body)})
                    .size();
--- a/tests/auto/limits/LimitsDeployment.h
+++ b/tests/auto/limits/LimitsDeployment.h
@@ -31,7 +31,7 @@
   }
 
   /// Sends a request of the team to a host. Returns whether it is admitted.
-  bool ask(std::size_t Host) {
+  bool sendRequest(std::size_t Host) {
     const Request Req = RequestMaker(++this->Requests)
                             .prompt(900)
                             .output(100)
