--- a/src/plugins/fairness/StartTimeFairQueue.h
+++ b/src/plugins/fairness/StartTimeFairQueue.h
@@ -39,9 +39,9 @@
   void correct(const TeamId &Team, double Tokens);
 
   /// Called when another host reports work for the team or corrects an earlier
-  /// report. The delay of the team is bounded by RemoteDelayFactor times \p
-  /// Tokens, so that work on a host where no other team waited has a short
-  /// effect.
+  /// report. The resulting delay of the team is at most \p Tokens times
+  /// RemoteDelayFactor, so that work on a host where no other team waited has a
+  /// short effect.
   void chargeRemote(const TeamId &Team, double Weight, double Tokens);
 
   /// Returns the first \p MaxCount requests in the order of service.
