--- a/src/plugins/limits/ShareTracker.cpp
+++ b/src/plugins/limits/ShareTracker.cpp
@@ -115,7 +115,8 @@
   if (Found == this->Balances.end())
     return;
   const PeerBalance Peer = Found->second;
-  // A host without a base share never returns more than it received.
+  // A host without a base share returns no more units to another host than it
+  // received from that host.
   this->Held += Peer.Sent - Peer.Received;
   this->Balances.erase(Found);
 }
--- a/src/plugins/limits/TeamLimit.cpp
+++ b/src/plugins/limits/TeamLimit.cpp
@@ -183,8 +183,8 @@
 }
 
 bool TeamLimit::isIdle(Time Now) {
-  // Discarding the state restores the base share, so transferred units must
-  // keep it while their receiver may hold them.
+  // Discarding the state would restore the base share. Transferred units must
+  // not return while their receiver may hold them.
   const bool HasTransferred = std::any_of(
       this->Trackers.begin(), this->Trackers.end(),
       [](const ShareTracker &Tracker) { return !Tracker.transfers().empty(); });
--- a/src/plugins/limits/TeamLimit.h
+++ b/src/plugins/limits/TeamLimit.h
@@ -47,7 +47,8 @@
 
   /// Returns the demand of this host as reported to its peers.
   TeamUsage::Item usage(Time Now) const;
-  /// Returns the demand of this host as a fraction of the limit.
+  /// Returns the demand of this host as a fraction of the limit; 1 is the whole
+  /// limit.
   double ownDemandFraction(Time Now) const {
     return this->demandFraction(this->usage(Now));
   }
