--- a/src/plugins/routing/PredictedChoice.cpp
+++ b/src/plugins/routing/PredictedChoice.cpp
@@ -41,8 +41,9 @@
     return false;
   const Duration Bound =
       Demand.IsLong ? this->Values.LongQueue : this->Values.EngineQueue;
-  // A first attempt that cannot meet its deadline waits. It is refused unless
-  // an engine becomes available in time. A retry is sent in any case.
+  // A first attempt that cannot meet its deadline waits until it is refused,
+  // unless an engine becomes available in time. A late retry does not wait for
+  // this reason.
   const bool IsLate = Now + Best.Estimate.FirstToken > Demand.Req.FirstTokenBy;
   if (IsLate && Demand.Limits.Excluded.empty())
     return true;
