--- a/src/libs/gateway/AnswerSignals.cpp
+++ b/src/libs/gateway/AnswerSignals.cpp
@@ -8,7 +8,7 @@
   return match(
       Of, [](const NoBackoff &) { return Duration(0); },
       [](const BackoffRequested &Is) { return Is.For; },
-      [](const BackoffUnreadable &Is) { return Is.TakenAs; });
+      [](const BackoffUnreadable &Is) { return Is.AppliedLength; });
 }
 
 } // namespace banyanpick
--- a/src/libs/gateway/AnswerSignals.h
+++ b/src/libs/gateway/AnswerSignals.h
@@ -21,8 +21,8 @@
 };
 /// It asks for a rest whose length can't be read, or is out of bounds.
 struct BackoffUnreadable {
-  std::string Text;   ///< The beginning of what it said.
-  Duration TakenAs{}; ///< The rest that is given all the same.
+  std::string Text;         ///< The beginning of what it said.
+  Duration AppliedLength{}; ///< The rest that is given all the same.
 
   bool operator==(const BackoffUnreadable &) const = default;
 };
--- a/src/libs/gateway/GatewayEvent.h
+++ b/src/libs/gateway/GatewayEvent.h
@@ -54,7 +54,11 @@
 };
 /// A part of the store that is followed answers, or does not.
 struct StoreObserved {
-  enum class Part { Configuration, Engines, Hosts } Of = Part::Configuration;
+  enum class Part {
+    Configuration,
+    Engines,
+    Hosts
+  } Source = Part::Configuration;
   bool Reachable = false;
   std::string Why; ///< When it is not reachable.
 };
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -72,7 +72,7 @@
 }
 
 void EnginesPlugin::note(const StoreObserved &Seen, Time Now, Actions &Out) {
-  if (Seen.Of != StoreObserved::Part::Engines)
+  if (Seen.Source != StoreObserved::Part::Engines)
     return;
   if (!Seen.Reachable)
     this->LastFailed = Now;
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -64,10 +64,10 @@
         Out.log(logEvent(events::EngineBackoffUnreadable)
                     .with("engine", Is.Engine.Value)
                     .with("said", Each.Text)
-                    .with("taken_as_us", Each.TakenAs.count())
+                    .with("taken_as_us", Each.AppliedLength.count())
                     .build());
         Out.count("engine_rests_unreadable", Is.Engine.Value);
-        this->rest(Is.Engine, Each.TakenAs, Now, Out);
+        this->rest(Is.Engine, Each.AppliedLength, Now, Out);
       });
   if (Is.Signals.Leaving == LeavingSignal::Absent)
     return;
--- a/tests/auto/http/AttemptTest.cpp
+++ b/tests/auto/http/AttemptTest.cpp
@@ -193,7 +193,7 @@
   const auto Meaning = [&](const ClientResult &Result) {
     return appendAnswerFrom(Id, Result).Result;
   };
-  EXPECT_EQ(Meaning(ClientAnswer{200, R"({"offset":9})"}), Taken);
+  EXPECT_EQ(Meaning(ClientAnswer{200, R"({"offset":9})"}), Appended);
   EXPECT_EQ(Meaning(ClientAnswer{200, "{}"}), Unknown);
   EXPECT_EQ(Meaning(ClientAnswer{503, ""}), Refused);
   EXPECT_EQ(Meaning(ClientAnswer{500, ""}), Unknown);
--- a/tests/auto/platformadapter/HeadersTest.cpp
+++ b/tests/auto/platformadapter/HeadersTest.cpp
@@ -206,7 +206,7 @@
     const BackoffSignal Said = restOf(Head);
     const auto *Unreadable = std::get_if<BackoffUnreadable>(&Said);
     ASSERT_NE(Unreadable, nullptr) << Text;
-    EXPECT_EQ(Unreadable->TakenAs, Duration(DefaultBackoff)) << Text;
+    EXPECT_EQ(Unreadable->AppliedLength, Duration(DefaultBackoff)) << Text;
   }
 }
 
