--- a/src/libs/kernel/Action.h
+++ b/src/libs/kernel/Action.h
@@ -1,6 +1,6 @@
 /// \file
-/// Everything a kernel can ask of its driver. The driver carries the actions
-/// out in order and reports back by events.
+/// The actions that a kernel requests from its driver. The driver executes the
+/// actions in order and reports results as events.
 #pragma once
 
 #include "base/LogEvent.h"
@@ -14,21 +14,21 @@
 
 // --- callers
 
-/// The request is admitted; a streaming caller may be sent its resume token.
+/// Accepts the request. A streaming caller may receive its resume token.
 struct AcceptRequest {
   RequestId Request;
   std::string ResumeToken;
 
   bool operator==(const AcceptRequest &) const = default;
 };
-/// The final answer; sent at once, and exactly once a request.
+/// Sends the final answer immediately. Occurs exactly once for each request.
 struct AnswerRequest {
   RequestId Request;
   FinalAnswer Answer;
 
   bool operator==(const AnswerRequest &) const = default;
 };
-/// Tells a streaming caller to reconnect elsewhere with its resume token.
+/// Redirects a streaming caller to another host with its resume token.
 struct RedirectCaller {
   RequestId Request;
   Address To;
@@ -36,10 +36,11 @@
 
   bool operator==(const RedirectCaller &) const = default;
 };
-/// Joins a returned caller's connection to the stream of an older request.
+/// Attaches the connection of a reconnected caller to the stream of an earlier
+/// request.
 struct JoinStream {
   RequestId Request; ///< The new connection.
-  RequestId Stream;  ///< The request whose stream it gets.
+  RequestId Stream;  ///< The request whose stream the connection receives.
   std::uint64_t NextIndex = 0;
 
   bool operator==(const JoinStream &) const = default;
@@ -54,7 +55,7 @@
 
 // --- upstreams
 
-/// Send the request to the upstream; chunks before NextIndex were delivered.
+/// Sends the request to the upstream. Chunks before NextIndex were delivered.
 struct DispatchAttempt {
   AttemptId Attempt;
   RequestId Request;
@@ -66,13 +67,14 @@
   std::uint64_t MaxOutputTokens = 0;
   std::uint64_t NextIndex = 0;
   Time Deadline{};
-  std::vector<HoldId> Holds; ///< Group holds it uses.
-  /// Attach to this attempt's running stream instead of starting anew.
+  std::vector<HoldId> Holds; ///< Group holds that the attempt uses.
+  /// Attaches to the running stream of this attempt instead of starting a new
+  /// one.
   std::optional<AttemptId> AttachTo;
 
   bool operator==(const DispatchAttempt &) const = default;
 };
-/// Drop the attempt and tell the upstream to free what it holds for it.
+/// Drops the attempt and tells the upstream to free its resources.
 struct CancelAttempt {
   AttemptId Attempt;
   UpstreamId Upstream;
@@ -121,7 +123,7 @@
 
   bool operator==(const UnloadModel &) const = default;
 };
-/// Whether the engine takes long prompts.
+/// Sets whether the engine accepts long prompts.
 struct ChangeRole {
   bool TakesLong = false;
 
@@ -134,7 +136,7 @@
   UpstreamId Upstream;
   Address At;
   LogOffset Fencing = 0;
-  Time ValidUntil{}; ///< The driver does not send it later than this.
+  Time ValidUntil{}; ///< The driver does not send the order after this time.
   OrderBody Body;
 
   bool operator==(const OrderUpstream &) const = default;
@@ -145,13 +147,13 @@
 struct ReadHostList {
   bool operator==(const ReadHostList &) const = default;
 };
-/// Read records from this offset on; answered by LogRead or LogReadFailed.
+/// Reads records starting at the offset; answered by LogRead or LogReadFailed.
 struct ReadLog {
   LogOffset FromOffset = 0;
 
   bool operator==(const ReadLog &) const = default;
 };
-/// Append the records as one append; answered by AppendAnswered.
+/// Appends the records in one operation; answered by AppendAnswered.
 struct AppendToLog {
   AppendId Append;
   std::vector<LogRecord> Records;
@@ -167,7 +169,7 @@
 
   bool operator==(const SendToPeer &) const = default;
 };
-/// The peers that exist and where they listen; sent when it changes.
+/// Sets the peers and their addresses. Sent when either changes.
 struct ConnectPeers {
   std::vector<HostListing> Peers;
 
@@ -182,7 +184,7 @@
 
   bool operator==(const WriteLogLine &) const = default;
 };
-/// One measured value: counted, or put into a histogram, under the name.
+/// Records one measured value as a counter, histogram or gauge.
 struct RecordMeasurement {
   enum class Kind { Count, Histogram, Gauge } As = Kind::Count;
   std::string_view Name; ///< Points to a string literal.
@@ -191,7 +193,7 @@
 
   bool operator==(const RecordMeasurement &) const = default;
 };
-/// Everything is finished; the process may end.
+/// All work is finished and the process may exit.
 struct StopNow {
   bool operator==(const StopNow &) const = default;
 };
@@ -204,10 +206,10 @@
                  AnswerOperator, WriteLogLine, RecordMeasurement, StopNow,
                  GatewayAction>;
 
-/// The actions of one event, in the order they are to be carried out.
+/// The actions that result from one event, in execution order.
 class Actions {
 public:
-  void add(Action Wanted) { this->Items.push_back(std::move(Wanted)); }
+  void add(Action Next) { this->Items.push_back(std::move(Next)); }
   void log(LogEvent Line) { this->add(WriteLogLine{std::move(Line)}); }
 
   /// Counts one occurrence under \p Name, a string literal.
--- a/src/libs/kernel/AddressText.cpp
+++ b/src/libs/kernel/AddressText.cpp
@@ -12,10 +12,10 @@
 [[noreturn]] void throwMalformed(std::string_view Text) {
   throw Error(ErrorKind::BadInput,
               "'" + std::string(Text) + "' is not an address",
-              "give an IP number and a port, such as 127.0.0.1:8080");
+              "use an IP address and a port, such as 127.0.0.1:8080");
 }
 
-bool isIpNumber(const std::string &Text) {
+bool isIpAddress(const std::string &Text) {
   in6_addr Unused{};
   return inet_pton(AF_INET, Text.c_str(), &Unused) == 1 ||
          inet_pton(AF_INET6, Text.c_str(), &Unused) == 1;
@@ -32,9 +32,9 @@
     Ip = Ip.substr(1, Ip.size() - 2);
   Address Result{std::string(Ip), 0};
   const char *End = Text.data() + Text.size();
-  const auto [Rest, Failure] =
+  const auto [Parsed, Failure] =
       std::from_chars(Text.data() + Colon + 1, End, Result.Port);
-  if (Failure != std::errc() || Rest != End || !isIpNumber(Result.Ip))
+  if (Failure != std::errc() || Parsed != End || !isIpAddress(Result.Ip))
     throwMalformed(Text);
   return Result;
 }
--- a/src/libs/kernel/AddressText.h
+++ b/src/libs/kernel/AddressText.h
@@ -1,5 +1,5 @@
 /// \file
-/// Addresses as text.
+/// Conversion of addresses from and to text.
 #pragma once
 
 #include "kernel/Upstream.h"
@@ -9,8 +9,8 @@
 
 namespace banyanpick {
 
-/// Reads `ip:port`, with brackets around an IPv6 number. Throws
-/// Error(BadInput) when it is none.
+/// Parses `ip:port`. An IPv6 address is enclosed in brackets. Throws
+/// Error(BadInput) if the text is malformed.
 Address addressFromText(std::string_view Text);
 
 /// The inverse of addressFromText().
--- a/src/libs/kernel/Answer.h
+++ b/src/libs/kernel/Answer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The final answers a caller can get.
+/// The final answers that a caller can receive.
 #pragma once
 
 #include "base/Time.h"
@@ -12,35 +12,35 @@
 
 /// Why a request was not run.
 enum class RefusalReason {
-  NotReady,       ///< This host does not know the catalogue yet.
-  Leaving,        ///< This host is stopping; ask for another.
-  NotCurrent,     ///< This host is cut off and can't know the catalogue.
-  NotAllowed,     ///< Key wrong or class not the team's.
-  BadRequest,     ///< Exceeds its class or lacks something.
-  OverLimit,      ///< The team's own limit is used up.
-  Overloaded,     ///< Can't end within its promise.
-  NoUpstream,     ///< Nothing serves its target now.
+  NotReady,       ///< This host has not loaded the catalogue yet.
+  Leaving,        ///< This host is stopping; use another host.
+  NotCurrent,     ///< This host is partitioned; its catalogue may be stale.
+  NotAllowed,     ///< The key is wrong or the class belongs to another team.
+  BadRequest,     ///< Exceeds the limits of its class or lacks a field.
+  OverLimit,      ///< The team has used up its limit.
+  Overloaded,     ///< Cannot be completed before its deadline.
+  NoUpstream,     ///< No upstream serves the target now.
   Quarantined,    ///< This content crashed upstreams.
-  LogUnavailable, ///< A claim can't be recorded now.
-  KeyTooOld,      ///< The operation key is older than claims are kept.
+  LogUnavailable, ///< The log cannot record a claim now.
+  KeyTooOld,      ///< The operation key is older than the claim retention.
 };
 
-/// The kind's name as it stands in answers and logs.
+/// Returns the reason's name as written in answers and logs.
 std::string_view name(RefusalReason Reason);
 
-/// The whole answer was delivered: Count chunks, or one result.
+/// The complete answer was delivered: Count chunks, or one result.
 struct CompleteAnswer {
   std::uint64_t Count = 0;
-  std::string Result; ///< An application call's result; empty for streams.
+  std::string Result; ///< Result of an application call; empty for streams.
 
   bool operator==(const CompleteAnswer &) const = default;
 };
 
-/// The request did not run and will not.
+/// The request did not run and will not run.
 struct NotRun {
   RefusalReason Reason = RefusalReason::NotReady;
-  Duration RetryAfter{}; ///< Zero: asking again changes nothing.
-  std::string Message;   ///< Names the remedy.
+  Duration RetryAfter{}; ///< Zero: a retry cannot succeed.
+  std::string Message;   ///< Says what the caller can do.
 
   bool operator==(const NotRun &) const = default;
 };
@@ -53,15 +53,15 @@
   bool operator==(const FailedAnswer &) const = default;
 };
 
-/// A non-idempotent call may or may not have run; it is never run again.
+/// A non-idempotent call may or may not have run. It is never run again.
 struct OutcomeUnknown {
   std::string Message;
-  Duration RetryAfter{}; ///< When asking again may know more.
+  Duration RetryAfter{}; ///< When a retry may learn the outcome.
 
   bool operator==(const OutcomeUnknown &) const = default;
 };
 
-/// A non-idempotent call with this key is running on some host.
+/// A non-idempotent call with this operation key is running on some host.
 struct InProgress {
   Duration RetryAfter{};
 
--- a/src/libs/kernel/Event.h
+++ b/src/libs/kernel/Event.h
@@ -1,6 +1,6 @@
 /// \file
-/// Everything that can happen to a kernel. The driver (daemon or test harness)
-/// turns I/O into these and hands them in with the present time.
+/// The events that a kernel handles. The driver (daemon or test harness)
+/// converts I/O into events and passes each one with the current time.
 #pragma once
 
 #include "gateway/GatewayEvent.h"
@@ -25,28 +25,29 @@
 struct RequestArrived {
   RequestHead Head;
 };
-/// The caller hung up; nobody waits for the answer.
+/// The caller disconnected and does not wait for the answer.
 struct CallerDisconnected {
   RequestId Request;
 };
-/// A caller came back with a resume token for a stream of this host, or one
-/// handed over to it.
+/// A caller reconnected with the resume token of a stream that this host serves
+/// or that was handed over to this host.
 struct ResumeRequest {
-  RequestId Request; ///< The new connection's id.
+  RequestId Request; ///< Identifies the new connection.
   std::string TeamKey;
   std::string ResumeToken;
   std::uint64_t NextIndex = 0;
 };
-/// A caller asks which entry hosts to use.
+/// A caller asks which entry hosts it should use.
 struct ResolveRequest {
   ResolveRequestId Id;
   TeamId Team; ///< May be empty.
-  ZoneId Zone; ///< Nearest to the caller; may be empty.
+  ZoneId Zone; ///< The zone nearest to the caller; may be empty.
 };
 
 // --- upstreams
 
-/// The stream stands at NextIndex; sent at the first chunk and coarsely after.
+/// The stream has reached NextIndex. Sent at the first chunk and at a coarse
+/// interval after it.
 struct AttemptProgressed {
   AttemptId Attempt;
   std::uint64_t NextIndex = 0;
@@ -55,7 +56,8 @@
   AttemptId Attempt;
   AttemptOutcome Outcome;
 };
-/// An answer to a cancel: the upstream holds nothing for the attempt now.
+/// The answer to a cancellation. When confirmed, the upstream no longer holds
+/// resources for the attempt.
 struct CancelAnswered {
   AttemptId Attempt;
   UpstreamId Upstream;
@@ -66,7 +68,7 @@
 };
 struct LoadPollFailed {
   UpstreamId Upstream;
-  bool Refused = false; ///< Nothing listens there, as against silence.
+  bool Refused = false; ///< Connection refused, as opposed to a timeout.
 };
 struct CacheEventsReported {
   UpstreamId Upstream;
@@ -84,7 +86,7 @@
   OrderId Order;
   UpstreamId Upstream;
   OrderResult Result = OrderResult::Unknown;
-  LogOffset HighestFencing = 0; ///< With RefusedFencing.
+  LogOffset HighestFencing = 0; ///< Set with RefusedFencing.
 };
 
 // --- the platform
@@ -94,8 +96,9 @@
   std::vector<UpstreamListing> Upstreams;
 };
 struct HostListReadFailed {};
-/// Records from the offset asked for up to NextOffset. StartOffset is the
-/// oldest still kept and EndOffset the next to be given.
+/// Records from the requested offset up to NextOffset. StartOffset is the
+/// oldest offset that the log retains. EndOffset is the next offset that the
+/// log will assign.
 struct LogRead {
   std::vector<StoredRecord> Records;
   LogOffset FromOffset = 0;
@@ -108,7 +111,7 @@
 struct AppendAnswered {
   AppendId Append;
   AppendResult Result = AppendResult::Unknown;
-  LogOffset Offset = 0; ///< With Taken.
+  LogOffset Offset = 0; ///< Set with Appended.
 };
 
 // --- entry hosts, operators, process
@@ -121,9 +124,9 @@
   std::string OperatorKey; ///< `owner.secret`; never logged.
   OperatorQuestion Question;
 };
-/// The process was told to stop gracefully.
+/// The process was asked to stop gracefully.
 struct StopRequest {};
-/// Time has passed; sent when the kernel's nextWake() is reached.
+/// A timer event; sent when the time returned by nextWake() is reached.
 struct Tick {};
 
 using Event = std::variant<
--- a/src/libs/kernel/GatewayServices.h
+++ b/src/libs/kernel/GatewayServices.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the plug-ins of a gateway offer each other.
+/// The interfaces between the plug-ins of a gateway.
 #pragma once
 
 #include "gateway/RouteTable.h"
@@ -13,80 +13,82 @@
 class RouteView {
 public:
   virtual ~RouteView() = default;
-  /// Null until a configuration is known.
+  /// Returns null until a configuration is loaded.
   virtual const RouteTable *routes() const = 0;
-  /// Whether a newer one has been in force elsewhere for longer than it may
-  /// take to come here.
+  /// Whether another host has had a newer configuration in force for longer
+  /// than the allowed propagation time.
   virtual bool isStale(Time Now) const = 0;
 };
 
-/// Whether an upstream may get work.
+/// Whether an upstream may receive requests.
 enum class EngineStanding {
   Usable,
-  Missing, ///< Its registration vanished beside an outage of the store; it may
-           ///< live. Used only when nothing else is there.
-  Leaving, ///< It said so, or another one has its address.
+  Missing, ///< Its registration disappeared around an outage of the store, so
+           ///< it may be alive. Used only if no other upstream is available.
+  Leaving, ///< It reported so, or another upstream has its address.
 };
 
-/// The standing's name in logs.
+/// Returns the standing's name in logs.
 std::string_view name(EngineStanding Standing);
 
-/// One upstream that is registered, or was until lately.
+/// An upstream that is registered or was removed recently.
 struct RegisteredEngine {
   EngineRecord Record;
   EngineStanding Standing = EngineStanding::Usable;
-  LogOffset Offset = 0;       ///< Of the last record taken in,
-  LogOffset ChangedAt = 0;    ///< and of the last that said anything new.
+  LogOffset Offset = 0;       ///< Offset of the last record applied.
+  LogOffset ChangedAt = 0;    ///< Offset of the last record that changed it.
   Time Since{};               ///< When the standing last changed.
-  std::uint64_t NameHash = 0; ///< Hash of its name, all of its lives alike;
-                              ///< divides engines among hosts.
+  std::uint64_t NameHash = 0; ///< Hash of its name, equal for all incarnations.
+                              ///< Partitions the engines among hosts.
 };
 
-/// Who the upstreams are.
+/// The registered upstreams.
 class EngineDirectory {
 public:
   virtual ~EngineDirectory() = default;
-  /// The upstream, or null when it is gone.
+  /// Returns the upstream, or null if it was removed.
   virtual const RegisteredEngine *find(const UpstreamId &Id) const = 0;
-  /// All of the service that are not gone, ordered by id.
+  /// Returns the upstreams of the service that are not removed, ordered by id.
   virtual std::span<const RegisteredEngine *const>
   ofService(const ServiceId &Service) const = 0;
-  /// The upstream refused a request that named it: another has its address.
+  /// Called when the upstream's address refused a request because it now
+  /// belongs to another upstream.
   virtual void addressTaken(const UpstreamId &Id, Time Now, Actions &Out) = 0;
-  /// This life of the upstream says that it leaves. It is never usable again,
-  /// whatever the registry says of it later. \p From: who told, for logs.
+  /// Called when this incarnation of the upstream reports that it is leaving.
+  /// It never becomes usable again, even if the registry later says so. \p From
+  /// is the source of the report, for logs.
   virtual void noteLeaving(const UpstreamId &Id, std::string_view From,
                            Time Now, Actions &Out) = 0;
 };
 
-/// Told when an upstream comes, changes its standing or goes.
+/// Notified when an upstream is added, changes its standing or is removed.
 class EngineObserver {
 public:
   virtual ~EngineObserver() = default;
   virtual void engineChanged(const RegisteredEngine &, Time, Actions &) {}
   virtual void engineRemoved(const UpstreamId &, Time, Actions &) {}
-  /// The engine started anew: whatever this earlier life of it was working on
-  /// or kept in memory is lost. engineRemoved() follows.
+  /// The engine restarted. The work and memory of the earlier incarnation are
+  /// lost. Followed by engineRemoved() for the earlier incarnation.
   virtual void engineRestarted(const UpstreamId &, Time, Actions &) {}
 };
 
-/// One try of a relayed request on one upstream.
+/// One attempt of a relayed request on one upstream.
 struct RelayAttempt {
   AttemptId Id;
   RequestId Request;
   UpstreamId Engine;
   ServiceId Service;
-  std::vector<HelperEngine> Helpers; ///< That read a part of its prompt.
+  std::vector<HelperEngine> Helpers; ///< Engines that prefill a part of it.
   std::uint64_t PromptTokens = 0;
-  std::uint64_t OutputTokens = 0; ///< At most.
+  std::uint64_t OutputTokens = 0; ///< Maximum length of the answer.
   Fingerprint Content;
   Time SentAt{};
   Duration Predicted{};   ///< From sending to the first event; zero: unknown.
   Duration MaxEventGap{}; ///< Between its events; zero: not declared.
-  bool Began = false;     ///< The first event went to the caller.
+  bool Began = false;     ///< The first event was sent to the caller.
 };
 
-/// Told of each step of each try.
+/// Notified of each state change of an attempt.
 class RelayObserver {
 public:
   virtual ~RelayObserver() = default;
@@ -94,147 +96,149 @@
   virtual void attemptBegan(const RelayAttempt &, Time, Actions &) {}
   virtual void attemptEnded(const RelayAttempt &, const RelayOutcome &, Time,
                             Actions &) {}
-  /// Given up here; its connection is closed.
+  /// This host cancelled the attempt and closed its connection.
   virtual void attemptCancelled(const RelayAttempt &, Time, Actions &) {}
 };
 
-/// Which upstreams fail what they are given.
+/// The upstreams that are distrusted because their attempts fail.
 class EngineTrustView {
 public:
   virtual ~EngineTrustView() = default;
-  /// Whether work should go elsewhere if it can.
+  /// Whether requests should go to another upstream if possible.
   virtual bool isAvoided(const UpstreamId &Id, Time Now) const = 0;
-  /// What this host saw itself, for its peers.
+  /// Returns the engines that this host itself observed to fail, for its peers.
   virtual std::vector<EngineWork::Distrust> distrusted(Time Now) const = 0;
 };
 
-/// How much more engines take that name how many requests they take.
+/// The remaining quota at engines that declare a request limit.
 class EngineQuota {
 public:
   virtual ~EngineQuota() = default;
   virtual bool isLimited(const UpstreamId &Engine) const = 0;
-  /// Whether one more request may be sent there now; always, where the engine
-  /// names no limit.
+  /// Whether one more request may be sent now. Always true for engines that
+  /// declare no limit.
   virtual bool hasQuota(const UpstreamId &Engine, Time Now) const = 0;
-  /// A request would have gone there if there were room.
+  /// Called when a request would have been sent if quota were available.
   virtual void requestQuota(const UpstreamId &Engine, Time Now) = 0;
-  /// Until there may be room; unknown while nobody has told.
+  /// Returns the delay until quota may be available, if it is known.
   virtual std::optional<Duration> quotaAvailableAfter(const UpstreamId &Engine,
                                                       Time Now) const = 0;
 };
 
-/// That an upstream takes no request of this host now.
+/// Why an upstream accepts no requests from this host now.
 struct EngineBlocked {
   enum class Why {
-    Leaving,    ///< Or gone.
-    BackingOff, ///< It asked this host for rest.
-    AtLimit,    ///< The hosts together have sent what it takes.
+    Leaving,    ///< Leaving or removed.
+    BackingOff, ///< It asked this host to back off.
+    AtLimit,    ///< The hosts together have used up its limit.
   } Is = Why::Leaving;
-  std::optional<Duration> AvailableAfter; ///< Unknown, or never, when absent.
+  std::optional<Duration> AvailableAfter; ///< Absent: unknown or never.
 };
 
-/// May this host send the upstream a request now?
+/// Decides whether this host may send an upstream a request now.
 class EngineGate {
 public:
   virtual ~EngineGate() = default;
-  /// Why not, and until when; nothing when it may.
+  /// Returns why and for how long the upstream is blocked, or nothing if it is
+  /// not.
   virtual std::optional<EngineBlocked> blocked(const UpstreamId &Engine,
                                                Time Now) const = 0;
-  /// Whether it had better go elsewhere: the upstream asked another host for
-  /// rest.
+  /// Whether another upstream is preferable because this one asked another host
+  /// to back off.
   virtual bool isDiscouraged(const UpstreamId &Engine, Time Now) const = 0;
 };
 
-/// Which contents crash upstreams.
+/// The contents that crash upstreams.
 class CrashView {
 public:
   virtual ~CrashView() = default;
   virtual bool isQuarantined(Fingerprint Content, Time Now) const = 0;
 };
 
-/// What is wanted of an upstream for one try.
+/// The requirements on an upstream for one attempt.
 struct EngineRequirements {
   RequestId Request;
   ServiceId Service;
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
   Duration Objective{};
-  Duration MaxEventGap{};     ///< Between events; zero: undeclared.
-  Duration Waited{};          ///< Since it arrived.
-  Duration Left{};            ///< Until its time is over.
-  bool MayRetryLater = false; ///< Its caller has not tried before, and may be
-                              ///< told to come back.
-  std::span<const UpstreamId> Excluded; ///< Not on these.
+  Duration MaxEventGap{};     ///< Between events; zero: not declared.
+  Duration Waited{};          ///< Time since the request arrived.
+  Duration Left{};            ///< Time until its deadline.
+  bool MayRetryLater = false; ///< This is the caller's first attempt; the
+                              ///< caller may be told to retry later.
+  std::span<const UpstreamId> Excluded; ///< Upstreams not to select.
 };
 
-/// The upstream for one try.
+/// The upstream selected for one attempt.
 struct SelectedEngine {
   UpstreamId Engine;
-  /// Those with Tokens must set so much memory aside before the try is sent;
-  /// the upstream itself is then the first of them.
+  /// Helpers with Tokens must reserve that much memory before the attempt is
+  /// sent. In that case the upstream itself is the first of them.
   std::vector<HelperEngine> Helpers;
   std::optional<std::uint32_t> Urgency;
   Duration Predicted{};       ///< To the first event; zero: unknown.
-  std::size_t AtLimit = 0;    ///< Engines passed over, as they take no more,
-  std::size_t BackingOff = 0; ///< and as they asked for rest.
+  std::size_t AtLimit = 0;    ///< Engines skipped because they are at limit.
+  std::size_t BackingOff = 0; ///< Engines skipped because of a backoff.
 };
 
-/// Prompts that go before it are to be read first.
+/// The request must wait until prompts with precedence are prefilled.
 struct AwaitTurn {
-  Duration CheckAfter{}; ///< When it may be its turn, from now.
+  Duration CheckAfter{}; ///< Delay before the next selection.
 };
 
-/// No upstream can begin it in time now; one can when it comes back.
+/// No upstream can start the request in time now, but one can after a delay.
 struct RetryLater {
   enum class Why {
-    TooLate, ///< What is ahead of it takes too long.
-    Blocked, ///< All engines are at their limits or at rest.
+    TooLate, ///< The queued work takes too long.
+    Blocked, ///< All engines are at their limits or backing off.
   } Is = Why::TooLate;
   Duration After{};
 };
 
-/// No upstream can take it now.
+/// No upstream can take the request now.
 struct NoEngine {};
 
 using EngineChoice =
     std::variant<SelectedEngine, AwaitTurn, RetryLater, NoEngine>;
 
-/// Chooses upstreams.
+/// Selects upstreams.
 class EngineSelector {
 public:
   virtual ~EngineSelector() = default;
-  /// A request that awaits its turn asks again, or loses its place.
-  virtual EngineChoice choose(const EngineRequirements &Wanted, Time Now) = 0;
-  /// The request awaits its turn no longer: it is over.
+  /// A request that got AwaitTurn must call this again or it loses its place in
+  /// the queue.
+  virtual EngineChoice choose(const EngineRequirements &Needed, Time Now) = 0;
+  /// Removes a request that ended from the queue.
   virtual void forget(const RequestId &Request, Time Now) = 0;
 };
 
-/// Sets memory aside on engines for a prompt that one engine can't hold.
+/// Reserves memory on engines for a prompt that does not fit on one engine.
 class MemoryReserver {
 public:
   virtual ~MemoryReserver() = default;
-  /// Asks for the memory of all \p Shares that name Tokens. Answered by
-  /// MemoryObserver::memoryDecided(), not before it returns.
+  /// Requests the memory of all \p Shares with Tokens. Answered by
+  /// MemoryObserver::memoryDecided(), never before the return.
   virtual void acquire(const RequestId &Id,
                        std::span<const HelperEngine> Shares, Time Now,
                        Actions &Out) = 0;
-  /// Lets go what is held or asked for; idempotent.
+  /// Releases reservations that are held or requested; idempotent.
   virtual void release(const RequestId &Id, Time Now, Actions &Out) = 0;
 };
 
-/// Told how setting memory aside went.
+/// Notified of the result of memory reservations.
 class MemoryObserver {
 public:
   virtual ~MemoryObserver() = default;
-  /// The engine has less memory free than a share asked for needs.
+  /// The engine has less free memory than a requested share needs.
   virtual void memoryRefused(const UpstreamId &, Time) {}
-  /// \p Shares have their reservations; empty when they could not all be had,
-  /// and nothing is held then.
+  /// \p Shares contains the reserved shares. It is empty, and no memory is
+  /// held, if not all of them could be reserved.
   virtual void memoryDecided(const RequestId &, std::span<const HelperEngine>,
                              Time, Actions &) {}
 };
 
-/// How much this gateway has under way.
+/// The number of requests that this gateway is relaying.
 class RelayCount {
 public:
   virtual ~RelayCount() = default;
--- a/src/libs/kernel/InvariantMonitor.h
+++ b/src/libs/kernel/InvariantMonitor.h
@@ -1,5 +1,5 @@
 /// \file
-/// Invariants asserted inside the running program.
+/// Collects violations of invariants that are checked at run time.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,23 @@
 
 namespace banyanpick {
 
-/// Collects broken invariants: the daemon logs and counts them, tests fail.
+/// Collects broken invariants. The daemon logs and counts them; tests fail on
+/// them.
 class InvariantMonitor {
 public:
-  /// Notes the invariant as broken unless \p Holds.
+  /// Records the invariant as broken unless \p Holds is true.
   void require(bool Holds, std::string_view Invariant) {
     if (!Holds)
       this->Broken.emplace_back(Invariant);
   }
 
-  /// What was broken since the last call.
+  /// Returns the invariants that were broken since the last call.
   std::vector<std::string> takeBroken() {
     this->Total += this->Broken.size();
     return std::exchange(this->Broken, {});
   }
 
-  /// How many were taken so far.
+  /// Returns the number of violations that takeBroken() has returned.
   std::uint64_t total() const { return this->Total; }
 
 private:
--- a/src/libs/kernel/Kernel.cpp
+++ b/src/libs/kernel/Kernel.cpp
@@ -12,21 +12,21 @@
     : Self(std::move(SelfGiven)), Values(std::move(ValuesGiven)),
       Numbers(Seed) {
   PluginContext Context(this->Self, this->Values, this->Offered, this->Numbers);
-  for (const PluginDescription &Each : pluginsFor(Mode)) {
-    this->Plugins.push_back(Each.Make());
+  for (const PluginDescription &Description : pluginsFor(Mode)) {
+    this->Plugins.push_back(Description.Make());
     this->Plugins.back()->initialize(Context);
   }
 }
 
 Kernel::~Kernel() = default;
 
-std::vector<Action> Kernel::handle(const Event &What, Time Now) {
+std::vector<Action> Kernel::handle(const Event &Input, Time Now) {
   this->Latest = std::max(this->Latest, Now);
   Actions Out;
   if (!this->Started)
     this->start(this->Latest, Out);
-  for (const auto &Each : this->Plugins)
-    Each->handle(What, this->Latest, Out);
+  for (const auto &Plugin : this->Plugins)
+    Plugin->handle(Input, this->Latest, Out);
   if (++this->Events % this->Interval == 0)
     this->checkInvariants(this->Latest, Out);
   return Out.take();
@@ -34,20 +34,20 @@
 
 Time Kernel::nextWake() const {
   Time Earliest = Never;
-  for (const auto &Each : this->Plugins)
-    Earliest = std::min(Earliest, Each->nextWake());
+  for (const auto &Plugin : this->Plugins)
+    Earliest = std::min(Earliest, Plugin->nextWake());
   return Earliest;
 }
 
 void Kernel::start(Time Now, Actions &Out) {
   this->Started = true;
-  for (const auto &Each : this->Plugins)
-    Each->start(Now, Out);
+  for (const auto &Plugin : this->Plugins)
+    Plugin->start(Now, Out);
 }
 
 void Kernel::checkInvariants(Time Now, Actions &Out) {
-  for (const auto &Each : this->Plugins)
-    Each->checkInvariants(this->Monitor, Now);
+  for (const auto &Plugin : this->Plugins)
+    Plugin->checkInvariants(this->Monitor, Now);
   for (const std::string &Broken : this->Monitor.takeBroken()) {
     Out.log(
         logEvent(events::InvariantBroken).with("invariant", Broken).build());
--- a/src/libs/kernel/Kernel.h
+++ b/src/libs/kernel/Kernel.h
@@ -1,6 +1,6 @@
 /// \file
-/// The deciding state machine of one entry host. It does no I/O, reads no
-/// clock, starts no thread and shares nothing with other kernels.
+/// The decision-making state machine of one entry host. It does no I/O, reads
+/// no clock, starts no threads and shares no state with other kernels.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -11,32 +11,32 @@
 
 namespace banyanpick {
 
-/// Events in, actions out. The same identity, settings, seed and events give
-/// the same actions.
+/// Converts events into actions. Deterministic: the same identity, settings,
+/// seed and events result in the same actions.
 class Kernel {
 public:
-  /// Makes and initializes all registered plug-ins that serve so.
+  /// Creates and initializes the registered plug-ins of the serving mode.
   Kernel(Identity Self, Settings Values, std::uint64_t Seed,
          ServingMode Mode = ServingMode::Catalogue);
   ~Kernel();
   Kernel(const Kernel &) = delete;
   Kernel &operator=(const Kernel &) = delete;
 
-  /// Handles one event. \p Now never runs backwards; an earlier time than
-  /// that of the last event is taken as that time.
-  std::vector<Action> handle(const Event &What, Time Now);
+  /// Handles one event. The kernel's time never moves backwards: if \p Now is
+  /// earlier than the time of the last event, that time is used instead.
+  std::vector<Action> handle(const Event &Input, Time Now);
 
-  /// When the driver must send a Tick at the latest.
+  /// Returns the latest time at which the driver must send a Tick.
   Time nextWake() const;
 
   /// Checks all invariants after every event instead of every
-  /// InvariantInterval-th; for tests.
+  /// InvariantInterval-th event; for tests.
   void checkEveryEvent() { this->Interval = 1; }
 
-  /// Invariants broken so far.
+  /// Returns the number of invariant violations so far.
   std::uint64_t invariantsBroken() const { return this->Monitor.total(); }
 
-  /// What the plug-ins offer; for tests and the status page.
+  /// Returns the services of the plug-ins; for tests and the status page.
   Services &services() { return this->Offered; }
   const Identity &self() const { return this->Self; }
 
@@ -44,7 +44,7 @@
   void start(Time Now, Actions &Out);
   void checkInvariants(Time Now, Actions &Out);
 
-  /// How many events pass between two checks in the daemon.
+  /// Number of events between two invariant checks in the daemon.
   static constexpr std::uint64_t InvariantInterval = 1024;
 
   Identity Self;
--- a/src/libs/kernel/LogRecord.h
+++ b/src/libs/kernel/LogRecord.h
@@ -1,5 +1,5 @@
 /// \file
-/// The records that entry hosts keep in the platform's append-only log.
+/// The records that entry hosts store in the platform's append-only log.
 #pragma once
 
 #include "base/StrongId.h"
@@ -21,8 +21,8 @@
   bool operator==(const ConfigurationRecord &) const = default;
 };
 
-/// The right to run one non-idempotent operation; the first in log order owns
-/// it for good.
+/// The right to run one non-idempotent operation. The first claim in log order
+/// owns the operation permanently.
 struct ClaimRecord {
   OperationKey Key;
   TeamId Team;
@@ -38,31 +38,33 @@
   OperationKey Key;
   TeamId Team;
   Incarnation OwnerLife;
-  /// Released: never dispatched, so the key is free again. Unknown: the
-  /// upstream may have run it.
+  /// Released: never dispatched; the key can be claimed again. Unknown: the
+  /// upstream may have run the operation.
   enum class Kind { Done, Failed, Unknown, Released } Ended = Kind::Unknown;
   std::string Result;
-  /// Sequence of the RecordId of the claim that it ends; its maker is
-  /// OwnerLife. A late copy of a release can't end a later claim.
+  /// Sequence of the RecordId of the claim that this record ends; the maker of
+  /// that id is OwnerLife. Prevents a delayed duplicate of a release from
+  /// ending a later claim.
   std::uint64_t ClaimSequence = 0;
 
   bool operator==(const OutcomeRecord &) const = default;
 };
 
-/// One piece of the canonical text of the catalogue at an offset. Every host
-/// that writes it writes the same bytes.
+/// One chunk of the canonical text of the catalogue at an offset. All hosts
+/// write identical bytes.
 struct SnapshotChunk {
   LogOffset AtOffset = 0;
   std::uint32_t Index = 0;
   std::uint32_t Count = 0;
-  std::uint64_t WholeChecksum = 0; ///< xxhash64 of the whole text.
+  std::uint64_t WholeChecksum = 0; ///< xxhash64 of the complete text.
   std::string Bytes;
 
   bool operator==(const SnapshotChunk &) const = default;
 };
 
-/// A steward's lease on giving orders to one engine. Its offset in the log is
-/// the fencing number of the orders given under it.
+/// A lease that makes one host the leader of an engine: only the leader sends
+/// orders to it. The offset of the record in the log is the fencing number of
+/// these orders.
 struct StewardLease {
   UpstreamId Engine;
   HostId Leader;
@@ -85,7 +87,7 @@
     std::variant<ConfigurationRecord, ClaimRecord, OutcomeRecord, SnapshotChunk,
                  StewardLease, QuarantineRecord>;
 
-/// A record with the id by which its writer finds it again.
+/// A record with the id by which its writer recognizes it in the log.
 struct LogRecord {
   RecordId Id;
   LogRecordBody Body;
@@ -93,8 +95,8 @@
   bool operator==(const LogRecord &) const = default;
 };
 
-/// A record as read from the log. Several records may share one append and so
-/// one offset; Position orders them inside it.
+/// A record as read from the log. Records of one append share one offset;
+/// Position orders them within the append.
 struct StoredRecord {
   LogOffset Offset = 0;
   std::uint32_t Position = 0;
--- a/src/libs/kernel/Operator.h
+++ b/src/libs/kernel/Operator.h
@@ -1,5 +1,5 @@
 /// \file
-/// What operators ask of an entry host, and what it answers.
+/// Questions from operators to an entry host, and its answers.
 #pragma once
 
 #include "base/StrongId.h"
@@ -15,11 +15,11 @@
 
 using OperatorRequestId = StrongId<struct OperatorQuestionTag, std::uint64_t>;
 
-/// Apply a change set; the author is proved by the key given with it.
+/// Applies a change set. The operator key authenticates the author.
 struct ApplyChanges {
   ChangeSet Set;
 };
-/// The verdict on an earlier change set, by its id.
+/// Requests the verdict on an earlier change set by its id.
 struct QueryVerdict {
   ChangeId Id;
 };
@@ -28,7 +28,7 @@
   LogOffset FromOffset = 0;
 };
 struct ShowStatus {};
-/// Let a quarantined fingerprint run again on this deployment.
+/// Allows a quarantined fingerprint to run again in this deployment.
 struct ReleaseQuarantine {
   Fingerprint Content;
 };
@@ -37,7 +37,7 @@
     std::variant<ApplyChanges, QueryVerdict, ShowCatalogue, ShowHistory,
                  ShowStatus, ReleaseQuarantine>;
 
-/// One entry host as another one sees it.
+/// The state of an entry host as seen by another entry host.
 struct HostStatus {
   HostId Host;
   ZoneId Zone;
@@ -51,7 +51,7 @@
   UpstreamId Id;
   UpstreamKind Kind = UpstreamKind::Engine;
   ZoneId Zone;
-  std::string State; ///< live, leaving, dead, unknown.
+  std::string State; ///< One of live, leaving, dead, unknown.
   std::uint64_t QueuedPrefillTokens = 0;
   std::uint64_t FreeMemoryTokens = 0;
   std::uint64_t MemoryTokens = 0;
@@ -68,7 +68,7 @@
 struct StatusReport {
   HostId Host;
   bool Ready = false;
-  bool Current = false; ///< Known to be current with the log.
+  bool Current = false; ///< The catalogue is known to be current with the log.
   bool Leaving = false;
   LogOffset InForce = 0;
   std::uint64_t InvariantsBroken = 0;
@@ -77,7 +77,7 @@
   std::vector<QuarantineStatus> Quarantined;
 };
 
-/// What is in force.
+/// The catalogue in force.
 struct CatalogueShown {
   LogOffset AtOffset = 0;
   EntryMap Entries;
@@ -92,19 +92,19 @@
   std::vector<HistoryItem> Items;
 };
 
-/// Accepted and read back from the log.
+/// The changes were accepted and read back from the log.
 struct ChangesAccepted {
   LogOffset Offset = 0;
 };
 struct ChangesRejected {
   std::string Message;
 };
-/// Not known yet; ask with QueryVerdict.
+/// The verdict is not known yet; request it with QueryVerdict.
 struct VerdictPending {
   std::string Message;
 };
 struct OperatorRefused {
-  std::string Message; ///< Tells nothing about keys.
+  std::string Message; ///< Reveals nothing about keys.
 };
 struct Done {};
 
--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -1,6 +1,6 @@
 /// \file
-/// What entry hosts tell each other. Everything here may be lost, repeated or
-/// late; nothing that must last depends on it.
+/// The messages between entry hosts. Messages may be lost, duplicated or
+/// delayed. Durable state never depends on them.
 #pragma once
 
 #include "base/StrongId.h"
@@ -18,46 +18,47 @@
 
 enum class MemberState { Alive, Suspect, Dead, Leaving };
 
-/// What somebody says of a member; the higher incarnation and the worse state
-/// win.
+/// A gossip update about a member. The higher incarnation takes precedence,
+/// then the worse state.
 struct MemberUpdate {
   HostId Host;
   Incarnation Life;
   std::uint64_t Version = 0; ///< Raised by the member to refute a suspicion.
   MemberState State = MemberState::Alive;
-  bool Ready = false; ///< It has begun to admit requests in this life.
+  bool Ready = false; ///< This incarnation has begun to admit requests.
 
   bool operator==(const MemberUpdate &) const = default;
 };
 
-/// "I live, and this is how far I am."
+/// Announces that the sender is alive, with its state.
 struct Heartbeat {
   std::uint64_t Sequence = 0;
-  bool Acknowledges = false; ///< An answer to a heartbeat; asks for none.
+  bool Acknowledges = false; ///< Answers a heartbeat; expects no answer.
   ZoneId Zone;
   std::uint64_t Version = 0;
   bool Leaving = false;
   bool Ready = false;    ///< The sender admits requests.
-  LogOffset InForce = 0; ///< Catalogue offset in force on the sender.
-  Time LogConfirmedAt{}; ///< When the sender last knew that it was current.
+  LogOffset InForce = 0; ///< Offset of the catalogue in force on the sender.
+  Time LogConfirmedAt{}; ///< When the sender was last known to be current.
   std::vector<MemberUpdate> Updates;
-  /// Where the sender is, and some others that it knows, for hosts that find
-  /// each other without a host list.
+  /// The sender's own listing and some listings it knows, for hosts that
+  /// discover each other without a host list.
   std::vector<HostListing> KnownHosts;
-  /// Changes of the service registry before this offset are known here.
+  /// The sender knows all changes of the service registry before this offset.
   LogOffset EnginesKnownTo = 0;
-  /// Of the registrations that the sender knows; equal digests: equal ones.
+  /// Digest of the registrations that the sender knows. Equal digests mean
+  /// equal registrations.
   std::uint64_t EnginesDigest = 0;
-  /// How long ago a host read the store whose knowledge the sender has; an age,
-  /// as hosts' clocks differ. Never: not known.
+  /// Time since the store was read by a host whose view the sender has. Sent as
+  /// an age because the clocks of hosts differ. The maximum means unknown.
   Duration StoreAge = Duration::max();
-  /// The sender sends and answers heartbeats so much later than it should.
+  /// How late the sender sends and answers heartbeats.
   Duration Late{};
 
   bool operator==(const Heartbeat &) const = default;
 };
 
-/// Work that the sender has outstanding on engines, as of now.
+/// The sender's current outstanding work on engines.
 struct WorkSent {
   struct Item {
     UpstreamId Engine;
@@ -71,16 +72,17 @@
   bool operator==(const WorkSent &) const = default;
 };
 
-/// How much each team used on the sender since the last one, and wants.
+/// The usage of each team on the sender since the previous message, and its
+/// current demand.
 struct TeamUsage {
   struct Item {
     TeamId Team;
     double ServiceTokens = 0;  ///< Work done for the team, in token units.
-    double DemandRequests = 0; ///< Requests a second asked for.
-    double DemandTokens = 0;   ///< Tokens a second asked for.
+    double DemandRequests = 0; ///< Requested requests per second.
+    double DemandTokens = 0;   ///< Requested tokens per second.
     std::uint32_t Concurrent = 0;
-    /// Which of the sender's queues did the work: a hash of what the queue is
-    /// for, the same on every host.
+    /// The queue that did the work: a hash of the queue's key, equal on all
+    /// hosts.
     std::uint32_t Lane = 0;
 
     bool operator==(const Item &) const = default;
@@ -91,20 +93,21 @@
   bool operator==(const TeamUsage &) const = default;
 };
 
-/// A part of a team's limit that the sender gave up before sending this. It
-/// is cumulative: a repeat changes nothing and a later one makes good a loss.
+/// Transfers a part of a team's limit to the receiver. The sender gives up its
+/// part before it sends the message. The message is cumulative: duplicates have
+/// no effect and a later message replaces a lost one.
 struct LimitShare {
   TeamId Team;
-  std::uint64_t Transfer = 0; ///< Counts the transfers of the sender's life.
-  double Fraction = 0; ///< Share of the whole limit given to the receiver, in
-                       ///< all since the view began.
+  std::uint64_t Transfer = 0; ///< Counts transfers of the sender's incarnation.
+  double Fraction = 0; ///< Share of the total limit given to the receiver since
+                       ///< the view began.
   Time ValidFrom{};
-  std::uint64_t View = 0; ///< Hash of the split that the share is a part of.
+  std::uint64_t View = 0; ///< Hash of the split that contains this share.
 
   bool operator==(const LimitShare &) const = default;
 };
 
-/// Records of the log passed on, for those cut off from it.
+/// Forwards log records to hosts that are partitioned from the log.
 struct RecordsRelayed {
   std::vector<StoredRecord> Records; ///< Contiguous from FirstOffset.
   LogOffset FirstOffset = 0;
@@ -113,15 +116,15 @@
   bool operator==(const RecordsRelayed &) const = default;
 };
 
-/// "Send me the records from here on."
+/// Requests the log records from the offset on.
 struct RecordsRequest {
   LogOffset FromOffset = 0;
 
   bool operator==(const RecordsRequest &) const = default;
 };
 
-/// The catalogue's whole canonical text, for a host whose log has lost its
-/// start.
+/// The complete canonical text of the catalogue, for a host that cannot read
+/// the beginning of the log any more.
 struct CatalogueRelayed {
   LogOffset AtOffset = 0;
   std::string Text;
@@ -129,18 +132,20 @@
   bool operator==(const CatalogueRelayed &) const = default;
 };
 
-/// A fingerprint seen to crash upstreams, ahead of the log.
+/// Announces a fingerprint that crashed upstreams before the log record
+/// arrives.
 struct QuarantineNotice {
   Fingerprint Content;
   std::uint32_t Crashes = 0;
   Time Until{};
-  UpstreamId Upstream; ///< Where a suspect runs now, kept apart; or empty.
+  UpstreamId Upstream; ///< Where an isolated suspect runs now; may be empty.
   Incarnation UpstreamLife;
 
   bool operator==(const QuarantineNotice &) const = default;
 };
 
-/// An upstream leaves, or died; known from its own word or by experience.
+/// Announces that an upstream is leaving or dead, as reported by the upstream
+/// or observed by the sender.
 struct UpstreamNotice {
   UpstreamId Upstream;
   Incarnation Life;
@@ -150,14 +155,14 @@
   bool operator==(const UpstreamNotice &) const = default;
 };
 
-/// A load report passed on to those that do not poll the engine themselves.
+/// Forwards a load report to hosts that do not poll the engine themselves.
 struct LoadRelayed {
   LoadReport Report;
 
   bool operator==(const LoadRelayed &) const = default;
 };
 
-/// A stream that the receiver shall go on serving.
+/// Hands over a stream that the receiver must continue to serve.
 struct StreamHandover {
   std::string ResumeToken;
   TeamId Team;
@@ -170,73 +175,75 @@
   bool operator==(const StreamHandover &) const = default;
 };
 
-/// "I serve that stream now."
+/// Confirms that the sender now serves the stream.
 struct HandoverTaken {
   std::string ResumeToken;
 
   bool operator==(const HandoverTaken &) const = default;
 };
 
-/// Records that the receiver shall append for their maker, which sees them in
-/// the log and repeats those that it does not see.
+/// Records that the receiver appends on behalf of their maker. The maker
+/// watches the log for its records and resends the missing ones.
 struct RecordsToAppend {
   std::vector<LogRecord> Records;
 
   bool operator==(const RecordsToAppend &) const = default;
 };
 
-/// "Send me the configuration if yours is newer than this version."
+/// Requests the configuration if the receiver has a newer version.
 struct ConfigurationRequest {
   std::uint64_t NewerThan = 0;
-  /// Of this version the sender has all bytes before From; 0: of none.
+  /// The sender has all bytes of this version before From. Zero if it has no
+  /// part of a version.
   std::uint64_t Version = 0;
   std::uint64_t From = 0;
 
   bool operator==(const ConfigurationRequest &) const = default;
 };
 
-/// A piece of a configuration as its operator wrote it, for hosts that don't
-/// have it from the store. The next one is sent when it is asked for.
+/// A chunk of an operator's configuration document, for hosts that have not
+/// read it from the store. The next chunk is sent on request.
 struct ConfigurationRelayed {
   std::uint64_t Version = 0;
-  std::string Chunk;      ///< Of the packed document (see DocumentPack.h),
-  std::uint64_t From = 0; ///< which it continues from here,
-  std::uint64_t Size = 0; ///< and which has so many bytes.
+  std::string Chunk;      ///< Part of the packed document (DocumentPack.h).
+  std::uint64_t From = 0; ///< Byte offset of the chunk in the document.
+  std::uint64_t Size = 0; ///< Size of the packed document in bytes.
 
   bool operator==(const ConfigurationRelayed &) const = default;
 };
 
-/// "Send me what changed in the service registry from this offset on."
+/// Requests the changes of the service registry from the offset on.
 struct EnginesRequest {
   LogOffset From = 0;
 
   bool operator==(const EnginesRequest &) const = default;
 };
 
-/// Registrations that changed since the offset asked for.
+/// Registrations that changed since the requested offset.
 struct EnginesRelayed {
   std::vector<EngineChange> Changes;
   LogOffset UpTo = 0;
-  /// These are all that are registered: the sender no longer knows each removal
-  /// since the offset asked for, so whatever is not named is gone.
+  /// The changes list all registrations; engines that are not listed are
+  /// removed. Sent when the sender no longer knows every removal since the
+  /// requested offset.
   bool Complete = false;
 
   bool operator==(const EnginesRelayed &) const = default;
 };
 
-/// What the sender has running on engines, in all, as of now.
+/// The sender's current work on all engines.
 struct EngineWork {
   struct Item {
     UpstreamId Engine;
-    /// Prompts whose first token is awaited take so long to read, each from its
-    /// start to its end: nobody but the engine knows how far it is.
+    /// Prefill time of all prompts that still await their first token. Each
+    /// prompt counts in full because only the engine knows its progress.
     double PrefillMs = 0;
-    std::uint32_t Prefilling = 0; ///< So many are they.
+    std::uint32_t Prefilling = 0; ///< Number of these prompts.
     std::uint32_t Decoding = 0;
-    std::uint64_t MemoryTokens = 0; ///< That they take and will take.
-    std::uint32_t ShortRunning = 0; ///< With short prompts.
-    /// Answers under way that may pause for so long, and what they are worth,
-    /// both in milliseconds; see PauseGroup.
+    std::uint64_t MemoryTokens = 0; ///< Memory in use now and later.
+    std::uint32_t ShortRunning = 0; ///< Requests with short prompts.
+    /// Answers that are being decoded, by their allowed inter-token gap, and
+    /// their value, both in milliseconds; see PauseGroup.
     struct Answers {
       double PauseMs = 0;
       double ValueMs = 0;
@@ -247,32 +254,33 @@
 
     bool operator==(const Item &) const = default;
   };
-  std::vector<Item> Items; ///< Engines not named have nothing of the sender.
-  /// A prompt that waits at the sender until several engines can read it.
+  std::vector<Item> Items; ///< The sender has no work on other engines.
+  /// A prompt that waits at the sender until several engines can prefill it
+  /// together.
   struct Waiting {
-    std::uint64_t Request = 0; ///< The sender's number for it.
-    std::uint64_t Tokens = 0;  ///< Of the prompt.
-    double PrefillMs = 0;      ///< To read it on one engine alone.
-    double NeededMs = 0; ///< From its sending to its first token, at the least.
-    double LeftMs = 0;   ///< Until its first token is late.
+    std::uint64_t Request = 0; ///< The sender's request id.
+    std::uint64_t Tokens = 0;  ///< Length of the prompt.
+    double PrefillMs = 0;      ///< Prefill time on a single engine.
+    double NeededMs = 0; ///< Minimum time from sending to the first token.
+    double LeftMs = 0;   ///< Time until the first token is late.
 
     bool operator==(const Waiting &) const = default;
   };
   std::vector<Waiting> QueuedPrompts;
-  /// An engine that works at another pace than declared, as its own report to
-  /// the sender says.
+  /// An engine that is slower or faster than declared, according to its own
+  /// report to the sender.
   struct Slowdown {
     UpstreamId Engine;
-    double Factor = 1; ///< How many times longer its work takes.
+    double Factor = 1; ///< Actual time divided by declared time.
 
     bool operator==(const Slowdown &) const = default;
   };
   std::vector<Slowdown> Slowdowns;
-  /// An engine that the sender avoids, by what it saw itself.
+  /// An engine that the sender avoids because of failures it observed itself.
   struct Distrust {
     UpstreamId Engine;
-    double SinceMs = 0; ///< Ago; tries sent later tell more.
-    double LeftMs = 0;  ///< Until the sender gives it a try again.
+    double SinceMs = 0; ///< Age; results of later attempts take precedence.
+    double LeftMs = 0;  ///< Time until the sender tries the engine again.
 
     bool operator==(const Distrust &) const = default;
   };
@@ -281,38 +289,38 @@
   bool operator==(const EngineWork &) const = default;
 };
 
-/// What hosts tell each other of engines that name how many requests they take
-/// from all hosts together, and of the room that one host lends to the others.
+/// Distributes the request limits that engines declare for all hosts together,
+/// and the quota that one host leases to the others.
 struct EngineLimits {
-  /// The newest that the sender knows of an engine.
+  /// The newest limit of an engine that the sender knows.
   struct LimitReport {
     UpstreamId Engine;
-    std::optional<double> PerSecond; ///< None: it names no limit.
-    double AgeMs = 0;                ///< Of what was said; see LimitWord.
+    std::optional<double> PerSecond; ///< Absent: the engine has no limit.
+    double AgeMs = 0;                ///< Age of the engine's declaration.
 
     bool operator==(const LimitReport &) const = default;
   };
   std::vector<LimitReport> LimitReports;
-  /// "Lend me room for requests there."
+  /// Requests quota at an engine.
   struct LeaseRequest {
     UpstreamId Engine;
-    std::uint64_t Number = 0; ///< Another one for each ask of the sender.
-    std::uint32_t Count = 0;  ///< Requests.
+    std::uint64_t Number = 0; ///< Unique for each request of the sender.
+    std::uint32_t Count = 0;  ///< Number of requests to send.
 
     bool operator==(const LeaseRequest &) const = default;
   };
   std::vector<LeaseRequest> LeaseRequests;
-  /// The answer to an ask.
+  /// Answers a LeaseRequest.
   struct Lease {
     UpstreamId Engine;
     std::uint64_t Number = 0;
-    std::uint32_t Count = 0; ///< Zero: there is no room now.
-    double RetryAfterMs = 0; ///< Until there may be some, then.
+    std::uint32_t Count = 0; ///< Zero: no quota is available now.
+    double RetryAfterMs = 0; ///< With zero: delay until there may be quota.
 
     bool operator==(const Lease &) const = default;
   };
   std::vector<Lease> Leases;
-  /// Room that was lent and not used in its time.
+  /// Returns leased quota that was not used before the lease expired.
   struct Return {
     UpstreamId Engine;
     std::uint64_t Number = 0;
@@ -325,9 +333,9 @@
   bool operator==(const EngineLimits &) const = default;
 };
 
-/// What engines said of themselves to the sender, which others can't know yet.
+/// Forwards signals that engines sent only to the sender.
 struct EngineSignals {
-  /// An engine that turned the sender away and wants rest from it.
+  /// An engine that refused the sender's request and asked it to back off.
   struct Backoff {
     UpstreamId Engine;
     double LeftMs = 0;
@@ -335,7 +343,7 @@
     bool operator==(const Backoff &) const = default;
   };
   std::vector<Backoff> Backoffs;
-  std::vector<UpstreamId> Leaving; ///< They said so.
+  std::vector<UpstreamId> Leaving; ///< Engines that reported it.
 
   bool operator==(const EngineSignals &) const = default;
 };
--- a/src/libs/kernel/Plugin.h
+++ b/src/libs/kernel/Plugin.h
@@ -1,5 +1,6 @@
 /// \file
-/// What a plug-in of the kernel is. Each holds the state of one decision.
+/// The interface of the kernel's plug-ins. Each plug-in owns the state of one
+/// kind of decision.
 #pragma once
 
 #include "base/Random.h"
@@ -16,17 +17,17 @@
 
 namespace banyanpick {
 
-/// What a kernel is told of itself at its start.
+/// The identity of a kernel, set at its construction.
 struct Identity {
   HostId Host;
-  Incarnation Life; ///< Random; drawn by the driver.
+  Incarnation Life; ///< Drawn at random by the driver.
   ZoneId Zone;
   Address Callers;
   Address Peers;
   ProcessorShare Processor;
 };
 
-/// What a plug-in gets at its start.
+/// The data and services available to a plug-in in initialize().
 class PluginContext {
 public:
   PluginContext(const Identity &Self, const Settings &Values, Services &Offered,
@@ -36,7 +37,7 @@
   const Identity &self() const { return this->Self; }
   const Settings &settings() const { return this->Values; }
   Services &services() { return this->Offered; }
-  /// Stays valid as long as the kernel.
+  /// Valid for the lifetime of the kernel.
   Random &random() { return this->Numbers; }
 
 private:
@@ -46,41 +47,41 @@
   Random &Numbers;
 };
 
-/// The entry class of a plug-in. Plug-ins see each event in the order of
-/// their dependencies, those depended upon first.
+/// The base class of plug-ins. The kernel passes each event to all plug-ins in
+/// dependency order, dependencies first.
 class Plugin {
 public:
   virtual ~Plugin() = default;
 
-  /// Provides and gets services. Called once, dependencies first.
+  /// Provides and retrieves services. Called once, dependencies first.
   virtual void initialize(PluginContext &Context) = 0;
 
-  /// Called at the kernel's first event, before it is handled.
+  /// Called before the kernel handles its first event.
   virtual void start(Time, Actions &) {}
 
-  /// Visits the events that concern the plug-in and ignores the others.
-  virtual void handle(const Event &What, Time Now, Actions &Out) = 0;
+  /// Handles the events that concern the plug-in and ignores the others.
+  virtual void handle(const Event &Input, Time Now, Actions &Out) = 0;
 
-  /// When the plug-in wants a Tick at the latest. Never: it waits for nothing.
+  /// Returns the latest time at which the plug-in needs a Tick, or Never.
   virtual Time nextWake() const { return Never; }
 
-  /// Tells the monitor of what must hold between events.
+  /// Checks the invariants that must hold between events.
   virtual void checkInvariants(InvariantMonitor &, Time) const {}
 };
 
-/// The protocols that a kernel can serve: the product's own, with a catalogue
-/// kept in a log, or as a gateway that relays requests whole by declared
+/// The protocols that a kernel can serve: the native protocol with a catalogue
+/// stored in a log, or a gateway that relays complete requests by declared
 /// routes.
 enum class ServingMode { Catalogue, Gateway };
 
-/// Which kernels a plug-in is a part of.
+/// The kernels that include a plug-in, by serving mode.
 enum class PluginUse { Catalogue, Gateway, Both };
 
-/// What is known of a plug-in before it is made.
+/// The static description of a plug-in.
 struct PluginDescription {
   std::string_view Name;
   std::vector<std::string_view> Dependencies;
-  /// The settings it reads, with their defaults.
+  /// Declares the settings that the plug-in reads, with their defaults.
   std::vector<SettingDeclaration> (*DeclareSettings)();
   std::unique_ptr<Plugin> (*Make)();
   PluginUse Use = PluginUse::Catalogue;
--- a/src/libs/kernel/PluginRegistry.cpp
+++ b/src/libs/kernel/PluginRegistry.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Filled during static initialization only.
+/// Modified during static initialization only.
 std::vector<PluginDescription> &registrations() {
   static std::vector<PluginDescription> All;
   return All;
 }
 
-/// Orders plug-ins so that each comes after its dependencies.
+/// Sorts plug-ins topologically by their dependencies.
 class DependencyOrder {
 public:
   explicit DependencyOrder(std::span<const PluginDescription> All) {
-    for (const PluginDescription &Each : All)
-      this->ByName.emplace(Each.Name, &Each);
+    for (const PluginDescription &Description : All)
+      this->ByName.emplace(Description.Name, &Description);
   }
 
   std::vector<PluginDescription> ordered() {
@@ -43,7 +43,7 @@
     if (!this->Open.insert(Name).second)
       throw Error(ErrorKind::Internal,
                   "plug-in " + std::string(Name) + " depends on itself",
-                  "break the circle of dependencies");
+                  "remove the circular dependency");
     for (const std::string_view Dependency : Found->second->Dependencies)
       this->visit(Dependency, Name);
     this->Open.erase(Name);
@@ -57,10 +57,11 @@
   std::vector<PluginDescription> Result;
 };
 
-bool isUsed(const PluginDescription &Each, ServingMode Mode) {
-  if (Each.Use == PluginUse::Both)
+bool isUsed(const PluginDescription &Description, ServingMode Mode) {
+  if (Description.Use == PluginUse::Both)
     return true;
-  return (Each.Use == PluginUse::Gateway) == (Mode == ServingMode::Gateway);
+  return (Description.Use == PluginUse::Gateway) ==
+         (Mode == ServingMode::Gateway);
 }
 
 } // namespace
@@ -75,17 +76,17 @@
 
 std::vector<PluginDescription> pluginsFor(ServingMode Mode) {
   std::vector<PluginDescription> Used;
-  for (const PluginDescription &Each : registrations())
-    if (isUsed(Each, Mode))
-      Used.push_back(Each);
+  for (const PluginDescription &Description : registrations())
+    if (isUsed(Description, Mode))
+      Used.push_back(Description);
   return DependencyOrder(Used).ordered();
 }
 
 std::vector<SettingDeclaration> pluginSettings() {
   std::vector<SettingDeclaration> Result;
-  for (const PluginDescription &Each : registeredPlugins()) {
-    const auto OfPlugin = Each.DeclareSettings();
-    Result.insert(Result.end(), OfPlugin.begin(), OfPlugin.end());
+  for (const PluginDescription &Description : registeredPlugins()) {
+    const auto Settings = Description.DeclareSettings();
+    Result.insert(Result.end(), Settings.begin(), Settings.end());
   }
   return Result;
 }
--- a/src/libs/kernel/PluginRegistry.h
+++ b/src/libs/kernel/PluginRegistry.h
@@ -1,6 +1,6 @@
 /// \file
-/// The plug-ins linked into the program. They register themselves while the
-/// program loads; nothing is added later.
+/// The plug-ins linked into the program. They register themselves during static
+/// initialization; none are added later.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -9,20 +9,20 @@
 
 namespace banyanpick {
 
-/// A file-scope object of this type registers a plug-in.
+/// Registers a plug-in. Instantiated at file scope.
 class PluginRegistration {
 public:
   explicit PluginRegistration(PluginDescription Description);
 };
 
-/// All plug-ins, each after those it depends on, otherwise by name. Throws
-/// Error(Internal) when a dependency is missing or in a circle.
+/// Returns all plug-ins in dependency order, otherwise ordered by name. Throws
+/// Error(Internal) if a dependency is missing or circular.
 std::vector<PluginDescription> registeredPlugins();
 
-/// Those that a kernel serving so is made of, in that order.
+/// Returns the plug-ins of a kernel in this serving mode, in the same order.
 std::vector<PluginDescription> pluginsFor(ServingMode Mode);
 
-/// The settings of all plug-ins, in that order.
+/// Returns the settings of all plug-ins, in the same order.
 std::vector<SettingDeclaration> pluginSettings();
 
 } // namespace banyanpick
--- a/src/libs/kernel/Request.h
+++ b/src/libs/kernel/Request.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's request and the tries made for it, as the kernel keeps them.
+/// A caller's request and its attempts, as stored by the kernel.
 #pragma once
 
 #include "base/StrongId.h"
@@ -18,50 +18,50 @@
 
 namespace banyanpick {
 
-/// Prompt tokens that one BlockHash stands for.
+/// Prompt tokens that one BlockHash covers.
 inline constexpr std::uint64_t PromptBlockTokens = 1024;
 
-/// What a caller sent, measured by the traffic thread. The content itself
-/// stays with the traffic thread.
+/// Properties of a caller's request, extracted by the traffic thread. The
+/// content itself stays with the traffic thread.
 struct RequestHead {
   RequestId Id;
   std::string TeamKey; ///< `team.secret`; never logged.
   ClassId Class;
   std::uint64_t PromptTokens = 0;
-  std::uint64_t MaxOutputTokens = 0; ///< 0: as many as the class allows.
-  std::vector<BlockHash> Blocks;     ///< Prompt blocks, chained.
+  std::uint64_t MaxOutputTokens = 0; ///< 0: the maximum of the class.
+  std::vector<BlockHash> Blocks;     ///< Chained hashes of the prompt blocks.
   Fingerprint Content;
-  std::optional<OperationKey> Operation; ///< Needed when not idempotent.
-  std::optional<Duration> Timeout;       ///< The caller's own, if shorter.
+  std::optional<OperationKey> Operation; ///< Required if not idempotent.
+  std::optional<Duration> Timeout;       ///< The caller's timeout, if shorter.
   bool Streamed = false;
   std::string Session; ///< Optional session name, for cache affinity.
 
   bool operator==(const RequestHead &) const = default;
 };
 
-/// A request that passed authentication, with its promise.
+/// An authenticated request with its latency targets.
 struct Request {
   RequestHead Head;
   TeamId Team;
   ClassEntry Class;
   double TeamWeight = 1.0;
   Time ArrivedAt{};
-  Time FirstTokenBy{};            ///< Promise for the first token.
-  Time Deadline{};                ///< Promise for the whole answer.
-  std::uint64_t OutputTokens = 0; ///< Bound on the answer.
+  Time FirstTokenBy{};            ///< Deadline of the first token.
+  Time Deadline{};                ///< Deadline of the complete answer.
+  std::uint64_t OutputTokens = 0; ///< Maximum length of the answer.
 
   const RequestId &id() const { return this->Head.Id; }
 };
 
-/// How a try ended.
+/// The attempt delivered a complete answer.
 struct AttemptComplete {
-  std::uint64_t Count = 0; ///< Chunks, as the end mark says.
-  std::string Result;      ///< An application call's result.
+  std::uint64_t Count = 0; ///< Number of chunks, from the end marker.
+  std::string Result;      ///< Result of an application call.
 
   bool operator==(const AttemptComplete &) const = default;
 };
 
-/// The upstream said that it refused before starting.
+/// The upstream reported that it refused the request before starting it.
 struct AttemptRefused {
   enum class Why {
     Busy,
@@ -74,21 +74,21 @@
   bool operator==(const AttemptRefused &) const = default;
 };
 
-/// No byte of the request was handed to a transport.
+/// No byte of the request was passed to a transport.
 struct AttemptNeverSent {
   bool operator==(const AttemptNeverSent &) const = default;
 };
 
-/// The connection ended, or the stream was cut or malformed, before the end
-/// mark; the upstream may have run it.
+/// The connection ended, or the stream was truncated or malformed, before the
+/// end marker. The upstream may have run the request.
 struct AttemptBroken {
-  std::uint64_t NextIndex = 0; ///< First chunk not yet delivered.
-  bool UpstreamDied = false;   ///< The connection was reset or refused since.
+  std::uint64_t NextIndex = 0; ///< First chunk that was not delivered.
+  bool UpstreamDied = false;   ///< The connection was reset or refused.
 
   bool operator==(const AttemptBroken &) const = default;
 };
 
-/// The upstream ran it and answered with an error.
+/// The upstream ran the request and answered with an error.
 struct AttemptFailed {
   std::string Message;
 
@@ -99,41 +99,41 @@
     std::variant<AttemptComplete, AttemptRefused, AttemptNeverSent,
                  AttemptBroken, AttemptFailed>;
 
-/// One try on one upstream.
+/// One dispatch of a request to one upstream.
 struct Attempt {
   AttemptId Id;
   RequestId Request;
   UpstreamId Upstream;
   Incarnation UpstreamLife;
   Time SentAt{};
-  std::uint64_t StartIndex = 0;     ///< Chunk it starts at.
-  std::uint64_t NextIndex = 0;      ///< Chunk expected next.
-  std::uint64_t UncachedTokens = 0; ///< Prefill expected.
+  std::uint64_t StartIndex = 0;     ///< First chunk of this attempt.
+  std::uint64_t NextIndex = 0;      ///< Next expected chunk.
+  std::uint64_t UncachedTokens = 0; ///< Expected prefill work.
   std::uint32_t Priority = 0;
-  std::vector<UpstreamId> Group; ///< Engines holding memory beside it.
+  std::vector<UpstreamId> Group; ///< Other engines that hold memory for it.
 };
 
-/// What keeps an upstream from being chosen for this try.
+/// Restrictions on the upstreams that may be selected for an attempt.
 struct SelectionLimits {
-  std::set<UpstreamId> Excluded; ///< Tried already.
-  bool Isolated = false; ///< A suspect: away from short work and suspects.
+  std::set<UpstreamId> Excluded; ///< Already attempted.
+  bool Isolated = false; ///< A suspect: not with short work or other suspects.
 };
 
-/// The upstream chosen, with why.
+/// The selected upstream and the data behind the decision.
 struct Selected {
   UpstreamId Upstream;
-  std::uint32_t Priority = 0; ///< Engine priority; higher goes first.
+  std::uint32_t Priority = 0; ///< Engine priority; higher runs first.
   std::uint64_t UncachedTokens = 0;
   Duration PredictedFirstToken{};    ///< From now.
-  std::vector<UpstreamId> Group;     ///< Engines that must hold memory, the
-                                     ///< chosen one among them.
-  std::uint64_t GroupTokensEach = 0; ///< Memory each of them must hold.
+  std::vector<UpstreamId> Group;     ///< Engines that must hold memory,
+                                     ///< including the selected engine.
+  std::uint64_t GroupTokensEach = 0; ///< Memory that each of them must hold.
 };
 
-/// Nothing can take it now; it waits, or is refused.
+/// No upstream can take the request now. The request waits or is refused.
 struct NothingFits {
-  bool Permanent = false; ///< true: nothing that lives could ever take it.
-  Duration RetryAfter{};  ///< When to look again.
+  bool Permanent = false; ///< No live upstream can ever take the request.
+  Duration RetryAfter{};  ///< Delay before the next selection.
 };
 
 using Selection = std::variant<Selected, NothingFits>;
--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -1,6 +1,7 @@
 /// \file
-/// What plug-ins offer each other. A plug-in provides an interface under its
-/// type in initialize(); those that declare a dependency on it get it there.
+/// The interfaces between plug-ins. A plug-in provides an interface under its
+/// type in initialize(). Plug-ins that declare a dependency on it retrieve the
+/// interface in their own initialize().
 #pragma once
 
 #include "base/Error.h"
@@ -18,18 +19,18 @@
 public:
   virtual ~CatalogueView() = default;
   virtual const Catalogue &catalogue() const = 0;
-  /// Whether a catalogue is known at all; false: never serve.
+  /// Whether a catalogue is loaded. The host must not serve requests before.
   virtual bool isReady() const = 0;
-  /// Whether this host can know that its catalogue is current.
+  /// Whether this host can tell that its catalogue is current.
   virtual bool isCurrent(Time Now) const = 0;
-  /// When this host last knew that it had everything the log held, from the
-  /// log itself or from a peer that had read it; what heartbeats tell peers.
-  /// Never later than a real reading of the log, so hosts that are all cut
-  /// off can't confirm each other.
+  /// When this host last had all records of the log, confirmed by the log
+  /// itself or by a peer that had read it. Heartbeats send this time to peers.
+  /// It is never later than an actual read of the log, so hosts that are all
+  /// partitioned from the log cannot confirm each other.
   virtual Time confirmedAt() const { return Time{}; }
 };
 
-/// One entry host as membership sees it.
+/// The membership state of an entry host.
 struct Member {
   HostListing Listing;
   Incarnation Life;
@@ -38,93 +39,97 @@
   LogOffset InForce = 0;
   Time LastHeard{};
   Time LogConfirmedAt{};           ///< From its heartbeat.
-  LogOffset EnginesKnownTo = 0;    ///< From its heartbeat,
-  std::uint64_t EnginesDigest = 0; ///< likewise.
+  LogOffset EnginesKnownTo = 0;    ///< From its heartbeat.
+  std::uint64_t EnginesDigest = 0; ///< From its heartbeat.
 };
 
-/// The declarations that a gateway serves by, as its heartbeats tell them.
+/// The state of the configuration in force, as sent in heartbeats.
 class InForceView {
 public:
   virtual ~InForceView() = default;
-  /// Whether this host may take requests.
+  /// Whether this host may accept requests.
   virtual bool isReady() const = 0;
   /// The version in force; 0 when there is none.
   virtual std::uint64_t version() const = 0;
 };
 
-/// The engines of one service that a host chooses among.
+/// The engines of one service from which a host selects.
 struct EngineShare {
-  /// For each part of the engines whether the host uses it; empty: the engines
-  /// are not divided.
+  /// For each partition of the engines, whether the host uses it. Empty if the
+  /// engines are not partitioned.
   std::vector<bool> Parts;
 
-  /// \p Spread: a hash of the engine's name, see RegisteredEngine.
+  /// Whether the host uses the engine. \p NameHash is the hash of the engine's
+  /// name, see RegisteredEngine.
   bool takes(std::uint64_t NameHash) const {
     return this->Parts.empty() || this->Parts[NameHash % this->Parts.size()];
   }
 };
 
-/// Which hosts take the callers, and which engines they choose among.
+/// The hosts that serve callers, and the engines from which they select.
 class ActiveHostsView {
 public:
   virtual ~ActiveHostsView() = default;
-  /// Whether callers are sent to this host.
+  /// Whether callers are directed to this host.
   virtual bool isActive() const = 0;
-  /// The active hosts, this one included where it is one; by name.
+  /// The active hosts ordered by name, including this host if it is active.
   virtual std::span<const HostId> activeHosts() const = 0;
-  /// The active hosts that choose among the same engines as this one, itself
-  /// included where it is active; by name.
+  /// The active hosts that select from the same engines as this host, ordered
+  /// by name, including this host if it is active.
   virtual std::span<const HostId> sharers() const = 0;
-  /// The others with which this host has to agree all the time: the other
-  /// sharers if it is active, nobody otherwise. By name.
+  /// The other hosts with which this host coordinates continuously, ordered by
+  /// name: the other sharers if this host is active, otherwise none.
   virtual std::span<const HostId> partners() const = 0;
   virtual EngineShare shareOf(const ServiceId &Service) const = 0;
 };
 
-/// How far this host follows the service registry.
+/// How far this host has read the service registry.
 class RegistryProgress {
 public:
   virtual ~RegistryProgress() = default;
   /// All changes before this offset are known.
   virtual LogOffset knownTo() const = 0;
-  /// Of what is registered; hosts with equal digests know the same.
+  /// Digest of the registrations. Hosts with equal digests have the same
+  /// registrations.
   virtual std::uint64_t digest() const = 0;
 };
 
-/// How old what this host knows of the store may be.
+/// The maximum age of this host's view of the store.
 class StoreFreshness {
 public:
   virtual ~StoreFreshness() = default;
-  /// When some host whose knowledge has come here last read the store with
-  /// success; the start of time when none has.
+  /// When the store was last read successfully by a host whose view this host
+  /// has received. The epoch if no host has read it.
   virtual Time storeConfirmedAt() const = 0;
 };
 
-/// Who the entry hosts are.
+/// The entry hosts and their states.
 class MembershipView {
 public:
   virtual ~MembershipView() = default;
   virtual const HostId &self() const = 0;
   virtual Incarnation selfLife() const = 0;
   virtual const ZoneId &selfZone() const = 0;
-  /// The others, dead ones included while remembered, ordered by name.
+  /// The other hosts ordered by name, including dead hosts that are not
+  /// forgotten yet.
   virtual std::span<const Member> peers() const = 0;
-  /// Others that are alive and not leaving, ordered by name.
+  /// The other hosts that are alive and not leaving, ordered by name.
   virtual std::vector<HostId> livePeers() const = 0;
-  /// Whether a life of a host is taken for over: a later life of the host
-  /// answered, or a suspicion of it ran out. In the second case it may only be
-  /// frozen or cut off, and may come back as the same life; conclude nothing
-  /// from it that would do harm then.
+  /// Whether an incarnation of a host is considered dead: a later incarnation
+  /// of the host answered, or the suspicion of it timed out. After a timeout
+  /// the process may only be paused or partitioned and may return as the same
+  /// incarnation, so callers must not take actions that are unsafe in that
+  /// case.
   virtual bool isDead(const HostId &Host, Incarnation Life) const = 0;
-  /// Whether the life is known to have begun a planned stop, over or not. Its
-  /// streams may have been handed over.
+  /// Whether the incarnation is known to have begun a planned stop, finished or
+  /// not. Its streams may have been handed over.
   virtual bool hasLeft(const HostId &, Incarnation) const { return false; }
-  /// Whether the host list was read in this life. Before that peers() says
-  /// nothing of who the others are.
+  /// Whether this incarnation has read the host list. Before that, peers() is
+  /// incomplete.
   virtual bool knowsHosts() const { return true; }
 };
 
-/// Told when what membership knows of a host has changed.
+/// Notified when the membership state of a host changes.
 class MembershipObserver {
 public:
   virtual ~MembershipObserver() = default;
@@ -133,37 +138,37 @@
 
 enum class UpstreamState { Unknown, Live, Leaving, Dead };
 
-/// One upstream with everything known of it.
+/// An upstream with its state and load.
 struct Upstream {
   UpstreamListing Listing;
   UpstreamState State = UpstreamState::Unknown;
-  LoadReport Report; ///< The last; empty Id when none came.
-  Time ReportAt{};   ///< When the last report was taken in.
-  /// Work this host sent that the last report may not show yet.
+  LoadReport Report; ///< The last report; its Id is empty if there is none.
+  Time ReportAt{};   ///< When the last report was received.
+  /// Work sent by this host that the last report may not include yet.
   std::uint64_t UnreportedPrefillTokens = 0;
   std::uint32_t OutstandingHere = 0; ///< Attempts of this host running there.
-  std::uint64_t OutstandingTokensHere = 0; ///< Prompt and output bounds.
-  std::uint64_t PeerPrefillTokens = 0;     ///< What peers say they sent lately.
+  std::uint64_t OutstandingTokensHere = 0; ///< Prompt tokens and output limits.
+  std::uint64_t PeerPrefillTokens = 0;     ///< Recently sent by peers.
   std::uint32_t PeerRequests = 0;          ///< Attempts of peers running there.
 };
 
-/// Who the upstreams are and how they are doing.
+/// The upstreams with their states and loads.
 class FleetView {
 public:
   virtual ~FleetView() = default;
-  /// All known, ordered by name.
+  /// All known upstreams, ordered by name.
   virtual std::span<const Upstream> upstreams() const = 0;
-  /// Positions in upstreams() of engines that have the model loaded.
+  /// Positions in upstreams() of the engines that have the model loaded.
   virtual std::span<const std::uint32_t>
   enginesWith(const ModelId &Model) const = 0;
   /// Positions in upstreams() of the service's application engines.
   virtual std::span<const std::uint32_t>
   applications(const std::string &Service) const = 0;
-  /// The upstream of that name, or null.
+  /// Returns the upstream with this name, or null.
   virtual const Upstream *find(const UpstreamId &Id) const = 0;
 };
 
-/// Told when an upstream's state or life changes.
+/// Notified when the state or the incarnation of an upstream changes.
 class FleetObserver {
 public:
   virtual ~FleetObserver() = default;
@@ -171,125 +176,129 @@
                                Actions &Out) = 0;
 };
 
-/// Says no to a request before it is admitted, or nothing.
+/// Decides whether a request is admitted.
 class AdmissionGate {
 public:
   virtual ~AdmissionGate() = default;
-  virtual std::optional<NotRun> check(const Request &Asked, Time Now) = 0;
-  /// Asked again while an admitted request waits and has not started: a
-  /// refusal ends it at once.
+  /// Returns the refusal, or nothing if the request may be admitted.
+  virtual std::optional<NotRun> check(const Request &Incoming, Time Now) = 0;
+  /// Called repeatedly while an admitted request waits and has not started. A
+  /// refusal ends the request immediately.
   virtual std::optional<NotRun> reconsider(const Request &, Time) {
     return std::nullopt;
   }
 };
 
-/// Told of each step in the life of admitted requests.
+/// Notified of each state change of an admitted request.
 class RequestObserver {
 public:
   virtual ~RequestObserver() = default;
   virtual void admitted(const Request &, Time, Actions &) {}
   virtual void dispatched(const Request &, const Attempt &, Time, Actions &) {}
-  /// The first chunk came.
+  /// The first chunk arrived.
   virtual void firstToken(const Request &, const Attempt &, Time, Actions &) {}
   virtual void attemptEnded(const Request &, const Attempt &,
                             const AttemptOutcome &, Time, Actions &) {}
-  /// The final answer was given.
+  /// The final answer was sent.
   virtual void ended(const Request &, const FinalAnswer &, Time, Actions &) {}
 };
 
-/// Chooses the upstream for one try.
+/// Selects the upstream for an attempt.
 class UpstreamSelector {
 public:
   virtual ~UpstreamSelector() = default;
-  /// Writes the decision's log line, with the candidates' scores, to \p Out.
-  virtual Selection select(const Request &Wanted, const SelectionLimits &Limits,
-                           Time Now, Actions &Out) = 0;
+  /// Also logs the decision with the scores of the candidates to \p Out.
+  virtual Selection select(const Request &Waiting,
+                           const SelectionLimits &Limits, Time Now,
+                           Actions &Out) = 0;
 };
 
-/// Orders waiting requests among teams.
+/// Queues waiting requests and shares dispatches fairly among teams.
 class DispatchQueue {
 public:
   virtual ~DispatchQueue() = default;
   virtual void push(const Request &Waiting, Time Now) = 0;
-  /// Takes it out, wherever it stands; nothing happens if it is not there.
+  /// Removes the request from any position. Does nothing if it is not queued.
   virtual void remove(const RequestId &Id) = 0;
-  /// Waiting requests in the order they should be tried now, most entitled
-  /// first; at most \p Most of them.
-  virtual std::vector<RequestId> candidates(std::size_t Most, Time Now) = 0;
+  /// Returns at most \p Max waiting requests in dispatch order, the one with
+  /// the highest entitlement first.
+  virtual std::vector<RequestId> candidates(std::size_t Max, Time Now) = 0;
   virtual std::size_t size() const = 0;
 };
 
-/// What the request life cycle should know of suspects and crashes.
+/// Identifies requests whose content is suspected of crashing upstreams.
 class PoisonView {
 public:
   virtual ~PoisonView() = default;
-  /// Whether its next try must be kept apart.
-  virtual bool isSuspect(const Request &Asked, Time Now) const = 0;
-  /// Set once two upstreams died with it running.
+  /// Whether the next attempt must be isolated.
+  virtual bool isSuspect(const Request &Waiting, Time Now) const = 0;
+  /// Whether two upstreams crashed while running this content.
   virtual bool isQuarantined(Fingerprint Content, Time Now) const = 0;
-  /// How long its next try should wait, so that suspects run in turns.
+  /// The delay before the next attempt; suspects run one after another.
   virtual Duration spacing(const Request &, Time) const { return Duration(0); }
 };
 
-/// Decides whether a failed try may be repeated.
+/// Decides whether a failed attempt may be retried.
 class RetryPolicy {
 public:
   virtual ~RetryPolicy() = default;
-  /// Takes one from the budget when it says yes.
-  virtual bool mayRetry(const Request &Asked, std::uint32_t AttemptsMade,
+  /// Consumes one retry from the budget if it returns true.
+  virtual bool mayRetry(const Request &Failed, std::uint32_t AttemptsMade,
                         Time Now) = 0;
 };
 
-/// Appends records to the platform's log, many in one append (group commit).
+/// Appends records to the platform's log, several in one append (group commit).
 class LogWriter {
 public:
   virtual ~LogWriter() = default;
-  /// The id by which LogObserver::appendSettled() names the record.
+  /// Returns the id that LogObserver::appendSettled() reports for the record.
   virtual RecordId append(LogRecordBody Body, Time Now, Actions &Out) = 0;
-  /// Stops trying to append the record. True: it never reached the log and
-  /// never will; appendSettled() is then not called.
+  /// Stops appending the record. Returns true if the record has not reached the
+  /// log and never will; appendSettled() is not called in that case.
   virtual bool withdraw(const RecordId &) { return false; }
-  /// Own records whose fate is not settled. A planned stop waits for them, or
-  /// outcomes of claimed operations are lost with the process.
+  /// The number of own records whose append is neither confirmed nor refused.
+  /// A planned stop waits for them; otherwise outcomes of claimed operations
+  /// are lost with the process.
   virtual std::size_t unsettled() const { return 0; }
-  /// Whether the log answered lately.
+  /// Whether the log answered recently.
   virtual bool isReachable(Time Now) const = 0;
 };
 
-/// Told of each record of the log in its order, once, and of own appends.
+/// Notified once of each record of the log, in log order, and of own appends.
 class LogObserver {
 public:
   virtual ~LogObserver() = default;
   virtual void recordRead(const StoredRecord &, Time, Actions &) {}
-  /// \p Taken false: the record is not in the log and never will be. While
-  /// this is not known, nothing is called.
-  virtual void appendSettled(const RecordId &, bool /*Taken*/, Time,
+  /// If \p Appended is false, the record is not in the log and never will be.
+  /// Not called while the result is unknown.
+  virtual void appendSettled(const RecordId &, bool /*Appended*/, Time,
                              Actions &) {}
-  /// Everything the log holds had been read at this moment.
+  /// All records of the log were read at this time.
   virtual void caughtUp(LogOffset /*EndOffset*/, Time, Actions &) {}
-  /// Records before \p StartOffset were lost before they were read.
+  /// Records before \p StartOffset were removed from the log before this host
+  /// read them.
   virtual void recordsMissed(LogOffset /*StartOffset*/, Time, Actions &) {}
 };
 
-/// The claim is this request's: it may be dispatched once.
+/// The request owns the claim and may be dispatched once.
 struct ClaimGranted {};
-/// The request ends with this answer; it must not be dispatched.
+/// The request ends with this answer and must not be dispatched.
 struct ClaimDenied {
   FinalAnswer Answer;
 };
 using ClaimVerdict = std::variant<ClaimGranted, ClaimDenied>;
 
-/// Keeps non-idempotent operations to at most one run.
+/// Ensures that a non-idempotent operation runs at most once.
 class ClaimKeeper {
 public:
   virtual ~ClaimKeeper() = default;
-  /// Answered by ClaimObserver::claimDecided(), possibly before it returns.
-  virtual void claim(const Request &Asked, Time Now, Actions &Out) = 0;
-  /// The request ended without any dispatch; the key may be claimed again.
-  /// False when the claim may not be given back (it was dispatched).
-  virtual void abandon(const Request &Asked, Time Now, Actions &Out) = 0;
-  /// The dispatched operation ended so.
-  virtual void finish(const Request &Asked, OutcomeRecord::Kind Ended,
+  /// Answered by ClaimObserver::claimDecided(), possibly before the return.
+  virtual void claim(const Request &Admitted, Time Now, Actions &Out) = 0;
+  /// Called when the request ended without a dispatch. The key may be claimed
+  /// again. A claim whose operation was dispatched is not released.
+  virtual void abandon(const Request &Ended, Time Now, Actions &Out) = 0;
+  /// Called when the dispatched operation ended.
+  virtual void finish(const Request &Ended, OutcomeRecord::Kind Outcome,
                       std::string_view Result, Time Now, Actions &Out) = 0;
 };
 
@@ -300,30 +309,30 @@
                             Time Now, Actions &Out) = 0;
 };
 
-/// Takes memory on several engines for one attempt, or on none.
+/// Acquires memory on several engines for one attempt, all or nothing.
 class GroupHolder {
 public:
   virtual ~GroupHolder() = default;
-  /// Answered by GroupObserver::groupDecided(), possibly before it returns.
-  virtual void acquire(const Request &Asked, const Selected &Choice, Time Now,
+  /// Answered by GroupObserver::groupDecided(), possibly before the return.
+  virtual void acquire(const Request &Waiting, const Selected &Choice, Time Now,
                        Actions &Out) = 0;
-  /// Lets everything go that is held for the request; idempotent.
+  /// Releases all holds of the request; idempotent.
   virtual void release(const RequestId &Id, Time Now, Actions &Out) = 0;
-  /// Whether the hold of this host is still wanted. One that is not is freed
-  /// after a grace.
+  /// Whether this host still uses the hold. Unused holds are freed after a
+  /// grace period.
   virtual bool isHeld(const HoldId &) const { return true; }
 };
 
 class GroupObserver {
 public:
   virtual ~GroupObserver() = default;
-  /// \p Holds is empty when the group could not be had.
+  /// \p Holds is empty if the memory could not be acquired.
   virtual void groupDecided(const RequestId &Id, std::span<const HoldId> Holds,
                             Time Now, Actions &Out) = 0;
 };
 
-/// Cancels attempts on upstreams until they confirm it or their deadline is
-/// long past.
+/// Cancels attempts on upstreams. Repeats a cancellation until the upstream
+/// confirms it or the attempt's deadline is long past.
 class AttemptCanceller {
 public:
   virtual ~AttemptCanceller() = default;
@@ -331,15 +340,16 @@
                       Time Deadline, Time Now, Actions &Out) = 0;
 };
 
-/// How far this host's planned stop has come.
+/// The progress of this host's planned stop.
 class DrainView {
 public:
   virtual ~DrainView() = default;
-  /// A stop was asked; resolve names this host no more.
+  /// Whether a stop was requested. Resolve then no longer returns this host.
   virtual bool isLeaving() const = 0;
 };
 
-/// What is running here, for those that must wait for it or hand it over.
+/// The requests running on this host, for plug-ins that wait for them or hand
+/// them over.
 class RequestTable {
 public:
   virtual ~RequestTable() = default;
@@ -347,29 +357,30 @@
   /// The running requests, ordered by id.
   virtual std::vector<RequestId> ids() const = 0;
   virtual const Request *find(const RequestId &Id) const = 0;
-  /// The live attempt of the request, or null.
+  /// Returns the running attempt of the request, or null.
   virtual const Attempt *attemptOf(const RequestId &Id) const = 0;
-  /// The request an attempt of this host belongs to while it is live, or null.
+  /// Returns the request of a running attempt of this host, or null.
   virtual const Request *owner(const AttemptId &Id) const = 0;
-  /// The resume token of a streamed request; empty when it has none.
+  /// Returns the resume token of a streamed request, or an empty string.
   virtual std::string resumeToken(const RequestId &Id) const = 0;
-  /// The first chunk not yet known to be delivered.
+  /// Returns the first chunk that is not known to be delivered.
   virtual std::uint64_t nextIndex(const RequestId &Id) const = 0;
-  /// Ends the request here without an answer or a cancel: a peer serves it.
+  /// Ends the request on this host without an answer or a cancellation, because
+  /// a peer continues it.
   virtual void handOver(const RequestId &Id, const Address &To, Time Now,
                         Actions &Out) = 0;
-  /// Serves a stream handed over by a peer from its running attempt.
+  /// Continues a stream that a peer handed over, from its running attempt.
   virtual void adopt(const StreamHandover &Stream, Time Now, Actions &Out) = 0;
 };
 
-/// Tells an operator's question's part to those who answer it.
+/// Contributes its part to the status report for operators.
 class StatusContributor {
 public:
   virtual ~StatusContributor() = default;
   virtual void contribute(StatusReport &Report, Time Now) const = 0;
 };
 
-/// Collects several things of one kind.
+/// Holds all providers of one interface.
 template <class Interface> class ServiceList {
 public:
   void add(Interface &Item) { this->Items.push_back(&Item); }
@@ -379,25 +390,25 @@
   std::vector<Interface *> Items;
 };
 
-/// The interfaces provided in one kernel, by type.
+/// The registry of interfaces that the plug-ins of one kernel provide, by type.
 class Services {
 public:
   template <class Interface> void provide(Interface &Provider) {
     this->Single[std::type_index(typeid(Interface))] = &Provider;
   }
 
-  /// Throws Error(Internal) when no plug-in provides it.
+  /// Throws Error(Internal) if no plug-in provides the interface.
   template <class Interface> Interface &get() const {
     const auto Found = this->Single.find(std::type_index(typeid(Interface)));
     if (Found == this->Single.end())
       throw Error(ErrorKind::Internal,
                   std::string("no plug-in provides ") +
                       typeid(Interface).name(),
-                  "declare the dependency of the plug-in that asks for it");
+                  "declare the dependency of the plug-in that uses it");
     return *static_cast<Interface *>(Found->second);
   }
 
-  /// The provider, or null when there is none.
+  /// Returns the provider, or null if there is none.
   template <class Interface> Interface *find() const {
     const auto Found = this->Single.find(std::type_index(typeid(Interface)));
     if (Found == this->Single.end())
@@ -405,7 +416,8 @@
     return static_cast<Interface *>(Found->second);
   }
 
-  /// The list of all that were added for the interface; created when empty.
+  /// Returns the list of providers of the interface. Creates an empty list if
+  /// there is none.
   template <class Interface> ServiceList<Interface> &list() {
     auto &Slot = this->Lists[std::type_index(typeid(Interface))];
     if (!Slot)
--- a/src/libs/kernel/ServingHosts.cpp
+++ b/src/libs/kernel/ServingHosts.cpp
@@ -6,9 +6,9 @@
                            const MembershipView &Members)
     : Entries(Entries), Self(Members.self()) {
   this->Live.push_back({Members.self(), Members.selfZone()});
-  for (const Member &Each : Members.peers()) {
-    if (Each.State == MemberState::Alive || Each.State == MemberState::Suspect)
-      this->Live.push_back({Each.Listing.Id, Each.Listing.Zone});
+  for (const Member &Peer : Members.peers()) {
+    if (Peer.State == MemberState::Alive || Peer.State == MemberState::Suspect)
+      this->Live.push_back({Peer.Listing.Id, Peer.Listing.Zone});
   }
 }
 
--- a/src/libs/kernel/ServingHosts.h
+++ b/src/libs/kernel/ServingHosts.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which live entry hosts serve a team, as this host sees it.
+/// The live entry hosts that serve a team, in this host's view.
 #pragma once
 
 #include "kernel/Services.h"
@@ -7,17 +7,17 @@
 
 namespace banyanpick {
 
-/// The live hosts at one moment, this one included. Made anew for each use:
-/// it keeps a reference to the catalogue only.
+/// A snapshot of the live hosts, including this host. Construct it for each
+/// use. It keeps a reference to the catalogue but not to the membership.
 class ServingHosts {
 public:
   ServingHosts(const Catalogue &Entries, const MembershipView &Members);
 
-  /// The hosts that serve the team, most preferred first; none when the team
-  /// is not in the catalogue.
+  /// Returns the hosts that serve the team, most preferred first. Returns none
+  /// if the team is not in the catalogue.
   std::vector<HostId> of(const TeamId &Team) const;
 
-  /// The same without this host.
+  /// Returns the hosts that serve the team without this host.
   std::vector<HostId> peersOf(const TeamId &Team) const;
 
 private:
--- a/src/libs/kernel/TeamHosts.cpp
+++ b/src/libs/kernel/TeamHosts.cpp
@@ -26,12 +26,13 @@
                                     std::span<const TeamHostCandidate> Hosts) {
   std::vector<RankedHost> Ranked;
   Ranked.reserve(Hosts.size());
-  for (const TeamHostCandidate &Each : Hosts)
-    Ranked.push_back({&Each, rendezvousWeight(Team.Value, Each.Host.Value)});
+  for (const TeamHostCandidate &Candidate : Hosts)
+    Ranked.push_back(
+        {&Candidate, rendezvousWeight(Team.Value, Candidate.Host.Value)});
   std::sort(Ranked.begin(), Ranked.end(), isHeavier);
-  std::map<ZoneId, std::uint32_t> Taken;
-  for (RankedHost &Each : Ranked)
-    Each.RankInZone = Taken[Each.Candidate->Zone]++;
+  std::map<ZoneId, std::uint32_t> CountByZone;
+  for (RankedHost &Host : Ranked)
+    Host.RankInZone = CountByZone[Host.Candidate->Zone]++;
   return Ranked;
 }
 
@@ -43,11 +44,11 @@
                            Limits.Concurrent == 0;
   if (IsUnlimited)
     return Hosts;
-  const double Wanted = std::max(
+  const double Needed = std::max(
       {Limits.RequestsPerMinute / RequestsPerMinutePerTeamHost,
        static_cast<double>(Limits.TokensPerMinute) / TokensPerMinutePerTeamHost,
        Limits.Concurrent / ConcurrentPerTeamHost});
-  const double Bounded = std::min(std::ceil(Wanted), 1e6);
+  const double Bounded = std::min(std::ceil(Needed), 1e6);
   return std::min(Hosts,
                   std::max(MinTeamHosts, static_cast<std::size_t>(Bounded)));
 }
@@ -60,11 +61,11 @@
                      return First.RankInZone < Second.RankInZone;
                    });
   Ranked.resize(teamHostCount(Limits, Hosts.size()));
-  std::vector<HostId> Chosen;
-  Chosen.reserve(Ranked.size());
-  for (const RankedHost &Each : Ranked)
-    Chosen.push_back(Each.Candidate->Host);
-  return Chosen;
+  std::vector<HostId> Selected;
+  Selected.reserve(Ranked.size());
+  for (const RankedHost &Host : Ranked)
+    Selected.push_back(Host.Candidate->Host);
+  return Selected;
 }
 
 } // namespace banyanpick
--- a/src/libs/kernel/TeamHosts.h
+++ b/src/libs/kernel/TeamHosts.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which entry hosts serve a team. Resolve names them to callers, and the
-/// team's limits are split among them.
+/// Assigns entry hosts to teams. Resolve returns a team's hosts to callers, and
+/// the team's limits are split among these hosts.
 #pragma once
 
 #include "catalogue/Entry.h"
@@ -18,23 +18,25 @@
   bool operator==(const TeamHostCandidate &) const = default;
 };
 
-/// Hosts that serve even the smallest team, so that two may fail at once.
+/// Minimum number of hosts that serve a team, so that two of them may fail at
+/// the same time.
 inline constexpr std::size_t MinTeamHosts = 3;
 
-/// What one host should carry of a team's declared limits before the team is
-/// given another host.
+/// The part of a team's declared limits that one host serves. A team with
+/// higher limits is assigned more hosts.
 inline constexpr double RequestsPerMinutePerTeamHost = 300;
 inline constexpr double TokensPerMinutePerTeamHost = 4e6;
 inline constexpr double ConcurrentPerTeamHost = 32;
 
-/// How many of \p Hosts entry hosts serve a team with these limits. A team
-/// without any limit is served by all.
+/// Returns how many of \p Hosts entry hosts serve a team with these limits. All
+/// hosts serve a team without limits.
 std::size_t teamHostCount(const TeamEntry &Limits, std::size_t Hosts);
 
-/// The hosts of \p Hosts that serve the team, most preferred first: the same
-/// on every host that sees the same hosts, whatever their order. Chosen by
-/// rendezvous hash, so that a host that comes or goes moves few teams, and
-/// spread over the zones before a zone is used twice.
+/// Returns the hosts of \p Hosts that serve the team, most preferred first. The
+/// result does not depend on the order of \p Hosts, so all hosts with the same
+/// view agree. Rendezvous hashing keeps the number of reassigned teams small
+/// when a host is added or removed. Each zone is used once before a zone is
+/// used twice.
 std::vector<HostId> teamHosts(const TeamId &Team, const TeamEntry &Limits,
                               std::span<const TeamHostCandidate> Hosts);
 
--- a/src/libs/kernel/Upstream.h
+++ b/src/libs/kernel/Upstream.h
@@ -1,6 +1,6 @@
 /// \file
-/// What is known of upstreams: the host list's word, load reports, cache
-/// events and the memory they hold.
+/// Data about upstreams: host list entries, load reports, cache events and
+/// memory holds.
 #pragma once
 
 #include "base/StrongId.h"
@@ -14,7 +14,7 @@
 
 enum class UpstreamKind { Engine, Application };
 
-/// Where something listens: an IP number and a port.
+/// A listening address: an IP address and a port.
 struct Address {
   std::string Ip;
   std::uint16_t Port = 0;
@@ -23,33 +23,33 @@
   auto operator<=>(const Address &) const = default;
 };
 
-/// One upstream as the host list shows it.
+/// The host list's entry for an upstream.
 struct UpstreamListing {
   UpstreamId Id;
   Incarnation Life;
   UpstreamKind Kind = UpstreamKind::Engine;
   Address At;
   ZoneId Zone;
-  std::string Application;    ///< Service name, when an application engine.
-  bool ChecksFencing = false; ///< Refuses orders with an old fencing number.
+  std::string Application;    ///< Service name of an application engine.
+  bool ChecksFencing = false; ///< Refuses orders with a stale fencing number.
   bool Leaving = false;
 
   bool operator==(const UpstreamListing &) const = default;
 };
 
-/// How much processor a host has.
+/// The processor capacity of a host.
 struct ProcessorShare {
   std::uint32_t Thousandths = 1000; ///< Of one core.
 
   bool operator==(const ProcessorShare &) const = default;
 };
 
-/// One entry host as the host list shows it.
+/// The host list's entry for an entry host.
 struct HostListing {
   HostId Id;
   ZoneId Zone;
   Address Callers; ///< Where callers connect.
-  Address Peers;   ///< Where the other entry hosts connect.
+  Address Peers;   ///< Where other entry hosts connect.
   bool Leaving = false;
   ProcessorShare Processor;
 
@@ -58,19 +58,19 @@
 
 enum class HoldKind { Stream, GroupHold, Export };
 
-/// Memory an engine holds for somebody, as the engine reports it.
+/// Memory that an engine holds for an owner, as reported by the engine.
 struct HoldReport {
   HoldKind Kind = HoldKind::Stream;
   std::uint64_t OwnerLife = 0; ///< Incarnation of the entry host.
-  std::uint64_t Sequence = 0;  ///< With OwnerLife: AttemptId or HoldId.
+  std::uint64_t Sequence = 0;  ///< Forms an AttemptId or HoldId with OwnerLife.
   std::string OwnerHost;       ///< Name of the entry host.
-  std::uint64_t Tokens = 0;    ///< Memory taken, in tokens.
-  Time Deadline{};             ///< When the owner itself wanted it gone.
+  std::uint64_t Tokens = 0;    ///< Memory size in tokens.
+  Time Deadline{};             ///< When the owner expects it to be freed.
 
   bool operator==(const HoldReport &) const = default;
 };
 
-/// Prefill that an engine has still to do at one priority.
+/// Outstanding prefill work of an engine at one priority.
 struct PriorityBacklog {
   std::uint32_t Priority = 0;
   std::uint64_t PrefillTokens = 0;
@@ -78,32 +78,32 @@
   bool operator==(const PriorityBacklog &) const = default;
 };
 
-/// What an upstream says of itself; lags behind the truth.
+/// The load that an upstream reports; older than its actual state.
 struct LoadReport {
   UpstreamId Id;
   Incarnation Life;
   Time MeasuredAt{};
   bool Leaving = false;
   std::uint32_t Running = 0;             ///< Requests in the batch.
-  std::uint32_t Queued = 0;              ///< Requests waiting.
-  std::uint64_t QueuedPrefillTokens = 0; ///< Prefill still to do.
-  std::uint64_t MemoryTokens = 0;        ///< KV memory in all.
-  std::uint64_t FreeMemoryTokens = 0;    ///< Not held by anything running.
+  std::uint32_t Queued = 0;              ///< Waiting requests.
+  std::uint64_t QueuedPrefillTokens = 0; ///< Outstanding prefill work.
+  std::uint64_t MemoryTokens = 0;        ///< Total KV cache memory.
+  std::uint64_t FreeMemoryTokens = 0;    ///< Not used by running requests.
   double PrefillTokensPerSecond = 0;     ///< Measured by the engine.
   double DecodeTokensPerSecond = 0;      ///< Per running request, measured.
-  LogOffset HighestFencing = 0;          ///< Highest order number seen.
-  std::vector<ModelId> Models;           ///< Loaded now.
+  LogOffset HighestFencing = 0;          ///< Highest fencing number received.
+  std::vector<ModelId> Models;           ///< Currently loaded.
   std::vector<HoldReport> Holds;
-  /// QueuedPrefillTokens by priority; empty when the engine does not tell.
+  /// QueuedPrefillTokens by priority; empty when the engine does not report it.
   std::vector<PriorityBacklog> Backlog;
 
   bool operator==(const LoadReport &) const = default;
 };
 
-/// One cached prompt block stored or removed.
+/// A cached prompt block was stored or removed.
 struct CacheEvent {
-  std::uint64_t Sequence = 0; ///< Rises by one; a jump means a gap.
-  bool Stored = false;        ///< false: removed.
+  std::uint64_t Sequence = 0; ///< Increments by one; a jump means lost events.
+  bool Stored = false;        ///< False: removed.
   BlockHash Block = 0;
 
   bool operator==(const CacheEvent &) const = default;
