--- a/src/libs/gateway/AnswerSignals.cpp
+++ b/src/libs/gateway/AnswerSignals.cpp
@@ -4,11 +4,13 @@
 
 namespace banyanpick {
 
-Duration backoffLength(const BackoffSignal &Of) {
+Duration backoffLength(const BackoffSignal &Signal) {
   return match(
-      Of, [](const NoBackoff &) { return Duration(0); },
-      [](const BackoffRequested &Is) { return Is.For; },
-      [](const BackoffUnreadable &Is) { return Is.AppliedLength; });
+      Signal, [](const NoBackoff &) { return Duration(0); },
+      [](const BackoffRequested &Requested) { return Requested.For; },
+      [](const BackoffUnreadable &Unreadable) {
+        return Unreadable.AppliedLength;
+      });
 }
 
 } // namespace banyanpick
--- a/src/libs/gateway/AnswerSignals.h
+++ b/src/libs/gateway/AnswerSignals.h
@@ -1,5 +1,6 @@
 /// \file
-/// What an upstream's answer says of the upstream itself, whatever it answers.
+/// The signals about an upstream that its answers carry, independent of the
+/// answered request.
 #pragma once
 
 #include "base/Time.h"
@@ -9,20 +10,21 @@
 
 namespace banyanpick {
 
-/// It asks for no rest.
+/// The upstream asks for no backoff.
 struct NoBackoff {
   bool operator==(const NoBackoff &) const = default;
 };
-/// It wants no request of this host for so long.
+/// The upstream asks this host to send no requests for a time.
 struct BackoffRequested {
   Duration For{}; ///< Not negative, at most MaxBackoff.
 
   bool operator==(const BackoffRequested &) const = default;
 };
-/// It asks for a rest whose length can't be read, or is out of bounds.
+/// The upstream asks for a backoff whose length cannot be parsed or is out of
+/// range.
 struct BackoffUnreadable {
-  std::string Text;         ///< The beginning of what it said.
-  Duration AppliedLength{}; ///< The rest that is given all the same.
+  std::string Text;         ///< The beginning of the received text.
+  Duration AppliedLength{}; ///< The length that is used instead.
 
   bool operator==(const BackoffUnreadable &) const = default;
 };
@@ -30,24 +32,26 @@
 using BackoffSignal =
     std::variant<NoBackoff, BackoffRequested, BackoffUnreadable>;
 
-/// How long it lasts, whether it could be read or not.
-Duration backoffLength(const BackoffSignal &Of);
+/// Returns the length of the backoff, also if it could not be parsed.
+Duration backoffLength(const BackoffSignal &Signal);
 
-/// A longer rest is taken for this one: nobody asks for a day in earnest.
+/// The maximum length of a backoff. Longer requests, such as a whole day, are
+/// mistakes and are limited to this length.
 inline constexpr hours MaxBackoff(1);
 
-/// The rest that is given where its length can't be read: long enough for the
-/// upstream to work off what it has.
+/// The length that is used if the requested length cannot be parsed. It is long
+/// enough for the upstream to finish its current work.
 inline constexpr seconds DefaultBackoff(1);
 
-/// Whether it says that it leaves: it takes nothing new and ends soon.
+/// Whether the upstream reports that it is leaving: it accepts no new requests
+/// and stops soon.
 enum class LeavingSignal {
   Absent,
   Present,
-  Unreadable, ///< It says something of it; taken as said.
+  Unreadable, ///< The signal cannot be parsed; treated as Present.
 };
 
-/// All of it.
+/// All signals of one answer.
 struct AnswerSignals {
   LimitSignal Limit;
   BackoffSignal Backoff;
--- a/src/libs/gateway/Configuration.h
+++ b/src/libs/gateway/Configuration.h
@@ -1,6 +1,6 @@
 /// \file
-/// What operators declare for a gateway: routes, the services behind them,
-/// the keys of teams and bounds on what callers may send.
+/// The configuration that operators declare for a gateway: routes, their
+/// services, the keys of teams and limits on callers.
 #pragma once
 
 #include "base/StrongId.h"
@@ -18,56 +18,56 @@
 /// Name of a service: a group of interchangeable upstreams.
 using ServiceId = StrongId<struct ServiceTag, std::string>;
 
-/// What a request of a route may bear.
+/// The execution semantics of a route's requests.
 enum class RequestKind {
   Repeatable, ///< Idempotent; may run any number of times.
   AtMostOnce, ///< Not idempotent.
-  Stream,     ///< Answered by a series of events with rising ids.
+  Stream,     ///< Answered by a series of events with increasing ids.
 };
 
-/// A service that a share of a route's requests goes to.
+/// A service that receives a share of a route's requests.
 struct WeightedService {
   ServiceId Service;
-  double Weight = 1; ///< Against the other weights of the route.
+  double Weight = 1; ///< Relative to the other weights of the route.
 
   bool operator==(const WeightedService &) const = default;
 };
 
-/// One route: which requests it takes, and how they are served.
+/// A route: the requests it matches and how they are served.
 struct RouteEntry {
   std::string Name;
   std::string Host;       ///< The Host header without a port.
   std::string PathPrefix; ///< Begins and ends with a slash.
   RequestKind Kind = RequestKind::AtMostOnce;
-  bool Resumable = false;     ///< A stream may go on at another upstream.
-  bool Public = false;        ///< Needs no key.
-  std::uint32_t Attempts = 1; ///< Upstreams that one request may run on.
+  bool Resumable = false;     ///< A stream may continue on another upstream.
+  bool Public = false;        ///< Requires no key.
+  std::uint32_t Attempts = 1; ///< Maximum number of upstreams per request.
   std::uint32_t Rank = 0;     ///< 0 is the most urgent.
-  Duration TimeLimit{};       ///< Callers are kept waiting no longer.
-  Duration Objective{};       ///< To the whole answer or the first event.
+  Duration TimeLimit{};       ///< Maximum time that callers wait.
+  Duration Objective{};       ///< To the complete answer or the first event.
   Duration MaxEventGap{};     ///< Between events; zero: not declared.
   std::vector<WeightedService> Split;
 
   bool operator==(const RouteEntry &) const = default;
 };
 
-/// How a model engine spends its time; declared by its operator.
+/// The performance model of a model engine, declared by its operator.
 struct EngineParameters {
-  std::uint32_t Slots = 1;          ///< Requests in one batch.
-  std::uint64_t MemoryTokens = 0;   ///< KV cache, in tokens.
-  std::uint32_t StepsPerPass = 1;   ///< Token steps of a pass with writers.
-  std::uint64_t ChunkTokens = 2048; ///< Most prompt tokens read in a step.
-  double StepMs = 0;                ///< A token step without any request.
-  double StepMsPerDecode = 0;       ///< More for each request that writes,
-  double StepMsPerKiloContext = 0;  ///< and for 1,000 tokens of its context.
-  double PrefillTokensPerMs = 1;    ///< Prompt tokens read in a millisecond.
-  double MsPerMillionPairs = 0;     ///< More, for pairs of a token and any
-                                    ///< earlier one.
-  double JointStepMs = 0; ///< More for each step of a prompt that lies on
+  std::uint32_t Slots = 1;          ///< Maximum number of requests in a batch.
+  std::uint64_t MemoryTokens = 0;   ///< Size of the KV cache in tokens.
+  std::uint32_t StepsPerPass = 1;   ///< Token steps of a pass with decoding.
+  std::uint64_t ChunkTokens = 2048; ///< Maximum prefill tokens per step.
+  double StepMs = 0;                ///< Time of a token step without requests.
+  double StepMsPerDecode = 0;       ///< Added for each decoding request.
+  double StepMsPerKiloContext = 0;  ///< Added per 1,000 tokens of its context.
+  double PrefillTokensPerMs = 1; ///< Prompt tokens prefilled per millisecond.
+  double MsPerMillionPairs = 0;  ///< Added prefill time per million pairs of
+                                 ///< a token and an earlier token.
+  double JointStepMs = 0; ///< Added for each step of a prompt that is stored on
                           ///< several engines.
-  std::uint64_t MeanPromptTokens = 0; ///< The mean over all requests.
-  std::uint64_t MeanAnswerTokens = 0; ///< Likewise; zero: not declared.
-  Duration ReportLag{};               ///< How old the engine's own figures are.
+  std::uint64_t MeanPromptTokens = 0; ///< Mean over all requests.
+  std::uint64_t MeanAnswerTokens = 0; ///< Mean over all; zero: not declared.
+  Duration ReportLag{};               ///< Age of the engine's reports.
 
   bool operator==(const EngineParameters &) const = default;
 };
@@ -76,13 +76,13 @@
 struct ServiceEntry {
   ServiceId Id;
   std::string HealthPath;
-  std::uint32_t MaxConnections = 0;       ///< An upstream's, from all hosts.
+  std::uint32_t MaxConnections = 0;       ///< Per upstream, from all hosts.
   std::optional<EngineParameters> Engine; ///< Set for model engines.
 
   bool operator==(const ServiceEntry &) const = default;
 };
 
-/// Bounds on what callers may send; zero: the host's own setting counts.
+/// Limits on callers. Zero means that the host's own setting applies.
 struct CallerLimits {
   std::uint64_t HeaderBytes = 0;
   std::uint64_t BodyBytes = 0;
@@ -92,24 +92,23 @@
   bool operator==(const CallerLimits &) const = default;
 };
 
-/// Whose key it is.
+/// The owner of a key.
 struct KeyOwner {
   TeamId Team;
-  std::optional<std::uint32_t> Rank; ///< Goes before the route's rank.
+  std::optional<std::uint32_t> Rank; ///< Overrides the route's rank.
 
   bool operator==(const KeyOwner &) const = default;
 };
 
-/// One whole version of the declarations.
+/// A complete version of the configuration.
 struct GatewayConfiguration {
-  std::uint64_t Version = 0; ///< Rises with each change.
+  std::uint64_t Version = 0; ///< Increases with each change.
   std::vector<RouteEntry> Routes;
   std::map<ServiceId, ServiceEntry> Services;
   CallerLimits Limits;
-  bool NeedsKeys = false; ///< Teams are declared.
+  bool NeedsKeys = false; ///< Set if teams are declared.
   std::unordered_map<std::string, KeyOwner> Keys;
-  /// The document it was read from, to pass on to hosts that cannot read it
-  /// themselves.
+  /// The source document, to forward to hosts that cannot read it themselves.
   std::string Document;
 };
 
--- a/src/libs/gateway/EngineBackoffs.cpp
+++ b/src/libs/gateway/EngineBackoffs.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Requests that were on their way when a rest began are refused within so
-/// long, each with a rest of its own.
+/// Requests that were in flight when a backoff began are refused within this
+/// time, each with its own backoff.
 constexpr milliseconds SameBackoff(500);
 
 } // namespace
@@ -28,7 +28,7 @@
 
 void EngineBackoffs::age(Time Now) {
   std::erase_if(this->Ends,
-                [&](const auto &Each) { return Now >= Each.second; });
+                [&](const auto &Entry) { return Now >= Entry.second; });
 }
 
 } // namespace banyanpick
--- a/src/libs/gateway/EngineBackoffs.h
+++ b/src/libs/gateway/EngineBackoffs.h
@@ -1,5 +1,5 @@
 /// \file
-/// The rests that engines asked for.
+/// The backoffs that engines requested.
 #pragma once
 
 #include "base/Time.h"
@@ -9,21 +9,23 @@
 
 namespace banyanpick {
 
-/// When each engine's rest ends. Of several rests the latest end counts: a
-/// later answer that asks for less does not end one.
+/// Tracks when the backoff of each engine ends. The latest end time counts: a
+/// later answer that asks for less does not shorten a backoff.
 class EngineBackoffs {
 public:
-  /// Whether that is news worth telling: a rest that begins, or becomes longer
-  /// by more than a few requests that were on their way make it.
+  /// Records a requested backoff. Returns true if the change should be
+  /// reported: a backoff begins, or becomes longer by more than requests that
+  /// were already in flight would extend it.
   bool take(const UpstreamId &Engine, Time Until, Time Now);
-  /// When the engine's rest is over; not after \p Now when it has none.
+  /// Returns when the engine's backoff ends. Returns a time not later than now
+  /// if the engine is not backing off.
   Time until(const UpstreamId &Engine) const;
   bool isBackingOff(const UpstreamId &Engine, Time Now) const {
     return Now < this->until(Engine);
   }
-  /// All rests, also some that are over.
+  /// Returns the end times of all backoffs. Some of them may have ended.
   const std::map<UpstreamId, Time> &ends() const { return this->Ends; }
-  /// Forgets the rests that are over.
+  /// Removes the backoffs that have ended.
   void age(Time Now);
 
 private:
--- a/src/libs/gateway/EngineIncarnation.cpp
+++ b/src/libs/gateway/EngineIncarnation.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Stands between name and birth. Only what follows the last one may be a
-/// birth, so names may contain it.
+/// Separates the name from the start time. Only the text after the last
+/// separator can be a start time, so names may contain the separator.
 constexpr char Separator = '@';
 
-/// A life's id in its two parts.
+/// The two parts of an incarnation's id.
 struct IncarnationParts {
   std::string_view Name;
   std::uint64_t StartMs = 0;
@@ -21,11 +21,11 @@
   const std::size_t At = Text.rfind(Separator);
   if (At == std::string_view::npos)
     return {Text, 0};
-  const std::string_view Birth = Text.substr(At + 1);
+  const std::string_view Start = Text.substr(At + 1);
   IncarnationParts Result{Text.substr(0, At), 0};
-  const char *End = Birth.data() + Birth.size();
+  const char *End = Start.data() + Start.size();
   const auto [Stop, Failure] =
-      std::from_chars(Birth.data(), End, Result.StartMs);
+      std::from_chars(Start.data(), End, Result.StartMs);
   if (Failure != std::errc() || Stop != End)
     return {Text, 0};
   return Result;
@@ -40,12 +40,12 @@
   return UpstreamId(std::move(Text));
 }
 
-std::string_view engineName(const UpstreamId &Life) {
-  return partsOf(Life.Value).Name;
+std::string_view engineName(const UpstreamId &Id) {
+  return partsOf(Id.Value).Name;
 }
 
-std::uint64_t engineStartMs(const UpstreamId &Life) {
-  return partsOf(Life.Value).StartMs;
+std::uint64_t engineStartMs(const UpstreamId &Id) {
+  return partsOf(Id.Value).StartMs;
 }
 
 } // namespace banyanpick
--- a/src/libs/gateway/EngineIncarnation.h
+++ b/src/libs/gateway/EngineIncarnation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which life of an engine an id stands for.
+/// Engine ids, which identify one incarnation of an engine.
 #pragma once
 
 #include "kernel/Upstream.h"
@@ -9,16 +9,19 @@
 
 namespace banyanpick {
 
-/// The id of one life of an engine: its registered name and, where it tells
-/// one, the Unix millisecond of its start. An engine that starts again under
-/// its name remembers nothing, so everything believed of it must end; as its
-/// new life has another id, no belief is carried over by mistake.
+/// Returns the id of one incarnation of an engine: its registered name and, if
+/// the engine reports it, its start time in Unix milliseconds. A restarted
+/// engine has lost its state, so the state tracked for it must be dropped. Its
+/// new incarnation has another id, which prevents state from being carried over
+/// by mistake.
 UpstreamId engineIncarnation(std::string_view Name, std::uint64_t StartMs);
 
-/// The name that the engine registered under; all its lives share it.
-std::string_view engineName(const UpstreamId &Life);
+/// Returns the name under which the engine registered. It is the same for all
+/// incarnations.
+std::string_view engineName(const UpstreamId &Id);
 
-/// The Unix millisecond of the life's start; 0 when the engine tells none.
-std::uint64_t engineStartMs(const UpstreamId &Life);
+/// Returns the start time of the incarnation in Unix milliseconds, or 0 if the
+/// engine does not report it.
+std::uint64_t engineStartMs(const UpstreamId &Id);
 
 } // namespace banyanpick
--- a/src/libs/gateway/EngineLimit.h
+++ b/src/libs/gateway/EngineLimit.h
@@ -1,26 +1,26 @@
 /// \file
-/// What an upstream's answer says of how many requests the upstream takes.
+/// The signal about an upstream's request limit in its answers.
 #pragma once
 
 #include <variant>
 
 namespace banyanpick {
 
-/// Nothing that can be relied on: it is not the upstream's own whole answer.
+/// No reliable signal: the answer is incomplete or not the upstream's own.
 struct LimitUnknown {
   bool operator==(const LimitUnknown &) const = default;
 };
-/// The upstream answered and named no limit.
+/// The upstream answered without a limit.
 struct LimitNone {
   bool operator==(const LimitNone &) const = default;
 };
-/// It takes so many requests a second from all hosts together.
+/// The upstream accepts this many requests per second from all hosts together.
 struct LimitDeclared {
-  double PerSecond = 0; ///< Finite, not negative.
+  double PerSecond = 0; ///< Finite and not negative.
 
   bool operator==(const LimitDeclared &) const = default;
 };
-/// It names a limit that can't be read.
+/// The limit in the answer cannot be parsed.
 struct LimitUnreadable {
   bool operator==(const LimitUnreadable &) const = default;
 };
--- a/src/libs/gateway/EngineRecord.h
+++ b/src/libs/gateway/EngineRecord.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the service registry and the upstreams themselves tell of upstreams.
+/// Data about upstreams from the service registry and from their own reports.
 #pragma once
 
 #include "gateway/Configuration.h"
@@ -10,21 +10,21 @@
 
 namespace banyanpick {
 
-/// One upstream as it registered itself. The id stands for one life of it (see
-/// EngineLife.h); the address may be used again by another one later.
+/// The registration of an upstream. The id identifies one incarnation (see
+/// EngineIncarnation.h). Another upstream may use the address later.
 struct EngineRecord {
   UpstreamId Id;
   ServiceId Service;
   Address At;
   ZoneId Zone;
-  std::uint32_t Slots = 1; ///< Requests that it serves at once.
-  bool Draining = false;   ///< Takes no new requests.
+  std::uint32_t Slots = 1; ///< Maximum number of concurrent requests.
+  bool Draining = false;   ///< Accepts no new requests.
 
   bool operator==(const EngineRecord &) const = default;
 };
 
-/// A change of one upstream's registration. The offset of the registry's log
-/// orders changes of one upstream, whoever passes them on.
+/// A change of an upstream's registration. The offset in the registry's log
+/// orders the changes of one upstream, independent of which host forwards them.
 struct EngineChange {
   EngineRecord Engine;
   bool Removed = false;
@@ -33,7 +33,7 @@
   bool operator==(const EngineChange &) const = default;
 };
 
-/// Memory set aside on an engine, as the engine reports it.
+/// Memory reserved on an engine, as reported by the engine.
 struct EngineReservation {
   std::string Name;
   std::uint64_t Tokens = 0;
@@ -43,14 +43,14 @@
   bool operator==(const EngineReservation &) const = default;
 };
 
-/// An engine's own figures; as old as its report's lag.
+/// The load that an engine reports. Its age is the engine's report lag.
 struct EngineReport {
   UpstreamId Engine;
   std::uint32_t Waiting = 0;
   std::uint32_t Running = 0;
   std::uint64_t MemoryUsed = 0;  ///< Tokens that cannot be evicted.
-  std::uint64_t MemoryTotal = 0; ///< Tokens.
-  double Slowdown = 1; ///< How many times longer than declared its work takes.
+  std::uint64_t MemoryTotal = 0; ///< Capacity in tokens.
+  double Slowdown = 1;           ///< Actual time divided by declared time.
   std::vector<EngineReservation> Reservations;
 
   bool operator==(const EngineReport &) const = default;
--- a/src/libs/gateway/GatewayEvent.h
+++ b/src/libs/gateway/GatewayEvent.h
@@ -1,6 +1,6 @@
 /// \file
-/// What can happen to a kernel that serves as a gateway, and what it can ask
-/// for, beside the events and actions that it shares with others.
+/// The events and actions of a kernel that serves as a gateway, in addition to
+/// those that it shares with other kernels.
 #pragma once
 
 #include "gateway/AnswerSignals.h"
@@ -18,7 +18,7 @@
 struct RelayArrived {
   RelayHead Head;
 };
-/// The first event of the stream went to the caller.
+/// The first event of the stream was sent to the caller.
 struct RelayBegan {
   AttemptId Attempt;
 };
@@ -26,33 +26,33 @@
   AttemptId Attempt;
   RelayOutcome Outcome;
 };
-/// The header of an upstream's answer came, to a try (also one that was given
-/// up), a question or an order. Told before what the answer means for those.
+/// The header of an upstream's answer to an attempt (also a cancelled one), a
+/// query or an order was received. Sent before the event for the answer itself.
 struct EngineSignalsReceived {
   UpstreamId Engine;
-  Time SentAt{}; ///< The request that it answers.
+  Time SentAt{}; ///< When the answered request was sent.
   AnswerSignals Signals;
 };
 
-/// Where a belief comes from.
+/// Where a configuration was read from.
 enum class ConfigurationSource { Store, Peer };
 
 struct ConfigurationRead {
   std::shared_ptr<const GatewayConfiguration> Declared;
   ConfigurationSource From = ConfigurationSource::Store;
 };
-/// A document that is no configuration; the one in force stays.
+/// A document is not a valid configuration; the one in force is kept.
 struct ConfigurationUnreadable {
   std::string Why;
 };
-/// Registrations that changed. A listing is complete: upstreams that it does
-/// not name and that changed before its offset are gone.
+/// Registrations that changed. If Complete is set, upstreams that are not
+/// listed and that last changed before the offset UpTo are removed.
 struct EnginesRead {
   std::vector<EngineChange> Changes;
   bool Complete = false;
-  LogOffset UpTo = 0; ///< All changes before it are known now.
+  LogOffset UpTo = 0; ///< All changes before this offset are known now.
 };
-/// A part of the store that is followed answers, or does not.
+/// Reports whether a followed part of the store is reachable.
 struct StoreObserved {
   enum class Part {
     Configuration,
@@ -60,7 +60,7 @@
     Hosts
   } Source = Part::Configuration;
   bool Reachable = false;
-  std::string Why; ///< When it is not reachable.
+  std::string Why; ///< The reason if the store is not reachable.
 };
 struct EngineReported {
   EngineReport Report;
@@ -69,17 +69,17 @@
   UpstreamId Engine;
 };
 enum class ReservationResult {
-  Held,    ///< The memory is set aside.
-  Waiting, ///< It will be once it is free; the engine admits nothing else.
-  Refused, ///< The engine said no.
-  Unknown, ///< No answer; it may be carried out, later too.
+  Held,    ///< The memory is reserved.
+  Waiting, ///< Reserved once it is free; the engine admits no other requests.
+  Refused, ///< The engine refused the reservation.
+  Unknown, ///< No answer; the engine may still make the reservation.
 };
 struct ReservationAnswered {
   UpstreamId Engine;
   std::string Name;
   ReservationResult Result = ReservationResult::Unknown;
 };
-/// The settings file has changed and is right.
+/// The settings file has changed and is valid.
 struct SettingsReloaded {
   std::shared_ptr<const class Settings> Values;
 };
@@ -92,19 +92,19 @@
 
 // --- actions
 
-/// Decode a document that a peer passed on; answered by ConfigurationRead.
+/// Decodes a document that a peer forwarded; answered by ConfigurationRead.
 struct DecodeConfiguration {
   std::string Document;
 
   bool operator==(const DecodeConfiguration &) const = default;
 };
-/// Callers' bounds have changed.
+/// Applies changed limits on callers.
 struct LimitCallers {
   CallerLimits Limits;
 
   bool operator==(const LimitCallers &) const = default;
 };
-/// Ask an engine for its own figures; answered by EngineReported or
+/// Requests a load report from an engine; answered by EngineReported or
 /// EngineReportFailed.
 struct AskReport {
   UpstreamId Engine;
@@ -112,13 +112,13 @@
 
   bool operator==(const AskReport &) const = default;
 };
-/// Set memory aside on an engine, or renew that.
+/// Reserves memory on an engine or renews the reservation.
 struct ReserveMemory {
   UpstreamId Engine;
   Address At;
   std::string Name;
   std::uint64_t Tokens = 0;
-  Duration Hold{}; ///< The engine frees it after so long.
+  Duration Hold{}; ///< The engine frees the memory after this time.
   bool Wait = false;
 
   bool operator==(const ReserveMemory &) const = default;
@@ -130,17 +130,17 @@
 
   bool operator==(const ReleaseMemory &) const = default;
 };
-/// Answers of the callers' server tell callers to connect anew elsewhere.
+/// Makes the callers' server tell callers to reconnect to another host.
 struct CloseCallers {
   bool operator==(const CloseCallers &) const = default;
 };
-/// Whether this host follows the store, or leaves that to others.
+/// Sets whether this host follows the store or leaves this to other hosts.
 struct FollowStore {
   bool Enabled = true;
 
   bool operator==(const FollowStore &) const = default;
 };
-/// Leave word of this host in the store, or take it away.
+/// Writes or removes this host's record in the store.
 struct AnnounceHost {
   bool Present = true;
 
--- a/src/libs/gateway/PromptSize.h
+++ b/src/libs/gateway/PromptSize.h
@@ -1,5 +1,5 @@
 /// \file
-/// How large a prompt is, in the coarse steps of metrics.
+/// Size classes of prompts for metrics.
 #pragma once
 
 #include <cstdint>
@@ -7,18 +7,18 @@
 
 namespace banyanpick {
 
-/// Sizes of prompts by which metrics are told apart. Nothing is decided by
-/// them: what a prompt costs follows from its engine's parameters.
+/// The size classes that label metrics. They do not affect decisions: the cost
+/// of a prompt follows from the parameters of its engine.
 enum class PromptSize { None, Short, Middle, Long };
 
-/// The largest short and the largest middle prompt, in tokens.
+/// The maximum lengths of short and middle prompts, in tokens.
 inline constexpr std::uint64_t ShortPromptTokens = 24'000;
 inline constexpr std::uint64_t LongPromptTokens = 110'000;
 
-/// The size of a prompt of so many tokens; None for requests without one.
+/// Returns the size class of a prompt, or None for requests without a prompt.
 PromptSize promptSize(std::uint64_t Tokens);
 
-/// The size's name in logs and metrics.
+/// Returns the size's name in logs and metrics.
 std::string_view name(PromptSize Size);
 
 } // namespace banyanpick
--- a/src/libs/gateway/RelayedRequest.cpp
+++ b/src/libs/gateway/RelayedRequest.cpp
@@ -34,11 +34,11 @@
   return "unknown";
 }
 
-UpstreamId faultyEngine(const RelayNotRun &Is, const UpstreamId &Engine,
+UpstreamId faultyEngine(const RelayNotRun &Outcome, const UpstreamId &Engine,
                         std::span<const HelperEngine> Helpers) {
-  for (const HelperEngine &Each : Helpers)
-    if (Is.FailedAt == Each.At)
-      return Each.Engine;
+  for (const HelperEngine &Helper : Helpers)
+    if (Outcome.FailedAt == Helper.At)
+      return Helper.Engine;
   return Engine;
 }
 
--- a/src/libs/gateway/RelayedRequest.h
+++ b/src/libs/gateway/RelayedRequest.h
@@ -1,6 +1,6 @@
 /// \file
-/// A request that is relayed whole to an upstream, its tries, and how they
-/// end.
+/// A request that is relayed to an upstream as a whole, its attempts and their
+/// outcomes.
 #pragma once
 
 #include "gateway/EngineRecord.h"
@@ -13,55 +13,55 @@
 
 namespace banyanpick {
 
-/// What decides on a relayed request. Its headers and body stay with the
-/// traffic thread.
+/// The properties of a relayed request that decisions depend on. The headers
+/// and the body stay with the traffic thread.
 struct RelayHead {
   RequestId Id;
-  std::string CallerAttempt; ///< The caller's id of this try, for logs.
+  std::string CallerAttempt; ///< The caller's id of this attempt, for logs.
   std::string Host;
-  std::string Path; ///< Without the query.
-  std::string Key;  ///< Never logged; empty when none was sent.
+  std::string Path;                  ///< Without the query.
+  std::string Key;                   ///< Never logged; empty if none was sent.
   std::optional<Duration> Remaining; ///< How long the caller will wait.
   std::uint64_t PromptTokens = 0;
   std::uint64_t MaxOutputTokens = 0;
-  std::optional<std::uint64_t> LastEvent; ///< The caller resumes after it.
+  std::optional<std::uint64_t> LastEvent; ///< The caller resumes after this.
   Fingerprint Content; ///< Equal for equal path, caller and body.
 
   bool operator==(const RelayHead &) const = default;
 };
 
-/// Memory of another engine that a prompt is read on, too.
+/// Another engine that takes part in the prefill of a prompt.
 struct HelperEngine {
   UpstreamId Engine;
   Address At;
-  std::string Reservation;  ///< Empty: it reads a part and keeps nothing.
-  std::uint64_t Tokens = 0; ///< Memory set aside under the reservation.
+  std::string Reservation;  ///< Empty: prefills a part but stores nothing.
+  std::uint64_t Tokens = 0; ///< Memory reserved under this reservation.
 
   bool operator==(const HelperEngine &) const = default;
 };
 
-/// Send the request to the upstream.
+/// Sends the request to the upstream.
 struct DispatchRelay {
   AttemptId Attempt;
   RequestId Request;
-  UpstreamId Engine; ///< Another one at the address must refuse it.
+  UpstreamId Engine; ///< Another upstream at the address must refuse it.
   Address At;
-  TeamId Team;          ///< Empty: told to nobody.
-  bool DropKey = false; ///< The caller's key is not passed on.
-  Time Deadline{};      ///< The upstream is told what is left until then.
+  TeamId Team;          ///< Not sent to the upstream if empty.
+  bool DropKey = false; ///< The caller's key is not forwarded.
+  Time Deadline{};      ///< The remaining time is sent to the upstream.
   std::optional<std::uint32_t> Urgency;   ///< 0 is the most urgent.
   std::optional<std::uint64_t> LastEvent; ///< Resume after this event.
   std::vector<HelperEngine> Helpers;
-  bool Fresh = false;  ///< Not over a kept connection.
+  bool Fresh = false;  ///< Do not reuse a connection.
   bool Stream = false; ///< The answer is a series of events.
-  /// A stream that gives nothing for so long after its first event is given up
-  /// as silent; zero: never.
+  /// A stream that sends nothing for this time after its first event fails as
+  /// silent. Zero disables the timeout.
   Duration MaxSilence{};
 
   bool operator==(const DispatchRelay &) const = default;
 };
 
-/// Drop the try: close its connection.
+/// Cancels the attempt by closing its connection.
 struct CancelRelay {
   AttemptId Attempt;
 
@@ -74,23 +74,23 @@
   UnknownKey,
   NotRun,         ///< It never ran and never will; may be sent again.
   OutcomeUnknown, ///< It may have run.
-  TimedOut,       ///< Its time is over; it may have run.
+  TimedOut,       ///< Its deadline has passed; it may have run.
 };
 
-/// The kind's name in logs and metrics.
+/// Returns the kind's name in logs and metrics.
 std::string_view name(RefusalKind Kind);
 
-/// The final answer made by this host.
+/// Sends a final answer that this host generates.
 struct RefuseRelay {
   RequestId Request;
   RefusalKind Kind = RefusalKind::NotRun;
-  Duration RetryAfter{}; ///< With NotRun: when to come back.
+  Duration RetryAfter{}; ///< With NotRun: delay before a retry.
   std::string Message;
 
   bool operator==(const RefuseRelay &) const = default;
 };
 
-/// Give the caller the upstream's failure that the try ended with.
+/// Sends the caller the upstream's failure with which the attempt ended.
 struct DeliverFailure {
   RequestId Request;
   AttemptId Attempt;
@@ -98,65 +98,67 @@
   bool operator==(const DeliverFailure &) const = default;
 };
 
-/// Break off an answer that has begun, so that it does not look complete.
+/// Aborts an answer that has begun, so that it does not appear complete.
 struct BreakRelay {
   RequestId Request;
 
   bool operator==(const BreakRelay &) const = default;
 };
 
-/// No byte of the request was handed to a transport.
+/// No byte of the request was passed to a transport.
 struct RelayNeverSent {
-  /// Taken back here, as the upstream asked for rest meanwhile.
+  /// This host withdrew the attempt because the upstream asked for a backoff in
+  /// the meantime.
   bool Withdrawn = false;
 
   bool operator==(const RelayNeverSent &) const = default;
 };
 
-/// The upstream said that it did not run the request.
+/// The upstream reported that it did not run the request.
 struct RelayNotRun {
   bool OtherEngine = false;        ///< Another upstream has the address now.
-  std::uint32_t Status = 0;        ///< Of its answer.
-  std::optional<Address> FailedAt; ///< The engine at fault, when it told.
+  std::uint32_t Status = 0;        ///< HTTP status of the answer.
+  std::optional<Address> FailedAt; ///< The faulty engine, if reported.
 
   bool operator==(const RelayNotRun &) const = default;
 };
 
-/// The engine at fault: a helper, or else \p Engine itself.
-UpstreamId faultyEngine(const RelayNotRun &Is, const UpstreamId &Engine,
+/// Returns the faulty engine: a helper or \p Engine itself.
+UpstreamId faultyEngine(const RelayNotRun &Outcome, const UpstreamId &Engine,
                         std::span<const HelperEngine> Helpers);
 
-/// The upstream's whole answer went to the caller.
+/// The upstream's complete answer was sent to the caller.
 struct RelayDelivered {
   std::uint32_t Status = 200;
-  Duration MaxEventGap{}; ///< Between two reads of a stream's events.
+  Duration MaxEventGap{}; ///< Longest time between two reads of the stream.
 
   bool operator==(const RelayDelivered &) const = default;
 };
 
-/// The upstream ran it and answered with a failure, which is kept.
+/// The upstream ran the request and answered with a failure. The traffic thread
+/// keeps the failure.
 struct RelayFailed {
   std::uint32_t Status = 500;
 
   bool operator==(const RelayFailed &) const = default;
 };
 
-/// There is no whole answer, and the upstream may have run it.
+/// The answer is incomplete, and the upstream may have run the request.
 struct RelayBroken {
   enum class Why {
     Reset,     ///< The connection was reset or closed.
-    Silent,    ///< Nothing came; the transport gave up.
-    Malformed, ///< What came is no answer in the protocol.
-    Foreign,   ///< What came answers another request.
-    Corrupt,   ///< The body is cut or altered.
+    Silent,    ///< The transport timed out without an answer.
+    Malformed, ///< The answer violates the protocol.
+    Foreign,   ///< The answer belongs to another request.
+    Corrupt,   ///< The body is truncated or altered.
   } Reason = Why::Reset;
-  bool Began = false; ///< The caller has got a part of the answer.
-  std::optional<std::uint64_t> LastEvent; ///< The last whole event passed on.
+  bool Began = false; ///< The caller has received a part of the answer.
+  std::optional<std::uint64_t> LastEvent; ///< Last complete event forwarded.
 
   bool operator==(const RelayBroken &) const = default;
 };
 
-/// The reason's name in logs and metrics.
+/// Returns the reason's name in logs and metrics.
 std::string_view name(RelayBroken::Why Reason);
 
 using RelayOutcome = std::variant<RelayNeverSent, RelayNotRun, RelayDelivered,
--- a/src/libs/gateway/RouteTable.cpp
+++ b/src/libs/gateway/RouteTable.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Host names are compared without case, and without the port.
+/// Returns the host name in lower case without the port.
 std::string hostKey(std::string_view Host) {
   std::string Result(Host.substr(0, Host.find(':')));
-  std::ranges::transform(Result, Result.begin(), [](unsigned char Each) {
-    return static_cast<char>(std::tolower(Each));
+  std::ranges::transform(Result, Result.begin(), [](unsigned char Character) {
+    return static_cast<char>(std::tolower(Character));
   });
   return Result;
 }
@@ -20,8 +20,8 @@
 
 RouteTable::RouteTable(std::shared_ptr<const GatewayConfiguration> Given)
     : Declared(std::move(Given)) {
-  for (const RouteEntry &Each : this->Declared->Routes)
-    this->ByHost[hostKey(Each.Host)].emplace(Each.PathPrefix, &Each);
+  for (const RouteEntry &Route : this->Declared->Routes)
+    this->ByHost[hostKey(Route.Host)].emplace(Route.PathPrefix, &Route);
 }
 
 const RouteEntry *RouteTable::find(std::string_view Host,
@@ -29,7 +29,8 @@
   const auto Routes = this->ByHost.find(hostKey(Host));
   if (Routes == this->ByHost.end())
     return nullptr;
-  // Prefixes end with a slash, so only the path up to each slash can be one.
+  // Prefixes end with a slash, so only the parts of the path that end with a
+  // slash are candidates.
   std::size_t Length = Path.size();
   while (Length > 0) {
     const std::size_t Slash = Path.rfind('/', Length - 1);
--- a/src/libs/gateway/RouteTable.h
+++ b/src/libs/gateway/RouteTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the route of a request.
+/// Finds the routes of requests.
 #pragma once
 
 #include "gateway/Configuration.h"
@@ -9,7 +9,7 @@
 
 namespace banyanpick {
 
-/// An index over one version of the configuration. Never changes.
+/// An immutable index of one version of the configuration.
 class RouteTable {
 public:
   explicit RouteTable(std::shared_ptr<const GatewayConfiguration> Declared);
@@ -17,18 +17,18 @@
   const GatewayConfiguration &configuration() const { return *this->Declared; }
   std::uint64_t version() const { return this->Declared->Version; }
 
-  /// The route of \p Host (a port is ignored) with the longest prefix that
-  /// begins \p Path, or null.
+  /// Returns the route of \p Host whose prefix is the longest that matches the
+  /// beginning of \p Path, or null. A port in \p Host is ignored.
   const RouteEntry *find(std::string_view Host, std::string_view Path) const;
 
-  /// Whose key it is, or null.
+  /// Returns the owner of the key, or null.
   const KeyOwner *ownerOf(const std::string &Key) const;
 
-  /// The service's declaration, or null.
+  /// Returns the declaration of the service, or null.
   const ServiceEntry *service(const ServiceId &Id) const;
 
 private:
-  /// Routes of one host by prefix.
+  /// The routes of one host by prefix.
   using ByPrefix = std::map<std::string, const RouteEntry *, std::less<>>;
 
   std::shared_ptr<const GatewayConfiguration> Declared;
