--- a/src/libs/base/Base64.cpp
+++ b/src/libs/base/Base64.cpp
@@ -27,7 +27,7 @@
   sodium_bin2base64(Text.data(), Text.size(),
                     reinterpret_cast<const unsigned char *>(Bytes.data()),
                     Bytes.size(), sodium_base64_VARIANT_ORIGINAL);
-  Text.pop_back(); // The closing zero.
+  Text.pop_back(); // The terminating null character.
   return Text;
 }
 
--- a/src/libs/base/Base64.h
+++ b/src/libs/base/Base64.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bytes as base64 with padding (RFC 4648).
+/// Base64 encoding with padding (RFC 4648).
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace banyanpick {
 
-/// Throws Error(BadInput) when it is none.
+/// Throws Error(BadInput) if the text is not valid base64.
 std::string fromBase64(std::string_view Text);
 
 std::string toBase64(std::string_view Bytes);
--- a/src/libs/base/Error.h
+++ b/src/libs/base/Error.h
@@ -1,5 +1,5 @@
 /// \file
-/// The kinds of error that banyanpick throws. Each message ends with a remedy.
+/// The error class that banyanpick throws. Each message ends with a remedy.
 #pragma once
 
 #include <stdexcept>
@@ -8,22 +8,22 @@
 
 namespace banyanpick {
 
-/// What a caller of a throwing function may tell apart.
+/// The category of an error.
 enum class ErrorKind {
-  BadInput,    ///< What was given is malformed; mend it and give it again.
-  NotAllowed,  ///< The key given does not permit this.
-  Conflict,    ///< Somebody else changed the same thing first.
-  Unavailable, ///< Something outside does not answer; try again later.
-  Internal,    ///< An invariant does not hold; report it.
+  BadInput,    ///< The input is malformed; correct it and retry.
+  NotAllowed,  ///< The key does not permit the operation.
+  Conflict,    ///< A concurrent change was applied first.
+  Unavailable, ///< An external service does not answer; retry later.
+  Internal,    ///< An invariant is violated; report a bug.
 };
 
-/// The kind's name as it stands in logs and answers.
+/// Returns the kind's name as written in logs and answers.
 std::string_view name(ErrorKind Kind);
 
-/// An error with its kind, what happened and what to do about it.
+/// An error with its kind, its cause and its remedy.
 class Error : public std::runtime_error {
 public:
-  /// \p Remedy says in one sentence what the reader can do.
+  /// \p Remedy says in one sentence what the user can do.
   Error(ErrorKind Kind, std::string_view What, std::string_view Remedy);
 
   ErrorKind kind() const { return this->Kind; }
--- a/src/libs/base/EventNumbers.h
+++ b/src/libs/base/EventNumbers.h
@@ -1,6 +1,6 @@
 /// \file
-/// Every numbered log event; docs/EVENTS.md catalogues them and a test holds
-/// the two together. One line an event: name, number, level, message.
+/// All numbered log events. docs/EVENTS.md documents them and a test checks
+/// that both agree. One declaration per event: name, number, level, message.
 #pragma once
 
 #include "base/LogEvent.h"
@@ -9,7 +9,7 @@
 
 namespace banyanpick {
 
-/// A kind of log event: its number, level and message never change.
+/// A kind of log event. Its number, level and message never change.
 struct EventKind {
   std::uint32_t Number;
   LogLevel Level;
--- a/src/libs/base/LogEvent.h
+++ b/src/libs/base/LogEvent.h
@@ -1,5 +1,5 @@
 /// \file
-/// A numbered log event with its fields, before it is written anywhere.
+/// A numbered log event with its fields, independent of any log output.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   bool operator==(const LogField &) const = default;
 };
 
-/// One log line. The number stands in docs/EVENTS.md.
+/// One log line. docs/EVENTS.md documents the numbers.
 struct LogEvent {
   LogLevel Level = LogLevel::Info;
   std::uint32_t Number = 0;
--- a/src/libs/base/Milliseconds.h
+++ b/src/libs/base/Milliseconds.h
@@ -1,6 +1,6 @@
 /// \file
-/// Durations as floating numbers of milliseconds, in which engines' work is
-/// declared and weighed.
+/// Conversion of durations to and from floating-point milliseconds, the unit in
+/// which the work of engines is declared and compared.
 #pragma once
 
 #include "base/Time.h"
--- a/src/libs/base/Random.h
+++ b/src/libs/base/Random.h
@@ -1,5 +1,5 @@
 /// \file
-/// Seeded random numbers for the deciding code.
+/// Seeded random numbers for the decision code.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,19 @@
 
 namespace banyanpick {
 
-/// A reproducible source of random numbers: the same seed, the same numbers.
+/// A reproducible random number generator: equal seeds give equal numbers.
 class Random {
 public:
   explicit Random(std::uint64_t Seed) : Engine(Seed) {}
 
-  /// A whole number in [0, \p Bound); 0 when \p Bound is 0. The distributions
-  /// of the standard library differ between implementations, so the draw is
-  /// reduced here to be the same everywhere.
+  /// Returns an integer in [0, \p Bound), or 0 if \p Bound is 0. Does not use
+  /// the distributions of the standard library because they differ between
+  /// implementations.
   std::uint64_t below(std::uint64_t Bound) {
     return Bound == 0 ? 0 : this->Engine() % Bound;
   }
 
-  /// A number in [0, 1).
+  /// Returns a number in [0, 1).
   double fraction() {
     return static_cast<double>(this->Engine() >> 11) * 0x1.0p-53;
   }
--- a/src/libs/base/RendezvousHash.h
+++ b/src/libs/base/RendezvousHash.h
@@ -7,8 +7,9 @@
 
 namespace banyanpick {
 
-/// The weight of \p Candidate for \p Key: the same on every host. The
-/// candidate with the highest weight is chosen (Thaler and Ravishankar, 1998).
+/// Returns the weight of \p Candidate for \p Key, which is equal on all hosts.
+/// The candidate with the highest weight is selected (Thaler and Ravishankar,
+/// 1998).
 std::uint64_t rendezvousWeight(std::string_view Key,
                                std::string_view Candidate);
 
--- a/src/libs/base/StrongId.h
+++ b/src/libs/base/StrongId.h
@@ -1,5 +1,5 @@
 /// \file
-/// Identifiers that the compiler keeps apart.
+/// Identifier types that cannot be mixed up at compile time.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,8 @@
 
 namespace banyanpick {
 
-/// A value of type \p Rep that only compares with others of the same \p Tag.
+/// A value of type \p Rep that is only comparable with values of the same
+/// \p Tag.
 template <class Tag, class Rep> struct StrongId {
   Rep Value{};
 
@@ -21,9 +22,10 @@
   auto operator<=>(const StrongId &) const = default;
 };
 
-/// Name of an entry host, unique in the deployment, from its settings.
+/// Name of an entry host, from its settings; unique in the deployment.
 using HostId = StrongId<struct HostTag, std::string>;
-/// Name of an upstream (model engine or plain service), from the host list.
+/// Name of an upstream (model engine or application service), from the host
+/// list.
 using UpstreamId = StrongId<struct UpstreamTag, std::string>;
 /// Name of a data centre.
 using ZoneId = StrongId<struct ZoneTag, std::string>;
@@ -37,19 +39,19 @@
 using OwnerId = StrongId<struct OwnerTag, std::string>;
 /// One caller's request on one entry host; assigned by its traffic thread.
 using RequestId = StrongId<struct RequestTag, std::uint64_t>;
-/// One life of a process: random, drawn at start, never used again.
+/// One run of a process: drawn at random at its start and never reused.
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
 /// The caller's key of a non-idempotent operation; a UUIDv7.
 using OperationKey = StrongId<struct OperationTag, std::string>;
-/// Content fingerprint of a request, equal for equal content.
+/// Content fingerprint of a request; equal for equal content.
 using Fingerprint = StrongId<struct FingerprintTag, std::uint64_t>;
-/// Identity of a prompt block, chained over all blocks before it.
+/// Hash of a prompt block, chained over all preceding blocks.
 using BlockHash = std::uint64_t;
 /// Position of a record in the platform's log.
 using LogOffset = std::uint64_t;
 
-/// A number unique over all hosts and their lives: who made it, and the how
-/// manieth of its maker it is.
+/// An id that is unique over all hosts and their incarnations. Consists of the
+/// incarnation that created it and a sequence number of that incarnation.
 template <class Tag> struct SequencedId {
   Incarnation Maker;
   std::uint64_t Sequence = 0;
@@ -58,15 +60,17 @@
   auto operator<=>(const SequencedId &) const = default;
 };
 
-/// One try of a request on one upstream; echoed in each chunk of its answer.
+/// One attempt of a request on one upstream; repeated in each chunk of its
+/// answer.
 using AttemptId = SequencedId<struct AttemptTag>;
-/// One record appended to the log; found again by it when an answer is lost.
+/// One record appended to the log; identifies the record in the log if the
+/// answer to the append is lost.
 using RecordId = SequencedId<struct RecordTag>;
 /// Memory held on one engine for a group of engines.
 using HoldId = SequencedId<struct HoldTag>;
 /// One order to an engine.
 using OrderId = SequencedId<struct OrderTag>;
-/// One change set of an operator; made by the command line.
+/// One change set of an operator; created by the command-line tool.
 using ChangeId = StrongId<struct ChangeTag, std::string>;
 
 /// Combines hash values (the golden-ratio mix used by Boost).
--- a/src/libs/base/Text.h
+++ b/src/libs/base/Text.h
@@ -1,12 +1,12 @@
 /// \file
-/// Small helpers for text.
+/// Helper functions for text.
 #pragma once
 
 #include <string_view>
 
 namespace banyanpick {
 
-/// \p Text without blanks and line ends at both ends.
+/// Returns \p Text without leading and trailing blanks and line breaks.
 inline std::string_view trimmed(std::string_view Text) {
   constexpr std::string_view Blanks = " \t\r\n";
   const std::size_t First = Text.find_first_not_of(Blanks);
--- a/src/libs/base/Time.h
+++ b/src/libs/base/Time.h
@@ -1,6 +1,7 @@
 /// \file
-/// Time as the decision code sees it: always an argument, never read from a
-/// clock. The daemon maps its monotonic clock onto this scale.
+/// The time types of the decision code. Time is always passed as an argument
+/// and never read from a clock. The daemon maps its monotonic clock to this
+/// scale.
 #pragma once
 
 #include <chrono>
@@ -8,10 +9,10 @@
 
 namespace banyanpick {
 
-/// A span of time in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The scale of Time: microseconds since the Unix epoch.
+/// The clock type of Time: microseconds since the Unix epoch.
 struct WallScale {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -20,22 +21,22 @@
   static constexpr bool is_steady = true;
 };
 
-/// A moment on the microsecond scale since the Unix epoch.
+/// A point in time in microseconds since the Unix epoch.
 using Time = std::chrono::time_point<WallScale, Duration>;
 
-/// A moment later than every other one; stands for "never".
+/// The latest representable time; means "never".
 inline constexpr Time Never = Time::max();
 
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The duration as a floating number of seconds.
+/// Converts a duration to floating-point seconds.
 constexpr double inSeconds(Duration Value) {
   return static_cast<double>(Value.count()) / 1e6;
 }
 
-/// A duration from a floating number of seconds.
+/// Converts floating-point seconds to a duration.
 constexpr Duration fromSeconds(double Value) {
   return Duration(static_cast<Duration::rep>(Value * 1e6));
 }
