--- a/src/libs/kernel/AddressText.cpp
+++ b/src/libs/kernel/AddressText.cpp
@@ -12,7 +12,7 @@
 [[noreturn]] void throwMalformed(std::string_view Text) {
   throw Error(ErrorKind::BadInput,
               "'" + std::string(Text) + "' is not an address",
-              "use an IP address and a port, such as 127.0.0.1:8080");
+              "give an IP number and a port, such as 127.0.0.1:8080");
 }
 
 bool isIpAddress(const std::string &Text) {
--- a/src/libs/kernel/PluginRegistry.cpp
+++ b/src/libs/kernel/PluginRegistry.cpp
@@ -43,7 +43,7 @@
     if (!this->Open.insert(Name).second)
       throw Error(ErrorKind::Internal,
                   "plug-in " + std::string(Name) + " depends on itself",
-                  "remove the circular dependency");
+                  "remove the cycle of dependencies");
     for (const std::string_view Dependency : Found->second->Dependencies)
       this->visit(Dependency, Name);
     this->Open.erase(Name);
--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -404,7 +404,7 @@
       throw Error(ErrorKind::Internal,
                   std::string("no plug-in provides ") +
                       typeid(Interface).name(),
-                  "declare the dependency of the plug-in that uses it");
+                  "declare the dependency of the plug-in that asks for it");
     return *static_cast<Interface *>(Found->second);
   }
 
