--- a/tests/auto/base/BaseTest.cpp
+++ b/tests/auto/base/BaseTest.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(name(Thrown.kind()), "conflict");
 }
 
-RC_GTEST_PROP(Random, RepeatsItselfAndKeepsItsBounds,
+RC_GTEST_PROP(Random, IsReproducibleAndRespectsBounds,
               (std::uint64_t Seed, std::uint64_t Bound)) {
   Random First(Seed);
   Random Second(Seed);
@@ -35,7 +35,7 @@
   }
 }
 
-TEST(RendezvousHash, SpreadsEvenlyAndMovesOnlyWhatWasLost) {
+TEST(RendezvousHash, SpreadsEvenlyAndMovesOnlyKeysOfARemovedHost) {
   const std::array<std::string, 4> Hosts{"h1", "h2", "h3", "h4"};
   const auto Best = [&](const std::string &Key, std::size_t Count) {
     return std::max_element(Hosts.begin(), Hosts.begin() + Count,
@@ -54,11 +54,11 @@
       EXPECT_EQ(Best(Name, 3), All);
     }
   }
-  for (const int Each : Owned)
-    EXPECT_NEAR(Each, 1000, 150);
+  for (const int Count : Owned)
+    EXPECT_NEAR(Count, 1000, 150);
 }
 
-TEST(StrongId, KeepsIdsOfTwoLivesApart) {
+TEST(StrongId, DistinguishesIdsOfDifferentIncarnations) {
   std::unordered_set<AttemptId> Seen;
   for (std::uint64_t Life = 0; Life < 10; ++Life) {
     for (std::uint64_t Sequence = 0; Sequence < 10; ++Sequence)
