--- a/tests/auto/kernel/KernelPurityTest.cpp
+++ b/tests/auto/kernel/KernelPurityTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// A kernel is a pure state machine: the same events give the same actions,
-/// and kernels in one process share nothing.
+/// A kernel is a pure state machine: the same events result in the same
+/// actions, and kernels in one process share no state. Fails if a kernel
+/// depends on anything except its events, its settings and its seed.
 #include "harness/TestCatalogue.h"
 #include "harness/VirtualDeployment.h"
 
@@ -11,11 +12,11 @@
 namespace banyanpick {
 namespace {
 
-/// What one kernel was given and what it wanted.
-struct Handled {
-  Event What;
+/// An event that a kernel handled and the resulting actions.
+struct HandledEvent {
+  Event Input;
   Time At;
-  std::vector<Action> Wanted;
+  std::vector<Action> Output;
 };
 
 bool areEqual(const Action &First, const Action &Second) {
@@ -27,56 +28,59 @@
         if constexpr (std::equality_comparable<Kind>)
           return One == std::get<Kind>(Second);
         else
-          return true; // Answers to operators; none are asked for here.
+          return true; // Answers to operators; this test requests none.
       },
       First);
 }
 
-/// Two hosts beside each other under load and faults; what h1 did.
-std::vector<Handled> recordedRun(VirtualDeployment &World) {
-  std::vector<Handled> Record;
-  World.OnHandled = [&Record](const VirtualHost &Host, const Event &What,
-                              Time At, const std::vector<Action> &Wanted) {
+/// Runs two hosts in one process under load and faults. Returns the events and
+/// actions of h1.
+std::vector<HandledEvent> recordedRun(VirtualDeployment &Deployment) {
+  std::vector<HandledEvent> Record;
+  Deployment.OnHandled = [&Record](const VirtualHost &Host, const Event &Input,
+                                   Time At, const std::vector<Action> &Output) {
     if (Host.name() == "h1")
-      Record.push_back({What, At, Wanted});
+      Record.push_back({Input, At, Output});
   };
-  World.seedCatalogue(testCatalogue({"house-1"}));
+  Deployment.seedCatalogue(testCatalogue({"house-1"}));
   for (const char *Name : {"e1", "e2", "e3"}) {
     EngineShape Shape;
     Shape.Id = UpstreamId(Name);
     Shape.Models = {ModelId(TestModel)};
-    World.addEngine(Shape, "a");
+    Deployment.addEngine(Shape, "a");
   }
-  World.addApplication("p1", TestService, "a");
-  World.addHost("h1", "a");
-  World.addHost("h2", "b");
-  World.runFor(seconds(5));
+  Deployment.addApplication("p1", TestService, "a");
+  Deployment.addHost("h1", "a");
+  Deployment.addHost("h2", "b");
+  Deployment.runFor(seconds(5));
   for (std::uint64_t Content = 1; Content <= 40; ++Content) {
     const bool Long = Content % 4 == 0;
-    World.send(Content % 2 == 0 ? "h1" : "h2",
-               testRequest("house-1", Long ? "long" : "short",
-                           Long ? 90'000 : 2000, Content));
+    Deployment.send(Content % 2 == 0 ? "h1" : "h2",
+                    testRequest("house-1", Long ? "long" : "short",
+                                Long ? 90'000 : 2000, Content));
     RequestHead Confirm = testRequest("house-1", "confirm", 50, Content);
-    Confirm.Operation = World.makeOperationKey();
-    World.send("h1", Confirm);
-    World.runFor(milliseconds(50));
+    Confirm.Operation = Deployment.makeOperationKey();
+    Deployment.send("h1", Confirm);
+    Deployment.runFor(milliseconds(50));
   }
-  World.killUpstream("e2");
-  World.runFor(seconds(30));
+  Deployment.killUpstream("e2");
+  Deployment.runFor(seconds(30));
   return Record;
 }
 
 TEST(KernelPurityTest, TheSameEventsAndSeedGiveTheSameActions) {
-  VirtualDeployment World({});
-  const std::vector<Handled> Record = recordedRun(World);
+  VirtualDeployment Deployment({});
+  const std::vector<HandledEvent> Record = recordedRun(Deployment);
   ASSERT_GT(Record.size(), 500u);
-  const VirtualHost &Host = *World.hosts().at("h1");
-  const auto Alone = World.makeKernel(Host.listing(), Host.life(), Host.seed());
-  for (const Handled &Each : Record) {
-    const std::vector<Action> Again = Alone->handle(Each.What, Each.At);
-    ASSERT_EQ(Again.size(), Each.Wanted.size());
+  const VirtualHost &Host = *Deployment.hosts().at("h1");
+  const auto Alone =
+      Deployment.makeKernel(Host.listing(), Host.life(), Host.seed());
+  for (const HandledEvent &Recorded : Record) {
+    const std::vector<Action> Again =
+        Alone->handle(Recorded.Input, Recorded.At);
+    ASSERT_EQ(Again.size(), Recorded.Output.size());
     for (std::size_t At = 0; At < Again.size(); ++At)
-      ASSERT_TRUE(areEqual(Again[At], Each.Wanted[At]))
+      ASSERT_TRUE(areEqual(Again[At], Recorded.Output[At]))
           << "an action of kind " << Again[At].index() << " differs";
   }
 }
--- a/tests/auto/kernel/PluginListTest.cpp
+++ b/tests/auto/kernel/PluginListTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Static registration loses nothing: the plug-ins linked are those declared.
+/// The linked plug-ins are exactly the declared ones. Guards against a linker
+/// that drops an object file whose only effect is its static registration.
 #include "kernel/PluginRegistry.h"
 #include "settings/SettingValue.h"
 
@@ -11,7 +12,7 @@
 namespace banyanpick {
 namespace {
 
-TEST(PluginListTest, EveryPlugInIsLinkedAndNoOther) {
+TEST(PluginListTest, ExactlyTheDeclaredPluginsAreLinked) {
   const std::set<std::string> Declared = {
       "active_hosts",  "admission",      "catalogue",
       "claims",        "crashes",        "departure",
@@ -25,25 +26,26 @@
       "resolve",       "retry",          "routes",
       "routing",       "store_readers"};
   std::set<std::string> Linked;
-  for (const PluginDescription &Each : registeredPlugins())
-    EXPECT_TRUE(Linked.emplace(Each.Name).second)
-        << Each.Name << " is registered twice";
+  for (const PluginDescription &Plugin : registeredPlugins())
+    EXPECT_TRUE(Linked.emplace(Plugin.Name).second)
+        << Plugin.Name << " is registered twice";
   EXPECT_EQ(Linked, Declared);
 }
 
-TEST(PluginListTest, EachComesAfterThoseItDependsOn) {
+TEST(PluginListTest, PluginsAreOrderedByDependency) {
   std::set<std::string_view> Before;
-  for (const PluginDescription &Each : registeredPlugins()) {
-    for (const std::string_view Needed : Each.Dependencies)
-      EXPECT_TRUE(Before.contains(Needed)) << Each.Name << " before " << Needed;
-    Before.insert(Each.Name);
+  for (const PluginDescription &Plugin : registeredPlugins()) {
+    for (const std::string_view Needed : Plugin.Dependencies)
+      EXPECT_TRUE(Before.contains(Needed))
+          << Plugin.Name << " before " << Needed;
+    Before.insert(Plugin.Name);
   }
 }
 
-TEST(PluginListTest, AGatewayIsMadeOfItsOwnPlugInsAndSharedOnes) {
+TEST(PluginListTest, AGatewayUsesItsOwnAndTheSharedPlugins) {
   std::set<std::string> Used;
-  for (const PluginDescription &Each : pluginsFor(ServingMode::Gateway))
-    Used.emplace(Each.Name);
+  for (const PluginDescription &Plugin : pluginsFor(ServingMode::Gateway))
+    Used.emplace(Plugin.Name);
   EXPECT_EQ(Used, (std::set<std::string>{
                       "active_hosts", "crashes", "departure", "engine_limits",
                       "engine_load", "engine_memory", "engine_signals",
@@ -53,12 +55,12 @@
 }
 
 TEST(PluginListTest, EverySettingHasAValidDefault) {
-  for (const SettingDeclaration &Each : pluginSettings()) {
-    EXPECT_FALSE(Each.Help.empty()) << Each.Section << "." << Each.Key;
-    if (Each.Required || Each.Kind == SettingKind::Text)
+  for (const SettingDeclaration &Setting : pluginSettings()) {
+    EXPECT_FALSE(Setting.Help.empty()) << Setting.Section << "." << Setting.Key;
+    if (Setting.Required || Setting.Kind == SettingKind::Text)
       continue;
-    EXPECT_EQ(problemWith(Each, Each.Default), "")
-        << Each.Section << "." << Each.Key;
+    EXPECT_EQ(problemWith(Setting, Setting.Default), "")
+        << Setting.Section << "." << Setting.Key;
   }
 }
 
