--- a/tests/auto/random/RandomTest.cpp
+++ b/tests/auto/random/RandomTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Random scenarios with all faults together and twice.
+/// Random scenarios that combine all kinds of faults, also repeatedly.
 #include "harness/RandomScenario.h"
 #include "harness/ScenarioRunner.h"
 
@@ -27,14 +27,15 @@
 namespace banyanpick {
 namespace {
 
-/// Shrinks to the fewest steps that break a promise.
+/// RapidCheck shrinks a failing scenario to the fewest steps that break a
+/// guarantee.
 RC_GTEST_PROP(RandomTest, PromisesHoldUnderAnyFewFaults,
               (const std::vector<RandomStep> &Steps)) {
   const std::string Text = randomScenario(1, Steps);
   ScenarioRunner Runner(Text);
   Runner.run();
-  for (const std::string &Each : Runner.failures())
-    RC_FAIL(fmt::format("{}\n{}", Each, Text));
+  for (const std::string &Failure : Runner.failures())
+    RC_FAIL(fmt::format("{}\n{}", Failure, Text));
 }
 
 TEST(RandomTest, PromisesHoldUnderManyFaults) {
@@ -44,8 +45,8 @@
   for (std::uint64_t Seed = FirstSeed; Seed < FirstSeed + Runs; ++Seed) {
     const RandomRunResult Result = runRandomScenario(Seed);
     Steps += Result.KernelSteps;
-    for (const std::string &Each : Result.Failures)
-      ADD_FAILURE() << "seed " << Seed << ": " << Each;
+    for (const std::string &Failure : Result.Failures)
+      ADD_FAILURE() << "seed " << Seed << ": " << Failure;
   }
   std::cout << Steps << " random steps\n";
 }
--- a/tests/auto/random/Soak.cpp
+++ b/tests/auto/random/Soak.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Runs random scenarios for a time and prints the seed of each failure:
-/// `soak MINUTES SEED`; `soak 0 SEED` runs that one seed with its trace.
+/// Runs random scenarios for a given time and prints the seed of each failure:
+/// `soak MINUTES SEED`. `soak 0 SEED` runs only that seed and prints its trace.
 #include "harness/RandomScenario.h"
 #include "harness/ScenarioRunner.h"
 
@@ -19,20 +19,20 @@
   Runner.keepTrace();
   Runner.run();
   fmt::print("{}\n{}", Result.Scenario, Runner.trace());
-  for (const std::string &Each : Result.Failures)
-    fmt::print("seed {}: {}\n", Seed, Each);
+  for (const std::string &Failure : Result.Failures)
+    fmt::print("seed {}: {}\n", Seed, Failure);
   return Result.Failures.empty() ? 0 : 1;
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Arguments) {
   if (Count != 3) {
     fmt::print(stderr, "usage: soak MINUTES SEED\n");
     return 2;
   }
-  const double Minutes = std::strtod(Words[1], nullptr);
-  std::uint64_t Seed = std::strtoull(Words[2], nullptr, 10);
+  const double Minutes = std::strtod(Arguments[1], nullptr);
+  std::uint64_t Seed = std::strtoull(Arguments[2], nullptr, 10);
   if (Minutes <= 0)
     return repeatOne(Seed);
   const auto Started = std::chrono::steady_clock::now();
@@ -44,8 +44,8 @@
     const RandomRunResult Result = runRandomScenario(Seed);
     Steps += Result.KernelSteps;
     Failed += Result.Failures.empty() ? 0 : 1;
-    for (const std::string &Each : Result.Failures)
-      fmt::print("seed {}: {}\n", Seed, Each);
+    for (const std::string &Failure : Result.Failures)
+      fmt::print("seed {}: {}\n", Seed, Failure);
   }
   const std::chrono::duration<double, std::ratio<3600>> Took =
       std::chrono::steady_clock::now() - Started;
