--- a/tests/auto/scenarios/ScenariosTest.cpp
+++ b/tests/auto/scenarios/ScenariosTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Each file of tests/scenarios is a test.
+/// Runs each file of tests/scenarios as a test.
 #include "base/Error.h"
 #include "harness/ScenarioRunner.h"
 
@@ -16,40 +16,43 @@
 
 std::vector<std::string> scenarioFiles() {
   std::vector<std::string> Names;
-  for (const auto &Each :
+  for (const auto &File :
        std::filesystem::directory_iterator(BANYANPICK_SCENARIOS))
-    if (Each.path().extension() == ".scenario")
-      Names.push_back(Each.path().stem().string());
+    if (File.path().extension() == ".scenario")
+      Names.push_back(File.path().stem().string());
   std::sort(Names.begin(), Names.end());
   return Names;
 }
 
 class ScenariosTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(ScenariosTest, HoldsEveryPromise) {
+TEST_P(ScenariosTest, KeepsAllGuarantees) {
   std::ifstream File(std::string(BANYANPICK_SCENARIOS) + "/" + GetParam() +
                      ".scenario");
   const std::string Text{std::istreambuf_iterator<char>(File), {}};
   ScenarioRunner Runner(Text);
   Runner.run();
-  for (const std::string &Each : Runner.failures())
-    ADD_FAILURE() << Each;
+  for (const std::string &Failure : Runner.failures())
+    ADD_FAILURE() << Failure;
   if (testing::Test::HasFailure())
-    std::cerr << "read it with: build/bin/scenario tests/scenarios/"
+    std::cerr << "print its log with: build/bin/scenario tests/scenarios/"
               << GetParam() << ".scenario\n";
 }
 
-INSTANTIATE_TEST_SUITE_P(
-    Files, ScenariosTest, testing::ValuesIn(scenarioFiles()),
-    [](const testing::TestParamInfo<std::string> &Info) {
-      std::string Name = Info.param;
-      std::replace_if(
-          Name.begin(), Name.end(),
-          [](unsigned char Each) { return !std::isalnum(Each); }, '_');
-      return Name;
-    });
-
-TEST(ScenarioTextTest, NamesTheLineThatIsWrong) {
+INSTANTIATE_TEST_SUITE_P(Files, ScenariosTest,
+                         testing::ValuesIn(scenarioFiles()),
+                         [](const testing::TestParamInfo<std::string> &Info) {
+                           std::string Name = Info.param;
+                           std::replace_if(
+                               Name.begin(), Name.end(),
+                               [](unsigned char Character) {
+                                 return !std::isalnum(Character);
+                               },
+                               '_');
+                           return Name;
+                         });
+
+TEST(ScenarioTextTest, ReportsTheLineOfASyntaxError) {
   try {
     ScenarioRunner("host h1\nat 1s dance h1\n").run();
     FAIL() << "accepted";
