--- a/tests/auto/gateway/GatewayBench.cpp
+++ b/tests/auto/gateway/GatewayBench.cpp
@@ -24,15 +24,15 @@
   this->send(Tick{});
 }
 
-void GatewayBench::send(const Event &What) {
-  for (Action &Each : this->Decider.handle(What, this->Now)) {
-    if (const auto *Is = std::get_if<GatewayAction>(&Each))
-      this->Done.push_back(*Is);
-    if (const auto *Is = std::get_if<SendToPeer>(&Each))
-      this->Sent.push_back(*Is);
-    if (const auto *Is = std::get_if<AnswerResolve>(&Each))
-      this->Hosts = Is->Hosts;
-    this->Stopped |= std::holds_alternative<StopNow>(Each);
+void GatewayBench::send(const Event &Input) {
+  for (Action &Output : this->Decider.handle(Input, this->Now)) {
+    if (const auto *Found = std::get_if<GatewayAction>(&Output))
+      this->Done.push_back(*Found);
+    if (const auto *Found = std::get_if<SendToPeer>(&Output))
+      this->Sent.push_back(*Found);
+    if (const auto *Found = std::get_if<AnswerResolve>(&Output))
+      this->Hosts = Found->Hosts;
+    this->Stopped |= std::holds_alternative<StopNow>(Output);
   }
 }
 
@@ -55,11 +55,11 @@
 void GatewayBench::registerEngines(const char *Service, int Count,
                                    LogOffset From) {
   EnginesRead Read;
-  for (int Each = 1; Each <= Count; ++Each) {
+  for (int Number = 1; Number <= Count; ++Number) {
     EngineChange Change;
-    Change.Engine.Id = UpstreamId("e" + std::to_string(Each));
+    Change.Engine.Id = UpstreamId("e" + std::to_string(Number));
     Change.Engine.Service = ServiceId(Service);
-    Change.Engine.At = {"127.0.0.1", static_cast<std::uint16_t>(100 + Each)};
+    Change.Engine.At = {"127.0.0.1", static_cast<std::uint16_t>(100 + Number)};
     Change.Engine.Zone = ZoneId("z");
     Change.Engine.Slots = 16;
     Change.Offset = From++;
@@ -86,9 +86,9 @@
   return Id;
 }
 
-void GatewayBench::report(const UpstreamId &Life) {
+void GatewayBench::report(const UpstreamId &Engine) {
   EngineReport Report;
-  Report.Engine = Life;
+  Report.Engine = Engine;
   this->send(GatewayEvent(EngineReported{Report}));
 }
 
@@ -98,8 +98,8 @@
   this->send(GatewayEvent(EngineSignalsReceived{Engine, this->Now, Signals}));
 }
 
-void GatewayBench::endAttempt(const AttemptId &Try, RelayOutcome Outcome) {
-  this->send(GatewayEvent(RelayEnded{Try, std::move(Outcome)}));
+void GatewayBench::endAttempt(const AttemptId &Attempt, RelayOutcome Outcome) {
+  this->send(GatewayEvent(RelayEnded{Attempt, std::move(Outcome)}));
 }
 
 void GatewayBench::receive(const char *From, PeerMessageBody Body) {
--- a/tests/auto/gateway/GatewayBench.h
+++ b/tests/auto/gateway/GatewayBench.h
@@ -1,5 +1,5 @@
 /// \file
-/// A gateway's kernel, driven by events.
+/// A test bench that drives the kernel of a gateway with events.
 #pragma once
 
 #include "kernel/Kernel.h"
@@ -16,42 +16,42 @@
 public:
   GatewayBench();
 
-  /// Handles the event and keeps what it leads to.
-  void send(const Event &What);
-  void send(GatewayEvent What) { this->send(Event(std::move(What))); }
-  /// Lets time pass, with a Tick whenever the kernel wants one.
+  /// Passes the event to the kernel and records the resulting actions.
+  void send(const Event &Input);
+  void send(GatewayEvent Input) { this->send(Event(std::move(Input))); }
+  /// Advances the time and sends a Tick whenever the kernel needs one.
   void advance(Duration For);
 
   void configure(std::uint64_t Version);
-  /// Engines named `e1`, `e2` ... of the service, all in the host's zone.
+  /// Registers engines of the service named `e1`, `e2` ... in the host's zone.
   void registerEngines(const char *Service, int Count, LogOffset From = 0);
-  /// A request to the path, with its key.
+  /// Sends a request with a valid key to the path.
   RequestId arrive(std::string Path, std::uint64_t PromptTokens = 0,
                    Duration Remaining = seconds(5));
-  /// An engine's own report, by which it names the life that it is in.
-  void report(const UpstreamId &Life);
-  void endAttempt(const AttemptId &Try, RelayOutcome Outcome);
-  /// An answer of the engine asks this host for rest.
+  /// Delivers an engine's load report, which identifies its incarnation.
+  void report(const UpstreamId &Engine);
+  void endAttempt(const AttemptId &Attempt, RelayOutcome Outcome);
+  /// Delivers an answer in which the engine asks this host to back off.
   void requestBackoff(const UpstreamId &Engine, Duration For);
 
-  /// All actions of the kind since the start.
+  /// Returns all actions of one type since the start.
   template <class Wanted> std::vector<Wanted> all() const {
     std::vector<Wanted> Result;
-    for (const GatewayAction &Each : this->Done)
-      if (const auto *Is = std::get_if<Wanted>(&Each))
-        Result.push_back(*Is);
+    for (const GatewayAction &Action : this->Done)
+      if (const auto *Found = std::get_if<Wanted>(&Action))
+        Result.push_back(*Found);
     return Result;
   }
   template <class Wanted> Wanted last() const {
     const auto All = this->all<Wanted>();
     return All.empty() ? Wanted{} : All.back();
   }
-  /// Messages of the kind to any peer.
+  /// Returns all messages of one type that were sent to any peer.
   template <class Wanted> std::vector<Wanted> sent() const {
     std::vector<Wanted> Result;
-    for (const SendToPeer &Each : this->Sent)
-      if (const auto *Is = std::get_if<Wanted>(&Each.Body))
-        Result.push_back(*Is);
+    for (const SendToPeer &Message : this->Sent)
+      if (const auto *Found = std::get_if<Wanted>(&Message.Body))
+        Result.push_back(*Found);
     return Result;
   }
   void receive(const char *From, PeerMessageBody Body);
--- a/tests/auto/gateway/RouteTableTest.cpp
+++ b/tests/auto/gateway/RouteTableTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Requests find the route with the longest prefix of their path.
+/// Tests that a request is matched to the route with the longest prefix of its
+/// path.
 #include "gateway/RouteTable.h"
 
 #include <gtest/gtest.h>
@@ -26,13 +27,13 @@
   return RouteTable(Declared);
 }
 
-std::string found(const RouteTable &In, std::string_view Host,
+std::string found(const RouteTable &Table, std::string_view Host,
                   std::string_view Path) {
-  const RouteEntry *Route = In.find(Host, Path);
+  const RouteEntry *Route = Table.find(Host, Path);
   return Route ? Route->Name : "";
 }
 
-TEST(RouteTable, TakesTheLongestPrefix) {
+TEST(RouteTable, SelectsTheLongestPrefix) {
   const RouteTable Table = table();
   EXPECT_EQ(found(Table, "a.example", "/notes/urgent/7"), "urgent");
   EXPECT_EQ(found(Table, "a.example", "/notes/urgent/"), "urgent");
@@ -42,7 +43,7 @@
   EXPECT_EQ(found(Table, "a.example", "/"), "root");
 }
 
-TEST(RouteTable, KeepsHostsApart) {
+TEST(RouteTable, SeparatesRoutesByHost) {
   const RouteTable Table = table();
   EXPECT_EQ(found(Table, "b.example", "/notes/urgent/7"), "other");
   EXPECT_EQ(found(Table, "b.example", "/else/"), "");
@@ -53,14 +54,14 @@
   EXPECT_EQ(found(table(), "A.Example:8080", "/notes/7"), "notes");
 }
 
-TEST(RouteTable, SurvivesOddPaths) {
+TEST(RouteTable, HandlesUnusualPaths) {
   const RouteTable Table = table();
   EXPECT_EQ(found(Table, "a.example", ""), "");
   EXPECT_EQ(found(Table, "a.example", "no-slash"), "");
   EXPECT_EQ(found(Table, "a.example", "//notes//"), "root");
 }
 
-TEST(RouteTable, KnowsWhoseKeyItIs) {
+TEST(RouteTable, FindsTheOwnerOfAKey) {
   const RouteTable Table = table();
   ASSERT_NE(Table.ownerOf("k"), nullptr);
   EXPECT_EQ(Table.ownerOf("k")->Team, TeamId("house"));
