--- a/src/libs/gateway/AnswerSignals.h
+++ b/src/libs/gateway/AnswerSignals.h
@@ -35,8 +35,8 @@
 /// Returns the length of the backoff, also if it could not be parsed.
 Duration backoffLength(const BackoffSignal &Signal);
 
-/// The maximum length of a backoff. Longer requests, such as a whole day, are
-/// mistakes and are limited to this length.
+/// The maximum length of a backoff. An upstream that asks for longer, such as a
+/// day, is assumed to be in error and gets this length.
 inline constexpr hours MaxBackoff(1);
 
 /// The length that is used if the requested length cannot be parsed. It is long
