--- a/src/libs/base/Error.cpp
+++ b/src/libs/base/Error.cpp
@@ -18,8 +18,8 @@
   return "unknown";
 }
 
-Error::Error(ErrorKind Kind, std::string_view What, std::string_view Remedy)
-    : std::runtime_error(std::string(What) + "; " + std::string(Remedy)),
+Error::Error(ErrorKind Kind, std::string_view Problem, std::string_view Remedy)
+    : std::runtime_error(std::string(Problem) + "; " + std::string(Remedy)),
       Kind(Kind), Remedy(Remedy) {}
 
 } // namespace banyanpick
--- a/src/libs/base/Error.h
+++ b/src/libs/base/Error.h
@@ -24,7 +24,7 @@
 class Error : public std::runtime_error {
 public:
   /// \p Remedy says in one sentence what the user can do.
-  Error(ErrorKind Kind, std::string_view What, std::string_view Remedy);
+  Error(ErrorKind Kind, std::string_view Problem, std::string_view Remedy);
 
   ErrorKind kind() const { return this->Kind; }
   const std::string &remedy() const { return this->Remedy; }
