--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -1,7 +1,7 @@
 #include "plugins/engineload/Deferral.h"
 
 #include "base/Milliseconds.h"
-#include "plugins/engineload/ReadCost.h"
+#include "plugins/engineload/PrefillCost.h"
 
 #include <algorithm>
 
@@ -46,7 +46,7 @@
 
 } // namespace
 
-double scarcityOf(std::span<const EngineState> States) {
+double slotScarcity(std::span<const EngineState> States) {
   double Taken = 0;
   double All = 0;
   for (const EngineState &Each : States) {
@@ -57,24 +57,24 @@
   return std::max(0.0, Share - ScarceFrom) / (1 - ScarceFrom);
 }
 
-void weighScarcePlaces(std::span<EngineState> States) {
-  const double Factor = 1 + (ScarceCost - 1) * scarcityOf(States);
+void weighAnswersByScarcity(std::span<EngineState> States) {
+  const double Factor = 1 + (ScarceCost - 1) * slotScarcity(States);
   for (EngineState &Each : States)
-    for (PauseGroup &Group : Each.Answers)
+    for (GapGroup &Group : Each.Answers)
       Group.ValueMs *= Factor;
 }
 
-bool isTooFull(const EngineState &Of, const Placed &Place,
-               const EngineParameters &Model, const DeferralTimes &Times,
-               const PlacementWeights &Weights) {
-  const double WaitMs = placeWaitMs(Model, Of.Running);
+bool wouldBeLate(const EngineState &Of, const PromptPlacement &Place,
+                 const EngineParameters &Model, const DeferralTimes &Times,
+                 const PlacementWeights &Weights) {
+  const double WaitMs = slotWaitMs(Model, Of.Running);
   const double LeftMs = inMilliseconds(Times.Objective - Times.Waited);
   return WaitMs > 0 &&
          Place.FirstTokenMs + WaitMs > LeftMs * Weights.BudgetShare;
 }
 
-bool paysNow(const Placed &Place, const PromptWork &Work,
-             const DeferralTimes &Times, double Scarcity) {
+bool isWorthServingNow(const PromptPlacement &Place, const PromptWork &Work,
+                       const DeferralTimes &Times, double Scarcity) {
   const bool HasWaited = Times.Waited > Times.Objective * LongestDeferral;
   const bool IsLastChance = inMilliseconds(Times.Left - Times.Objective) <
                             Place.FirstTokenMs * LastChanceReads;
@@ -82,19 +82,18 @@
          Place.GainMs > Work.PrefillMs * Scarcity * FullEngineWorth;
 }
 
-bool isHopeless(const Placed &Place, const DeferralTimes &Times,
-                double Scarcity) {
-  const double Share = Scarcity > ScarceForLong ? ReadingShare : 1;
+bool cannotBeServed(const PromptPlacement &Place, const DeferralTimes &Times,
+                    double Scarcity) {
+  const double Share = Scarcity > ScarceForLong ? PrefillShare : 1;
   return Place.SoonestMs > inMilliseconds(Times.Left) * Share;
 }
 
-bool shouldComeBack(const DeferralTimes &Times, double Scarcity) {
+bool shouldRetryLater(const DeferralTimes &Times, double Scarcity) {
   const bool HasWaited = Times.Waited > Times.Objective / ShortestWaitDivisor;
   return Times.MayRetryLater && HasWaited && Scarcity > ScarceForLong;
 }
 
-Duration returnAfter(const DeferralTimes &Times, double Draw,
-                     Duration Soonest) {
+Duration retryAfter(const DeferralTimes &Times, double Draw, Duration Soonest) {
   const double Latest = inSeconds(Times.Left) * LatestReturnShare;
   const double First = std::max(inSeconds(Soonest), Latest * SoonestReturn);
   return fromSeconds(std::min(First + (Latest - First) * Draw, Latest));
--- a/src/plugins/engineload/Deferral.h
+++ b/src/plugins/engineload/Deferral.h
@@ -21,43 +21,43 @@
 
 /// Share of the time left that a prompt which is late may be read in; its
 /// answer is written in what remains.
-inline constexpr double ReadingShare = 0.55;
+inline constexpr double PrefillShare = 0.55;
 
 /// How scarce places are: 0 while few are taken, 1 when all are.
-double scarcityOf(std::span<const EngineState> States);
+double slotScarcity(std::span<const EngineState> States);
 
 /// Makes answers that are held up weigh more while places are scarce: they keep
 /// their places longer, which is what makes the places run out.
-void weighScarcePlaces(std::span<EngineState> States);
+void weighAnswersByScarcity(std::span<EngineState> States);
 
 /// Whether the first token of a short prompt would be late, since so many wait
 /// for a place on the chosen engine.
-bool isTooFull(const EngineState &Of, const Placed &Place,
-               const EngineParameters &Model, const DeferralTimes &Times,
-               const PlacementWeights &Weights);
+bool wouldBeLate(const EngineState &Of, const PromptPlacement &Place,
+                 const EngineParameters &Model, const DeferralTimes &Times,
+                 const PlacementWeights &Weights);
 
 /// Whether the first token of the prompt would come too late for its caller
 /// wherever it is read: then it is refused at once. While places are scarce,
 /// what would leave no time for its answer is refused, too: it would only take
 /// the engines' time from others.
-bool isHopeless(const Placed &Place, const DeferralTimes &Times,
-                double Scarcity);
+bool cannotBeServed(const PromptPlacement &Place, const DeferralTimes &Times,
+                    double Scarcity);
 
 /// Whether reading a long prompt now brings more than it costs others: those it
 /// holds up, and, while places are scarce, those that its engines could serve
 /// meanwhile. A caller who has waited for long, or could not be served any more
 /// after waiting, is served all the same.
-bool paysNow(const Placed &Place, const PromptWork &Work,
-             const DeferralTimes &Times, double Scarcity);
+bool isWorthServingNow(const PromptPlacement &Place, const PromptWork &Work,
+                       const DeferralTimes &Times, double Scarcity);
 
 /// Whether the caller of a long prompt that is not to be read now should come
 /// back, instead of waiting here.
-bool shouldComeBack(const DeferralTimes &Times, double Scarcity);
+bool shouldRetryLater(const DeferralTimes &Times, double Scarcity);
 
 /// When the caller should come back, not before \p Soonest unless that is later
 /// than a caller may be told; \p Draw, from 0 to 1, spreads those who were told
 /// so together.
-Duration returnAfter(const DeferralTimes &Times, double Draw,
-                     Duration Soonest = Duration(0));
+Duration retryAfter(const DeferralTimes &Times, double Draw,
+                    Duration Soonest = Duration(0));
 
 } // namespace banyanpick
--- a/src/plugins/engineload/EngineLoad.cpp
+++ b/src/plugins/engineload/EngineLoad.cpp
@@ -18,11 +18,11 @@
 constexpr milliseconds PeerWorkAge(1500);
 
 /// Adds the answer to those that may pause for the same time.
-void addTo(std::vector<PauseGroup> &Groups, const PauseGroup &Answer) {
+void addTo(std::vector<GapGroup> &Groups, const GapGroup &Answer) {
   if (Answer.ValueMs <= 0)
     return;
   const auto Found =
-      std::ranges::find(Groups, Answer.PauseMs, &PauseGroup::PauseMs);
+      std::ranges::find(Groups, Answer.PauseMs, &GapGroup::PauseMs);
   if (Found == Groups.end())
     Groups.push_back(Answer);
   else
@@ -160,8 +160,8 @@
   return Sum;
 }
 
-std::vector<PauseGroup> EngineLoad::answers(Time Now) const {
-  std::vector<PauseGroup> Result;
+std::vector<GapGroup> EngineLoad::answers(Time Now) const {
+  std::vector<GapGroup> Result;
   for (const LoadItem &Each : this->Own)
     addTo(Result, Each.Answer);
   for (const auto &[Peer, Each] : this->Peers) {
@@ -177,14 +177,14 @@
   EngineWork::Item Result;
   Result.Engine = Engine;
   Result.PrefillMs = this->ownReads().Ms;
-  std::vector<PauseGroup> Held;
+  std::vector<GapGroup> Held;
   for (const LoadItem &Each : this->Own) {
     ++(Each.Writes ? Result.Decoding : Result.Prefilling);
     Result.MemoryTokens += Each.MemoryTokens;
     Result.ShortRunning += Each.IsShort ? 1 : 0;
     addTo(Held, Each.Answer);
   }
-  for (const PauseGroup &Each : Held)
+  for (const GapGroup &Each : Held)
     Result.ActiveAnswers.push_back({Each.PauseMs, Each.ValueMs});
   return Result;
 }
--- a/src/plugins/engineload/EngineLoad.h
+++ b/src/plugins/engineload/EngineLoad.h
@@ -16,7 +16,7 @@
   double PrefillMs = 0; ///< To its first token, alone; 0 once it writes.
   std::uint64_t MemoryTokens = 0;
   bool IsShort = false; ///< One engine reads its prompt beside answers.
-  PauseGroup Answer;    ///< Of value 0 where only a part is read.
+  GapGroup Answer;      ///< Of value 0 where only a part is read.
   bool Writes = false;
 };
 
@@ -43,7 +43,7 @@
   /// Requests with short prompts, read or written.
   std::uint32_t shortRunning(Time Now) const;
   /// Answers by the time that they may pause.
-  std::vector<PauseGroup> answers(Time Now) const;
+  std::vector<GapGroup> answers(Time Now) const;
 
   /// What this host has there, for its peers.
   EngineWork::Item ownWork(const UpstreamId &Engine) const;
--- a/src/plugins/engineload/EngineLoadPeers.cpp
+++ b/src/plugins/engineload/EngineLoadPeers.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// What the plug-in tells other hosts of engines, and hears from them.
 #include "plugins/engineload/EngineLoadPlugin.h"
-#include "plugins/engineload/ReadCost.h"
+#include "plugins/engineload/PrefillCost.h"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 bool EngineLoadPlugin::isToldSoon(const RelayAttempt &Each) const {
   const EngineParameters *Model = this->parametersOf(Each.Service);
-  return Model && readMs(*Model, Each.PromptTokens) >= this->TellSoonMs;
+  return Model && prefillMs(*Model, Each.PromptTokens) >= this->TellSoonMs;
 }
 
 void EngineLoadPlugin::memberChanged(const Member &Changed, Time Now,
@@ -75,10 +75,11 @@
   for (const auto &[Id, Load] : this->Loads)
     if (Load.hasOwn())
       Work.Items.push_back(Load.ownWork(Id));
-  this->Tells.noteTold(!Work.QueuedPrompts.empty() ? TellBudget::Told::Waiting
-                       : !Work.Items.empty()       ? TellBudget::Told::Work
-                                                   : TellBudget::Told::Nothing,
-                       Now);
+  this->Tells.noteTold(
+      !Work.QueuedPrompts.empty() ? WorkReportSchedule::Told::Waiting
+      : !Work.Items.empty()       ? WorkReportSchedule::Told::Work
+                                  : WorkReportSchedule::Told::Nothing,
+      Now);
   for (const HostId &Peer : this->listeners(Now))
     Out.add(SendToPeer{Peer, Work});
 }
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -5,7 +5,7 @@
 #include "base/Visitor.h"
 #include "kernel/PluginRegistry.h"
 #include "plugins/engineload/Deferral.h"
-#include "plugins/engineload/ReadCost.h"
+#include "plugins/engineload/PrefillCost.h"
 #include "plugins/engineload/SharedPlacement.h"
 #include "plugins/engineload/ShortPlacement.h"
 
@@ -85,18 +85,19 @@
   this->Gate = &Context.services().get<EngineGate>();
   this->Numbers = &Context.random();
   this->OwnZone = Context.self().Zone;
-  this->Tells = TellBudget(Values.span(In, "tell_interval"),
-                           static_cast<double>(Values.whole(In, "tell_rate")));
+  this->Tells =
+      WorkReportSchedule(Values.span(In, "tell_interval"),
+                         static_cast<double>(Values.whole(In, "tell_rate")));
   this->TellSoonMs = Values.fraction(In, "tell_soon_ms");
-  this->Slowdowns = EnginePaces({Values.span(In, "pace_ask_interval"),
-                                 Values.span(In, "pace_least_pause"),
-                                 Values.span(In, "pace_keep")});
+  this->Slowdowns = EngineSlowdowns({Values.span(In, "pace_ask_interval"),
+                                     Values.span(In, "pace_least_pause"),
+                                     Values.span(In, "pace_keep")});
   this->LateShare = Values.fraction(In, "late_share");
   this->LateBy = Values.span(In, "late_by");
   this->JitterMs = Values.fraction(In, "jitter_ms");
   this->OtherZoneMs = Values.fraction(In, "other_zone_ms");
   this->Weights = placementWeights(Values);
-  this->Lane = PromptLane(LaneKeep, this->Weights.LateShare);
+  this->Lane = PromptQueue(LaneKeep, this->Weights.LateShare);
   Context.services().provide<EngineSelector>(*this);
   Context.services().list<RelayObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -200,7 +201,7 @@
         RetryLater::Why::Blocked,
         fromSeconds(inSeconds(Soonest) * (1 + Draw * OpenSpread))};
   return RetryLater{RetryLater::Why::Blocked,
-                    returnAfter(deferralTimes(Wanted), Draw, Soonest)};
+                    retryAfter(deferralTimes(Wanted), Draw, Soonest)};
 }
 
 void EngineLoadPlugin::forget(const RequestId &Request, Time Now) {
@@ -214,7 +215,7 @@
   Result.PromptTokens = Wanted.PromptTokens;
   Result.Tokens = Wanted.PromptTokens + Wanted.OutputTokens;
   Result.PrefillMs =
-      Model ? readMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
+      Model ? prefillMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
   Result.PauseMs = boundMs(Wanted.MaxEventGap);
   Result.ValueMs =
       Model ? valueMs(*Model, Wanted.PromptTokens, Wanted.OutputTokens)
@@ -240,12 +241,13 @@
   const std::size_t Front =
       Model ? frontEngines(States.size(), ShortRunning, Slots, this->Weights)
             : States.size();
-  const Placed Place = placeShort(States, Front, Slots, Work, this->Weights);
+  const PromptPlacement Place =
+      placeShort(States, Front, Slots, Work, this->Weights);
   const DeferralTimes Times = deferralTimes(Wanted);
   if (Model && Wanted.MayRetryLater &&
-      isTooFull(States[Place.At], Place, *Model, Times, this->Weights))
+      wouldBeLate(States[Place.At], Place, *Model, Times, this->Weights))
     return RetryLater{RetryLater::Why::TooLate,
-                      returnAfter(Times, this->Numbers->fraction())};
+                      retryAfter(Times, this->Numbers->fraction())};
   SelectedEngine Result = chosen(States, Place, Model, true);
   if (Model && !Wanted.MayRetryLater)
     Result.Urgency = ReturnedUrgency;
@@ -259,16 +261,17 @@
                                             Time Now) {
   PlacementTimes Times;
   Times.ObjectiveMs = inMilliseconds(Wanted.Objective - Wanted.Waited);
-  Times.LateMs = inMilliseconds(Wanted.Left) * ReadingShare;
-  const std::optional<Placed> Place =
+  Times.LateMs = inMilliseconds(Wanted.Left) * PrefillShare;
+  const std::optional<PromptPlacement> Place =
       this->placeLong(States, Work, Model.MemoryTokens, Times);
-  const double Scarcity = scarcityOf(States);
-  if (Place && isHopeless(*Place, deferralTimes(Wanted), Scarcity)) {
+  const double Scarcity = slotScarcity(States);
+  if (Place && cannotBeServed(*Place, deferralTimes(Wanted), Scarcity)) {
     this->forget(Wanted.Request, Now);
     return RetryLater{RetryLater::Why::TooLate,
-                      returnAfter(deferralTimes(Wanted), 0)};
+                      retryAfter(deferralTimes(Wanted), 0)};
   }
-  if (!Place || !paysNow(*Place, Work, deferralTimes(Wanted), Scarcity))
+  if (!Place ||
+      !isWorthServingNow(*Place, Work, deferralTimes(Wanted), Scarcity))
     return this->deferLong(Wanted, Scarcity, Now);
   EngineWork::Waiting Own;
   Own.Request = Wanted.Request.Value;
@@ -293,23 +296,23 @@
   // It takes no turn from others that can be sent.
   this->forget(Wanted.Request, Now);
   const DeferralTimes Times = deferralTimes(Wanted);
-  if (shouldComeBack(Times, Scarcity))
+  if (shouldRetryLater(Times, Scarcity))
     return RetryLater{RetryLater::Why::TooLate,
-                      returnAfter(Times, this->Numbers->fraction())};
+                      retryAfter(Times, this->Numbers->fraction())};
   return AwaitTurn{fromMilliseconds(LongestLookMs)};
 }
 
-std::optional<Placed>
+std::optional<PromptPlacement>
 EngineLoadPlugin::placeLong(std::span<const EngineState> States,
                             const PromptWork &Work, std::uint64_t EngineTokens,
                             const PlacementTimes &Times) const {
-  std::optional<Placed> Whole;
+  std::optional<PromptPlacement> Whole;
   if (Work.Tokens <= EngineTokens)
-    Whole = placeInTurn(States, Work, Times, this->Weights);
+    Whole = placeOnPredictable(States, Work, Times, this->Weights);
   if (Whole && Work.Tokens <= States[Whole->At].FreeTokens)
     return Whole;
-  const std::optional<Placed> Kept =
-      placeKept(States, Work, EngineTokens, Times, this->Weights);
+  const std::optional<PromptPlacement> Kept =
+      placeWithReservations(States, Work, EngineTokens, Times, this->Weights);
   return Kept ? Kept : Whole;
 }
 
@@ -324,7 +327,7 @@
       std::ranges::count_if(States, [&](const EngineState &Each) {
         return Each.BacklogMs <= this->Weights.AheadMs && Each.Answers.empty();
       }));
-  return Free > Before * (this->Weights.MostHelpers + 1);
+  return Free > Before * (this->Weights.MaxHelpers + 1);
 }
 
 bool EngineLoadPlugin::isShort(const EngineParameters &Model,
@@ -332,21 +335,21 @@
   const RouteTable *Routes = this->Declared->routes();
   const double PauseMs =
       Routes ? this->Pauses.shortestMs(Service, *Routes) : UnboundedMs;
-  const double Room = roomMs(Model, PauseMs);
+  const double Room = prefillBudgetMs(Model, PauseMs);
   return PrefillMs <= std::max(Room, PauseMs * LeastRoomShare) * ShortShare;
 }
 
 SelectedEngine EngineLoadPlugin::chosen(std::span<const EngineState> States,
-                                        const Placed &Place,
+                                        const PromptPlacement &Place,
                                         const EngineParameters *Model,
                                         bool IsShort) {
   SelectedEngine Result;
   Result.Engine = States[Place.At].Engine->Record.Id;
   for (const std::size_t At : Place.Helpers) {
     const EngineRecord &Helper = States[At].Engine->Record;
-    const bool Keeps = Result.Helpers.size() < Place.Keepers;
+    const bool Keeps = Result.Helpers.size() < Place.ReservingHelpers;
     Result.Helpers.push_back(
-        {Helper.Id, Helper.At, "", Keeps ? Place.KeptTokens : 0});
+        {Helper.Id, Helper.At, "", Keeps ? Place.ReservedTokens : 0});
   }
   if (Model) {
     Result.Predicted = fromMilliseconds(Place.FirstTokenMs);
@@ -382,7 +385,7 @@
     Result.push_back(this->stateOf(*Each, Model, Now));
     Result.back().Position = Result.size() - 1;
   }
-  weighScarcePlaces(Result);
+  weighAnswersByScarcity(Result);
   return Found;
 }
 
@@ -398,14 +401,14 @@
   const std::uint32_t Slots = Model ? Model->Slots : Each.Record.Slots;
   Result.FreeSlots = Slots > Result.Running ? Slots - Result.Running : 0;
   Result.Answers = Load.answers(Now);
-  for (PauseGroup &Group : Result.Answers)
+  for (GapGroup &Group : Result.Answers)
     Group.PauseMs *= this->Weights.PauseShare;
   if (Model) {
     Result.Slowdown = this->Slowdowns.of(Each.Record.Id, Now);
     Result.BacklogMs = Load.backlogMs(Now) * Result.Slowdown;
     Result.Overdue = Load.isOverdue(Now);
     Result.PassMs =
-        writePassMs(*Model, Load.writing(Now), Load.contextTokens(Now)) *
+        decodePassMs(*Model, Load.writing(Now), Load.contextTokens(Now)) *
         Result.Slowdown;
     const std::uint64_t Used = Load.memoryTokens(Now);
     const bool HasMemory = Used < Model->MemoryTokens &&
@@ -460,10 +463,10 @@
       static_cast<double>(Each.Helpers.size() + (ListsItself ? 0 : 1));
   LoadItem Item;
   Item.Try = Each.Id;
-  Item.PrefillMs = Model ? readMs(*Model, Each.PromptTokens) / Parts : 0;
+  Item.PrefillMs = Model ? prefillMs(*Model, Each.PromptTokens) / Parts : 0;
   LoadItem Part = Item;
   Item.IsShort = Model && this->isShort(*Model, Each.Service,
-                                        readMs(*Model, Each.PromptTokens));
+                                        prefillMs(*Model, Each.PromptTokens));
   if (Model)
     Item.Answer = {boundMs(Each.MaxEventGap),
                    valueMs(*Model, Each.PromptTokens, Each.OutputTokens)};
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -5,10 +5,10 @@
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
 #include "plugins/engineload/EngineLoad.h"
-#include "plugins/engineload/EnginePaces.h"
-#include "plugins/engineload/PauseBounds.h"
-#include "plugins/engineload/PromptLane.h"
-#include "plugins/engineload/TellBudget.h"
+#include "plugins/engineload/EngineSlowdowns.h"
+#include "plugins/engineload/GapBounds.h"
+#include "plugins/engineload/PromptQueue.h"
+#include "plugins/engineload/WorkReportSchedule.h"
 
 namespace banyanpick {
 
@@ -78,10 +78,10 @@
   EngineChoice deferLong(const EngineRequirements &Wanted, double Scarcity,
                          Time Now);
   /// Where the prompt is read; it is kept by one engine if one has the memory.
-  std::optional<Placed> placeLong(std::span<const EngineState> States,
-                                  const PromptWork &Work,
-                                  std::uint64_t EngineTokens,
-                                  const PlacementTimes &Times) const;
+  std::optional<PromptPlacement> placeLong(std::span<const EngineState> States,
+                                           const PromptWork &Work,
+                                           std::uint64_t EngineTokens,
+                                           const PlacementTimes &Times) const;
   bool isShortOfMemory(const UpstreamId &Engine, Time Now) const;
   bool isItsTurn(std::span<const EngineState> States,
                  const EngineWork::Waiting &Own, Time Now) const;
@@ -91,7 +91,7 @@
   static PromptWork workOf(const EngineRequirements &Wanted,
                            const EngineParameters *Model);
   static SelectedEngine chosen(std::span<const EngineState> States,
-                               const Placed &Place,
+                               const PromptPlacement &Place,
                                const EngineParameters *Model, bool IsShort);
   /// Adds the try's work to its engine and its helpers.
   void add(const RelayAttempt &Each, Time Now);
@@ -126,13 +126,13 @@
   double JitterMs = 0;
   double OtherZoneMs = 0;
   PlacementWeights Weights;
-  PromptLane Lane;
-  PauseBounds Pauses;
+  PromptQueue Lane;
+  GapBounds Pauses;
   std::map<UpstreamId, EngineLoad> Loads;
-  EnginePaces Slowdowns;
+  EngineSlowdowns Slowdowns;
   /// Engines that refused to set memory aside, until when that counts.
   std::map<UpstreamId, Time> ShortOfMemory;
-  TellBudget Tells;
+  WorkReportSchedule Tells;
   std::map<HostId, ToldBy> Told;
 };
 
--- a/src/plugins/engineload/EngineLoadSettings.cpp
+++ b/src/plugins/engineload/EngineLoadSettings.cpp
@@ -16,7 +16,7 @@
   Result.BudgetShare = Values.fraction(In, "budget_share");
   Result.LateShare = Values.fraction(In, "late_share");
   Result.AheadMs = Values.fraction(In, "ahead_ms");
-  Result.MostHelpers = Values.whole(In, "most_helpers");
+  Result.MaxHelpers = Values.whole(In, "most_helpers");
   return Result;
 }
 
--- a/src/plugins/engineload/EnginePaces.cpp
+++ b/src/plugins/engineload/EngineSlowdowns.cpp
@@ -1,4 +1,4 @@
-#include "plugins/engineload/EnginePaces.h"
+#include "plugins/engineload/EngineSlowdowns.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,10 +15,10 @@
 
 } // namespace
 
-bool EnginePaces::noteLate(const UpstreamId &Engine, Time Now) {
+bool EngineSlowdowns::noteLate(const UpstreamId &Engine, Time Now) {
   Seen &Of = this->ById[Engine];
   const bool Soon = Now < Of.AskedAt + this->Limits.AskInterval ||
-                    Now < this->AskedAt + this->Limits.LeastPause;
+                    Now < this->AskedAt + this->Limits.MinPause;
   if (Soon)
     return false;
   Of.AskedAt = Now;
@@ -26,7 +26,7 @@
   return true;
 }
 
-std::vector<UpstreamId> EnginePaces::due(Time Now) {
+std::vector<UpstreamId> EngineSlowdowns::due(Time Now) {
   std::vector<UpstreamId> Result;
   for (auto &[Id, Of] : this->ById) {
     if (!Of.Own || !this->isSlow(Of, Now) ||
@@ -38,7 +38,7 @@
   return Result;
 }
 
-Time EnginePaces::nextDue() const {
+Time EngineSlowdowns::nextDue() const {
   Time Result = Never;
   for (const auto &[Id, Of] : this->ById)
     if (Of.Own && Of.Factor >= SlowFrom)
@@ -46,7 +46,7 @@
   return Result;
 }
 
-bool EnginePaces::takeReport(const EngineReport &Report, Time Now) {
+bool EngineSlowdowns::takeReport(const EngineReport &Report, Time Now) {
   Seen &Of = this->ById[Report.Engine];
   const double Before = Of.Own ? Of.Factor : 1;
   Of.Factor = std::max(Report.Slowdown, Fastest);
@@ -56,8 +56,8 @@
   return std::abs(Of.Factor - Before) >= News;
 }
 
-void EnginePaces::takePeer(const EngineWork::Slowdown &Seen, Time Now) {
-  EnginePaces::Seen &Of = this->ById[Seen.Engine];
+void EngineSlowdowns::takePeer(const EngineWork::Slowdown &Seen, Time Now) {
+  EngineSlowdowns::Seen &Of = this->ById[Seen.Engine];
   // What the engine itself told this host lately is at least as new.
   if (Of.Own && Now < Of.HeardAt + this->Limits.AskInterval)
     return;
@@ -66,14 +66,14 @@
   Of.Own = false;
 }
 
-double EnginePaces::of(const UpstreamId &Engine, Time Now) const {
+double EngineSlowdowns::of(const UpstreamId &Engine, Time Now) const {
   const auto Found = this->ById.find(Engine);
   return Found != this->ById.end() && this->isSlow(Found->second, Now)
              ? Found->second.Factor
              : 1;
 }
 
-std::vector<EngineWork::Slowdown> EnginePaces::own(Time Now) const {
+std::vector<EngineWork::Slowdown> EngineSlowdowns::own(Time Now) const {
   std::vector<EngineWork::Slowdown> Result;
   for (const auto &[Id, Of] : this->ById)
     if (Of.Own && this->isSlow(Of, Now))
@@ -81,7 +81,7 @@
   return Result;
 }
 
-bool EnginePaces::isSlow(const Seen &Of, Time Now) const {
+bool EngineSlowdowns::isSlow(const Seen &Of, Time Now) const {
   return Of.Factor >= SlowFrom && Now < Of.HeardAt + this->Limits.Keep;
 }
 
--- a/src/plugins/engineload/EnginePaces.h
+++ b/src/plugins/engineload/EngineSlowdowns.h
@@ -11,18 +11,18 @@
 namespace banyanpick {
 
 /// How engines are asked for their pace.
-struct PaceLimits {
+struct SlowdownLimits {
   Duration AskInterval{}; ///< Between two questions to one engine,
-  Duration LeastPause{};  ///< and between two to any.
+  Duration MinPause{};    ///< and between two to any.
   Duration Keep{};        ///< What was heard holds for so long.
 };
 
 /// What engines say of their own pace. They are asked only once an answer began
 /// late, and again while they are slow, as each question costs them time.
-class EnginePaces {
+class EngineSlowdowns {
 public:
-  EnginePaces() = default;
-  explicit EnginePaces(const PaceLimits &Limits) : Limits(Limits) {}
+  EngineSlowdowns() = default;
+  explicit EngineSlowdowns(const SlowdownLimits &Limits) : Limits(Limits) {}
 
   /// An answer of the engine began later than predicted; whether to ask it now.
   bool noteLate(const UpstreamId &Engine, Time Now);
@@ -50,7 +50,7 @@
 
   bool isSlow(const Seen &Of, Time Now) const;
 
-  PaceLimits Limits;
+  SlowdownLimits Limits;
   std::map<UpstreamId, Seen> ById;
   Time AskedAt{}; ///< Any engine.
 };
--- a/src/plugins/engineload/EngineState.h
+++ b/src/plugins/engineload/EngineState.h
@@ -11,11 +11,11 @@
 namespace banyanpick {
 
 /// Answers on one engine that may all pause for the same time.
-struct PauseGroup {
+struct GapGroup {
   double PauseMs = 0; ///< Allowed between two of their events.
   double ValueMs = 0; ///< What they are worth: engine time, in milliseconds.
 
-  bool operator==(const PauseGroup &) const = default;
+  bool operator==(const GapGroup &) const = default;
 };
 
 /// What decides of one engine that may get the work.
@@ -32,7 +32,7 @@
   std::uint32_t FreeSlots = 1;
   std::uint64_t FreeTokens = 0; ///< Memory.
   double ExtraMs = 0; ///< The way there, and what tells hosts' choices apart.
-  std::vector<PauseGroup> Answers; ///< That are written there.
+  std::vector<GapGroup> Answers; ///< That are written there.
 
   /// When a part could begin there.
   double startMs() const { return this->BacklogMs + this->PassMs; }
@@ -43,13 +43,13 @@
   /// The value of the answers that a pass with so much more reading would make
   /// pause for too long. One that pauses for several times as long loses its
   /// caller, and what was read and written for it.
-  double valueHeldUp(double PartMs) const {
+  double delayedValue(double PartMs) const {
     constexpr double LostFrom = 5;
     constexpr double LostCost = 1.5;
     constexpr double LateCost = 0.75;
     const double PassMs = this->endMs(PartMs);
     double Sum = 0;
-    for (const PauseGroup &Each : this->Answers) {
+    for (const GapGroup &Each : this->Answers) {
       const bool Lost = PassMs > Each.PauseMs * LostFrom;
       const double Late = PassMs > Each.PauseMs ? LateCost : 0;
       Sum += Each.ValueMs * (Lost ? LostCost : Late);
@@ -74,18 +74,18 @@
   double LateShare = 0;   ///< What a late answer is worth of one in time.
   double AheadMs = 0; ///< A shared prompt is sent when its engines have no more
                       ///< than this to read before it.
-  std::size_t MostHelpers = 0;
+  std::size_t MaxHelpers = 0;
 };
 
 /// A chosen engine with its helpers.
-struct Placed {
+struct PromptPlacement {
   std::size_t At = 0;               ///< Index into the states given.
   std::vector<std::size_t> Helpers; ///< Likewise.
-  std::size_t Keepers = 0; ///< So many of Helpers set memory aside, the chosen
-                           ///< engine first,
-  std::uint64_t KeptTokens = 0; ///< each so much.
-  double AheadMs = 0;           ///< The most reading before it on any of them.
-  double StartMs = 0;           ///< When the last of them could begin.
+  std::size_t ReservingHelpers = 0; ///< So many of Helpers set memory aside,
+                                    ///< the chosen engine first,
+  std::uint64_t ReservedTokens = 0; ///< each so much.
+  double AheadMs = 0; ///< The most reading before it on any of them.
+  double StartMs = 0; ///< When the last of them could begin.
   double FirstTokenMs = 0;
   double SoonestMs = 0; ///< The first token at the soonest, whatever it costs.
   double GainMs = 0;    ///< What it brings, less what it holds up; as ValueMs.
@@ -96,7 +96,7 @@
   double PrefillMs = 0; ///< On one engine alone, at its declared pace.
   std::uint64_t PromptTokens = 0;
   std::uint64_t Tokens = 0; ///< With its answer; the memory that it takes.
-  double ValueMs = 0;       ///< Engine time, as in PauseGroup.
+  double ValueMs = 0;       ///< Engine time, as in GapGroup.
   double PauseMs = 0;       ///< Its answer may pause for so long.
 };
 
--- a/src/plugins/engineload/PauseBounds.cpp
+++ b/src/plugins/engineload/GapBounds.cpp
@@ -1,4 +1,4 @@
-#include "plugins/engineload/PauseBounds.h"
+#include "plugins/engineload/GapBounds.h"
 
 #include <algorithm>
 
@@ -10,8 +10,8 @@
                                 : UnboundedMs;
 }
 
-double PauseBounds::shortestMs(const ServiceId &Service,
-                               const RouteTable &Routes) {
+double GapBounds::shortestMs(const ServiceId &Service,
+                             const RouteTable &Routes) {
   if (this->ById.empty() || this->Version != Routes.version()) {
     this->Version = Routes.version();
     this->ById.clear();
--- a/src/plugins/engineload/PauseBounds.h
+++ b/src/plugins/engineload/GapBounds.h
@@ -10,7 +10,7 @@
 
 /// The shortest pause that routes to each service declare, kept for as long as
 /// the configuration is in force: there may be hundreds of routes.
-class PauseBounds {
+class GapBounds {
 public:
   /// In milliseconds. A service whose routes declare none is bounded by its
   /// shortest objective, and one without either not at all.
--- a/src/plugins/engineload/ReadCost.cpp
+++ b/src/plugins/engineload/PrefillCost.cpp
@@ -1,4 +1,4 @@
-#include "plugins/engineload/ReadCost.h"
+#include "plugins/engineload/PrefillCost.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-double readMs(const EngineParameters &Of, std::uint64_t Tokens) {
+double prefillMs(const EngineParameters &Of, std::uint64_t Tokens) {
   constexpr double Million = 1e6;
   const auto Count = static_cast<double>(Tokens);
   const double Pairs = Count * (Count + 1) / 2;
@@ -20,8 +20,8 @@
          Pairs / Million * Of.MsPerMillionPairs;
 }
 
-double writePassMs(const EngineParameters &Of, std::uint32_t Writers,
-                   std::uint64_t ContextTokens) {
+double decodePassMs(const EngineParameters &Of, std::uint32_t Writers,
+                    std::uint64_t ContextTokens) {
   if (Writers == 0)
     return 0;
   constexpr double Thousand = 1e3;
@@ -39,17 +39,17 @@
   return Tokens / std::max(Of.PrefillTokensPerMs, 1e-3);
 }
 
-double roomMs(const EngineParameters &Of, double PauseMs) {
-  return PauseMs - writePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
+double prefillBudgetMs(const EngineParameters &Of, double PauseMs) {
+  return PauseMs - decodePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
 }
 
-double placeWaitMs(const EngineParameters &Of, std::uint32_t Running) {
+double slotWaitMs(const EngineParameters &Of, std::uint32_t Running) {
   if (Running < Of.Slots)
     return 0;
   const double Passes =
       static_cast<double>(Of.MeanAnswerTokens) / std::max(Of.StepsPerPass, 1U);
   const double AnswerMs =
-      Passes * writePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
+      Passes * decodePassMs(Of, Of.Slots, Of.Slots * Of.MeanPromptTokens);
   return AnswerMs / std::max(Of.Slots, 1U) * (Running - Of.Slots + 1);
 }
 
--- a/src/plugins/engineload/PromptLane.cpp
+++ b/src/plugins/engineload/PromptQueue.cpp
@@ -1,19 +1,19 @@
-#include "plugins/engineload/PromptLane.h"
+#include "plugins/engineload/PromptQueue.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace banyanpick {
 
-double laneWeight(const EngineWork::Waiting &Of, Duration Since,
-                  double LateShare) {
+double queueWeight(const EngineWork::Waiting &Of, Duration Since,
+                   double LateShare) {
   const double LeftMs = Of.LeftMs - inSeconds(Since) * 1e3;
   const double Worth =
       static_cast<double>(Of.Tokens) / std::max(Of.PrefillMs, 1.0);
   return LeftMs >= Of.NeededMs ? Worth : Worth * LateShare;
 }
 
-bool PromptLane::note(const Waiting &OwnGiven, Time Now) {
+bool PromptQueue::note(const Waiting &OwnGiven, Time Now) {
   const auto Found =
       std::ranges::find(this->Own, OwnGiven.Request,
                         [](const Entry &Each) { return Each.What.Request; });
@@ -25,22 +25,22 @@
   return true;
 }
 
-bool PromptLane::drop(std::uint64_t Request) {
+bool PromptQueue::drop(std::uint64_t Request) {
   return std::erase_if(this->Own, [&](const Entry &Each) {
            return Each.What.Request == Request;
          }) > 0;
 }
 
-void PromptLane::takePeer(const HostId &Peer, std::span<const Waiting> All,
-                          Time Now) {
+void PromptQueue::takePeer(const HostId &Peer, std::span<const Waiting> All,
+                           Time Now) {
   std::vector<Entry> &Of = this->Peers[Peer];
   Of.clear();
   for (const Waiting &Each : All)
     Of.push_back({Each, Now});
 }
 
-std::vector<PromptLane::Entry> PromptLane::current(const std::vector<Entry> &Of,
-                                                   Time Now) const {
+std::vector<PromptQueue::Entry>
+PromptQueue::current(const std::vector<Entry> &Of, Time Now) const {
   std::vector<Entry> Result;
   for (const Entry &Each : Of)
     if (Now <= Each.At + this->Keep)
@@ -48,10 +48,10 @@
   return Result;
 }
 
-std::size_t PromptLane::rank(const Waiting &OwnGiven, const HostId &Self,
-                             Time Now) const {
+std::size_t PromptQueue::rank(const Waiting &OwnGiven, const HostId &Self,
+                              Time Now) const {
   const auto KeyOf = [&](const Entry &Each, const HostId &Host) {
-    return std::tuple(-laneWeight(Each.What, Now - Each.At, this->LateShare),
+    return std::tuple(-queueWeight(Each.What, Now - Each.At, this->LateShare),
                       Host.Value, Each.What.Request);
   };
   const auto Mine = KeyOf({OwnGiven, Now}, Self);
@@ -64,7 +64,7 @@
   return Before;
 }
 
-std::vector<PromptLane::Waiting> PromptLane::own(Time Now) const {
+std::vector<PromptQueue::Waiting> PromptQueue::own(Time Now) const {
   std::vector<Waiting> Result;
   for (const Entry &Each : this->current(this->Own, Now)) {
     Waiting Told = Each.What;
--- a/src/plugins/engineload/PromptLane.h
+++ b/src/plugins/engineload/PromptQueue.h
@@ -18,14 +18,14 @@
 /// The load that it answers: several long prompts at once. Sent at once, their
 /// parts pile up on the engines, where answers pause for all of them together,
 /// and a long one delays many shorter ones that could have been in time.
-class PromptLane {
+class PromptQueue {
 public:
   using Waiting = EngineWork::Waiting;
 
-  PromptLane() = default;
+  PromptQueue() = default;
   /// \p Keep is how long an entry counts that is not heard of again: its host
   /// died, or its caller left.
-  PromptLane(Duration Keep, double LateShare)
+  PromptQueue(Duration Keep, double LateShare)
       : Keep(Keep), LateShare(LateShare) {}
 
   /// A prompt of this host waits, or still does. Whether that is news.
@@ -55,7 +55,7 @@
 };
 
 /// What the prompt brings for each millisecond of reading when it is sent now.
-double laneWeight(const EngineWork::Waiting &Of, Duration Since,
-                  double LateShare);
+double queueWeight(const EngineWork::Waiting &Of, Duration Since,
+                   double LateShare);
 
 } // namespace banyanpick
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -34,7 +34,7 @@
   for (const std::size_t At : Among) {
     const EngineState &Each = States[At];
     All.push_back(
-        {Each.valueHeldUp(PartMs), Each.endMs(PartMs) + Each.ExtraMs, At});
+        {Each.delayedValue(PartMs), Each.endMs(PartMs) + Each.ExtraMs, At});
   }
   const auto Last = All.begin() + static_cast<std::ptrdiff_t>(Count);
   std::ranges::partial_sort(All, Last, {}, [](const Ranked &Each) {
@@ -52,7 +52,7 @@
   double AheadMs = 0;
   double StartMs = 0;
   double FirstTokenMs = 0;
-  double HeldUpMs = 0; ///< Value, as in PauseGroup.
+  double HeldUpMs = 0; ///< Value, as in GapGroup.
 };
 
 /// \p Among has \p Count engines at least.
@@ -67,7 +67,7 @@
     Result.AheadMs = std::max(Result.AheadMs, Each.BacklogMs);
     Result.StartMs = std::max(Result.StartMs, Each.startMs());
     Result.FirstTokenMs = std::max(Result.FirstTokenMs, Each.endMs(PartMs));
-    Result.HeldUpMs += Each.valueHeldUp(PartMs);
+    Result.HeldUpMs += Each.delayedValue(PartMs);
   }
   return Result;
 }
@@ -91,8 +91,8 @@
   }
   const Sharing &best() const { return this->Best; }
   /// Where it is read best; \p Writer stands for the engine that gets it.
-  Placed placedAt(std::size_t Writer) const {
-    Placed Result;
+  PromptPlacement placedAt(std::size_t Writer) const {
+    PromptPlacement Result;
     Result.At = Writer;
     Result.AheadMs = this->Best.AheadMs;
     Result.StartMs = this->Best.StartMs;
@@ -113,9 +113,8 @@
 /// Whether answers that may pause for less are written there already: then no
 /// long part will be read there, and one more answer is safe from them, too.
 bool isSheltered(const EngineState &Of, double PauseMs) {
-  return std::ranges::any_of(Of.Answers, [&](const PauseGroup &Each) {
-    return Each.PauseMs < PauseMs;
-  });
+  return std::ranges::any_of(
+      Of.Answers, [&](const GapGroup &Each) { return Each.PauseMs < PauseMs; });
 }
 
 /// The engine that gets the request, keeps the prompt and writes the answer:
@@ -131,11 +130,11 @@
   });
 }
 
-Placed placeAmong(std::span<const EngineState> States,
-                  std::span<const std::size_t> Among, const PromptWork &Work,
-                  const PlacementTimes &Times,
-                  const PlacementWeights &Weights) {
-  const std::size_t Most = std::min(Among.size(), Weights.MostHelpers + 1);
+PromptPlacement placeAmong(std::span<const EngineState> States,
+                           std::span<const std::size_t> Among,
+                           const PromptWork &Work, const PlacementTimes &Times,
+                           const PlacementWeights &Weights) {
+  const std::size_t Most = std::min(Among.size(), Weights.MaxHelpers + 1);
   BestSharing Found;
   for (std::size_t Count = 1; Count <= Most; ++Count)
     Found.offer(sharingAmong(States, Among, Work, Count), Work, Times, Weights);
@@ -170,16 +169,17 @@
   return FirstTokenMs <= Times.LateMs ? Weights.LateShare : 0;
 }
 
-Placed placeShared(std::span<const EngineState> States, const PromptWork &Work,
-                   const PlacementTimes &Times,
-                   const PlacementWeights &Weights) {
+PromptPlacement placeShared(std::span<const EngineState> States,
+                            const PromptWork &Work, const PlacementTimes &Times,
+                            const PlacementWeights &Weights) {
   const auto All = placesOf(States, [](const EngineState &) { return true; });
   return placeAmong(States, All, Work, Times, Weights);
 }
 
-Placed placeInTurn(std::span<const EngineState> States, const PromptWork &Work,
-                   const PlacementTimes &Times,
-                   const PlacementWeights &Weights) {
+PromptPlacement placeOnPredictable(std::span<const EngineState> States,
+                                   const PromptWork &Work,
+                                   const PlacementTimes &Times,
+                                   const PlacementWeights &Weights) {
   const auto Known = placesOf(
       States, [&](const EngineState &Each) { return isKnown(Each, Weights); });
   if (Known.empty())
@@ -187,17 +187,17 @@
   return placeAmong(States, Known, Work, Times, Weights);
 }
 
-std::optional<Placed> placeKept(std::span<const EngineState> States,
-                                const PromptWork &Work,
-                                std::uint64_t EngineTokens,
-                                const PlacementTimes &Times,
-                                const PlacementWeights &Weights) {
+std::optional<PromptPlacement>
+placeWithReservations(std::span<const EngineState> States,
+                      const PromptWork &Work, std::uint64_t EngineTokens,
+                      const PlacementTimes &Times,
+                      const PlacementWeights &Weights) {
   /// Of an engine's memory, left to what other hosts send there meanwhile.
   constexpr double LeftShare = 0.15;
   const auto Left =
       static_cast<std::uint64_t>(static_cast<double>(EngineTokens) * LeftShare);
   // The engine that writes the answer is one of the helpers here.
-  const std::size_t Most = std::min(States.size(), Weights.MostHelpers);
+  const std::size_t Most = std::min(States.size(), Weights.MaxHelpers);
   BestSharing Found;
   for (std::size_t Count = 2; Count <= Most; ++Count) {
     const std::uint64_t Share = evenShare(Work.Tokens, Count);
@@ -215,10 +215,10 @@
     return std::nullopt;
   PromptWork Part = Work;
   Part.Tokens = evenShare(Work.Tokens, Best.Taken.size());
-  Placed Result = Found.placedAt(writerOf(States, Best.Taken, Part));
+  PromptPlacement Result = Found.placedAt(writerOf(States, Best.Taken, Part));
   Result.Helpers.insert(Result.Helpers.begin(), Result.At);
-  Result.Keepers = Result.Helpers.size();
-  Result.KeptTokens = Part.Tokens;
+  Result.ReservingHelpers = Result.Helpers.size();
+  Result.ReservedTokens = Part.Tokens;
   return Result;
 }
 
--- a/src/plugins/engineload/ShortPlacement.cpp
+++ b/src/plugins/engineload/ShortPlacement.cpp
@@ -23,7 +23,7 @@
 /// What holding answers up costs, in terms of the one that would do so.
 double heldUpMs(const EngineState &Of, const PromptWork &Work,
                 const PlacementWeights &Weights) {
-  return Of.valueHeldUp(Work.PrefillMs) / std::max(Work.ValueMs, 1.0) *
+  return Of.delayedValue(Work.PrefillMs) / std::max(Work.ValueMs, 1.0) *
          Weights.PauseCostMs;
 }
 
@@ -37,10 +37,11 @@
   return std::min(Needed, Engines);
 }
 
-Placed placeShort(std::span<const EngineState> States, std::size_t Front,
-                  std::uint32_t Slots, const PromptWork &Work,
-                  const PlacementWeights &Weights) {
-  Placed Best;
+PromptPlacement placeShort(std::span<const EngineState> States,
+                           std::size_t Front, std::uint32_t Slots,
+                           const PromptWork &Work,
+                           const PlacementWeights &Weights) {
+  PromptPlacement Best;
   double BestCost = 0;
   for (std::size_t At = 0; At < States.size(); ++At) {
     const EngineState &Each = States[At];
--- a/src/plugins/engineload/ShortPlacement.h
+++ b/src/plugins/engineload/ShortPlacement.h
@@ -9,9 +9,10 @@
 /// Short prompts are gathered on the \p Front first engines of the common
 /// order, so that those behind stay clear for what is read on many engines at
 /// once: whatever is written on one of those pauses meanwhile.
-Placed placeShort(std::span<const EngineState> States, std::size_t Front,
-                  std::uint32_t Slots, const PromptWork &Work,
-                  const PlacementWeights &Weights);
+PromptPlacement placeShort(std::span<const EngineState> States,
+                           std::size_t Front, std::uint32_t Slots,
+                           const PromptWork &Work,
+                           const PlacementWeights &Weights);
 
 /// How many engines make up the front: as few as \p ShortRunning requests fill
 /// to FillShare. A batch is cheap to fill (a pass over 15 short answers takes
--- a/src/plugins/engineload/TellBudget.h
+++ b/src/plugins/engineload/WorkReportSchedule.h
@@ -12,11 +12,11 @@
 /// Bounds what a host tells its peers. Long work is told soon, as it decides
 /// where the next long prompt can be read in time; short work waits until the
 /// messages fit the rate.
-class TellBudget {
+class WorkReportSchedule {
 public:
-  TellBudget() = default;
+  WorkReportSchedule() = default;
   /// \p PerSecond messages are sent for short work, at most.
-  TellBudget(Duration Shortest, double PerSecond)
+  WorkReportSchedule(Duration Shortest, double PerSecond)
       : Shortest(Shortest), PerSecond(PerSecond) {}
 
   /// Something changed; \p Soon: of long work.
--- a/tests/auto/gateway/DeferralTest.cpp
+++ b/tests/auto/gateway/DeferralTest.cpp
@@ -38,96 +38,97 @@
 }
 
 TEST(Deferral, PlacesAreScarceWhenMostAreTaken) {
-  EXPECT_EQ(scarcityOf(engines(4)), 0);
-  EXPECT_GT(scarcityOf(engines(12)), 0.5);
-  EXPECT_EQ(scarcityOf(engines(16)), 1);
-  EXPECT_EQ(scarcityOf({}), 0);
+  EXPECT_EQ(slotScarcity(engines(4)), 0);
+  EXPECT_GT(slotScarcity(engines(12)), 0.5);
+  EXPECT_EQ(slotScarcity(engines(16)), 1);
+  EXPECT_EQ(slotScarcity({}), 0);
 }
 
 TEST(Deferral, AnswersWeighMoreWherePlacesAreScarce) {
   std::vector<EngineState> Calm = engines(4);
-  weighScarcePlaces(Calm);
+  weighAnswersByScarcity(Calm);
   EXPECT_EQ(Calm.front().Answers.front().ValueMs, 100);
   std::vector<EngineState> Full = engines(16);
-  weighScarcePlaces(Full);
+  weighAnswersByScarcity(Full);
   EXPECT_GT(Full.front().Answers.front().ValueMs, 300);
 }
 
 TEST(Deferral, AShortPromptGivesWayOnlyWhereNoPlaceIsFreeInTime) {
-  Placed Place;
+  PromptPlacement Place;
   Place.FirstTokenMs = 120;
   const DeferralTimes Times = times(milliseconds(300), milliseconds(0));
   EXPECT_FALSE(
-      isTooFull(engines(15).front(), Place, model(), Times, weights()));
-  EXPECT_TRUE(isTooFull(engines(16).front(), Place, model(), Times, weights()));
+      wouldBeLate(engines(15).front(), Place, model(), Times, weights()));
+  EXPECT_TRUE(
+      wouldBeLate(engines(16).front(), Place, model(), Times, weights()));
   EngineParameters Unknown = model();
   Unknown.MeanAnswerTokens = 0;
   EXPECT_FALSE(
-      isTooFull(engines(20).front(), Place, Unknown, Times, weights()));
+      wouldBeLate(engines(20).front(), Place, Unknown, Times, weights()));
 }
 
 TEST(Deferral, ALongPromptGivesWayWhilePlacesAreScarceButNotForEver) {
-  Placed Place;
+  PromptPlacement Place;
   Place.GainMs = 500;
   PromptWork Work;
   Work.PrefillMs = 4000;
   const DeferralTimes Fresh = times(seconds(3), seconds(0));
-  EXPECT_TRUE(paysNow(Place, Work, Fresh, 0));
-  EXPECT_FALSE(paysNow(Place, Work, Fresh, 1));
-  EXPECT_TRUE(paysNow(Place, Work, times(seconds(3), seconds(7)), 1));
+  EXPECT_TRUE(isWorthServingNow(Place, Work, Fresh, 0));
+  EXPECT_FALSE(isWorthServingNow(Place, Work, Fresh, 1));
+  EXPECT_TRUE(isWorthServingNow(Place, Work, times(seconds(3), seconds(7)), 1));
 }
 
 TEST(Deferral, ALongPromptIsReadWhileItsCallerCanStillBeServed) {
-  Placed Place;
+  PromptPlacement Place;
   Place.GainMs = -1;
   Place.FirstTokenMs = 3000;
   PromptWork Work;
   Work.PrefillMs = 9000;
   DeferralTimes Times = times(seconds(3), seconds(1));
-  EXPECT_FALSE(paysNow(Place, Work, Times, 1));
+  EXPECT_FALSE(isWorthServingNow(Place, Work, Times, 1));
   Times.Left = seconds(7);
-  EXPECT_TRUE(paysNow(Place, Work, Times, 1));
+  EXPECT_TRUE(isWorthServingNow(Place, Work, Times, 1));
 }
 
 TEST(Deferral, WhatCannotBeginBeforeItsCallerLeavesIsHopeless) {
-  Placed Place;
+  PromptPlacement Place;
   Place.FirstTokenMs = 20'000;
   Place.SoonestMs = 8900;
-  EXPECT_FALSE(isHopeless(Place, times(seconds(3), seconds(0)), 0));
+  EXPECT_FALSE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0));
   Place.SoonestMs = 9100;
-  EXPECT_TRUE(isHopeless(Place, times(seconds(3), seconds(0)), 0));
+  EXPECT_TRUE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0));
 }
 
 TEST(Deferral, WhilePlacesAreScarceSoIsWhatLeavesNoTimeForItsAnswer) {
-  Placed Place;
+  PromptPlacement Place;
   Place.SoonestMs = 4900;
-  EXPECT_FALSE(isHopeless(Place, times(seconds(3), seconds(0)), 0.5));
+  EXPECT_FALSE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0.5));
   Place.SoonestMs = 5000;
-  EXPECT_TRUE(isHopeless(Place, times(seconds(3), seconds(0)), 0.5));
-  EXPECT_FALSE(isHopeless(Place, times(seconds(3), seconds(0)), 0));
+  EXPECT_TRUE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0.5));
+  EXPECT_FALSE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0));
 }
 
 TEST(Deferral, ItsCallerComesBackWhenThereIsRoomOrAsLateAsItMay) {
   const DeferralTimes Times = times(seconds(3), seconds(0));
-  EXPECT_EQ(returnAfter(Times, 0, milliseconds(2500)), milliseconds(2500));
-  EXPECT_EQ(returnAfter(Times, 1, milliseconds(2500)), seconds(3));
-  EXPECT_EQ(returnAfter(Times, 0.5, seconds(20)), seconds(3));
+  EXPECT_EQ(retryAfter(Times, 0, milliseconds(2500)), milliseconds(2500));
+  EXPECT_EQ(retryAfter(Times, 1, milliseconds(2500)), seconds(3));
+  EXPECT_EQ(retryAfter(Times, 0.5, seconds(20)), seconds(3));
 }
 
 TEST(Deferral, ItsCallerComesBackOnlyAfterAMomentAndOnce) {
   const DeferralTimes Waited = times(seconds(3), milliseconds(500));
-  EXPECT_TRUE(shouldComeBack(Waited, 1));
-  EXPECT_FALSE(shouldComeBack(Waited, 0));
-  EXPECT_FALSE(shouldComeBack(times(seconds(3), milliseconds(100)), 1));
+  EXPECT_TRUE(shouldRetryLater(Waited, 1));
+  EXPECT_FALSE(shouldRetryLater(Waited, 0));
+  EXPECT_FALSE(shouldRetryLater(times(seconds(3), milliseconds(100)), 1));
   DeferralTimes Returned = Waited;
   Returned.MayRetryLater = false;
-  EXPECT_FALSE(shouldComeBack(Returned, 1));
+  EXPECT_FALSE(shouldRetryLater(Returned, 1));
 }
 
 RC_GTEST_PROP(Deferral, CallersComeBackSpreadAndWithMostOfTheirTimeLeft, ()) {
   const double Draw = *rc::gen::inRange(0, 1000) / 1000.0;
   const DeferralTimes Times = times(seconds(3), seconds(0));
-  const double After = inSeconds(returnAfter(Times, Draw));
+  const double After = inSeconds(retryAfter(Times, Draw));
   RC_ASSERT(After >= inSeconds(Times.Left) * 0.2 - 1e-3);
   RC_ASSERT(After <= inSeconds(Times.Left) / 3 + 1e-3);
 }
--- a/tests/auto/gateway/EngineLoadTest.cpp
+++ b/tests/auto/gateway/EngineLoadTest.cpp
@@ -20,7 +20,7 @@
   EXPECT_NEAR(Load.backlogMs(Start + milliseconds(100)), 50, 0.1);
   EXPECT_EQ(Load.writing(Start), 1U);
   EXPECT_EQ(Load.shortRunning(Start), 2U);
-  const std::vector<PauseGroup> Held = {{250, 180}};
+  const std::vector<GapGroup> Held = {{250, 180}};
   EXPECT_EQ(Load.answers(Start), Held);
 }
 
--- a/tests/auto/gateway/EnginePacesTest.cpp
+++ b/tests/auto/gateway/EngineSlowdownsTest.cpp
@@ -1,4 +1,4 @@
-#include "plugins/engineload/EnginePaces.h"
+#include "plugins/engineload/EngineSlowdowns.h"
 
 #include "auto/gateway/GatewayBench.h"
 
@@ -11,8 +11,8 @@
 const UpstreamId Second("e2");
 const Time Start(seconds(1000));
 
-EnginePaces paces() {
-  return EnginePaces({seconds(2), milliseconds(250), seconds(5)});
+EngineSlowdowns paces() {
+  return EngineSlowdowns({seconds(2), milliseconds(250), seconds(5)});
 }
 
 EngineReport report(const UpstreamId &Engine, double Slowdown) {
@@ -22,8 +22,8 @@
   return Result;
 }
 
-TEST(EnginePaces, AsksNoEngineOftenAndNotAllAtOnce) {
-  EnginePaces Of = paces();
+TEST(EngineSlowdowns, AsksNoEngineOftenAndNotAllAtOnce) {
+  EngineSlowdowns Of = paces();
   EXPECT_TRUE(Of.noteLate(First, Start));
   EXPECT_FALSE(Of.noteLate(Second, Start + milliseconds(100)));
   EXPECT_TRUE(Of.noteLate(Second, Start + milliseconds(300)));
@@ -31,8 +31,8 @@
   EXPECT_TRUE(Of.noteLate(First, Start + milliseconds(2000)));
 }
 
-TEST(EnginePaces, ASlowEngineIsAskedAgainUntilItIsNot) {
-  EnginePaces Of = paces();
+TEST(EngineSlowdowns, ASlowEngineIsAskedAgainUntilItIsNot) {
+  EngineSlowdowns Of = paces();
   Of.noteLate(First, Start);
   EXPECT_TRUE(Of.takeReport(report(First, 3), Start));
   EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(1)), 3);
@@ -43,15 +43,15 @@
   EXPECT_EQ(Of.nextDue(), Never);
 }
 
-TEST(EnginePaces, WhatWasHeardIsForgottenInTheEnd) {
-  EnginePaces Of = paces();
+TEST(EngineSlowdowns, WhatWasHeardIsForgottenInTheEnd) {
+  EngineSlowdowns Of = paces();
   Of.takePeer({First, 4}, Start);
   EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(4)), 4);
   EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(5)), 1);
   EXPECT_TRUE(Of.own(Start).empty()) << "peers are told of one's own only";
 }
 
-TEST(EnginePaces, AnAnswerThatBeginsLateLeadsToAQuestionAndToOtherEngines) {
+TEST(EngineSlowdowns, AnAnswerThatBeginsLateLeadsToAQuestionAndToOtherEngines) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("ring", 2);
--- a/tests/auto/gateway/PromptLaneTest.cpp
+++ b/tests/auto/gateway/PromptQueueTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Prompts that are read together go in one order at all hosts.
-#include "plugins/engineload/PromptLane.h"
+#include "plugins/engineload/PromptQueue.h"
 
 #include <gtest/gtest.h>
 
@@ -10,15 +10,15 @@
 const HostId Self("h1");
 const Time Start(seconds(5));
 
-PromptLane lane() { return PromptLane(milliseconds(300), 0.25); }
+PromptQueue lane() { return PromptQueue(milliseconds(300), 0.25); }
 
-PromptLane::Waiting prompt(std::uint64_t Request, std::uint64_t Tokens,
-                           double PrefillMs, double LeftMs = 3000) {
+PromptQueue::Waiting prompt(std::uint64_t Request, std::uint64_t Tokens,
+                            double PrefillMs, double LeftMs = 3000) {
   return {Request, Tokens, PrefillMs, PrefillMs / 10, LeftMs};
 }
 
-TEST(PromptLane, WhatBringsMostForItsTimeGoesFirst) {
-  PromptLane Lane = lane();
+TEST(PromptQueue, WhatBringsMostForItsTimeGoesFirst) {
+  PromptQueue Lane = lane();
   const auto Long = prompt(1, 400'000, 9000);
   const auto Shorter = prompt(2, 100'000, 900);
   Lane.note(Long, Start);
@@ -27,8 +27,8 @@
   EXPECT_EQ(Lane.rank(Long, Self, Start), 1U);
 }
 
-TEST(PromptLane, WhatIsLateAnywayGivesWay) {
-  PromptLane Lane = lane();
+TEST(PromptQueue, WhatIsLateAnywayGivesWay) {
+  PromptQueue Lane = lane();
   const auto Late = prompt(1, 100'000, 900, 20);
   const auto Long = prompt(2, 400'000, 9000);
   Lane.note(Late, Start);
@@ -37,9 +37,9 @@
   EXPECT_EQ(Lane.rank(Late, Self, Start), 1U);
 }
 
-TEST(PromptLane, TwoHostsSeeTheSameOrder) {
-  PromptLane Here = lane();
-  PromptLane There = lane();
+TEST(PromptQueue, TwoHostsSeeTheSameOrder) {
+  PromptQueue Here = lane();
+  PromptQueue There = lane();
   const HostId Other("h2");
   const auto Mine = prompt(1, 200'000, 2700);
   const auto Theirs = prompt(1, 200'000, 2700);
@@ -51,10 +51,10 @@
             1U);
 }
 
-TEST(PromptLane, ADeadHostsPromptsHoldUpNobody) {
-  PromptLane Lane = lane();
+TEST(PromptQueue, ADeadHostsPromptsHoldUpNobody) {
+  PromptQueue Lane = lane();
   const auto Mine = prompt(1, 400'000, 9000);
-  const std::vector<PromptLane::Waiting> Theirs = {prompt(7, 100'000, 900)};
+  const std::vector<PromptQueue::Waiting> Theirs = {prompt(7, 100'000, 900)};
   Lane.takePeer(HostId("h2"), Theirs, Start);
   EXPECT_EQ(Lane.rank(Mine, Self, Start), 1U);
   EXPECT_EQ(Lane.rank(Mine, Self, Start + milliseconds(301)), 0U);
@@ -63,8 +63,8 @@
   EXPECT_EQ(Lane.rank(Mine, Self, Start + milliseconds(400)), 0U);
 }
 
-TEST(PromptLane, APromptThatIsNotAskedForAgainLapses) {
-  PromptLane Lane = lane();
+TEST(PromptQueue, APromptThatIsNotAskedForAgainLapses) {
+  PromptQueue Lane = lane();
   EXPECT_TRUE(Lane.note(prompt(1, 100'000, 900), Start));
   EXPECT_FALSE(Lane.note(prompt(1, 100'000, 900), Start + milliseconds(20)));
   EXPECT_EQ(Lane.own(Start + milliseconds(320)).size(), 1U);
--- a/tests/auto/gateway/SharedPlacementTest.cpp
+++ b/tests/auto/gateway/SharedPlacementTest.cpp
@@ -31,7 +31,7 @@
   std::vector<EngineState> States = engines(8);
   States[0].Answers = {{250, 500}};
   States[1].Answers = {{250, 300}};
-  const Placed Where = placeShared(States, Review, Reviews, weights());
+  const PromptPlacement Where = placeShared(States, Review, Reviews, weights());
   EXPECT_EQ(Where.Helpers.size(), 5U);
   EXPECT_GT(Where.At, 1U);
   for (const std::size_t At : Where.Helpers)
@@ -47,7 +47,8 @@
   }
   PromptWork Dossier = Review;
   Dossier.PrefillMs = 600;
-  const Placed Where = placeShared(States, Dossier, Reviews, weights());
+  const PromptPlacement Where =
+      placeShared(States, Dossier, Reviews, weights());
   EXPECT_EQ(Where.Helpers.size(), 7U);
   EXPECT_NEAR(Where.FirstTokenMs, 135, 1);
 }
@@ -85,10 +86,11 @@
 
 TEST(SharedPlacement, SeveralEnginesKeepAHugePrompt) {
   const std::vector<EngineState> States = engines(8);
-  const auto Where = placeKept(States, Huge, EngineTokens, Reviews, weights());
+  const auto Where =
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights());
   ASSERT_TRUE(Where);
-  EXPECT_GE(Where->Keepers, 2U);
-  EXPECT_GE(Where->KeptTokens * Where->Keepers, 640'000U);
+  EXPECT_GE(Where->ReservingHelpers, 2U);
+  EXPECT_GE(Where->ReservedTokens * Where->ReservingHelpers, 640'000U);
   EXPECT_GE(Where->Helpers.size(), 5U);
   EXPECT_EQ(Where->Helpers.front(), Where->At);
 }
@@ -101,19 +103,22 @@
     Each.PassMs = 55;
     Each.Answers = {{250, 1100}};
   }
-  const auto Where = placeKept(States, Huge, EngineTokens, Reviews, weights());
+  const auto Where =
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights());
   ASSERT_TRUE(Where);
-  EXPECT_LE(Where->KeptTokens, 300'000U);
+  EXPECT_LE(Where->ReservedTokens, 300'000U);
 }
 
 TEST(SharedPlacement, TellsThatAHugePromptCostsMoreThanItBrings) {
   std::vector<EngineState> States = engines(8);
-  const auto Clear = placeKept(States, Huge, EngineTokens, Reviews, weights());
+  const auto Clear =
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights());
   ASSERT_TRUE(Clear);
   EXPECT_GT(Clear->GainMs, 0);
   for (EngineState &Each : States)
     Each.Answers = {{250, 40'000}};
-  const auto Full = placeKept(States, Huge, EngineTokens, Reviews, weights());
+  const auto Full =
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights());
   ASSERT_TRUE(Full);
   EXPECT_LT(Full->GainMs, 0);
 }
@@ -122,7 +127,8 @@
   std::vector<EngineState> States = engines(12);
   for (std::size_t At = 0; At < 4; ++At)
     States[At].FreeTokens = 50'000;
-  const auto Where = placeKept(States, Huge, EngineTokens, Reviews, weights());
+  const auto Where =
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights());
   ASSERT_TRUE(Where);
   for (const std::size_t At : Where->Helpers)
     EXPECT_GE(At, 4U);
@@ -132,7 +138,8 @@
   std::vector<EngineState> States = engines(8);
   for (std::size_t At = 1; At < 8; ++At)
     States[At].FreeTokens = 60'000;
-  EXPECT_FALSE(placeKept(States, Huge, EngineTokens, Reviews, weights()));
+  EXPECT_FALSE(
+      placeWithReservations(States, Huge, EngineTokens, Reviews, weights()));
 }
 
 RC_GTEST_PROP(SharedPlacement, EachKeeperHasMemoryForItsPart, ()) {
@@ -145,14 +152,15 @@
   }
   PromptWork Work = Huge;
   Work.Tokens = *rc::gen::inRange<std::uint64_t>(EngineTokens, 900'000);
-  const auto Where = placeKept(States, Work, EngineTokens, Reviews, weights());
+  const auto Where =
+      placeWithReservations(States, Work, EngineTokens, Reviews, weights());
   if (!Where)
     return;
-  RC_ASSERT(Where->KeptTokens * Where->Keepers >= Work.Tokens);
-  RC_ASSERT(Where->Keepers == Where->Helpers.size());
-  RC_ASSERT(Where->Keepers <= weights().MostHelpers);
+  RC_ASSERT(Where->ReservedTokens * Where->ReservingHelpers >= Work.Tokens);
+  RC_ASSERT(Where->ReservingHelpers == Where->Helpers.size());
+  RC_ASSERT(Where->ReservingHelpers <= weights().MaxHelpers);
   for (const std::size_t At : Where->Helpers) {
-    RC_ASSERT(Where->KeptTokens <= States[At].FreeTokens);
+    RC_ASSERT(Where->ReservedTokens <= States[At].FreeTokens);
     RC_ASSERT(States[At].FreeSlots > 0U);
   }
 }
--- a/tests/auto/gateway/ShortPlacementTest.cpp
+++ b/tests/auto/gateway/ShortPlacementTest.cpp
@@ -4,7 +4,7 @@
 
 #include "kernel/PluginRegistry.h"
 #include "plugins/engineload/EngineLoadPlugin.h"
-#include "plugins/engineload/ReadCost.h"
+#include "plugins/engineload/PrefillCost.h"
 
 #include <gtest/gtest.h>
 
@@ -27,15 +27,15 @@
 constexpr std::uint32_t Slots = 16;
 const PromptWork Query{30, 5000, 5500, 120};
 
-TEST(ReadCost, FollowsTheDeclaredParameters) {
+TEST(PrefillCost, FollowsTheDeclaredParameters) {
   EngineParameters Of;
   Of.PrefillTokensPerMs = 154;
   Of.MsPerMillionPairs = 0.162;
-  EXPECT_NEAR(readMs(Of, 5000), 32.5 + 2.0, 0.1);
-  EXPECT_NEAR(readMs(Of, 182'000), 1181.8 + 2683.1, 1.0);
+  EXPECT_NEAR(prefillMs(Of, 5000), 32.5 + 2.0, 0.1);
+  EXPECT_NEAR(prefillMs(Of, 182'000), 1181.8 + 2683.1, 1.0);
 }
 
-TEST(ReadCost, TheRoomInAPauseIsWhatAFullBatchLeaves) {
+TEST(PrefillCost, TheRoomInAPauseIsWhatAFullBatchLeaves) {
   EngineParameters Of;
   Of.Slots = 16;
   Of.StepsPerPass = 46;
@@ -43,27 +43,28 @@
   Of.StepMsPerDecode = 0.00483;
   Of.StepMsPerKiloContext = 0.00254;
   Of.MeanPromptTokens = 6000;
-  EXPECT_NEAR(roomMs(Of, 200), 200 - 57.3, 0.1);
-  EXPECT_LT(roomMs(Of, 50), 0);
+  EXPECT_NEAR(prefillBudgetMs(Of, 200), 200 - 57.3, 0.1);
+  EXPECT_LT(prefillBudgetMs(Of, 50), 0);
 }
 
-TEST(ReadCost, APlaceInAFullBatchIsAwaited) {
+TEST(PrefillCost, APlaceInAFullBatchIsAwaited) {
   EngineParameters Of;
   Of.Slots = 16;
   Of.StepsPerPass = 50;
   Of.StepMs = 1;
   Of.MeanAnswerTokens = 1600;
-  EXPECT_EQ(placeWaitMs(Of, 15), 0);
-  EXPECT_NEAR(placeWaitMs(Of, 16), 100, 0.1);
-  EXPECT_NEAR(placeWaitMs(Of, 17), 200, 0.1);
+  EXPECT_EQ(slotWaitMs(Of, 15), 0);
+  EXPECT_NEAR(slotWaitMs(Of, 16), 100, 0.1);
+  EXPECT_NEAR(slotWaitMs(Of, 17), 200, 0.1);
   Of.MeanAnswerTokens = 0;
-  EXPECT_EQ(placeWaitMs(Of, 20), 0);
+  EXPECT_EQ(slotWaitMs(Of, 20), 0);
 }
 
 TEST(ShortPlacement, PromptsGatherInFront) {
   std::vector<EngineState> States = engines(10);
   for (int Each = 0; Each < 30; ++Each) {
-    const Placed Where = placeShort(States, 3, Slots, Query, weights());
+    const PromptPlacement Where =
+        placeShort(States, 3, Slots, Query, weights());
     ++States[Where.At].Running;
     EXPECT_LT(Where.At, 3U);
   }
