--- a/tests/auto/gateway/GatewayBeliefsTest.cpp
+++ b/tests/auto/gateway/PeerPropagationTest.cpp
@@ -28,7 +28,7 @@
   return Result;
 }
 
-TEST(Beliefs, AConfigurationNeverGoesBack) {
+TEST(PeerPropagation, AConfigurationNeverGoesBack) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.send(
@@ -38,7 +38,7 @@
       << "version 4 has no routes, version 5 has";
 }
 
-TEST(Beliefs, ALaterVersionOfAPeerIsAskedForAtOnce) {
+TEST(PeerPropagation, ALaterVersionOfAPeerIsAskedForAtOnce) {
   GatewayBench Bench;
   Bench.configure(5);
   Heartbeat Beat = beatOf("h2", 10);
@@ -51,7 +51,7 @@
   EXPECT_EQ(Bench.last<DecodeConfiguration>().Document, "version 6");
 }
 
-TEST(Beliefs, APeerThatLagsGetsTheConfiguration) {
+TEST(PeerPropagation, APeerThatLagsGetsTheConfiguration) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
@@ -64,7 +64,7 @@
   EXPECT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
 }
 
-TEST(Beliefs, ANewVersionIsToldToPeersAtOnce) {
+TEST(PeerPropagation, ANewVersionIsToldToPeersAtOnce) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
@@ -76,7 +76,7 @@
   EXPECT_EQ(Bench.sent<Heartbeat>().back().InForce, 6U);
 }
 
-TEST(Beliefs, EnginesAreLearntFromAPeerThatIsFurther) {
+TEST(PeerPropagation, EnginesAreLearntFromAPeerThatIsFurther) {
   GatewayBench Bench;
   Bench.configure(1);
   Heartbeat Beat = beatOf("h2", 10);
@@ -98,7 +98,7 @@
   EXPECT_EQ(Bench.last<DispatchRelay>().Engine, UpstreamId("e1"));
 }
 
-TEST(Beliefs, AHostThatListedLateTellsPeersOfAllThatThereIs) {
+TEST(PeerPropagation, AHostThatListedLateTellsPeersOfAllThatThereIs) {
   GatewayBench Bench;
   Bench.configure(1);
   // Two engines, listed at offset 5: what went before that is not known here.
@@ -125,7 +125,7 @@
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 1U);
 }
 
-TEST(Beliefs, WhatACompleteTellingDoesNotNameIsGone) {
+TEST(PeerPropagation, WhatACompleteTellingDoesNotNameIsGone) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("desk", 1, 0);
@@ -137,7 +137,7 @@
   EXPECT_TRUE(Bench.all<DispatchRelay>().empty());
 }
 
-TEST(Beliefs, TheDirectoryNamesReadyHostsAndForgetsLeavingOnes) {
+TEST(PeerPropagation, TheDirectoryNamesReadyHostsAndForgetsLeavingOnes) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.receive("h2", beatOf("h2", 10));
@@ -155,13 +155,13 @@
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
-TEST(Beliefs, AHostWithoutAConfigurationIsNotNamed) {
+TEST(PeerPropagation, AHostWithoutAConfigurationIsNotNamed) {
   GatewayBench Bench;
   Bench.send(Event(ResolveRequest{ResolveRequestId(1), TeamId(), ZoneId("z")}));
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
-TEST(Beliefs, ADrainingEngineGetsNothingNew) {
+TEST(PeerPropagation, ADrainingEngineGetsNothingNew) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("desk", 2);
