--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -9,65 +9,64 @@
 
 namespace {
 
-/// Places count as scarce from this share of all that are taken on,
-constexpr double ScarceFrom = 0.4;
+/// Slots count as scarce from this share of occupied slots on.
+constexpr double ScarcityThreshold = 0.4;
 
-/// and with all taken, answers weigh so many times more.
-constexpr double ScarceCost = 5;
+/// Factor by which answers gain value when all slots are taken.
+constexpr double ScarcityWeight = 5;
 
-/// What an engine that is full of short answers brings in a millisecond, as
-/// ValueMs.
-constexpr double FullEngineWorth = 0.5;
+/// Value, in the unit of ValueMs, that an engine full of short answers delivers
+/// per millisecond.
+constexpr double FullEngineValue = 0.5;
 
-/// Callers of long prompts are told to come back, or refused for want of time,
-/// only when more than half of the places are taken,
-constexpr double ScarceForLong = 0.2;
+/// Scarcity above which callers of long prompts are told to retry, or refused
+/// for lack of time. It corresponds to more than half of the slots being taken.
+constexpr double LongPromptScarcity = 0.2;
 
-/// and after a wait of so large a part of their objective: by then a burst is
-/// not a moment's.
-constexpr int ShortestWaitDivisor = 8;
+/// A caller of a long prompt is told to retry only after it has waited for this
+/// fraction of its objective. A burst that lasts for so long is not momentary.
+constexpr int MinWaitDivisor = 8;
 
-/// A long prompt gives way to others for so many times its objective.
-constexpr int LongestDeferral = 2;
+/// Number of objectives for which a long prompt may be deferred.
+constexpr int MaxDeferral = 2;
 
-/// It is read at last when its caller's time, less the objective, is no more
-/// than so many times what reading takes.
-constexpr double LastChanceReads = 1.5;
+/// A long prompt is served when the remaining time, less the objective, is
+/// shorter than this multiple of its time to the first token.
+constexpr double LastChanceFactor = 1.5;
 
-/// Callers come back after so much of the time that they have left, at the
-/// latest: enough stays for their answer, and a burst is over or its load is
-/// spread by then.
-constexpr double LatestReturnShare = 1.0 / 3;
+/// Longest retry delay, as a share of the remaining time. It leaves enough time
+/// for the answer, and bursts are over or spread by then.
+constexpr double MaxRetryShare = 1.0 / 3;
 
-/// The soonest of them, as a share of the latest, so that those who were told
-/// to come back together come back spread, and yet so late that it shows in the
-/// time that they have left (see FirstTries).
-constexpr double SoonestReturn = 0.6;
+/// Shortest retry delay, as a share of the longest. The range spreads callers
+/// that are refused together. The delay is still long enough to show in their
+/// remaining time; see FirstTries.
+constexpr double MinRetryShare = 0.6;
 
 } // namespace
 
 double slotScarcity(std::span<const EngineState> States) {
   double Taken = 0;
   double All = 0;
-  for (const EngineState &Each : States) {
-    Taken += Each.Running;
-    All += Each.Running + Each.FreeSlots;
+  for (const EngineState &State : States) {
+    Taken += State.Running;
+    All += State.Running + State.FreeSlots;
   }
   const double Share = Taken / std::max(All, 1.0);
-  return std::max(0.0, Share - ScarceFrom) / (1 - ScarceFrom);
+  return std::max(0.0, Share - ScarcityThreshold) / (1 - ScarcityThreshold);
 }
 
 void weighAnswersByScarcity(std::span<EngineState> States) {
-  const double Factor = 1 + (ScarceCost - 1) * slotScarcity(States);
-  for (EngineState &Each : States)
-    for (GapGroup &Group : Each.Answers)
+  const double Factor = 1 + (ScarcityWeight - 1) * slotScarcity(States);
+  for (EngineState &State : States)
+    for (GapGroup &Group : State.Answers)
       Group.ValueMs *= Factor;
 }
 
-bool wouldBeLate(const EngineState &Of, const PromptPlacement &Place,
+bool wouldBeLate(const EngineState &State, const PromptPlacement &Place,
                  const EngineParameters &Model, const DeferralTimes &Times,
                  const PlacementWeights &Weights) {
-  const double WaitMs = slotWaitMs(Model, Of.Running);
+  const double WaitMs = slotWaitMs(Model, State.Running);
   const double LeftMs = inMilliseconds(Times.Objective - Times.Waited);
   return WaitMs > 0 &&
          Place.FirstTokenMs + WaitMs > LeftMs * Weights.BudgetShare;
@@ -75,27 +74,27 @@
 
 bool isWorthServingNow(const PromptPlacement &Place, const PromptWork &Work,
                        const DeferralTimes &Times, double Scarcity) {
-  const bool HasWaited = Times.Waited > Times.Objective * LongestDeferral;
+  const bool HasWaitedLong = Times.Waited > Times.Objective * MaxDeferral;
   const bool IsLastChance = inMilliseconds(Times.Left - Times.Objective) <
-                            Place.FirstTokenMs * LastChanceReads;
-  return HasWaited || IsLastChance ||
-         Place.GainMs > Work.PrefillMs * Scarcity * FullEngineWorth;
+                            Place.FirstTokenMs * LastChanceFactor;
+  return HasWaitedLong || IsLastChance ||
+         Place.GainMs > Work.PrefillMs * Scarcity * FullEngineValue;
 }
 
 bool cannotBeServed(const PromptPlacement &Place, const DeferralTimes &Times,
                     double Scarcity) {
-  const double Share = Scarcity > ScarceForLong ? PrefillShare : 1;
+  const double Share = Scarcity > LongPromptScarcity ? PrefillShare : 1;
   return Place.SoonestMs > inMilliseconds(Times.Left) * Share;
 }
 
 bool shouldRetryLater(const DeferralTimes &Times, double Scarcity) {
-  const bool HasWaited = Times.Waited > Times.Objective / ShortestWaitDivisor;
-  return Times.MayRetryLater && HasWaited && Scarcity > ScarceForLong;
+  const bool HasWaitedLong = Times.Waited > Times.Objective / MinWaitDivisor;
+  return Times.MayRetryLater && HasWaitedLong && Scarcity > LongPromptScarcity;
 }
 
 Duration retryAfter(const DeferralTimes &Times, double Draw, Duration Soonest) {
-  const double Latest = inSeconds(Times.Left) * LatestReturnShare;
-  const double First = std::max(inSeconds(Soonest), Latest * SoonestReturn);
+  const double Latest = inSeconds(Times.Left) * MaxRetryShare;
+  const double First = std::max(inSeconds(Soonest), Latest * MinRetryShare);
   return fromSeconds(std::min(First + (Latest - First) * Draw, Latest));
 }
 
--- a/src/plugins/engineload/Deferral.h
+++ b/src/plugins/engineload/Deferral.h
@@ -1,62 +1,63 @@
 /// \file
-/// Which prompts give way to others when the engines' places run out.
+/// Admission of prompts while the engines run out of slots.
 ///
-/// The load that it answers: a burst that exceeds the engines' places for some
-/// seconds. If all who come are taken, each waits for those before it, so that
-/// nobody is in time from then on. Callers who are told to come back find a
-/// place later, while the others are in time.
+/// When a burst exceeds the slots for some seconds and every request is
+/// accepted, each request waits for all earlier ones and all of them miss their
+/// objectives. Callers that are told to retry find a slot later, while the
+/// accepted requests finish in time.
 #pragma once
 
 #include "plugins/engineload/EngineState.h"
 
 namespace banyanpick {
 
-/// What is known of the caller of a prompt that may give way.
+/// Timing of a prompt that may be deferred, and what its caller accepts.
 struct DeferralTimes {
   Duration Objective{};
-  Duration Waited{};          ///< Since it arrived here.
-  Duration Left{};            ///< Until its time is over.
-  bool MayRetryLater = false; ///< It has not tried before.
+  Duration Waited{};          ///< Since the request arrived at this host.
+  Duration Left{};            ///< Until the deadline.
+  bool MayRetryLater = false; ///< The caller has not been told to retry yet.
 };
 
-/// Share of the time left that a prompt which is late may be read in; its
-/// answer is written in what remains.
+/// Share of the remaining time that the prefill of a late prompt may take. The
+/// answer is decoded in the rest.
 inline constexpr double PrefillShare = 0.55;
 
-/// How scarce places are: 0 while few are taken, 1 when all are.
+/// Returns how scarce slots are: 0 while few are taken, 1 when all are.
 double slotScarcity(std::span<const EngineState> States);
 
-/// Makes answers that are held up weigh more while places are scarce: they keep
-/// their places longer, which is what makes the places run out.
+/// Increases the value of running answers while slots are scarce, because a
+/// delayed answer occupies its slot for longer.
 void weighAnswersByScarcity(std::span<EngineState> States);
 
-/// Whether the first token of a short prompt would be late, since so many wait
-/// for a place on the chosen engine.
-bool wouldBeLate(const EngineState &Of, const PromptPlacement &Place,
+/// Returns whether the first token of a short prompt would miss its objective
+/// because the chosen engine has no slot free in time.
+bool wouldBeLate(const EngineState &State, const PromptPlacement &Place,
                  const EngineParameters &Model, const DeferralTimes &Times,
                  const PlacementWeights &Weights);
 
-/// Whether the first token of the prompt would come too late for its caller
-/// wherever it is read: then it is refused at once. While places are scarce,
-/// what would leave no time for its answer is refused, too: it would only take
-/// the engines' time from others.
+/// Returns whether the first token would come after the caller's deadline on
+/// every engine; such a prompt is refused at once. While slots are scarce, this
+/// includes a prompt whose first token would leave no time to decode the
+/// answer.
 bool cannotBeServed(const PromptPlacement &Place, const DeferralTimes &Times,
                     double Scarcity);
 
-/// Whether reading a long prompt now brings more than it costs others: those it
-/// holds up, and, while places are scarce, those that its engines could serve
-/// meanwhile. A caller who has waited for long, or could not be served any more
-/// after waiting, is served all the same.
+/// Returns whether a long prompt is worth its cost now: the delay of other
+/// answers and, while slots are scarce, the requests that its engines could
+/// serve meanwhile. Always true for a caller that has waited for long, or that
+/// could not be served after a further wait.
 bool isWorthServingNow(const PromptPlacement &Place, const PromptWork &Work,
                        const DeferralTimes &Times, double Scarcity);
 
-/// Whether the caller of a long prompt that is not to be read now should come
-/// back, instead of waiting here.
+/// Returns whether the caller of a deferred long prompt is told to retry later
+/// instead of waiting at this host.
 bool shouldRetryLater(const DeferralTimes &Times, double Scarcity);
 
-/// When the caller should come back, not before \p Soonest unless that is later
-/// than a caller may be told; \p Draw, from 0 to 1, spreads those who were told
-/// so together.
+/// Returns the delay until the caller's retry. The delay is at least \p
+/// Soonest, but never longer than the share of the remaining time that a caller
+/// may be told to wait. \p Draw, from 0 to 1, spreads the retries of callers
+/// that are refused together.
 Duration retryAfter(const DeferralTimes &Times, double Draw,
                     Duration Soonest = Duration(0));
 
--- a/src/plugins/engineload/EngineLoad.cpp
+++ b/src/plugins/engineload/EngineLoad.cpp
@@ -8,21 +8,20 @@
 
 namespace {
 
-/// What a read that takes longer than predicted is taken to need still, as a
-/// share of its prediction.
+/// Remaining share of the predicted time that is assumed for a prefill that
+/// takes longer than predicted.
 constexpr double OverdueShare = 0.1;
 
-/// What peers say is worth nothing after so long; while they have work they
-/// tell it three times as often. What hosts that died had would otherwise make
-/// engines look full, and callers be turned away.
-constexpr milliseconds PeerWorkAge(1500);
+/// Lifetime of a peer's report. A peer with work repeats its report three times
+/// as often. Without a limit, the work of dead hosts would make engines look
+/// full, and callers would be refused.
+constexpr milliseconds PeerWorkTtl(1500);
 
-/// Adds the answer to those that may pause for the same time.
+/// Adds the answer to the group with the same gap bound.
 void addTo(std::vector<GapGroup> &Groups, const GapGroup &Answer) {
   if (Answer.ValueMs <= 0)
     return;
-  const auto Found =
-      std::ranges::find(Groups, Answer.PauseMs, &GapGroup::PauseMs);
+  const auto Found = std::ranges::find(Groups, Answer.GapMs, &GapGroup::GapMs);
   if (Found == Groups.end())
     Groups.push_back(Answer);
   else
@@ -32,79 +31,79 @@
 } // namespace
 
 void EngineLoad::add(const LoadItem &Item, Time Now) {
-  const Reads Before = this->allReads(Now);
+  const Prefills Before = this->allPrefills(Now);
   this->Own.push_back(Item);
-  this->noteReads(Before, Now);
+  this->notePrefills(Before, Now);
 }
 
-void EngineLoad::began(const AttemptId &Try, Time Now) {
-  const auto Found = std::ranges::find(this->Own, Try, &LoadItem::Try);
-  if (Found == this->Own.end() || Found->Writes)
+void EngineLoad::startDecoding(const AttemptId &Attempt, Time Now) {
+  const auto Found = std::ranges::find(this->Own, Attempt, &LoadItem::Attempt);
+  if (Found == this->Own.end() || Found->IsDecoding)
     return;
-  const Reads Before = this->allReads(Now);
-  Found->Writes = true;
+  const Prefills Before = this->allPrefills(Now);
+  Found->IsDecoding = true;
   Found->PrefillMs = 0;
-  this->noteReads(Before, Now);
+  this->notePrefills(Before, Now);
 }
 
-void EngineLoad::remove(const AttemptId &Try, Time Now) {
-  const auto Found = std::ranges::find(this->Own, Try, &LoadItem::Try);
+void EngineLoad::remove(const AttemptId &Attempt, Time Now) {
+  const auto Found = std::ranges::find(this->Own, Attempt, &LoadItem::Attempt);
   if (Found == this->Own.end())
     return;
-  const Reads Before = this->allReads(Now);
+  const Prefills Before = this->allPrefills(Now);
   this->Own.erase(Found);
-  this->noteReads(Before, Now);
+  this->notePrefills(Before, Now);
 }
 
 void EngineLoad::takePeer(const HostId &Peer, const EngineWork::Item &Work,
                           Time Now) {
-  const Reads Before = this->allReads(Now);
+  const Prefills Before = this->allPrefills(Now);
   this->Peers[Peer] = {Work, Now};
-  this->noteReads(Before, Now);
+  this->notePrefills(Before, Now);
 }
 
 void EngineLoad::forgetPeer(const HostId &Peer, Time Now) {
-  const Reads Before = this->allReads(Now);
+  const Prefills Before = this->allPrefills(Now);
   this->Peers.erase(Peer);
-  this->noteReads(Before, Now);
+  this->notePrefills(Before, Now);
 }
 
-bool EngineLoad::isCurrent(const PeerWork &Of, Time Now) {
-  return Now <= Of.At + PeerWorkAge;
+bool EngineLoad::isCurrent(const PeerWork &Report, Time Now) {
+  return Now <= Report.ReceivedAt + PeerWorkTtl;
 }
 
-EngineLoad::Reads EngineLoad::ownReads() const {
-  Reads Result;
-  for (const LoadItem &Each : this->Own) {
-    if (Each.Writes)
+EngineLoad::Prefills EngineLoad::ownPrefills() const {
+  Prefills Result;
+  for (const LoadItem &Item : this->Own) {
+    if (Item.IsDecoding)
       continue;
-    Result.Ms += Each.PrefillMs;
+    Result.Ms += Item.PrefillMs;
     ++Result.Count;
   }
   return Result;
 }
 
-EngineLoad::Reads EngineLoad::allReads(Time Now) const {
-  Reads Result = this->ownReads();
-  for (const auto &[Peer, Each] : this->Peers) {
-    if (!isCurrent(Each, Now))
+EngineLoad::Prefills EngineLoad::allPrefills(Time Now) const {
+  Prefills Result = this->ownPrefills();
+  for (const auto &[Peer, Report] : this->Peers) {
+    if (!isCurrent(Report, Now))
       continue;
-    Result.Ms += Each.Work.PrefillMs;
-    Result.Count += Each.Work.Prefilling;
+    Result.Ms += Report.Work.PrefillMs;
+    Result.Count += Report.Work.Prefilling;
   }
   return Result;
 }
 
-void EngineLoad::noteReads(const Reads &Before, Time Now) {
-  if (Before.Count == 0 || this->allReads(Now).Count < Before.Count)
+void EngineLoad::notePrefills(const Prefills &Before, Time Now) {
+  if (Before.Count == 0 || this->allPrefills(Now).Count < Before.Count)
     this->HeadSince = Now;
 }
 
 double EngineLoad::backlogMs(Time Now) const {
-  const Reads All = this->allReads(Now);
+  const Prefills All = this->allPrefills(Now);
   if (All.Count == 0)
     return 0;
-  // Which of them is under way is not known; the mean stands for it.
+  // It is not known which prompt is in prefill, so the mean is used.
   const double HeadMs = All.Ms / All.Count;
   const double DoneMs = std::min(inMilliseconds(Now - this->HeadSince),
                                  HeadMs * (1 - OverdueShare));
@@ -112,63 +111,64 @@
 }
 
 bool EngineLoad::isOverdue(Time Now) const {
-  const Reads All = this->allReads(Now);
+  const Prefills All = this->allPrefills(Now);
   return All.Count > 0 &&
          inMilliseconds(Now - this->HeadSince) > All.Ms / All.Count;
 }
 
-std::uint32_t EngineLoad::reading(Time Now) const {
+std::uint32_t EngineLoad::prefilling(Time Now) const {
   std::uint32_t Sum = 0;
-  for (const LoadItem &Each : this->Own)
-    Sum += Each.Writes ? 0 : 1;
-  for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.Prefilling : 0;
+  for (const LoadItem &Item : this->Own)
+    Sum += Item.IsDecoding ? 0 : 1;
+  for (const auto &[Peer, Report] : this->Peers)
+    Sum += isCurrent(Report, Now) ? Report.Work.Prefilling : 0;
   return Sum;
 }
 
-std::uint32_t EngineLoad::writing(Time Now) const {
+std::uint32_t EngineLoad::decoding(Time Now) const {
   std::uint32_t Sum = 0;
-  for (const LoadItem &Each : this->Own)
-    Sum += Each.Writes ? 1 : 0;
-  for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.Decoding : 0;
+  for (const LoadItem &Item : this->Own)
+    Sum += Item.IsDecoding ? 1 : 0;
+  for (const auto &[Peer, Report] : this->Peers)
+    Sum += isCurrent(Report, Now) ? Report.Work.Decoding : 0;
   return Sum;
 }
 
 std::uint64_t EngineLoad::memoryTokens(Time Now) const {
   std::uint64_t Sum = 0;
-  for (const LoadItem &Each : this->Own)
-    Sum += Each.MemoryTokens;
-  for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.MemoryTokens : 0;
+  for (const LoadItem &Item : this->Own)
+    Sum += Item.MemoryTokens;
+  for (const auto &[Peer, Report] : this->Peers)
+    Sum += isCurrent(Report, Now) ? Report.Work.MemoryTokens : 0;
   return Sum;
 }
 
 std::uint64_t EngineLoad::contextTokens(Time Now) const {
-  // What is to be read yet has its memory, too; peers tell one sum.
-  const std::uint32_t Decoding = this->writing(Now);
-  const std::uint32_t All = this->reading(Now) + Decoding;
+  // Prompts that await their prefill are included in the memory, and peers
+  // report only one sum. The sum is divided evenly among requests.
+  const std::uint32_t Decoding = this->decoding(Now);
+  const std::uint32_t All = this->prefilling(Now) + Decoding;
   return All == 0 ? 0 : this->memoryTokens(Now) * Decoding / All;
 }
 
 std::uint32_t EngineLoad::shortRunning(Time Now) const {
   std::uint32_t Sum = 0;
-  for (const LoadItem &Each : this->Own)
-    Sum += Each.IsShort ? 1 : 0;
-  for (const auto &[Peer, Each] : this->Peers)
-    Sum += isCurrent(Each, Now) ? Each.Work.ShortRunning : 0;
+  for (const LoadItem &Item : this->Own)
+    Sum += Item.IsShort ? 1 : 0;
+  for (const auto &[Peer, Report] : this->Peers)
+    Sum += isCurrent(Report, Now) ? Report.Work.ShortRunning : 0;
   return Sum;
 }
 
 std::vector<GapGroup> EngineLoad::answers(Time Now) const {
   std::vector<GapGroup> Result;
-  for (const LoadItem &Each : this->Own)
-    addTo(Result, Each.Answer);
-  for (const auto &[Peer, Each] : this->Peers) {
-    if (!isCurrent(Each, Now))
+  for (const LoadItem &Item : this->Own)
+    addTo(Result, Item.Answer);
+  for (const auto &[Peer, Report] : this->Peers) {
+    if (!isCurrent(Report, Now))
       continue;
-    for (const EngineWork::Item::Answers &One : Each.Work.ActiveAnswers)
-      addTo(Result, {One.PauseMs, One.ValueMs});
+    for (const EngineWork::Item::Answers &Answers : Report.Work.ActiveAnswers)
+      addTo(Result, {Answers.PauseMs, Answers.ValueMs});
   }
   return Result;
 }
@@ -176,16 +176,16 @@
 EngineWork::Item EngineLoad::ownWork(const UpstreamId &Engine) const {
   EngineWork::Item Result;
   Result.Engine = Engine;
-  Result.PrefillMs = this->ownReads().Ms;
+  Result.PrefillMs = this->ownPrefills().Ms;
   std::vector<GapGroup> Held;
-  for (const LoadItem &Each : this->Own) {
-    ++(Each.Writes ? Result.Decoding : Result.Prefilling);
-    Result.MemoryTokens += Each.MemoryTokens;
-    Result.ShortRunning += Each.IsShort ? 1 : 0;
-    addTo(Held, Each.Answer);
+  for (const LoadItem &Item : this->Own) {
+    ++(Item.IsDecoding ? Result.Decoding : Result.Prefilling);
+    Result.MemoryTokens += Item.MemoryTokens;
+    Result.ShortRunning += Item.IsShort ? 1 : 0;
+    addTo(Held, Item.Answer);
   }
-  for (const GapGroup &Each : Held)
-    Result.ActiveAnswers.push_back({Each.PauseMs, Each.ValueMs});
+  for (const GapGroup &Group : Held)
+    Result.ActiveAnswers.push_back({Group.GapMs, Group.ValueMs});
   return Result;
 }
 
--- a/src/plugins/engineload/EngineLoad.h
+++ b/src/plugins/engineload/EngineLoad.h
@@ -1,5 +1,5 @@
 /// \file
-/// What runs on one engine, as far as this host and its peers sent it.
+/// The load of one engine, from this host's attempts and its peers' reports.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -10,42 +10,45 @@
 
 namespace banyanpick {
 
-/// The work of one try on one engine.
+/// The work of one attempt on one engine.
 struct LoadItem {
-  AttemptId Try;
-  double PrefillMs = 0; ///< To its first token, alone; 0 once it writes.
+  AttemptId Attempt;
+  /// Until the first token, alone on the engine; 0 once decoding.
+  double PrefillMs = 0;
   std::uint64_t MemoryTokens = 0;
-  bool IsShort = false; ///< One engine reads its prompt beside answers.
-  GapGroup Answer;      ///< Of value 0 where only a part is read.
-  bool Writes = false;
+  /// One engine prefills the prompt beside running answers.
+  bool IsShort = false;
+  GapGroup Answer; ///< Value 0 on engines that prefill only a part.
+  bool IsDecoding = false;
 };
 
-/// Reads of all hosts are taken to be done one after the other, as the engine
-/// does them.
+/// Tracks the work of all hosts on one engine. Assumes that an engine processes
+/// prefills one after the other, including those of other hosts.
 class EngineLoad {
 public:
   void add(const LoadItem &Item, Time Now);
-  /// The try's first token came.
-  void began(const AttemptId &Try, Time Now);
-  void remove(const AttemptId &Try, Time Now);
+  /// Called when the attempt's first token arrives.
+  void startDecoding(const AttemptId &Attempt, Time Now);
+  void remove(const AttemptId &Attempt, Time Now);
   void takePeer(const HostId &Peer, const EngineWork::Item &Work, Time Now);
   void forgetPeer(const HostId &Peer, Time Now);
 
-  /// Reading still to do, by everybody, in milliseconds.
+  /// Returns the remaining prefill work of all hosts, in milliseconds.
   double backlogMs(Time Now) const;
-  /// The read under way takes longer than predicted; when it ends is not known.
+  /// Returns whether the current prefill takes longer than predicted, so that
+  /// its end is unknown.
   bool isOverdue(Time Now) const;
-  std::uint32_t reading(Time Now) const;
-  std::uint32_t writing(Time Now) const;
+  std::uint32_t prefilling(Time Now) const;
+  std::uint32_t decoding(Time Now) const;
   std::uint64_t memoryTokens(Time Now) const;
-  /// What the answers under way have before them, in tokens.
+  /// Returns the context length of the running answers, in tokens.
   std::uint64_t contextTokens(Time Now) const;
-  /// Requests with short prompts, read or written.
+  /// Returns the requests with short prompts, in prefill or decoding.
   std::uint32_t shortRunning(Time Now) const;
-  /// Answers by the time that they may pause.
+  /// Returns the running answers, grouped by their inter-event gap bound.
   std::vector<GapGroup> answers(Time Now) const;
 
-  /// What this host has there, for its peers.
+  /// Returns this host's work on the engine, as reported to peers.
   EngineWork::Item ownWork(const UpstreamId &Engine) const;
   bool hasOwn() const { return !this->Own.empty(); }
   bool isIdle() const { return this->Own.empty() && this->Peers.empty(); }
@@ -53,23 +56,24 @@
 private:
   struct PeerWork {
     EngineWork::Item Work;
-    Time At{};
+    Time ReceivedAt{};
   };
 
-  /// What is to be read, by everybody.
-  struct Reads {
+  /// Outstanding prefill work.
+  struct Prefills {
     double Ms = 0;
     std::uint32_t Count = 0;
   };
 
-  static bool isCurrent(const PeerWork &Of, Time Now);
-  Reads ownReads() const;
-  Reads allReads(Time Now) const;
-  /// The next read begins when one has ended, or none was under way.
-  void noteReads(const Reads &Before, Time Now);
+  static bool isCurrent(const PeerWork &Report, Time Now);
+  Prefills ownPrefills() const;
+  Prefills allPrefills(Time Now) const;
+  /// Restarts the timer of the current prefill if one has ended, or if none was
+  /// running before.
+  void notePrefills(const Prefills &Before, Time Now);
 
   std::vector<LoadItem> Own;
-  Time HeadSince{}; ///< Since when the read under way is.
+  Time HeadSince{}; ///< When the current prefill started.
   std::map<HostId, PeerWork> Peers;
 };
 
--- a/src/plugins/engineload/EngineLoadPeers.cpp
+++ b/src/plugins/engineload/EngineLoadPeers.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the plug-in tells other hosts of engines, and hears from them.
+/// The exchange of engine load between hosts.
 #include "plugins/engineload/EngineLoadPlugin.h"
 #include "plugins/engineload/PrefillCost.h"
 
@@ -9,28 +9,28 @@
 
 namespace {
 
-/// A host that told of work so lately is told of work; it repeats what it has
-/// several times as often.
-constexpr seconds ListensFor(3);
+/// A host that reported work this recently receives reports. A host with work
+/// repeats its report several times in this time.
+constexpr seconds ReceiverWindow(3);
 
 } // namespace
 
-bool EngineLoadPlugin::isToldSoon(const RelayAttempt &Each) const {
-  const EngineParameters *Model = this->parametersOf(Each.Service);
-  return Model && prefillMs(*Model, Each.PromptTokens) >= this->TellSoonMs;
+bool EngineLoadPlugin::isReportedSoon(const RelayAttempt &Attempt) const {
+  const EngineParameters *Model = this->parametersOf(Attempt.Service);
+  return Model && prefillMs(*Model, Attempt.PromptTokens) >= this->ReportSoonMs;
 }
 
 void EngineLoadPlugin::memberChanged(const Member &Changed, Time Now,
                                      Actions &) {
   if (Changed.State != MemberState::Dead)
     return;
-  this->Lane.forgetPeer(Changed.Listing.Id);
-  const auto Found = this->Told.find(Changed.Listing.Id);
-  if (Found == this->Told.end())
+  this->Queue.forgetPeer(Changed.Listing.Id);
+  const auto Found = this->PeerReports.find(Changed.Listing.Id);
+  if (Found == this->PeerReports.end())
     return;
   for (const UpstreamId &Engine : Found->second.Engines)
     this->forgetWork(Changed.Listing.Id, Engine, Now);
-  this->Told.erase(Found);
+  this->PeerReports.erase(Found);
 }
 
 void EngineLoadPlugin::forgetWork(const HostId &Peer, const UpstreamId &Engine,
@@ -45,18 +45,18 @@
 
 void EngineLoadPlugin::takePeerWork(const HostId &From, const EngineWork &Work,
                                     Time Now) {
-  this->Lane.takePeer(From, Work.QueuedPrompts, Now);
-  for (const EngineWork::Slowdown &Each : Work.Slowdowns)
-    this->Slowdowns.takePeer(Each, Now);
+  this->Queue.takePeer(From, Work.QueuedPrompts, Now);
+  for (const EngineWork::Slowdown &Reported : Work.Slowdowns)
+    this->Slowdowns.takePeer(Reported, Now);
   std::vector<UpstreamId> Named;
-  for (const EngineWork::Item &Each : Work.Items) {
-    this->Loads[Each.Engine].takePeer(From, Each, Now);
-    Named.push_back(Each.Engine);
+  for (const EngineWork::Item &Item : Work.Items) {
+    this->Loads[Item.Engine].takePeer(From, Item, Now);
+    Named.push_back(Item.Engine);
   }
   std::ranges::sort(Named);
-  ToldBy &Last = this->Told[From];
-  // Only those named before can have anything of the peer: of a thousand
-  // engines a message names a few.
+  PeerReport &Last = this->PeerReports[From];
+  // Only engines of the previous report can have work of the peer: a report
+  // names a few of possibly a thousand engines.
   for (const UpstreamId &Engine : Last.Engines)
     if (!std::ranges::binary_search(Named, Engine))
       this->forgetWork(From, Engine, Now);
@@ -64,32 +64,32 @@
 }
 
 void EngineLoadPlugin::noteChange(bool Soon, Time Now) {
-  this->Tells.noteChange(Soon, this->Active->sharers().size(), Now);
+  this->Reports.noteChange(Soon, this->Active->sharers().size(), Now);
 }
 
-void EngineLoadPlugin::tell(Time Now, Actions &Out) {
+void EngineLoadPlugin::reportWork(Time Now, Actions &Out) {
   EngineWork Work;
-  Work.QueuedPrompts = this->Lane.own(Now);
+  Work.QueuedPrompts = this->Queue.own(Now);
   Work.Slowdowns = this->Slowdowns.own(Now);
   Work.Distrusted = this->Trust->distrusted(Now);
   for (const auto &[Id, Load] : this->Loads)
     if (Load.hasOwn())
       Work.Items.push_back(Load.ownWork(Id));
-  this->Tells.noteTold(
-      !Work.QueuedPrompts.empty() ? WorkReportSchedule::Told::Waiting
-      : !Work.Items.empty()       ? WorkReportSchedule::Told::Work
-                                  : WorkReportSchedule::Told::Nothing,
+  this->Reports.noteSent(
+      !Work.QueuedPrompts.empty() ? WorkReportSchedule::Content::Waiting
+      : !Work.Items.empty()       ? WorkReportSchedule::Content::Work
+                                  : WorkReportSchedule::Content::Nothing,
       Now);
-  for (const HostId &Peer : this->listeners(Now))
+  for (const HostId &Peer : this->reportReceivers(Now))
     Out.add(SendToPeer{Peer, Work});
 }
 
-std::vector<HostId> EngineLoadPlugin::listeners(Time Now) const {
+std::vector<HostId> EngineLoadPlugin::reportReceivers(Time Now) const {
   const auto Sharers = this->Active->sharers();
   std::vector<HostId> Result(Sharers.begin(), Sharers.end());
-  // A host that stands by decides for those who connect to it all the same.
-  for (const auto &[Peer, Last] : this->Told)
-    if (Now < Last.At + ListensFor && !Last.Engines.empty())
+  // A standby host also selects engines, for callers that are connected to it.
+  for (const auto &[Peer, Last] : this->PeerReports)
+    if (Now < Last.ReceivedAt + ReceiverWindow && !Last.Engines.empty())
       Result.push_back(Peer);
   std::ranges::sort(Result);
   Result.erase(std::unique(Result.begin(), Result.end()), Result.end());
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -16,54 +16,57 @@
 
 namespace {
 
-/// What one request more costs where no model of the work is declared: the
-/// mean work of a booking call.
+/// Assumed cost of one more request where no engine model is declared: the mean
+/// work of a booking call.
 constexpr double UnknownWorkMs = 40;
 
-/// Of 0 to 9, 0 first; admission to a full batch goes by it.
-constexpr std::uint32_t ReturnedUrgency = 1;
+/// Urgency from 0 (first) to 9. Engines admit requests to a full batch by
+/// urgency.
+constexpr std::uint32_t RetriedUrgency = 1;
 constexpr std::uint32_t ShortUrgency = 2;
 constexpr std::uint32_t SharedUrgency = 5;
 
-/// A short prompt takes no more of the room that a full batch leaves in the
-/// shortest pause; others may come in the same pass.
-constexpr double ShortShare = 0.5;
+/// Share of the prefill budget beside a full batch that one short prompt may
+/// take. Other prompts may join the same pass.
+constexpr double ShortPrefillShare = 0.5;
 
-/// Share of that pause that is taken for room where a full batch leaves none.
-constexpr double LeastRoomShare = 0.1;
+/// Share of the gap bound that is assumed as the prefill budget where a full
+/// batch leaves none.
+constexpr double MinPrefillBudgetShare = 0.1;
 
-/// Bounds on how soon a prompt that awaits its turn looks again: a look costs
-/// some 20 us, and peers tell of a free lane within their tell_interval.
-constexpr double ShortestLookMs = 3;
-constexpr double LongestLookMs = 20;
+/// Bounds on the poll interval of a prompt that awaits its turn. A poll costs
+/// some 20 us. Peers report a free queue within their tell_interval.
+constexpr double MinPollMs = 3;
+constexpr double MaxPollMs = 20;
 
-/// An engine that refused to set memory aside is taken to have none for so
-/// long: a usual answer ends within it.
-constexpr milliseconds MemoryRefusalKeep(400);
+/// How long an engine that refused a memory reservation counts as full. A usual
+/// answer ends within this time.
+constexpr milliseconds MemoryRefusalTtl(400);
 
-/// A caller waits here for room at an engine that comes so soon.
-constexpr milliseconds WorthWaiting(50);
+/// A request waits at this host for an engine that accepts requests again
+/// within this time.
+constexpr milliseconds MaxLocalWait(50);
 
-/// Callers who come back when engines open come over so much more of the time,
-/// so that they don't earn the next rest.
-constexpr double OpenSpread = 0.2;
+/// Retries after a backoff are spread over this additional share of the time,
+/// so that they do not cause the next backoff.
+constexpr double RetrySpread = 0.2;
 
-/// Entries of the lane that are not heard of again lapse after so long.
-constexpr milliseconds LaneKeep(300);
+/// Lifetime of a queue entry that is not renewed.
+constexpr milliseconds QueueEntryTtl(300);
 
-/// When the first of the engines opens; the greatest duration when that is
-/// known of none.
+/// Returns when the first of the engines accepts requests again, or the maximum
+/// duration when this is unknown for all of them.
 Duration opensAfter(std::span<const EngineBlocked> Closed) {
   Duration Result = Duration::max();
-  for (const EngineBlocked &Each : Closed)
-    Result = std::min(Result, Each.AvailableAfter.value_or(Duration::max()));
+  for (const EngineBlocked &Closure : Closed)
+    Result = std::min(Result, Closure.AvailableAfter.value_or(Duration::max()));
   return Result;
 }
 
-std::size_t countOf(std::span<const EngineBlocked> Closed,
-                    EngineBlocked::Why Wanted) {
+std::size_t countClosed(std::span<const EngineBlocked> Closed,
+                        EngineBlocked::Why Reason) {
   return static_cast<std::size_t>(
-      std::ranges::count(Closed, Wanted, &EngineBlocked::Is));
+      std::ranges::count(Closed, Reason, &EngineBlocked::Is));
 }
 
 DeferralTimes deferralTimes(const EngineRequirements &Wanted) {
@@ -74,7 +77,7 @@
 
 void EngineLoadPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "engine_load";
+  const std::string_view Section = "engine_load";
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Active = &Context.services().get<ActiveHostsView>();
@@ -83,21 +86,21 @@
   this->Trust = &Context.services().get<EngineTrustView>();
   this->Room = &Context.services().get<EngineQuota>();
   this->Gate = &Context.services().get<EngineGate>();
-  this->Numbers = &Context.random();
+  this->RandomNumbers = &Context.random();
   this->OwnZone = Context.self().Zone;
-  this->Tells =
-      WorkReportSchedule(Values.span(In, "tell_interval"),
-                         static_cast<double>(Values.whole(In, "tell_rate")));
-  this->TellSoonMs = Values.fraction(In, "tell_soon_ms");
-  this->Slowdowns = EngineSlowdowns({Values.span(In, "pace_ask_interval"),
-                                     Values.span(In, "pace_least_pause"),
-                                     Values.span(In, "pace_keep")});
-  this->LateShare = Values.fraction(In, "late_share");
-  this->LateBy = Values.span(In, "late_by");
-  this->JitterMs = Values.fraction(In, "jitter_ms");
-  this->OtherZoneMs = Values.fraction(In, "other_zone_ms");
+  this->Reports = WorkReportSchedule(
+      Values.span(Section, "tell_interval"),
+      static_cast<double>(Values.whole(Section, "tell_rate")));
+  this->ReportSoonMs = Values.fraction(Section, "tell_soon_ms");
+  this->Slowdowns = EngineSlowdowns({Values.span(Section, "pace_ask_interval"),
+                                     Values.span(Section, "pace_least_pause"),
+                                     Values.span(Section, "pace_keep")});
+  this->LateShare = Values.fraction(Section, "late_share");
+  this->LateBy = Values.span(Section, "late_by");
+  this->JitterMs = Values.fraction(Section, "jitter_ms");
+  this->OtherZoneMs = Values.fraction(Section, "other_zone_ms");
   this->Weights = placementWeights(Values);
-  this->Lane = PromptQueue(LaneKeep, this->Weights.LateShare);
+  this->Queue = PromptQueue(QueueEntryTtl, this->Weights.LateShare);
   Context.services().provide<EngineSelector>(*this);
   Context.services().list<RelayObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -107,34 +110,35 @@
 
 void EngineLoadPlugin::start(Time, Actions &) {}
 
-void EngineLoadPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void EngineLoadPlugin::handle(const Event &Received, Time Now, Actions &Out) {
   match(
-      What,
-      [&](const PeerMessageReceived &Is) {
-        if (const auto *Work = std::get_if<EngineWork>(&Is.Message.Body))
-          this->takePeerWork(Is.Message.From, *Work, Now);
+      Received,
+      [&](const PeerMessageReceived &Incoming) {
+        if (const auto *Work = std::get_if<EngineWork>(&Incoming.Message.Body))
+          this->takePeerWork(Incoming.Message.From, *Work, Now);
       },
-      [&](const GatewayEvent &Is) {
-        if (const auto *Reported = std::get_if<EngineReported>(&Is))
+      [&](const GatewayEvent &Change) {
+        if (const auto *Reported = std::get_if<EngineReported>(&Change))
           this->takeReport(Reported->Report, Now, Out);
       },
       [](const auto &) {});
   for (const UpstreamId &Engine : this->Slowdowns.due(Now))
     this->askReport(Engine, Now, Out);
-  if (Now >= this->Tells.next())
-    this->tell(Now, Out);
+  if (Now >= this->Reports.next())
+    this->reportWork(Now, Out);
 }
 
 Time EngineLoadPlugin::nextWake() const {
-  return std::min(this->Tells.next(), this->Slowdowns.nextDue());
+  return std::min(this->Reports.next(), this->Slowdowns.nextDue());
 }
 
 void EngineLoadPlugin::askReport(const UpstreamId &Engine, Time Now,
                                  Actions &Out) const {
-  // A question is a request, too, and an engine in need takes few or none.
-  const bool Takes =
+  // A report request also counts as a request, and an engine that limits
+  // requests or is backing off accepts few or none.
+  const bool AcceptsRequests =
       !this->Room->isLimited(Engine) && !this->Gate->blocked(Engine, Now);
-  if (!Takes)
+  if (!AcceptsRequests)
     return;
   if (const RegisteredEngine *Known = this->Directory->find(Engine))
     Out.add(GatewayAction(AskReport{Engine, Known->Record.At}));
@@ -153,16 +157,17 @@
   this->noteChange(true, Now);
 }
 
-void EngineLoadPlugin::noteFirstToken(const RelayAttempt &Each, Time Now,
+void EngineLoadPlugin::noteFirstToken(const RelayAttempt &Attempt, Time Now,
                                       Actions &Out) {
-  const Duration Took = Now - Each.SentAt;
-  const bool Late =
-      Each.Predicted > Duration(0) && Took > Each.Predicted + this->LateBy &&
-      inSeconds(Took) > inSeconds(Each.Predicted) * this->LateShare;
-  if (!Late)
+  const Duration Took = Now - Attempt.SentAt;
+  const bool IsLate =
+      Attempt.Predicted > Duration(0) &&
+      Took > Attempt.Predicted + this->LateBy &&
+      inSeconds(Took) > inSeconds(Attempt.Predicted) * this->LateShare;
+  if (!IsLate)
     return;
-  if (this->Slowdowns.noteLate(Each.Engine, Now))
-    this->askReport(Each.Engine, Now, Out);
+  if (this->Slowdowns.noteLate(Attempt.Engine, Now))
+    this->askReport(Attempt.Engine, Now, Out);
 }
 
 EngineChoice EngineLoadPlugin::choose(const EngineRequirements &Wanted,
@@ -170,7 +175,8 @@
   const EngineParameters *Model = this->parametersOf(Wanted.Service);
   const EngineShare Share = this->Active->shareOf(Wanted.Service);
   Candidates Found = this->candidates(Wanted, Model, Share, false, Now);
-  // Better one of other hosts than none, and one that failed lately, too.
+  // An engine of another host's share is better than none, and so is an engine
+  // that failed recently.
   if (Found.States.empty() && !Share.Parts.empty())
     Found = this->candidates(Wanted, Model, EngineShare(), false, Now);
   if (Found.States.empty())
@@ -179,8 +185,9 @@
     return this->chooseClosed(Found.Closed, Wanted);
   EngineChoice Result = this->chooseAmong(Found.States, Wanted, Model, Now);
   if (auto *Chosen = std::get_if<SelectedEngine>(&Result)) {
-    Chosen->AtLimit = countOf(Found.Closed, EngineBlocked::Why::AtLimit);
-    Chosen->BackingOff = countOf(Found.Closed, EngineBlocked::Why::BackingOff);
+    Chosen->AtLimit = countClosed(Found.Closed, EngineBlocked::Why::AtLimit);
+    Chosen->BackingOff =
+        countClosed(Found.Closed, EngineBlocked::Why::BackingOff);
   }
   return Result;
 }
@@ -189,24 +196,24 @@
 EngineLoadPlugin::chooseClosed(std::span<const EngineBlocked> Closed,
                                const EngineRequirements &Wanted) {
   const Duration Soonest = opensAfter(Closed);
-  const bool OutlastsIt = Soonest >= Wanted.Left;
-  // One that opens in a moment is waited for. Callers who have come back once
-  // wait, too, as they can't do so again.
-  if (Soonest == Duration::max() || Soonest <= WorthWaiting ||
-      (!Wanted.MayRetryLater && !OutlastsIt))
+  const bool OutlastsDeadline = Soonest >= Wanted.Left;
+  // Wait for an engine that opens soon. Callers that have retried once also
+  // wait, because they are not told to retry again.
+  if (Soonest == Duration::max() || Soonest <= MaxLocalWait ||
+      (!Wanted.MayRetryLater && !OutlastsDeadline))
     return NoEngine{};
-  const double Draw = this->Numbers->fraction();
-  if (OutlastsIt)
+  const double Draw = this->RandomNumbers->fraction();
+  if (OutlastsDeadline)
     return RetryLater{
         RetryLater::Why::Blocked,
-        fromSeconds(inSeconds(Soonest) * (1 + Draw * OpenSpread))};
+        fromSeconds(inSeconds(Soonest) * (1 + Draw * RetrySpread))};
   return RetryLater{RetryLater::Why::Blocked,
                     retryAfter(deferralTimes(Wanted), Draw, Soonest)};
 }
 
 void EngineLoadPlugin::forget(const RequestId &Request, Time Now) {
-  if (this->Lane.drop(Request.Value))
-    this->Tells.noteUrgent(Now);
+  if (this->Queue.drop(Request.Value))
+    this->Reports.noteUrgent(Now);
 }
 
 PromptWork EngineLoadPlugin::workOf(const EngineRequirements &Wanted,
@@ -216,7 +223,7 @@
   Result.Tokens = Wanted.PromptTokens + Wanted.OutputTokens;
   Result.PrefillMs =
       Model ? prefillMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
-  Result.PauseMs = boundMs(Wanted.MaxEventGap);
+  Result.MaxGapMs = boundMs(Wanted.MaxEventGap);
   Result.ValueMs =
       Model ? valueMs(*Model, Wanted.PromptTokens, Wanted.OutputTokens)
             : UnknownWorkMs;
@@ -245,12 +252,12 @@
       placeShort(States, Front, Slots, Work, this->Weights);
   const DeferralTimes Times = deferralTimes(Wanted);
   if (Model && Wanted.MayRetryLater &&
-      wouldBeLate(States[Place.At], Place, *Model, Times, this->Weights))
+      wouldBeLate(States[Place.Chosen], Place, *Model, Times, this->Weights))
     return RetryLater{RetryLater::Why::TooLate,
-                      retryAfter(Times, this->Numbers->fraction())};
-  SelectedEngine Result = chosen(States, Place, Model, true);
+                      retryAfter(Times, this->RandomNumbers->fraction())};
+  SelectedEngine Result = toChosen(States, Place, Model, true);
   if (Model && !Wanted.MayRetryLater)
-    Result.Urgency = ReturnedUrgency;
+    Result.Urgency = RetriedUrgency;
   return Result;
 }
 
@@ -279,27 +286,26 @@
   Own.PrefillMs = Work.PrefillMs;
   Own.NeededMs = Place->FirstTokenMs - Place->StartMs;
   Own.LeftMs = Times.ObjectiveMs;
-  const bool Ready = Place->AheadMs <= this->Weights.AheadMs;
-  if (Ready && this->isItsTurn(States, Own, Now)) {
-    this->Lane.drop(Own.Request);
-    return chosen(States, *Place, &Model, false);
+  const bool IsReady = Place->AheadMs <= this->Weights.AheadMs;
+  if (IsReady && this->isFirstInQueue(States, Own, Now)) {
+    this->Queue.drop(Own.Request);
+    return toChosen(States, *Place, &Model, false);
   }
-  if (this->Lane.note(Own, Now))
-    this->Tells.noteUrgent(Now);
+  if (this->Queue.note(Own, Now))
+    this->Reports.noteUrgent(Now);
   const double UntilMs = Place->AheadMs - this->Weights.AheadMs;
-  return AwaitTurn{
-      fromMilliseconds(std::clamp(UntilMs, ShortestLookMs, LongestLookMs))};
+  return AwaitTurn{fromMilliseconds(std::clamp(UntilMs, MinPollMs, MaxPollMs))};
 }
 
 EngineChoice EngineLoadPlugin::deferLong(const EngineRequirements &Wanted,
                                          double Scarcity, Time Now) {
-  // It takes no turn from others that can be sent.
+  // Leave the queue, so that prompts that can be sent are not blocked.
   this->forget(Wanted.Request, Now);
   const DeferralTimes Times = deferralTimes(Wanted);
   if (shouldRetryLater(Times, Scarcity))
     return RetryLater{RetryLater::Why::TooLate,
-                      retryAfter(Times, this->Numbers->fraction())};
-  return AwaitTurn{fromMilliseconds(LongestLookMs)};
+                      retryAfter(Times, this->RandomNumbers->fraction())};
+  return AwaitTurn{fromMilliseconds(MaxPollMs)};
 }
 
 std::optional<PromptPlacement>
@@ -309,23 +315,24 @@
   std::optional<PromptPlacement> Whole;
   if (Work.Tokens <= EngineTokens)
     Whole = placeOnPredictable(States, Work, Times, this->Weights);
-  if (Whole && Work.Tokens <= States[Whole->At].FreeTokens)
+  if (Whole && Work.Tokens <= States[Whole->Chosen].FreeTokens)
     return Whole;
-  const std::optional<PromptPlacement> Kept =
+  const std::optional<PromptPlacement> Reserved =
       placeWithReservations(States, Work, EngineTokens, Times, this->Weights);
-  return Kept ? Kept : Whole;
+  return Reserved ? Reserved : Whole;
 }
 
-bool EngineLoadPlugin::isItsTurn(std::span<const EngineState> States,
-                                 const EngineWork::Waiting &Own,
-                                 Time Now) const {
-  const std::size_t Before = this->Lane.rank(Own, this->Members->self(), Now);
+bool EngineLoadPlugin::isFirstInQueue(std::span<const EngineState> States,
+                                      const EngineWork::Waiting &Own,
+                                      Time Now) const {
+  const std::size_t Before = this->Queue.rank(Own, this->Members->self(), Now);
   if (Before == 0)
     return true;
-  // Engines that those before it leave over are for it.
+  // The prompt may use engines that the prompts ahead of it leave free.
   const auto Free = static_cast<std::size_t>(
-      std::ranges::count_if(States, [&](const EngineState &Each) {
-        return Each.BacklogMs <= this->Weights.AheadMs && Each.Answers.empty();
+      std::ranges::count_if(States, [&](const EngineState &State) {
+        return State.BacklogMs <= this->Weights.AheadMs &&
+               State.Answers.empty();
       }));
   return Free > Before * (this->Weights.MaxHelpers + 1);
 }
@@ -333,23 +340,24 @@
 bool EngineLoadPlugin::isShort(const EngineParameters &Model,
                                const ServiceId &Service, double PrefillMs) {
   const RouteTable *Routes = this->Declared->routes();
-  const double PauseMs =
-      Routes ? this->Pauses.shortestMs(Service, *Routes) : UnboundedMs;
-  const double Room = prefillBudgetMs(Model, PauseMs);
-  return PrefillMs <= std::max(Room, PauseMs * LeastRoomShare) * ShortShare;
+  const double MaxGapMs =
+      Routes ? this->Gaps.shortestMs(Service, *Routes) : UnboundedMs;
+  const double BudgetMs = prefillBudgetMs(Model, MaxGapMs);
+  return PrefillMs <= std::max(BudgetMs, MaxGapMs * MinPrefillBudgetShare) *
+                          ShortPrefillShare;
 }
 
-SelectedEngine EngineLoadPlugin::chosen(std::span<const EngineState> States,
-                                        const PromptPlacement &Place,
-                                        const EngineParameters *Model,
-                                        bool IsShort) {
+SelectedEngine EngineLoadPlugin::toChosen(std::span<const EngineState> States,
+                                          const PromptPlacement &Place,
+                                          const EngineParameters *Model,
+                                          bool IsShort) {
   SelectedEngine Result;
-  Result.Engine = States[Place.At].Engine->Record.Id;
+  Result.Engine = States[Place.Chosen].Engine->Record.Id;
   for (const std::size_t At : Place.Helpers) {
     const EngineRecord &Helper = States[At].Engine->Record;
-    const bool Keeps = Result.Helpers.size() < Place.ReservingHelpers;
+    const bool Reserves = Result.Helpers.size() < Place.ReservingHelpers;
     Result.Helpers.push_back(
-        {Helper.Id, Helper.At, "", Keeps ? Place.ReservedTokens : 0});
+        {Helper.Id, Helper.At, "", Reserves ? Place.ReservedTokens : 0});
   }
   if (Model) {
     Result.Predicted = fromMilliseconds(Place.FirstTokenMs);
@@ -358,78 +366,78 @@
   return Result;
 }
 
-EngineLoadPlugin::Candidates
-EngineLoadPlugin::candidates(const EngineRequirements &Wanted,
-                             const EngineParameters *Model,
-                             const EngineShare &Share, bool Avoided, Time Now) {
+EngineLoadPlugin::Candidates EngineLoadPlugin::candidates(
+    const EngineRequirements &Wanted, const EngineParameters *Model,
+    const EngineShare &Share, bool IncludeAvoided, Time Now) {
   Candidates Found;
   std::vector<EngineState> &Result = Found.States;
-  for (const RegisteredEngine *Each :
+  for (const RegisteredEngine *Known :
        this->Directory->ofService(Wanted.Service)) {
-    if (!Share.takes(Each->NameHash))
+    if (!Share.takes(Known->NameHash))
       continue;
-    const bool Missing = Each->Standing == EngineStanding::Missing ||
-                         this->Trust->isAvoided(Each->Record.Id, Now) ||
-                         this->Gate->isDiscouraged(Each->Record.Id, Now);
-    const bool Out = Each->Standing == EngineStanding::Leaving ||
-                     (Missing && !Avoided) ||
-                     std::ranges::count(Wanted.Excluded, Each->Record.Id) != 0;
-    if (Out)
+    const bool IsAvoided = Known->Standing == EngineStanding::Missing ||
+                           this->Trust->isAvoided(Known->Record.Id, Now) ||
+                           this->Gate->isDiscouraged(Known->Record.Id, Now);
+    const bool IsExcluded =
+        Known->Standing == EngineStanding::Leaving ||
+        (IsAvoided && !IncludeAvoided) ||
+        std::ranges::count(Wanted.Excluded, Known->Record.Id) != 0;
+    if (IsExcluded)
       continue;
-    if (const auto Closed = this->Gate->blocked(Each->Record.Id, Now)) {
+    if (const auto Closed = this->Gate->blocked(Known->Record.Id, Now)) {
       if (Closed->Is == EngineBlocked::Why::AtLimit)
-        this->Room->requestQuota(Each->Record.Id, Now);
+        this->Room->requestQuota(Known->Record.Id, Now);
       Found.Closed.push_back(*Closed);
       continue;
     }
-    Result.push_back(this->stateOf(*Each, Model, Now));
+    Result.push_back(this->stateOf(*Known, Model, Now));
     Result.back().Position = Result.size() - 1;
   }
   weighAnswersByScarcity(Result);
   return Found;
 }
 
-EngineState EngineLoadPlugin::stateOf(const RegisteredEngine &Each,
+EngineState EngineLoadPlugin::stateOf(const RegisteredEngine &Known,
                                       const EngineParameters *Model, Time Now) {
   EngineState Result;
-  Result.Engine = &Each;
-  Result.IsLimited = this->Room->isLimited(Each.Record.Id);
-  const auto Found = this->Loads.find(Each.Record.Id);
-  const EngineLoad None;
-  const EngineLoad &Load = Found == this->Loads.end() ? None : Found->second;
-  Result.Running = Load.reading(Now) + Load.writing(Now);
-  const std::uint32_t Slots = Model ? Model->Slots : Each.Record.Slots;
+  Result.Engine = &Known;
+  Result.IsLimited = this->Room->isLimited(Known.Record.Id);
+  const auto Found = this->Loads.find(Known.Record.Id);
+  const EngineLoad Empty;
+  const EngineLoad &Load = Found == this->Loads.end() ? Empty : Found->second;
+  Result.Running = Load.prefilling(Now) + Load.decoding(Now);
+  const std::uint32_t Slots = Model ? Model->Slots : Known.Record.Slots;
   Result.FreeSlots = Slots > Result.Running ? Slots - Result.Running : 0;
   Result.Answers = Load.answers(Now);
   for (GapGroup &Group : Result.Answers)
-    Group.PauseMs *= this->Weights.PauseShare;
+    Group.GapMs *= this->Weights.GapShare;
   if (Model) {
-    Result.Slowdown = this->Slowdowns.of(Each.Record.Id, Now);
+    Result.Slowdown = this->Slowdowns.of(Known.Record.Id, Now);
     Result.BacklogMs = Load.backlogMs(Now) * Result.Slowdown;
     Result.Overdue = Load.isOverdue(Now);
     Result.PassMs =
-        decodePassMs(*Model, Load.writing(Now), Load.contextTokens(Now)) *
+        decodePassMs(*Model, Load.decoding(Now), Load.contextTokens(Now)) *
         Result.Slowdown;
     const std::uint64_t Used = Load.memoryTokens(Now);
     const bool HasMemory = Used < Model->MemoryTokens &&
-                           !this->isShortOfMemory(Each.Record.Id, Now);
+                           !this->isShortOfMemory(Known.Record.Id, Now);
     Result.FreeTokens = HasMemory ? Model->MemoryTokens - Used : 0;
   } else {
     Result.BacklogMs =
-        UnknownWorkMs * Result.Running / std::max(Each.Record.Slots, 1U);
+        UnknownWorkMs * Result.Running / std::max(Known.Record.Slots, 1U);
     Result.FreeTokens = std::numeric_limits<std::uint64_t>::max();
   }
-  if (Each.Record.Zone != this->OwnZone)
+  if (Known.Record.Zone != this->OwnZone)
     Result.ExtraMs += this->OtherZoneMs;
-  // Hosts that see the same do not all choose the same.
-  Result.ExtraMs += this->Numbers->fraction() * this->JitterMs;
+  // Jitter, so that hosts with the same view do not all choose the same engine.
+  Result.ExtraMs += this->RandomNumbers->fraction() * this->JitterMs;
   return Result;
 }
 
 void EngineLoadPlugin::memoryRefused(const UpstreamId &Engine, Time Now) {
-  this->ShortOfMemory[Engine] = Now + MemoryRefusalKeep;
+  this->ShortOfMemory[Engine] = Now + MemoryRefusalTtl;
   std::erase_if(this->ShortOfMemory,
-                [&](const auto &Each) { return Now >= Each.second; });
+                [&](const auto &Refusal) { return Now >= Refusal.second; });
 }
 
 bool EngineLoadPlugin::isShortOfMemory(const UpstreamId &Engine,
@@ -445,79 +453,80 @@
   return Entry && Entry->Engine ? &*Entry->Engine : nullptr;
 }
 
-void EngineLoadPlugin::attemptSent(const RelayAttempt &Each, Time Now,
+void EngineLoadPlugin::attemptSent(const RelayAttempt &Attempt, Time Now,
                                    Actions &) {
-  this->add(Each, Now);
-  this->Lane.drop(Each.Request.Value);
-  if (Each.Helpers.empty())
-    this->noteChange(this->isToldSoon(Each), Now);
+  this->add(Attempt, Now);
+  this->Queue.drop(Attempt.Request.Value);
+  if (Attempt.Helpers.empty())
+    this->noteChange(this->isReportedSoon(Attempt), Now);
   else
-    this->Tells.noteUrgent(Now);
+    this->Reports.noteUrgent(Now);
 }
 
-void EngineLoadPlugin::add(const RelayAttempt &Each, Time Now) {
-  const EngineParameters *Model = this->parametersOf(Each.Service);
-  const bool ListsItself =
-      !Each.Helpers.empty() && Each.Helpers.front().Engine == Each.Engine;
+void EngineLoadPlugin::add(const RelayAttempt &Attempt, Time Now) {
+  const EngineParameters *Model = this->parametersOf(Attempt.Service);
+  const bool IsOwnHelper = !Attempt.Helpers.empty() &&
+                           Attempt.Helpers.front().Engine == Attempt.Engine;
   const auto Parts =
-      static_cast<double>(Each.Helpers.size() + (ListsItself ? 0 : 1));
+      static_cast<double>(Attempt.Helpers.size() + (IsOwnHelper ? 0 : 1));
   LoadItem Item;
-  Item.Try = Each.Id;
-  Item.PrefillMs = Model ? prefillMs(*Model, Each.PromptTokens) / Parts : 0;
+  Item.Attempt = Attempt.Id;
+  Item.PrefillMs = Model ? prefillMs(*Model, Attempt.PromptTokens) / Parts : 0;
   LoadItem Part = Item;
-  Item.IsShort = Model && this->isShort(*Model, Each.Service,
-                                        prefillMs(*Model, Each.PromptTokens));
+  Item.IsShort =
+      Model && this->isShort(*Model, Attempt.Service,
+                             prefillMs(*Model, Attempt.PromptTokens));
   if (Model)
-    Item.Answer = {boundMs(Each.MaxEventGap),
-                   valueMs(*Model, Each.PromptTokens, Each.OutputTokens)};
-  Item.MemoryTokens = ListsItself ? Each.Helpers.front().Tokens
-                                  : Each.PromptTokens + Each.OutputTokens;
-  this->Loads[Each.Engine].add(Item, Now);
-  for (const HelperEngine &Helper : Each.Helpers) {
+    Item.Answer = {boundMs(Attempt.MaxEventGap),
+                   valueMs(*Model, Attempt.PromptTokens, Attempt.OutputTokens)};
+  Item.MemoryTokens = IsOwnHelper ? Attempt.Helpers.front().Tokens
+                                  : Attempt.PromptTokens + Attempt.OutputTokens;
+  this->Loads[Attempt.Engine].add(Item, Now);
+  for (const HelperEngine &Helper : Attempt.Helpers) {
     Part.MemoryTokens = Helper.Tokens;
-    if (Helper.Engine != Each.Engine)
+    if (Helper.Engine != Attempt.Engine)
       this->Loads[Helper.Engine].add(Part, Now);
   }
 }
 
-void EngineLoadPlugin::attemptBegan(const RelayAttempt &Each, Time Now,
+void EngineLoadPlugin::attemptBegan(const RelayAttempt &Attempt, Time Now,
                                     Actions &Out) {
-  this->noteFirstToken(Each, Now, Out);
-  this->Loads[Each.Engine].began(Each.Id, Now);
-  for (const HelperEngine &Helper : Each.Helpers) {
-    if (Helper.Engine == Each.Engine)
+  this->noteFirstToken(Attempt, Now, Out);
+  this->Loads[Attempt.Engine].startDecoding(Attempt.Id, Now);
+  for (const HelperEngine &Helper : Attempt.Helpers) {
+    if (Helper.Engine == Attempt.Engine)
       continue;
-    // What it keeps stays there while the answer is written.
+    // The reserved memory stays in use while the answer is decoded.
     if (Helper.Tokens > 0)
-      this->Loads[Helper.Engine].began(Each.Id, Now);
+      this->Loads[Helper.Engine].startDecoding(Attempt.Id, Now);
     else
-      this->Loads[Helper.Engine].remove(Each.Id, Now);
+      this->Loads[Helper.Engine].remove(Attempt.Id, Now);
   }
-  this->noteChange(this->isToldSoon(Each), Now);
+  this->noteChange(this->isReportedSoon(Attempt), Now);
 }
 
-void EngineLoadPlugin::attemptEnded(const RelayAttempt &Each,
+void EngineLoadPlugin::attemptEnded(const RelayAttempt &Attempt,
                                     const RelayOutcome &Outcome, Time Now,
                                     Actions &) {
-  this->remove(Each, Now);
-  // What comes of it for the engine, peers should know before their next
-  // request.
+  this->remove(Attempt, Now);
+  // Peers need to know the effect on the engine before their next request.
   if (std::holds_alternative<RelayBroken>(Outcome) ||
       std::holds_alternative<RelayNeverSent>(Outcome))
-    this->Tells.noteUrgent(Now);
+    this->Reports.noteUrgent(Now);
 }
 
-void EngineLoadPlugin::attemptCancelled(const RelayAttempt &Each, Time Now,
+void EngineLoadPlugin::attemptCancelled(const RelayAttempt &Attempt, Time Now,
                                         Actions &) {
-  this->remove(Each, Now);
+  this->remove(Attempt, Now);
 }
 
-void EngineLoadPlugin::remove(const RelayAttempt &Each, Time Now) {
-  this->Loads[Each.Engine].remove(Each.Id, Now);
-  for (const HelperEngine &Helper : Each.Helpers)
-    this->Loads[Helper.Engine].remove(Each.Id, Now);
-  std::erase_if(this->Loads, [](const auto &Of) { return Of.second.isIdle(); });
-  this->noteChange(this->isToldSoon(Each), Now);
+void EngineLoadPlugin::remove(const RelayAttempt &Attempt, Time Now) {
+  this->Loads[Attempt.Engine].remove(Attempt.Id, Now);
+  for (const HelperEngine &Helper : Attempt.Helpers)
+    this->Loads[Helper.Engine].remove(Attempt.Id, Now);
+  std::erase_if(this->Loads,
+                [](const auto &Entry) { return Entry.second.isIdle(); });
+  this->noteChange(this->isReportedSoon(Attempt), Now);
 }
 
 void EngineLoadPlugin::engineRemoved(const UpstreamId &Id, Time, Actions &) {
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that knows what runs on the upstreams and chooses among them.
+/// The plug-in that tracks the load of the engines and selects among them.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -12,8 +12,8 @@
 
 namespace banyanpick {
 
-/// Keeps a model of every engine from what all hosts say they sent, and gives
-/// each request the engine that is predicted to begin its answer first.
+/// Models the load of every engine from the reports of all hosts, and selects
+/// for each request the engine with the earliest predicted first token.
 class EngineLoadPlugin : public Plugin,
                          public EngineSelector,
                          public RelayObserver,
@@ -23,17 +23,19 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
   EngineChoice choose(const EngineRequirements &Wanted, Time Now) override;
   void forget(const RequestId &Request, Time Now) override;
 
-  void attemptSent(const RelayAttempt &Each, Time Now, Actions &Out) override;
-  void attemptBegan(const RelayAttempt &Each, Time Now, Actions &Out) override;
-  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+  void attemptSent(const RelayAttempt &Attempt, Time Now,
+                   Actions &Out) override;
+  void attemptBegan(const RelayAttempt &Attempt, Time Now,
+                    Actions &Out) override;
+  void attemptEnded(const RelayAttempt &Attempt, const RelayOutcome &Outcome,
                     Time Now, Actions &Out) override;
-  void attemptCancelled(const RelayAttempt &Each, Time Now,
+  void attemptCancelled(const RelayAttempt &Attempt, Time Now,
                         Actions &Out) override;
   void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
   void memberChanged(const Member &Changed, Time Now, Actions &Out) override;
@@ -43,72 +45,77 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  /// What a peer told last.
-  struct ToldBy {
-    Time At{};
-    std::vector<UpstreamId> Engines; ///< That have work of it; by name.
+  /// A peer's last report.
+  struct PeerReport {
+    Time ReceivedAt{};
+    /// Engines with work of the peer, sorted by name.
+    std::vector<UpstreamId> Engines;
   };
 
   const EngineParameters *parametersOf(const ServiceId &Service) const;
-  /// Engines that may get a request.
+  /// Engines that are eligible for a request.
   struct Candidates {
     std::vector<EngineState> States;
-    std::vector<EngineBlocked> Closed; ///< Of those that would, but take no
-                                       ///< more now.
+    /// Eligible engines that accept no more requests now.
+    std::vector<EngineBlocked> Closed;
   };
 
-  /// The engines of the share that may get the request; \p Avoided: also those
-  /// that failed lately, or that asked other hosts for rest.
+  /// Returns the eligible engines of the share. With \p IncludeAvoided, engines
+  /// that failed recently, or that asked other hosts for a backoff, are
+  /// included.
   Candidates candidates(const EngineRequirements &Wanted,
                         const EngineParameters *Model, const EngineShare &Share,
-                        bool Avoided, Time Now);
-  EngineState stateOf(const RegisteredEngine &Each,
+                        bool IncludeAvoided, Time Now);
+  EngineState stateOf(const RegisteredEngine &Known,
                       const EngineParameters *Model, Time Now);
   EngineChoice chooseAmong(std::span<const EngineState> States,
                            const EngineRequirements &Wanted,
                            const EngineParameters *Model, Time Now);
-  /// No engine takes one more now.
+  /// Called when no eligible engine accepts another request.
   EngineChoice chooseClosed(std::span<const EngineBlocked> Closed,
                             const EngineRequirements &Wanted);
   EngineChoice chooseShared(std::span<const EngineState> States,
                             const EngineRequirements &Wanted,
                             const PromptWork &Work,
                             const EngineParameters &Model, Time Now);
-  /// The prompt is not to be read now: it waits, or its caller comes back.
+  /// Defers a long prompt: it waits here, or its caller retries later.
   EngineChoice deferLong(const EngineRequirements &Wanted, double Scarcity,
                          Time Now);
-  /// Where the prompt is read; it is kept by one engine if one has the memory.
+  /// Returns the placement of a long prompt. One engine holds the whole prompt
+  /// if one has enough memory.
   std::optional<PromptPlacement> placeLong(std::span<const EngineState> States,
                                            const PromptWork &Work,
                                            std::uint64_t EngineTokens,
                                            const PlacementTimes &Times) const;
   bool isShortOfMemory(const UpstreamId &Engine, Time Now) const;
-  bool isItsTurn(std::span<const EngineState> States,
-                 const EngineWork::Waiting &Own, Time Now) const;
-  /// Whether one engine reads the prompt beside answers of the service.
+  bool isFirstInQueue(std::span<const EngineState> States,
+                      const EngineWork::Waiting &Own, Time Now) const;
+  /// Returns whether one engine can prefill the prompt without exceeding the
+  /// gap bounds of the service's running answers.
   bool isShort(const EngineParameters &Model, const ServiceId &Service,
                double PrefillMs);
   static PromptWork workOf(const EngineRequirements &Wanted,
                            const EngineParameters *Model);
-  static SelectedEngine chosen(std::span<const EngineState> States,
-                               const PromptPlacement &Place,
-                               const EngineParameters *Model, bool IsShort);
-  /// Adds the try's work to its engine and its helpers.
-  void add(const RelayAttempt &Each, Time Now);
-  void remove(const RelayAttempt &Each, Time Now);
+  static SelectedEngine toChosen(std::span<const EngineState> States,
+                                 const PromptPlacement &Place,
+                                 const EngineParameters *Model, bool IsShort);
+  /// Adds the attempt's work to its engine and its helpers.
+  void add(const RelayAttempt &Attempt, Time Now);
+  void remove(const RelayAttempt &Attempt, Time Now);
   void takePeerWork(const HostId &From, const EngineWork &Work, Time Now);
-  void tell(Time Now, Actions &Out);
-  /// \p Soon: peers should know at once.
+  void reportWork(Time Now, Actions &Out);
+  /// the change is reported without the rate limit for short work.
   void noteChange(bool Soon, Time Now);
-  bool isToldSoon(const RelayAttempt &Each) const;
-  /// The peers that decide, too, and so must know what this host does.
-  std::vector<HostId> listeners(Time Now) const;
-  /// The peer has nothing on the engine any more.
+  bool isReportedSoon(const RelayAttempt &Attempt) const;
+  /// Returns the peers that select engines and therefore need this host's
+  /// reports.
+  std::vector<HostId> reportReceivers(Time Now) const;
+  /// Drops the peer's work on the engine.
   void forgetWork(const HostId &Peer, const UpstreamId &Engine, Time Now);
   void askReport(const UpstreamId &Engine, Time Now, Actions &Out) const;
   void takeReport(const EngineReport &Report, Time Now, Actions &Out);
-  /// Asks the engine for its pace when the first token came late.
-  void noteFirstToken(const RelayAttempt &Each, Time Now, Actions &Out);
+  /// Requests a report from the engine if the first token came late.
+  void noteFirstToken(const RelayAttempt &Attempt, Time Now, Actions &Out);
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
@@ -118,28 +125,29 @@
   const EngineTrustView *Trust = nullptr;
   EngineQuota *Room = nullptr;
   const EngineGate *Gate = nullptr;
-  Random *Numbers = nullptr;
+  Random *RandomNumbers = nullptr;
   ZoneId OwnZone;
-  double TellSoonMs = 0;
+  double ReportSoonMs = 0;
   double LateShare = 0;
   Duration LateBy{};
   double JitterMs = 0;
   double OtherZoneMs = 0;
   PlacementWeights Weights;
-  PromptQueue Lane;
-  GapBounds Pauses;
+  PromptQueue Queue;
+  GapBounds Gaps;
   std::map<UpstreamId, EngineLoad> Loads;
   EngineSlowdowns Slowdowns;
-  /// Engines that refused to set memory aside, until when that counts.
+  /// Engines that refused a memory reservation, and until when the refusal
+  /// counts.
   std::map<UpstreamId, Time> ShortOfMemory;
-  WorkReportSchedule Tells;
-  std::map<HostId, ToldBy> Told;
+  WorkReportSchedule Reports;
+  std::map<HostId, PeerReport> PeerReports;
 };
 
-/// The settings of section [placement].
+/// Returns the settings of section [placement].
 std::vector<SettingDeclaration> placementSettings();
 
-/// The weights of section [placement].
+/// Returns the weights of section [placement].
 PlacementWeights placementWeights(const Settings &Values);
 
 } // namespace banyanpick
--- a/src/plugins/engineload/EngineLoadSettings.cpp
+++ b/src/plugins/engineload/EngineLoadSettings.cpp
@@ -3,80 +3,80 @@
 namespace banyanpick {
 
 PlacementWeights placementWeights(const Settings &Values) {
-  const std::string_view In = "placement";
+  const std::string_view Section = "placement";
   PlacementWeights Result;
-  Result.PositionMs = Values.fraction(In, "position_ms");
-  Result.RunningMs = Values.fraction(In, "running_ms");
-  Result.CrowdedMs = Values.fraction(In, "crowded_ms");
-  Result.EasyShare = Values.fraction(In, "easy_share");
-  Result.FullMs = Values.fraction(In, "full_ms");
-  Result.PauseCostMs = Values.fraction(In, "pause_cost_ms");
-  Result.FillShare = Values.fraction(In, "fill_share");
-  Result.PauseShare = Values.fraction(In, "pause_share");
-  Result.BudgetShare = Values.fraction(In, "budget_share");
-  Result.LateShare = Values.fraction(In, "late_share");
-  Result.AheadMs = Values.fraction(In, "ahead_ms");
-  Result.MaxHelpers = Values.whole(In, "most_helpers");
+  Result.PositionMs = Values.fraction(Section, "position_ms");
+  Result.RunningMs = Values.fraction(Section, "running_ms");
+  Result.CrowdedMs = Values.fraction(Section, "crowded_ms");
+  Result.EasyShare = Values.fraction(Section, "easy_share");
+  Result.FullMs = Values.fraction(Section, "full_ms");
+  Result.GapCostMs = Values.fraction(Section, "pause_cost_ms");
+  Result.FillShare = Values.fraction(Section, "fill_share");
+  Result.GapShare = Values.fraction(Section, "pause_share");
+  Result.BudgetShare = Values.fraction(Section, "budget_share");
+  Result.LateShare = Values.fraction(Section, "late_share");
+  Result.AheadMs = Values.fraction(Section, "ahead_ms");
+  Result.MaxHelpers = Values.whole(Section, "most_helpers");
   return Result;
 }
 
 namespace {
 
-/// How short prompts are spread.
+/// Settings for the placement of short prompts.
 std::vector<SettingDeclaration> shortSettings() {
   constexpr auto Fraction = SettingKind::Fraction;
-  const std::string Place = "placement";
+  const std::string Section = "placement";
   return {
-      {Place, "position_ms", Fraction, "40",
+      {Section, "position_ms", Fraction, "40",
        "How much sooner (milliseconds) a short prompt's first token must be on "
        "an engine one place behind the front; those behind are for prompts "
        "that several engines read.",
        0, 1000},
-      {Place, "fill_share", Fraction, "0.75",
+      {Section, "fill_share", Fraction, "0.75",
        "Share of an engine's slots that short requests take on each engine of "
        "the front; with more of them the front grows.",
        0.01, 1},
-      {Place, "running_ms", Fraction, "2",
+      {Section, "running_ms", Fraction, "2",
        "What a request that runs on an engine counts (milliseconds) for one "
        "more, up to easy_share of its slots,",
        0, 1000},
-      {Place, "crowded_ms", Fraction, "15",
+      {Section, "crowded_ms", Fraction, "15",
        "and for each beyond, as more may arrive there at the same moment.", 0,
        1000},
-      {Place, "easy_share", Fraction, "0.75",
+      {Section, "easy_share", Fraction, "0.75",
        "Share of an engine's slots up to which requests hardly slow each "
        "other.",
        0, 1},
-      {Place, "full_ms", Fraction, "1000",
+      {Section, "full_ms", Fraction, "1000",
        "What a full engine, or one short of memory, counts (milliseconds).", 0,
        100000},
-      {Place, "pause_cost_ms", Fraction, "25",
+      {Section, "pause_cost_ms", Fraction, "25",
        "What it counts (milliseconds) to hold up an answer of the same worth "
        "for longer than it may pause.",
        0, 100000},
   };
 }
 
-/// How longer prompts are shared.
+/// Settings for prompts that several engines prefill.
 std::vector<SettingDeclaration> sharedSettings() {
   constexpr auto Fraction = SettingKind::Fraction;
-  const std::string Place = "placement";
+  const std::string Section = "placement";
   return {
-      {Place, "pause_share", Fraction, "0.75",
+      {Section, "pause_share", Fraction, "0.75",
        "Share of the pause allowed to answers that a pass with a part may be "
        "predicted to take: short prompts join it, and predictions err.",
        0.01, 1},
-      {Place, "budget_share", Fraction, "0.8",
+      {Section, "budget_share", Fraction, "0.8",
        "Share of its objective that a shared prompt may be predicted to need; "
        "beyond, it is taken to be late the more often.",
        0, 1},
-      {Place, "late_share", Fraction, "0.25",
+      {Section, "late_share", Fraction, "0.25",
        "What a late answer is taken to be worth of one in time.", 0, 1},
-      {Place, "ahead_ms", Fraction, "60",
+      {Section, "ahead_ms", Fraction, "60",
        "A shared prompt is sent when its engines have no more to read before "
        "it (milliseconds): the way there, and how late hosts hear of an end.",
        0, 100000},
-      {Place, "most_helpers", SettingKind::Whole, "16",
+      {Section, "most_helpers", SettingKind::Whole, "16",
        "Engines that help to read one prompt, at most.", 0, 64},
   };
 }
@@ -92,53 +92,53 @@
 
 namespace {
 
-/// What keeps a host's part bounded in large deployments, and what it asks
-/// engines for.
+/// Settings that bound a host's messages to peers and its report requests to
+/// engines.
 std::vector<SettingDeclaration> scaleSettings() {
   constexpr auto Whole = SettingKind::Whole;
   constexpr auto Span = SettingKind::Span;
-  const std::string In = "engine_load";
+  const std::string Section = "engine_load";
   return {
-      {In, "tell_rate", Whole, "5000",
+      {Section, "tell_rate", Whole, "5000",
        "Messages a second to peers for short work, at most; fewer made first "
        "tokens late among 89 hosts, where 400 a second told of it every 220 "
        "ms.",
        1, 1e6},
-      {In, "tell_soon_ms", SettingKind::Fraction, "100",
+      {Section, "tell_soon_ms", SettingKind::Fraction, "100",
        "Work that takes longer (milliseconds) is told without regard to "
        "tell_rate.",
        0, 1e6},
-      {In, "pace_ask_interval", Span, "2s",
+      {Section, "pace_ask_interval", Span, "2s",
        "How often one engine is asked whether it is slow, once its answers "
        "begin late.",
        10e3, 600e6},
-      {In, "pace_least_pause", Span, "250ms",
+      {Section, "pace_least_pause", Span, "250ms",
        "Between two such questions to any engine, as under high load all are "
        "late.",
        0, 60e6},
-      {In, "pace_keep", Span, "5s",
+      {Section, "pace_keep", Span, "5s",
        "How long an engine counts as slow after it said so.", 100e3, 600e6},
-      {In, "late_share", SettingKind::Fraction, "1.4",
+      {Section, "late_share", SettingKind::Fraction, "1.4",
        "An answer that begins so many times later than predicted, and", 1, 100},
-      {In, "late_by", Span, "200ms", "so much, is late: its engine is asked.",
-       0, 60e6},
+      {Section, "late_by", Span, "200ms",
+       "so much, is late: its engine is asked.", 0, 60e6},
   };
 }
 
 } // namespace
 
 std::vector<SettingDeclaration> EngineLoadPlugin::settings() {
-  const std::string In = "engine_load";
+  const std::string Section = "engine_load";
   std::vector<SettingDeclaration> Result = {
-      {In, "tell_interval", SettingKind::Span, "30ms",
+      {Section, "tell_interval", SettingKind::Span, "30ms",
        "Peers are told at most so often what this host has running on engines; "
        "short beside the reading of a prompt.",
        1e3, 60e6},
-      {In, "jitter_ms", SettingKind::Fraction, "25",
+      {Section, "jitter_ms", SettingKind::Fraction, "25",
        "Engines whose predicted first tokens are no further apart than this "
        "(milliseconds) are chosen among at random, as all hosts see alike.",
        0, 1000},
-      {In, "other_zone_ms", SettingKind::Fraction, "4",
+      {Section, "other_zone_ms", SettingKind::Fraction, "4",
        "What an engine in another data centre must be better by "
        "(milliseconds): the way there and back, and what the bytes cost.",
        0, 1000},
--- a/src/plugins/engineload/EngineSlowdowns.cpp
+++ b/src/plugins/engineload/EngineSlowdowns.cpp
@@ -7,32 +7,33 @@
 
 namespace {
 
-/// A pace nearer to the declared one is as good as that: model error.
-constexpr double SlowFrom = 1.15;
+/// Smaller slowdowns are within the error of the model and are ignored.
+constexpr double SlowThreshold = 1.15;
 
-/// Nobody works faster than declared by much; zero would make work free.
-constexpr double Fastest = 0.5;
+/// Lower bound of the factor. Engines are hardly faster than declared, and a
+/// factor of zero would make work free.
+constexpr double MinFactor = 0.5;
 
 } // namespace
 
 bool EngineSlowdowns::noteLate(const UpstreamId &Engine, Time Now) {
-  Seen &Of = this->ById[Engine];
-  const bool Soon = Now < Of.AskedAt + this->Limits.AskInterval ||
+  Record &Slowdown = this->ById[Engine];
+  const bool Soon = Now < Slowdown.AskedAt + this->Limits.AskInterval ||
                     Now < this->AskedAt + this->Limits.MinPause;
   if (Soon)
     return false;
-  Of.AskedAt = Now;
+  Slowdown.AskedAt = Now;
   this->AskedAt = Now;
   return true;
 }
 
 std::vector<UpstreamId> EngineSlowdowns::due(Time Now) {
   std::vector<UpstreamId> Result;
-  for (auto &[Id, Of] : this->ById) {
-    if (!Of.Own || !this->isSlow(Of, Now) ||
-        Now < Of.AskedAt + this->Limits.AskInterval)
+  for (auto &[Id, Slowdown] : this->ById) {
+    if (!Slowdown.Own || !this->isSlow(Slowdown, Now) ||
+        Now < Slowdown.AskedAt + this->Limits.AskInterval)
       continue;
-    Of.AskedAt = Now;
+    Slowdown.AskedAt = Now;
     Result.push_back(Id);
   }
   return Result;
@@ -40,30 +41,30 @@
 
 Time EngineSlowdowns::nextDue() const {
   Time Result = Never;
-  for (const auto &[Id, Of] : this->ById)
-    if (Of.Own && Of.Factor >= SlowFrom)
-      Result = std::min(Result, Of.AskedAt + this->Limits.AskInterval);
+  for (const auto &[Id, Slowdown] : this->ById)
+    if (Slowdown.Own && Slowdown.Factor >= SlowThreshold)
+      Result = std::min(Result, Slowdown.AskedAt + this->Limits.AskInterval);
   return Result;
 }
 
 bool EngineSlowdowns::takeReport(const EngineReport &Report, Time Now) {
-  Seen &Of = this->ById[Report.Engine];
-  const double Before = Of.Own ? Of.Factor : 1;
-  Of.Factor = std::max(Report.Slowdown, Fastest);
-  Of.HeardAt = Now;
-  Of.Own = true;
-  constexpr double News = 0.1;
-  return std::abs(Of.Factor - Before) >= News;
+  Record &Slowdown = this->ById[Report.Engine];
+  const double Before = Slowdown.Own ? Slowdown.Factor : 1;
+  Slowdown.Factor = std::max(Report.Pace, MinFactor);
+  Slowdown.HeardAt = Now;
+  Slowdown.Own = true;
+  constexpr double MinChange = 0.1;
+  return std::abs(Slowdown.Factor - Before) >= MinChange;
 }
 
-void EngineSlowdowns::takePeer(const EngineWork::Slowdown &Seen, Time Now) {
-  EngineSlowdowns::Seen &Of = this->ById[Seen.Engine];
-  // What the engine itself told this host lately is at least as new.
-  if (Of.Own && Now < Of.HeardAt + this->Limits.AskInterval)
+void EngineSlowdowns::takePeer(const EngineWork::Pace &Reported, Time Now) {
+  Record &Slowdown = this->ById[Reported.Engine];
+  // The engine's own report to this host is at least as new.
+  if (Slowdown.Own && Now < Slowdown.HeardAt + this->Limits.AskInterval)
     return;
-  Of.Factor = std::max(Seen.Factor, Fastest);
-  Of.HeardAt = Now;
-  Of.Own = false;
+  Slowdown.Factor = std::max(Reported.Factor, MinFactor);
+  Slowdown.HeardAt = Now;
+  Slowdown.Own = false;
 }
 
 double EngineSlowdowns::of(const UpstreamId &Engine, Time Now) const {
@@ -73,16 +74,17 @@
              : 1;
 }
 
-std::vector<EngineWork::Slowdown> EngineSlowdowns::own(Time Now) const {
-  std::vector<EngineWork::Slowdown> Result;
-  for (const auto &[Id, Of] : this->ById)
-    if (Of.Own && this->isSlow(Of, Now))
-      Result.push_back({Id, Of.Factor});
+std::vector<EngineWork::Pace> EngineSlowdowns::own(Time Now) const {
+  std::vector<EngineWork::Pace> Result;
+  for (const auto &[Id, Slowdown] : this->ById)
+    if (Slowdown.Own && this->isSlow(Slowdown, Now))
+      Result.push_back({Id, Slowdown.Factor});
   return Result;
 }
 
-bool EngineSlowdowns::isSlow(const Seen &Of, Time Now) const {
-  return Of.Factor >= SlowFrom && Now < Of.HeardAt + this->Limits.Keep;
+bool EngineSlowdowns::isSlow(const Record &Slowdown, Time Now) const {
+  return Slowdown.Factor >= SlowThreshold &&
+         Now < Slowdown.HeardAt + this->Limits.Ttl;
 }
 
 } // namespace banyanpick
--- a/src/plugins/engineload/EngineSlowdowns.h
+++ b/src/plugins/engineload/EngineSlowdowns.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much slower than declared engines work.
+/// Engines that work more slowly than declared.
 #pragma once
 
 #include "gateway/EngineRecord.h"
@@ -10,49 +10,52 @@
 
 namespace banyanpick {
 
-/// How engines are asked for their pace.
+/// Limits on report requests to engines.
 struct SlowdownLimits {
-  Duration AskInterval{}; ///< Between two questions to one engine,
-  Duration MinPause{};    ///< and between two to any.
-  Duration Keep{};        ///< What was heard holds for so long.
+  Duration AskInterval{}; ///< Between two requests to the same engine.
+  Duration MinPause{};    ///< Between two requests to any two engines.
+  Duration Ttl{};         ///< How long a report is valid.
 };
 
-/// What engines say of their own pace. They are asked only once an answer began
-/// late, and again while they are slow, as each question costs them time.
+/// Tracks the slowdowns that engines report. A report request costs the engine
+/// time, so engines are asked only after a late first token, and again while
+/// they are slow.
 class EngineSlowdowns {
 public:
   EngineSlowdowns() = default;
   explicit EngineSlowdowns(const SlowdownLimits &Limits) : Limits(Limits) {}
 
-  /// An answer of the engine began later than predicted; whether to ask it now.
+  /// Called when the engine's first token came later than predicted. Returns
+  /// whether to request a report now.
   bool noteLate(const UpstreamId &Engine, Time Now);
-  /// Slow engines that are to be asked again now.
+  /// Returns the slow engines that are due for another report request.
   std::vector<UpstreamId> due(Time Now);
   Time nextDue() const;
 
-  /// The engine's own report; whether the pace is news.
+  /// Processes the engine's report. Returns whether the slowdown changed.
   bool takeReport(const EngineReport &Report, Time Now);
-  void takePeer(const EngineWork::Slowdown &Seen, Time Now);
+  void takePeer(const EngineWork::Slowdown &Reported, Time Now);
   void forget(const UpstreamId &Engine) { this->ById.erase(Engine); }
 
-  /// How many times longer its work takes; 1 when nothing is known.
+  /// Returns how many times longer than declared the engine's work takes; 1
+  /// when unknown.
   double of(const UpstreamId &Engine, Time Now) const;
-  /// Slow engines by their reports to this host, for its peers.
+  /// Returns the slow engines that reported to this host, for its peers.
   std::vector<EngineWork::Slowdown> own(Time Now) const;
 
 private:
-  struct Seen {
+  struct Record {
     double Factor = 1;
     Time HeardAt{};
-    bool Own = false; ///< It told this host.
+    bool Own = false; ///< The engine reported to this host.
     Time AskedAt{};
   };
 
-  bool isSlow(const Seen &Of, Time Now) const;
+  bool isSlow(const Record &Slowdown, Time Now) const;
 
   SlowdownLimits Limits;
-  std::map<UpstreamId, Seen> ById;
-  Time AskedAt{}; ///< Any engine.
+  std::map<UpstreamId, Record> ById;
+  Time AskedAt{}; ///< The last request to any engine.
 };
 
 } // namespace banyanpick
--- a/src/plugins/engineload/EngineState.h
+++ b/src/plugins/engineload/EngineState.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is known of engines when a request is placed on them.
+/// The inputs and results of placing a request on engines.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -10,100 +10,110 @@
 
 namespace banyanpick {
 
-/// Answers on one engine that may all pause for the same time.
+/// Answers on one engine with the same bound on their inter-event gap.
 struct GapGroup {
-  double PauseMs = 0; ///< Allowed between two of their events.
-  double ValueMs = 0; ///< What they are worth: engine time, in milliseconds.
+  double GapMs = 0;   ///< Longest allowed gap between two events.
+  double ValueMs = 0; ///< Value of the answers: engine time, in milliseconds.
 
   bool operator==(const GapGroup &) const = default;
 };
 
-/// What decides of one engine that may get the work.
+/// State of one eligible engine, for placement.
 struct EngineState {
   const RegisteredEngine *Engine = nullptr;
-  std::size_t Position = 0; ///< In the order that all hosts share.
-  double BacklogMs = 0;     ///< Reading to be done before anything new.
-  bool Overdue = false;     ///< Some of it should have been done by now.
-  double PassMs = 0;        ///< One pass over those that write.
-  double Slowdown = 1;      ///< How many times longer than declared reading
-                            ///< takes there; the two above allow for it.
-  bool IsLimited = false;   ///< It names how many requests it takes.
+  std::size_t Position = 0; ///< In the order that is common to all hosts.
+  double BacklogMs = 0;     ///< Prefill work ahead of a new request.
+  /// Some of the backlog was predicted to be done by now.
+  bool Overdue = false;
+  double PassMs = 0;      ///< One decode pass over the running answers.
+  double Slowdown = 1;    ///< How many times longer than declared work takes;
+                          ///< included in the two times above.
+  bool IsLimited = false; ///< The engine names a request limit.
   std::uint32_t Running = 0;
   std::uint32_t FreeSlots = 1;
-  std::uint64_t FreeTokens = 0; ///< Memory.
-  double ExtraMs = 0; ///< The way there, and what tells hosts' choices apart.
-  std::vector<GapGroup> Answers; ///< That are written there.
+  std::uint64_t FreeTokens = 0;  ///< Free KV cache memory.
+  double ExtraMs = 0;            ///< Network delay and random jitter.
+  std::vector<GapGroup> Answers; ///< Answers being decoded on the engine.
 
-  /// When a part could begin there.
+  /// Returns when the prefill of a part could start.
   double startMs() const { return this->BacklogMs + this->PassMs; }
-  /// When a part would be read there.
+  /// Returns when the prefill of a part would end.
   double endMs(double PartMs) const {
     return this->startMs() + PartMs * this->Slowdown;
   }
-  /// The value of the answers that a pass with so much more reading would make
-  /// pause for too long. One that pauses for several times as long loses its
-  /// caller, and what was read and written for it.
+  /// Returns the value of the answers whose gap bound a pass with this much
+  /// additional prefill would exceed. An answer that pauses for several times
+  /// its bound loses its caller, and with it the work already done.
   double delayedValue(double PartMs) const {
-    constexpr double LostFrom = 5;
+    constexpr double LostThreshold = 5;
     constexpr double LostCost = 1.5;
     constexpr double LateCost = 0.75;
     const double PassMs = this->endMs(PartMs);
     double Sum = 0;
-    for (const GapGroup &Each : this->Answers) {
-      const bool Lost = PassMs > Each.PauseMs * LostFrom;
-      const double Late = PassMs > Each.PauseMs ? LateCost : 0;
-      Sum += Each.ValueMs * (Lost ? LostCost : Late);
+    for (const GapGroup &Group : this->Answers) {
+      const bool Lost = PassMs > Group.GapMs * LostThreshold;
+      const double Late = PassMs > Group.GapMs ? LateCost : 0;
+      Sum += Group.ValueMs * (Lost ? LostCost : Late);
     }
     return Sum;
   }
 };
 
-/// The weights of placing. Everything in milliseconds is weighed against the
+/// Weights of the placement cost. Values in milliseconds are added to the
 /// predicted time to the first token.
 struct PlacementWeights {
-  double PositionMs = 0;  ///< For each place behind the front, for short ones.
-  double RunningMs = 0;   ///< For each request running, up to EasyShare,
-  double CrowdedMs = 0;   ///< and for each beyond.
-  double EasyShare = 0;   ///< Of an engine's slots.
-  double FullMs = 0;      ///< For a full engine, or one short of memory.
-  double PauseCostMs = 0; ///< For a whole pass that holds answers up.
-  double FillShare = 0;   ///< Of the slots, taken on each engine of the front.
-  double PauseShare = 0;  ///< Of the allowed pause, that a pass may take.
-  double BudgetShare = 0; ///< Of the objective; what is predicted to need more
-                          ///< may be late.
-  double LateShare = 0;   ///< What a late answer is worth of one in time.
-  double AheadMs = 0; ///< A shared prompt is sent when its engines have no more
-                      ///< than this to read before it.
+  /// For each position behind the front; short prompts only.
+  double PositionMs = 0;
+  /// For each running request, up to EasyShare of the slots.
+  double RunningMs = 0;
+  double CrowdedMs = 0; ///< For each running request above EasyShare.
+  double EasyShare = 0; ///< Share of an engine's slots.
+  double FullMs = 0;    ///< For an engine that is full or short of memory.
+  /// For a full pass that delays answers beyond their gap bound.
+  double GapCostMs = 0;
+  double FillShare = 0;   ///< Share of the slots to fill on each front engine.
+  double GapShare = 0;    ///< Share of the gap bound that a pass may take.
+  double BudgetShare = 0; ///< Share of the objective; a prompt that is
+                          ///< predicted to need more may be late.
+  double LateShare = 0; ///< Value of a late answer, as a share of one in time.
+  double AheadMs = 0; ///< A shared prompt is sent when its engines have at most
+                      ///< this much prefill work ahead of it.
   std::size_t MaxHelpers = 0;
 };
 
-/// A chosen engine with its helpers.
+/// The engine chosen for a prompt, with its helpers.
 struct PromptPlacement {
-  std::size_t At = 0;               ///< Index into the states given.
-  std::vector<std::size_t> Helpers; ///< Likewise.
-  std::size_t ReservingHelpers = 0; ///< So many of Helpers set memory aside,
-                                    ///< the chosen engine first,
-  std::uint64_t ReservedTokens = 0; ///< each so much.
-  double AheadMs = 0; ///< The most reading before it on any of them.
-  double StartMs = 0; ///< When the last of them could begin.
+  std::size_t Chosen = 0; ///< Index of the engine in the given states.
+  /// Indices of the helpers in the given states.
+  std::vector<std::size_t> Helpers;
+  /// Number of leading entries of Helpers that reserve memory; the chosen
+  /// engine comes first.
+  std::size_t ReservingHelpers = 0;
+  /// Tokens of memory that each of them reserves.
+  std::uint64_t ReservedTokens = 0;
+  double AheadMs = 0; ///< The largest backlog among the engines.
+  double StartMs = 0; ///< When the last of the engines could start.
   double FirstTokenMs = 0;
-  double SoonestMs = 0; ///< The first token at the soonest, whatever it costs.
-  double GainMs = 0;    ///< What it brings, less what it holds up; as ValueMs.
+  /// The earliest possible first token, whatever the cost.
+  double SoonestMs = 0;
+  double GainMs = 0; ///< Value of the answer less the value of delayed answers,
+                     ///< in the unit of ValueMs.
 };
 
-/// What a prompt is, to those that place it.
+/// The properties of a prompt that placement needs.
 struct PromptWork {
-  double PrefillMs = 0; ///< On one engine alone, at its declared pace.
+  double PrefillMs = 0; ///< Prefill on one idle engine at the declared speed.
   std::uint64_t PromptTokens = 0;
-  std::uint64_t Tokens = 0; ///< With its answer; the memory that it takes.
-  double ValueMs = 0;       ///< Engine time, as in GapGroup.
-  double PauseMs = 0;       ///< Its answer may pause for so long.
+  /// Including the answer; the memory that the request needs.
+  std::uint64_t Tokens = 0;
+  double ValueMs = 0;  ///< Engine time, as in GapGroup.
+  double MaxGapMs = 0; ///< Longest allowed inter-event gap of the answer.
 };
 
-/// When a prompt's first token should come, from now.
+/// Time bounds of a prompt's first token, from now.
 struct PlacementTimes {
-  double ObjectiveMs = 0; ///< Later, it counts as late,
-  double LateMs = 0;      ///< and later than this it is lost.
+  double ObjectiveMs = 0; ///< A first token after this time is late.
+  double LateMs = 0;      ///< A first token after this time has no value.
 };
 
 } // namespace banyanpick
--- a/src/plugins/engineload/GapBounds.cpp
+++ b/src/plugins/engineload/GapBounds.cpp
@@ -15,13 +15,12 @@
   if (this->ById.empty() || this->Version != Routes.version()) {
     this->Version = Routes.version();
     this->ById.clear();
-    for (const RouteEntry &Each : Routes.configuration().Routes) {
-      const double Pause = boundMs(Each.MaxEventGap);
-      const double Bound =
-          Pause < UnboundedMs ? Pause : boundMs(Each.Objective);
-      for (const WeightedService &To : Each.Split) {
-        const auto Known = this->ById.try_emplace(To.Service, Bound).first;
-        Known->second = std::min(Known->second, Bound);
+    for (const RouteEntry &Route : Routes.configuration().Routes) {
+      const double Gap = boundMs(Route.MaxEventGap);
+      const double Bound = Gap < UnboundedMs ? Gap : boundMs(Route.Objective);
+      for (const WeightedService &Target : Route.Split) {
+        const auto Entry = this->ById.try_emplace(Target.Service, Bound).first;
+        Entry->second = std::min(Entry->second, Bound);
       }
     }
   }
--- a/src/plugins/engineload/GapBounds.h
+++ b/src/plugins/engineload/GapBounds.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long the answers of a service may pause at the least.
+/// The inter-event gap bounds of services.
 #pragma once
 
 #include "gateway/RouteTable.h"
@@ -8,12 +8,14 @@
 
 namespace banyanpick {
 
-/// The shortest pause that routes to each service declare, kept for as long as
-/// the configuration is in force: there may be hundreds of routes.
+/// Caches the shortest inter-event gap that routes to each service declare. The
+/// cache is valid for one configuration version, as a configuration may have
+/// hundreds of routes.
 class GapBounds {
 public:
-  /// In milliseconds. A service whose routes declare none is bounded by its
-  /// shortest objective, and one without either not at all.
+  /// Returns the bound in milliseconds. A service whose routes declare no gap
+  /// is bounded by its shortest objective; a service without either is
+  /// unbounded.
   double shortestMs(const ServiceId &Service, const RouteTable &Routes);
 
 private:
@@ -21,10 +23,10 @@
   std::map<ServiceId, double> ById;
 };
 
-/// What stands for "no bound" among pauses and objectives in milliseconds.
+/// Stands for "no bound" among gaps and objectives in milliseconds.
 inline constexpr double UnboundedMs = 1e9;
 
-/// The declared time in milliseconds; unbounded when it is zero.
+/// Returns the declared time in milliseconds; UnboundedMs when it is zero.
 double boundMs(Duration Declared);
 
 } // namespace banyanpick
--- a/src/plugins/engineload/PromptQueue.cpp
+++ b/src/plugins/engineload/PromptQueue.cpp
@@ -5,71 +5,72 @@
 
 namespace banyanpick {
 
-double queueWeight(const EngineWork::Waiting &Of, Duration Since,
+double queueWeight(const EngineWork::Waiting &Prompt, Duration Since,
                    double LateShare) {
-  const double LeftMs = Of.LeftMs - inSeconds(Since) * 1e3;
-  const double Worth =
-      static_cast<double>(Of.Tokens) / std::max(Of.PrefillMs, 1.0);
-  return LeftMs >= Of.NeededMs ? Worth : Worth * LateShare;
+  const double LeftMs = Prompt.LeftMs - inSeconds(Since) * 1e3;
+  const double Value =
+      static_cast<double>(Prompt.Tokens) / std::max(Prompt.PrefillMs, 1.0);
+  return LeftMs >= Prompt.NeededMs ? Value : Value * LateShare;
 }
 
-bool PromptQueue::note(const Waiting &OwnGiven, Time Now) {
+bool PromptQueue::note(const Waiting &Prompt, Time Now) {
   const auto Found =
-      std::ranges::find(this->Own, OwnGiven.Request,
-                        [](const Entry &Each) { return Each.What.Request; });
+      std::ranges::find(this->Own, Prompt.Request,
+                        [](const Entry &Item) { return Item.Prompt.Request; });
   if (Found != this->Own.end()) {
-    *Found = {OwnGiven, Now};
+    *Found = {Prompt, Now};
     return false;
   }
-  this->Own.push_back({OwnGiven, Now});
+  this->Own.push_back({Prompt, Now});
   return true;
 }
 
 bool PromptQueue::drop(std::uint64_t Request) {
-  return std::erase_if(this->Own, [&](const Entry &Each) {
-           return Each.What.Request == Request;
+  return std::erase_if(this->Own, [&](const Entry &Item) {
+           return Item.Prompt.Request == Request;
          }) > 0;
 }
 
 void PromptQueue::takePeer(const HostId &Peer, std::span<const Waiting> All,
                            Time Now) {
-  std::vector<Entry> &Of = this->Peers[Peer];
-  Of.clear();
-  for (const Waiting &Each : All)
-    Of.push_back({Each, Now});
+  std::vector<Entry> &Entries = this->Peers[Peer];
+  Entries.clear();
+  for (const Waiting &Prompt : All)
+    Entries.push_back({Prompt, Now});
 }
 
 std::vector<PromptQueue::Entry>
-PromptQueue::current(const std::vector<Entry> &Of, Time Now) const {
+PromptQueue::current(const std::vector<Entry> &Entries, Time Now) const {
   std::vector<Entry> Result;
-  for (const Entry &Each : Of)
-    if (Now <= Each.At + this->Keep)
-      Result.push_back(Each);
+  for (const Entry &Item : Entries)
+    if (Now <= Item.NotedAt + this->Ttl)
+      Result.push_back(Item);
   return Result;
 }
 
-std::size_t PromptQueue::rank(const Waiting &OwnGiven, const HostId &Self,
+std::size_t PromptQueue::rank(const Waiting &Prompt, const HostId &Self,
                               Time Now) const {
-  const auto KeyOf = [&](const Entry &Each, const HostId &Host) {
-    return std::tuple(-queueWeight(Each.What, Now - Each.At, this->LateShare),
-                      Host.Value, Each.What.Request);
+  const auto keyOf = [&](const Entry &Item, const HostId &Host) {
+    return std::tuple(
+        -queueWeight(Item.Prompt, Now - Item.NotedAt, this->LateShare),
+        Host.Value, Item.Prompt.Request);
   };
-  const auto Mine = KeyOf({OwnGiven, Now}, Self);
+  const auto OwnKey = keyOf({Prompt, Now}, Self);
   std::size_t Before = 0;
-  for (const Entry &Each : this->current(this->Own, Now))
-    Before += KeyOf(Each, Self) < Mine ? 1 : 0;
+  for (const Entry &Item : this->current(this->Own, Now))
+    Before += keyOf(Item, Self) < OwnKey ? 1 : 0;
   for (const auto &[Host, All] : this->Peers)
-    for (const Entry &Each : this->current(All, Now))
-      Before += KeyOf(Each, Host) < Mine ? 1 : 0;
+    for (const Entry &Item : this->current(All, Now))
+      Before += keyOf(Item, Host) < OwnKey ? 1 : 0;
   return Before;
 }
 
 std::vector<PromptQueue::Waiting> PromptQueue::own(Time Now) const {
   std::vector<Waiting> Result;
-  for (const Entry &Each : this->current(this->Own, Now)) {
-    Waiting Told = Each.What;
-    Told.LeftMs -= inSeconds(Now - Each.At) * 1e3;
-    Result.push_back(Told);
+  for (const Entry &Item : this->current(this->Own, Now)) {
+    Waiting Prompt = Item.Prompt;
+    Prompt.LeftMs -= inSeconds(Now - Item.NotedAt) * 1e3;
+    Result.push_back(Prompt);
   }
   return Result;
 }
--- a/src/plugins/engineload/PromptQueue.h
+++ b/src/plugins/engineload/PromptQueue.h
@@ -1,5 +1,5 @@
 /// \file
-/// In which order prompts that several engines read together are sent.
+/// The order in which prompts that several engines prefill are sent.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -10,52 +10,54 @@
 
 namespace banyanpick {
 
-/// Engines read parts of prompts in the order in which they come, so the order
-/// is made before they are sent: every host knows what all hosts have waiting,
-/// sorts it by the same rule and sends its own when it comes up. Hosts that see
-/// different sets for a moment only lose time.
+/// Orders the long prompts of all hosts. Engines prefill parts in the order of
+/// arrival, so the order has to be decided before prompts are sent. Every host
+/// knows the waiting prompts of all hosts, sorts them by the same rule, and
+/// sends its own when it is first. Hosts with different views for a moment only
+/// lose time.
 ///
-/// The load that it answers: several long prompts at once. Sent at once, their
-/// parts pile up on the engines, where answers pause for all of them together,
-/// and a long one delays many shorter ones that could have been in time.
+/// Without an order, several long prompts that are sent at once pile up on the
+/// engines. Running answers then pause for all of them together, and one long
+/// prompt delays many shorter ones that could have met their objectives.
 class PromptQueue {
 public:
   using Waiting = EngineWork::Waiting;
 
   PromptQueue() = default;
-  /// \p Keep is how long an entry counts that is not heard of again: its host
-  /// died, or its caller left.
-  PromptQueue(Duration Keep, double LateShare)
-      : Keep(Keep), LateShare(LateShare) {}
-
-  /// A prompt of this host waits, or still does. Whether that is news.
-  bool note(const Waiting &Own, Time Now);
-  /// It waits no longer. Whether that is news.
+  /// \p Ttl is the lifetime of an entry that is not renewed because its host
+  /// died or its caller left.
+  PromptQueue(Duration Ttl, double LateShare)
+      : Ttl(Ttl), LateShare(LateShare) {}
+
+  /// Adds or renews a prompt of this host. Returns whether the prompt is new.
+  bool note(const Waiting &Prompt, Time Now);
+  /// Removes a prompt of this host. Returns whether it was queued.
   bool drop(std::uint64_t Request);
   void takePeer(const HostId &Peer, std::span<const Waiting> All, Time Now);
   void forgetPeer(const HostId &Peer) { this->Peers.erase(Peer); }
 
-  /// How many others go before the prompt.
-  std::size_t rank(const Waiting &Own, const HostId &Self, Time Now) const;
-  /// What this host has waiting, for its peers.
+  /// Returns the number of prompts that go before this one.
+  std::size_t rank(const Waiting &Prompt, const HostId &Self, Time Now) const;
+  /// Returns this host's waiting prompts, for its peers.
   std::vector<Waiting> own(Time Now) const;
 
 private:
   struct Entry {
-    Waiting What;
-    Time At{};
+    Waiting Prompt;
+    Time NotedAt{};
   };
 
-  std::vector<Entry> current(const std::vector<Entry> &Of, Time Now) const;
+  std::vector<Entry> current(const std::vector<Entry> &Entries, Time Now) const;
 
-  Duration Keep{};
+  Duration Ttl{};
   double LateShare = 0;
   std::vector<Entry> Own;
   std::map<HostId, std::vector<Entry>> Peers;
 };
 
-/// What the prompt brings for each millisecond of reading when it is sent now.
-double queueWeight(const EngineWork::Waiting &Of, Duration Since,
+/// Returns the value of a prompt per millisecond of prefill when it is sent
+/// now.
+double queueWeight(const EngineWork::Waiting &Prompt, Duration Since,
                    double LateShare);
 
 } // namespace banyanpick
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -8,99 +8,100 @@
 
 namespace {
 
-/// The engines wanted, by their places among all.
+/// Returns the indices of the matching engines.
 template <class Wanted>
-std::vector<std::size_t> placesOf(std::span<const EngineState> States,
-                                  Wanted IsWanted) {
+std::vector<std::size_t> indicesOf(std::span<const EngineState> States,
+                                   Wanted IsWanted) {
   std::vector<std::size_t> Result;
-  for (std::size_t At = 0; At < States.size(); ++At)
-    if (IsWanted(States[At]))
-      Result.push_back(At);
+  for (std::size_t Index = 0; Index < States.size(); ++Index)
+    if (IsWanted(States[Index]))
+      Result.push_back(Index);
   return Result;
 }
 
-/// The engines that would read a part of that length best: those where least
-/// is held up, then those that end first.
-std::vector<std::size_t> bestFor(std::span<const EngineState> States,
-                                 std::span<const std::size_t> Among,
-                                 double PartMs, std::size_t Count) {
+/// Returns the best engines for a part of this length: those with the lowest
+/// value of delayed answers, then those that end first.
+std::vector<std::size_t> bestEnginesFor(std::span<const EngineState> States,
+                                        std::span<const std::size_t> Among,
+                                        double PartMs, std::size_t Count) {
   struct Ranked {
-    double HeldUp = 0;
+    double DelayedValue = 0;
     double EndMs = 0;
-    std::size_t At = 0;
+    std::size_t Index = 0;
   };
   std::vector<Ranked> All;
   All.reserve(Among.size());
-  for (const std::size_t At : Among) {
-    const EngineState &Each = States[At];
-    All.push_back(
-        {Each.delayedValue(PartMs), Each.endMs(PartMs) + Each.ExtraMs, At});
+  for (const std::size_t Index : Among) {
+    const EngineState &State = States[Index];
+    All.push_back({State.delayedValue(PartMs),
+                   State.endMs(PartMs) + State.ExtraMs, Index});
   }
   const auto Last = All.begin() + static_cast<std::ptrdiff_t>(Count);
-  std::ranges::partial_sort(All, Last, {}, [](const Ranked &Each) {
-    return std::tuple(Each.HeldUp, Each.EndMs, Each.At);
+  std::ranges::partial_sort(All, Last, {}, [](const Ranked &Entry) {
+    return std::tuple(Entry.DelayedValue, Entry.EndMs, Entry.Index);
   });
   std::vector<std::size_t> Result;
   std::transform(All.begin(), Last, std::back_inserter(Result),
-                 [](const Ranked &Each) { return Each.At; });
+                 [](const Ranked &Entry) { return Entry.Index; });
   return Result;
 }
 
-/// Some engines that read even parts.
+/// A split of the prompt into even parts.
 struct Sharing {
   std::vector<std::size_t> Taken;
   double AheadMs = 0;
   double StartMs = 0;
   double FirstTokenMs = 0;
-  double HeldUpMs = 0; ///< Value, as in GapGroup.
+  double DelayedValueMs = 0; ///< In the unit of GapGroup::ValueMs.
 };
 
-/// \p Among has \p Count engines at least.
+/// \p Among has at least \p Count engines.
 Sharing sharingAmong(std::span<const EngineState> States,
                      std::span<const std::size_t> Among, const PromptWork &Work,
                      std::size_t Count) {
   const double PartMs = Work.PrefillMs / static_cast<double>(Count);
   Sharing Result;
-  Result.Taken = bestFor(States, Among, PartMs, Count);
-  for (const std::size_t At : Result.Taken) {
-    const EngineState &Each = States[At];
-    Result.AheadMs = std::max(Result.AheadMs, Each.BacklogMs);
-    Result.StartMs = std::max(Result.StartMs, Each.startMs());
-    Result.FirstTokenMs = std::max(Result.FirstTokenMs, Each.endMs(PartMs));
-    Result.HeldUpMs += Each.delayedValue(PartMs);
+  Result.Taken = bestEnginesFor(States, Among, PartMs, Count);
+  for (const std::size_t Index : Result.Taken) {
+    const EngineState &State = States[Index];
+    Result.AheadMs = std::max(Result.AheadMs, State.BacklogMs);
+    Result.StartMs = std::max(Result.StartMs, State.startMs());
+    Result.FirstTokenMs = std::max(Result.FirstTokenMs, State.endMs(PartMs));
+    Result.DelayedValueMs += State.delayedValue(PartMs);
   }
   return Result;
 }
 
-/// The sharing that brings most.
+/// Selects the split with the highest gain.
 class BestSharing {
 public:
-  void offer(Sharing Each, const PromptWork &Work, const PlacementTimes &Times,
-             const PlacementWeights &Weights) {
+  void offer(Sharing Candidate, const PromptWork &Work,
+             const PlacementTimes &Times, const PlacementWeights &Weights) {
     const bool IsFirst = this->Best.Taken.empty();
-    this->SoonestMs = IsFirst ? Each.FirstTokenMs
-                              : std::min(this->SoonestMs, Each.FirstTokenMs);
-    // Among ways that bring the same, the soonest leaves most time to spare.
+    this->SoonestMs = IsFirst
+                          ? Candidate.FirstTokenMs
+                          : std::min(this->SoonestMs, Candidate.FirstTokenMs);
+    // Among splits of equal gain, the earliest leaves the most slack.
     const double Gain =
-        Work.ValueMs * creditAt(Each.FirstTokenMs, Times, Weights) -
-        Each.HeldUpMs - Each.FirstTokenMs * 1e-3;
+        Work.ValueMs * creditAt(Candidate.FirstTokenMs, Times, Weights) -
+        Candidate.DelayedValueMs - Candidate.FirstTokenMs * 1e-3;
     if (!IsFirst && Gain <= this->BestGain)
       return;
     this->BestGain = Gain;
-    this->Best = std::move(Each);
+    this->Best = std::move(Candidate);
   }
   const Sharing &best() const { return this->Best; }
-  /// Where it is read best; \p Writer stands for the engine that gets it.
-  PromptPlacement placedAt(std::size_t Writer) const {
+  /// Returns the best split. \p Decoder is the engine that gets the request.
+  PromptPlacement placedAt(std::size_t Decoder) const {
     PromptPlacement Result;
-    Result.At = Writer;
+    Result.Chosen = Decoder;
     Result.AheadMs = this->Best.AheadMs;
     Result.StartMs = this->Best.StartMs;
     Result.FirstTokenMs = this->Best.FirstTokenMs;
     Result.SoonestMs = this->SoonestMs;
     Result.GainMs = this->BestGain;
     std::ranges::remove_copy(this->Best.Taken,
-                             std::back_inserter(Result.Helpers), Writer);
+                             std::back_inserter(Result.Helpers), Decoder);
     return Result;
   }
 
@@ -110,23 +111,25 @@
   double SoonestMs = 0;
 };
 
-/// Whether answers that may pause for less are written there already: then no
-/// long part will be read there, and one more answer is safe from them, too.
-bool isSheltered(const EngineState &Of, double PauseMs) {
-  return std::ranges::any_of(
-      Of.Answers, [&](const GapGroup &Each) { return Each.PauseMs < PauseMs; });
+/// Returns whether the engine already decodes answers with a shorter gap bound.
+/// No long part is placed there, which also protects one more answer.
+bool hasTighterGaps(const EngineState &State, double MaxGapMs) {
+  return std::ranges::any_of(State.Answers, [&](const GapGroup &Group) {
+    return Group.GapMs < MaxGapMs;
+  });
 }
 
-/// The engine that gets the request, keeps the prompt and writes the answer:
-/// one with memory for it, sheltered if it can be, that has least to write.
-std::size_t writerOf(std::span<const EngineState> States,
-                     std::span<const std::size_t> Taken,
-                     const PromptWork &Work) {
-  return *std::ranges::min_element(Taken, {}, [&](std::size_t At) {
-    const EngineState &Each = States[At];
-    const bool Full = Work.Tokens > Each.FreeTokens || Each.FreeSlots == 0;
-    return std::tuple(Full, !isSheltered(Each, Work.PauseMs), Each.Running,
-                      Each.ExtraMs);
+/// Returns the engine that gets the request, holds the prompt and decodes the
+/// answer: one with enough memory, preferably one with tighter gap bounds, and
+/// with the fewest running requests.
+std::size_t decoderAmong(std::span<const EngineState> States,
+                         std::span<const std::size_t> Taken,
+                         const PromptWork &Work) {
+  return *std::ranges::min_element(Taken, {}, [&](std::size_t Index) {
+    const EngineState &State = States[Index];
+    const bool Full = Work.Tokens > State.FreeTokens || State.FreeSlots == 0;
+    return std::tuple(Full, !hasTighterGaps(State, Work.MaxGapMs),
+                      State.Running, State.ExtraMs);
   });
 }
 
@@ -138,16 +141,16 @@
   BestSharing Found;
   for (std::size_t Count = 1; Count <= Most; ++Count)
     Found.offer(sharingAmong(States, Among, Work, Count), Work, Times, Weights);
-  return Found.placedAt(writerOf(States, Found.best().Taken, Work));
+  return Found.placedAt(decoderAmong(States, Found.best().Taken, Work));
 }
 
-/// Whether it is known when the engine will have read what it is at.
-bool isKnown(const EngineState &Of, const PlacementWeights &Weights) {
-  return Of.BacklogMs <= Weights.AheadMs || !Of.Overdue;
+/// Returns whether the end of the engine's current prefill is predictable.
+bool isPredictable(const EngineState &State, const PlacementWeights &Weights) {
+  return State.BacklogMs <= Weights.AheadMs || !State.Overdue;
 }
 
-/// What each of so many engines keeps of the prompt. Engines keep tokens in
-/// blocks; a share is rounded up by some.
+/// Returns the tokens that each of \p Count engines holds. Engines allocate
+/// tokens in blocks, so the share is rounded up.
 std::uint64_t evenShare(std::uint64_t Tokens, std::size_t Count) {
   constexpr std::uint64_t Rounding = 64;
   return Tokens / Count + Rounding;
@@ -161,7 +164,7 @@
   if (FirstTokenMs <= BudgetMs)
     return 1;
   if (FirstTokenMs <= Times.ObjectiveMs) {
-    // Predictions err by some of it.
+    // The prediction error is of this order, so the value falls gradually.
     const double Share =
         (FirstTokenMs - BudgetMs) / (Times.ObjectiveMs - BudgetMs);
     return 1 - Share * (1 - Weights.LateShare);
@@ -172,7 +175,7 @@
 PromptPlacement placeShared(std::span<const EngineState> States,
                             const PromptWork &Work, const PlacementTimes &Times,
                             const PlacementWeights &Weights) {
-  const auto All = placesOf(States, [](const EngineState &) { return true; });
+  const auto All = indicesOf(States, [](const EngineState &) { return true; });
   return placeAmong(States, All, Work, Times, Weights);
 }
 
@@ -180,8 +183,9 @@
                                    const PromptWork &Work,
                                    const PlacementTimes &Times,
                                    const PlacementWeights &Weights) {
-  const auto Known = placesOf(
-      States, [&](const EngineState &Each) { return isKnown(Each, Weights); });
+  const auto Known = indicesOf(States, [&](const EngineState &State) {
+    return isPredictable(State, Weights);
+  });
   if (Known.empty())
     return placeShared(States, Work, Times, Weights);
   return placeAmong(States, Known, Work, Times, Weights);
@@ -192,19 +196,20 @@
                       const PromptWork &Work, std::uint64_t EngineTokens,
                       const PlacementTimes &Times,
                       const PlacementWeights &Weights) {
-  /// Of an engine's memory, left to what other hosts send there meanwhile.
-  constexpr double LeftShare = 0.15;
-  const auto Left =
-      static_cast<std::uint64_t>(static_cast<double>(EngineTokens) * LeftShare);
-  // The engine that writes the answer is one of the helpers here.
+  /// Share of an engine's memory that is left for concurrent requests of other
+  /// hosts.
+  constexpr double MemoryMarginShare = 0.15;
+  const auto Margin = static_cast<std::uint64_t>(
+      static_cast<double>(EngineTokens) * MemoryMarginShare);
+  // The engine that decodes the answer is one of the helpers here.
   const std::size_t Most = std::min(States.size(), Weights.MaxHelpers);
   BestSharing Found;
   for (std::size_t Count = 2; Count <= Most; ++Count) {
     const std::uint64_t Share = evenShare(Work.Tokens, Count);
-    const auto Roomy = placesOf(States, [&](const EngineState &Each) {
-      // Setting memory aside takes several requests to the engine.
-      return Share + Left <= Each.FreeTokens && Each.FreeSlots > 0 &&
-             !Each.IsLimited && isKnown(Each, Weights);
+    const auto Roomy = indicesOf(States, [&](const EngineState &State) {
+      // A memory reservation takes several requests to the engine.
+      return Share + Margin <= State.FreeTokens && State.FreeSlots > 0 &&
+             !State.IsLimited && isPredictable(State, Weights);
     });
     if (Roomy.size() >= Count)
       Found.offer(sharingAmong(States, Roomy, Work, Count), Work, Times,
@@ -215,8 +220,9 @@
     return std::nullopt;
   PromptWork Part = Work;
   Part.Tokens = evenShare(Work.Tokens, Best.Taken.size());
-  PromptPlacement Result = Found.placedAt(writerOf(States, Best.Taken, Part));
-  Result.Helpers.insert(Result.Helpers.begin(), Result.At);
+  PromptPlacement Result =
+      Found.placedAt(decoderAmong(States, Best.Taken, Part));
+  Result.Helpers.insert(Result.Helpers.begin(), Result.Chosen);
   Result.ReservingHelpers = Result.Helpers.size();
   Result.ReservedTokens = Part.Tokens;
   return Result;
--- a/src/plugins/engineload/SharedPlacement.h
+++ b/src/plugins/engineload/SharedPlacement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where prompts are placed that several engines read together.
+/// Placement of prompts that several engines prefill together.
 #pragma once
 
 #include "plugins/engineload/EngineState.h"
@@ -8,39 +8,37 @@
 
 namespace banyanpick {
 
-/// The prompt is read in even parts on as many engines as bring most: what the
-/// answer is worth at its predicted time, less what is worth the answers that
-/// the parts would hold up. Wide parts are short, so that they fit beside
-/// answers that may pause; where they do not, clear engines are taken.
+/// Splits the prompt evenly over the number of engines with the highest gain:
+/// the value of the answer at its predicted time, less the value of the answers
+/// that the parts would delay. Parts on many engines are short and fit into the
+/// gaps of running answers; where they do not fit, idle engines are used.
 PromptPlacement placeShared(std::span<const EngineState> States,
                             const PromptWork &Work, const PlacementTimes &Times,
                             const PlacementWeights &Weights);
 
-/// Like placeShared(), but without engines of which it is not known when they
-/// will have read what they are at: waiting for one of them would hold up all
-/// prompts.
+/// Like placeShared(), but without engines whose current prefill has an unknown
+/// end. Waiting for such an engine would delay all prompts.
 PromptPlacement placeOnPredictable(std::span<const EngineState> States,
                                    const PromptWork &Work,
                                    const PlacementTimes &Times,
                                    const PlacementWeights &Weights);
 
-/// Like placeOnPredictable() for a prompt that no engine has the memory for:
-/// each engine that reads a part of it also keeps that part, and the chosen one
-/// stands first among the helpers.
+/// Like placeOnPredictable(), for a prompt that exceeds the memory of one
+/// engine. Each engine that prefills a part also reserves the memory for it.
+/// The chosen engine is the first of the helpers.
 ///
-/// The load that it answers: prompts beyond one engine's memory while most
-/// engines write. Parts are small enough to be kept beside answers; waiting
-/// until engines are idle took longer than callers do.
+/// Such prompts are placed beside running answers, because their parts are
+/// small enough: waiting for idle engines took longer than callers wait.
 ///
-/// Nothing while too few engines have memory for a part.
+/// Returns nothing while too few engines have memory for a part.
 std::optional<PromptPlacement>
 placeWithReservations(std::span<const EngineState> States,
                       const PromptWork &Work, std::uint64_t EngineTokens,
                       const PlacementTimes &Times,
                       const PlacementWeights &Weights);
 
-/// What an answer whose first token comes then is worth, as a share of one in
-/// time.
+/// Returns the value of an answer with this first-token time, as a share of an
+/// answer in time.
 double creditAt(double FirstTokenMs, const PlacementTimes &Times,
                 const PlacementWeights &Weights);
 
--- a/src/plugins/engineload/ShortPlacement.cpp
+++ b/src/plugins/engineload/ShortPlacement.cpp
@@ -6,25 +6,29 @@
 
 namespace {
 
-/// What the requests that run there add to the time of one more.
-double crowdMs(const EngineState &Of, std::uint32_t Slots,
-               const PlacementWeights &Weights) {
-  const double Running = Of.Running;
-  const double Easy = std::min(Running, Slots * Weights.EasyShare);
-  // The last slot is left to what other hosts send at the same moment.
-  const double Full = Of.Running + 1 >= Slots ? Weights.FullMs : 0;
-  return Easy * Weights.RunningMs + (Running - Easy) * Weights.CrowdedMs + Full;
+/// Returns the cost that the running requests add to one more request.
+double batchCostMs(const EngineState &State, std::uint32_t Slots,
+                   const PlacementWeights &Weights) {
+  const double Running = State.Running;
+  const double Uncrowded = std::min(Running, Slots * Weights.EasyShare);
+  // The last slot is left for concurrent requests of other hosts.
+  const double Full = State.Running + 1 >= Slots ? Weights.FullMs : 0;
+  return Uncrowded * Weights.RunningMs +
+         (Running - Uncrowded) * Weights.CrowdedMs + Full;
 }
 
-double placesBehind(const EngineState &Of, std::size_t Front) {
-  return Of.Position < Front ? 0 : static_cast<double>(Of.Position - Front + 1);
+double positionsBehind(const EngineState &State, std::size_t Front) {
+  return State.Position < Front
+             ? 0
+             : static_cast<double>(State.Position - Front + 1);
 }
 
-/// What holding answers up costs, in terms of the one that would do so.
-double heldUpMs(const EngineState &Of, const PromptWork &Work,
-                const PlacementWeights &Weights) {
-  return Of.delayedValue(Work.PrefillMs) / std::max(Work.ValueMs, 1.0) *
-         Weights.PauseCostMs;
+/// Returns the cost of delaying running answers, relative to the value of the
+/// prompt that delays them.
+double delayCostMs(const EngineState &State, const PromptWork &Work,
+                   const PlacementWeights &Weights) {
+  return State.delayedValue(Work.PrefillMs) / std::max(Work.ValueMs, 1.0) *
+         Weights.GapCostMs;
 }
 
 } // namespace
@@ -43,19 +47,19 @@
                            const PlacementWeights &Weights) {
   PromptPlacement Best;
   double BestCost = 0;
-  for (std::size_t At = 0; At < States.size(); ++At) {
-    const EngineState &Each = States[At];
-    const double FirstMs = Each.endMs(Work.PrefillMs);
-    const double Memory = Work.Tokens > Each.FreeTokens ? Weights.FullMs : 0;
-    const double Cost = FirstMs + Each.ExtraMs + Memory +
-                        crowdMs(Each, Slots, Weights) +
-                        heldUpMs(Each, Work, Weights) +
-                        placesBehind(Each, Front) * Weights.PositionMs;
-    if (At != 0 && Cost >= BestCost)
+  for (std::size_t Index = 0; Index < States.size(); ++Index) {
+    const EngineState &State = States[Index];
+    const double FirstMs = State.endMs(Work.PrefillMs);
+    const double Memory = Work.Tokens > State.FreeTokens ? Weights.FullMs : 0;
+    const double Cost = FirstMs + State.ExtraMs + Memory +
+                        batchCostMs(State, Slots, Weights) +
+                        delayCostMs(State, Work, Weights) +
+                        positionsBehind(State, Front) * Weights.PositionMs;
+    if (Index != 0 && Cost >= BestCost)
       continue;
     BestCost = Cost;
-    Best.At = At;
-    Best.StartMs = Each.startMs();
+    Best.Chosen = Index;
+    Best.StartMs = State.startMs();
     Best.FirstTokenMs = FirstMs;
   }
   return Best;
--- a/src/plugins/engineload/WorkReportSchedule.h
+++ b/src/plugins/engineload/WorkReportSchedule.h
@@ -1,5 +1,5 @@
 /// \file
-/// When peers are told what runs on upstreams.
+/// The schedule of work reports to peers.
 #pragma once
 
 #include "base/Time.h"
@@ -9,48 +9,48 @@
 
 namespace banyanpick {
 
-/// Bounds what a host tells its peers. Long work is told soon, as it decides
-/// where the next long prompt can be read in time; short work waits until the
-/// messages fit the rate.
+/// Limits the rate of a host's work reports. Long work is reported soon,
+/// because it determines where the next long prompt can be prefilled in time.
+/// Short work waits until the messages fit the rate.
 class WorkReportSchedule {
 public:
   WorkReportSchedule() = default;
-  /// \p PerSecond messages are sent for short work, at most.
-  WorkReportSchedule(Duration Shortest, double PerSecond)
-      : Shortest(Shortest), PerSecond(PerSecond) {}
+  /// \p PerSecond is the maximum rate of messages for short work.
+  WorkReportSchedule(Duration MinInterval, double PerSecond)
+      : MinInterval(MinInterval), PerSecond(PerSecond) {}
 
-  /// Something changed; \p Soon: of long work.
+  /// Called when the work changes. \p Soon: the change concerns long work.
   void noteChange(bool Soon, std::size_t Peers, Time Now) {
     const Duration Spread =
         fromSeconds(static_cast<double>(Peers) / this->PerSecond);
-    const Duration Pause =
-        Soon ? this->Shortest : std::max(this->Shortest, Spread);
-    this->Next = std::min(this->Next, std::max(Now, this->Last + Pause));
+    const Duration Interval =
+        Soon ? this->MinInterval : std::max(this->MinInterval, Spread);
+    this->Next = std::min(this->Next, std::max(Now, this->Last + Interval));
   }
-  /// Peers must know before they decide the next time.
+  /// Schedules a report now, as peers need it before their next decision.
   void noteUrgent(Time Now) { this->Next = Now; }
-  /// What a host told of, which decides when it tells it again.
-  enum class Told {
+  /// What a report contained; determines when it is repeated.
+  enum class Content {
     Nothing,
-    Work,   ///< As a message may be lost, and what is old counts for nothing.
-    Waiting ///< Prompts in the lane, too, which count for less long.
+    Work,   ///< Repeated, as messages may be lost and reports expire.
+    Waiting ///< Includes queued prompts, whose reports expire sooner.
   };
-  void noteTold(Told Of, Time Now) {
+  void noteSent(Content Sent, Time Now) {
     this->Last = Now;
-    this->Next = Of == Told::Nothing ? Never
-                 : Of == Told::Work  ? Now + RepeatInterval
-                                     : Now + LaneInterval;
+    this->Next = Sent == Content::Nothing ? Never
+                 : Sent == Content::Work  ? Now + RepeatInterval
+                                          : Now + QueueInterval;
   }
   Time next() const { return this->Next; }
 
 private:
-  /// A third of the age at which peers disregard what was told.
+  /// A third of the lifetime of a report at peers.
   static constexpr milliseconds RepeatInterval{500};
 
-  /// A third of the age at which prompts that wait at a peer are disregarded.
-  static constexpr milliseconds LaneInterval{100};
+  /// A third of the lifetime of a queued prompt at peers.
+  static constexpr milliseconds QueueInterval{100};
 
-  Duration Shortest{};
+  Duration MinInterval{};
   double PerSecond = 1;
   Time Last{};
   Time Next = Never;
--- a/tests/auto/gateway/DeferralTest.cpp
+++ b/tests/auto/gateway/DeferralTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Prompts give way where places run out, and nobody for ever.
+/// Tests that prompts are deferred when engines run out of slots, and that no
+/// prompt is deferred without limit.
 #include "plugins/engineload/Deferral.h"
 
 #include "kernel/PluginRegistry.h"
@@ -15,13 +16,13 @@
   return placementWeights(Settings::defaults(pluginSettings()));
 }
 
-/// Engines of sixteen places with so many taken on each.
+/// Engines with sixteen slots, \p Running of them taken on each.
 std::vector<EngineState> engines(std::uint32_t Running) {
-  EngineState Each;
-  Each.Running = Running;
-  Each.FreeSlots = Running < 16 ? 16 - Running : 0;
-  Each.Answers = {{250, 100}};
-  return std::vector<EngineState>(14, Each);
+  EngineState State;
+  State.Running = Running;
+  State.FreeSlots = Running < 16 ? 16 - Running : 0;
+  State.Answers = {{250, 100}};
+  return std::vector<EngineState>(14, State);
 }
 
 EngineParameters model() {
@@ -37,14 +38,14 @@
   return {Objective, Waited, seconds(9), true};
 }
 
-TEST(Deferral, PlacesAreScarceWhenMostAreTaken) {
+TEST(Deferral, SlotsAreScarceWhenMostAreTaken) {
   EXPECT_EQ(slotScarcity(engines(4)), 0);
   EXPECT_GT(slotScarcity(engines(12)), 0.5);
   EXPECT_EQ(slotScarcity(engines(16)), 1);
   EXPECT_EQ(slotScarcity({}), 0);
 }
 
-TEST(Deferral, AnswersWeighMoreWherePlacesAreScarce) {
+TEST(Deferral, AnswersWeighMoreWhereSlotsAreScarce) {
   std::vector<EngineState> Calm = engines(4);
   weighAnswersByScarcity(Calm);
   EXPECT_EQ(Calm.front().Answers.front().ValueMs, 100);
@@ -53,7 +54,7 @@
   EXPECT_GT(Full.front().Answers.front().ValueMs, 300);
 }
 
-TEST(Deferral, AShortPromptGivesWayOnlyWhereNoPlaceIsFreeInTime) {
+TEST(Deferral, AShortPromptIsLateOnlyIfNoSlotIsFreeInTime) {
   PromptPlacement Place;
   Place.FirstTokenMs = 120;
   const DeferralTimes Times = times(milliseconds(300), milliseconds(0));
@@ -67,7 +68,7 @@
       wouldBeLate(engines(20).front(), Place, Unknown, Times, weights()));
 }
 
-TEST(Deferral, ALongPromptGivesWayWhilePlacesAreScarceButNotForEver) {
+TEST(Deferral, ALongPromptIsDeferredWhileSlotsAreScarceForALimitedTime) {
   PromptPlacement Place;
   Place.GainMs = 500;
   PromptWork Work;
@@ -78,7 +79,7 @@
   EXPECT_TRUE(isWorthServingNow(Place, Work, times(seconds(3), seconds(7)), 1));
 }
 
-TEST(Deferral, ALongPromptIsReadWhileItsCallerCanStillBeServed) {
+TEST(Deferral, ALongPromptIsServedAtItsLastChance) {
   PromptPlacement Place;
   Place.GainMs = -1;
   Place.FirstTokenMs = 3000;
@@ -90,7 +91,7 @@
   EXPECT_TRUE(isWorthServingNow(Place, Work, Times, 1));
 }
 
-TEST(Deferral, WhatCannotBeginBeforeItsCallerLeavesIsHopeless) {
+TEST(Deferral, APromptThatStartsAfterItsDeadlineCannotBeServed) {
   PromptPlacement Place;
   Place.FirstTokenMs = 20'000;
   Place.SoonestMs = 8900;
@@ -99,7 +100,7 @@
   EXPECT_TRUE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0));
 }
 
-TEST(Deferral, WhilePlacesAreScarceSoIsWhatLeavesNoTimeForItsAnswer) {
+TEST(Deferral, WhileSlotsAreScarceDecodingTimeIsRequired) {
   PromptPlacement Place;
   Place.SoonestMs = 4900;
   EXPECT_FALSE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0.5));
@@ -108,14 +109,14 @@
   EXPECT_FALSE(cannotBeServed(Place, times(seconds(3), seconds(0)), 0));
 }
 
-TEST(Deferral, ItsCallerComesBackWhenThereIsRoomOrAsLateAsItMay) {
+TEST(Deferral, CallersRetryWhenEnginesReopenWithinTheMaximumDelay) {
   const DeferralTimes Times = times(seconds(3), seconds(0));
   EXPECT_EQ(retryAfter(Times, 0, milliseconds(2500)), milliseconds(2500));
   EXPECT_EQ(retryAfter(Times, 1, milliseconds(2500)), seconds(3));
   EXPECT_EQ(retryAfter(Times, 0.5, seconds(20)), seconds(3));
 }
 
-TEST(Deferral, ItsCallerComesBackOnlyAfterAMomentAndOnce) {
+TEST(Deferral, CallersRetryOnceAndOnlyAfterAMinimumWait) {
   const DeferralTimes Waited = times(seconds(3), milliseconds(500));
   EXPECT_TRUE(shouldRetryLater(Waited, 1));
   EXPECT_FALSE(shouldRetryLater(Waited, 0));
@@ -125,7 +126,7 @@
   EXPECT_FALSE(shouldRetryLater(Returned, 1));
 }
 
-RC_GTEST_PROP(Deferral, CallersComeBackSpreadAndWithMostOfTheirTimeLeft, ()) {
+RC_GTEST_PROP(Deferral, RetriesAreSpreadAndLeaveMostOfTheTime, ()) {
   const double Draw = *rc::gen::inRange(0, 1000) / 1000.0;
   const DeferralTimes Times = times(seconds(3), seconds(0));
   const double After = inSeconds(retryAfter(Times, Draw));
--- a/tests/auto/gateway/EngineSlowdownsTest.cpp
+++ b/tests/auto/gateway/EngineSlowdownsTest.cpp
@@ -11,7 +11,7 @@
 const UpstreamId Second("e2");
 const Time Start(seconds(1000));
 
-EngineSlowdowns paces() {
+EngineSlowdowns slowdowns() {
   return EngineSlowdowns({seconds(2), milliseconds(250), seconds(5)});
 }
 
@@ -22,36 +22,37 @@
   return Result;
 }
 
-TEST(EngineSlowdowns, AsksNoEngineOftenAndNotAllAtOnce) {
-  EngineSlowdowns Of = paces();
-  EXPECT_TRUE(Of.noteLate(First, Start));
-  EXPECT_FALSE(Of.noteLate(Second, Start + milliseconds(100)));
-  EXPECT_TRUE(Of.noteLate(Second, Start + milliseconds(300)));
-  EXPECT_FALSE(Of.noteLate(First, Start + milliseconds(1900)));
-  EXPECT_TRUE(Of.noteLate(First, Start + milliseconds(2000)));
+TEST(EngineSlowdowns, LimitsReportRequestsPerEngineAndOverall) {
+  EngineSlowdowns Slowdowns = slowdowns();
+  EXPECT_TRUE(Slowdowns.noteLate(First, Start));
+  EXPECT_FALSE(Slowdowns.noteLate(Second, Start + milliseconds(100)));
+  EXPECT_TRUE(Slowdowns.noteLate(Second, Start + milliseconds(300)));
+  EXPECT_FALSE(Slowdowns.noteLate(First, Start + milliseconds(1900)));
+  EXPECT_TRUE(Slowdowns.noteLate(First, Start + milliseconds(2000)));
 }
 
-TEST(EngineSlowdowns, ASlowEngineIsAskedAgainUntilItIsNot) {
-  EngineSlowdowns Of = paces();
-  Of.noteLate(First, Start);
-  EXPECT_TRUE(Of.takeReport(report(First, 3), Start));
-  EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(1)), 3);
-  EXPECT_EQ(Of.nextDue(), Start + seconds(2));
-  EXPECT_EQ(Of.due(Start + seconds(2)), std::vector<UpstreamId>{First});
-  EXPECT_TRUE(Of.takeReport(report(First, 1), Start + seconds(2)));
-  EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(3)), 1);
-  EXPECT_EQ(Of.nextDue(), Never);
+TEST(EngineSlowdowns, PollsASlowEngineUntilItRecovers) {
+  EngineSlowdowns Slowdowns = slowdowns();
+  Slowdowns.noteLate(First, Start);
+  EXPECT_TRUE(Slowdowns.takeReport(report(First, 3), Start));
+  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(1)), 3);
+  EXPECT_EQ(Slowdowns.nextDue(), Start + seconds(2));
+  EXPECT_EQ(Slowdowns.due(Start + seconds(2)), std::vector<UpstreamId>{First});
+  EXPECT_TRUE(Slowdowns.takeReport(report(First, 1), Start + seconds(2)));
+  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(3)), 1);
+  EXPECT_EQ(Slowdowns.nextDue(), Never);
 }
 
-TEST(EngineSlowdowns, WhatWasHeardIsForgottenInTheEnd) {
-  EngineSlowdowns Of = paces();
-  Of.takePeer({First, 4}, Start);
-  EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(4)), 4);
-  EXPECT_DOUBLE_EQ(Of.of(First, Start + seconds(5)), 1);
-  EXPECT_TRUE(Of.own(Start).empty()) << "peers are told of one's own only";
+TEST(EngineSlowdowns, ReportsExpire) {
+  EngineSlowdowns Slowdowns = slowdowns();
+  Slowdowns.takePeer({First, 4}, Start);
+  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(4)), 4);
+  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(5)), 1);
+  EXPECT_TRUE(Slowdowns.own(Start).empty())
+      << "peers receive only this host's own reports";
 }
 
-TEST(EngineSlowdowns, AnAnswerThatBeginsLateLeadsToAQuestionAndToOtherEngines) {
+TEST(EngineSlowdowns, ALateFirstTokenRequestsAReportAndASlowEngineIsAvoided) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("ring", 2);
@@ -64,7 +65,7 @@
   EXPECT_EQ(Bench.last<AskReport>().Engine, Slow.Engine);
   Bench.endAttempt(Slow.Attempt, RelayDelivered{});
   Bench.send(GatewayEvent(EngineReported{report(Slow.Engine, 6)}));
-  for (int Each = 0; Each < 5; ++Each) {
+  for (int Index = 0; Index < 5; ++Index) {
     Bench.arrive("/stream/x", Tokens);
     const DispatchRelay Next = Bench.last<DispatchRelay>();
     EXPECT_NE(Next.Engine, Slow.Engine);
--- a/tests/auto/gateway/PeerPropagationTest.cpp
+++ b/tests/auto/gateway/PeerPropagationTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Configuration and registry reach hosts that the store does not answer.
+/// Tests that hosts receive the configuration and the registry from peers when
+/// the store does not answer.
 #include "auto/gateway/GatewayBench.h"
 
 #include "wire/DocumentPack.h"
@@ -28,17 +29,17 @@
   return Result;
 }
 
-TEST(PeerPropagation, AConfigurationNeverGoesBack) {
+TEST(PeerPropagation, AnOlderConfigurationIsIgnored) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.send(
       GatewayEvent(ConfigurationRead{version(4), ConfigurationSource::Store}));
   Bench.arrive("/safe/1");
   EXPECT_TRUE(Bench.all<RefuseRelay>().empty())
-      << "version 4 has no routes, version 5 has";
+      << "version 4 has no routes, version 5 has some";
 }
 
-TEST(PeerPropagation, ALaterVersionOfAPeerIsAskedForAtOnce) {
+TEST(PeerPropagation, RequestsANewerVersionFromAPeerAtOnce) {
   GatewayBench Bench;
   Bench.configure(5);
   Heartbeat Beat = beatOf("h2", 10);
@@ -51,7 +52,7 @@
   EXPECT_EQ(Bench.last<DecodeConfiguration>().Document, "version 6");
 }
 
-TEST(PeerPropagation, APeerThatLagsGetsTheConfiguration) {
+TEST(PeerPropagation, SendsTheConfigurationToAPeerThatLags) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
@@ -64,7 +65,7 @@
   EXPECT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
 }
 
-TEST(PeerPropagation, ANewVersionIsToldToPeersAtOnce) {
+TEST(PeerPropagation, AnnouncesANewVersionToPeersAtOnce) {
   GatewayBench Bench;
   Bench.configure(5);
   Bench.receive("h2", beatOf("h2", 10));
@@ -76,12 +77,12 @@
   EXPECT_EQ(Bench.sent<Heartbeat>().back().InForce, 6U);
 }
 
-TEST(PeerPropagation, EnginesAreLearntFromAPeerThatIsFurther) {
+TEST(PeerPropagation, ReceivesEnginesFromAPeerThatIsAhead) {
   GatewayBench Bench;
   Bench.configure(1);
   Heartbeat Beat = beatOf("h2", 10);
   Beat.EnginesKnownTo = 9;
-  Beat.EnginesDigest = 1; // It knows an engine, this host none.
+  Beat.EnginesDigest = 1; // The peer knows an engine, this host none.
   Beat.StoreAge = Duration(0);
   Bench.receive("h2", Beat);
   Bench.advance(milliseconds(500));
@@ -98,34 +99,35 @@
   EXPECT_EQ(Bench.last<DispatchRelay>().Engine, UpstreamId("e1"));
 }
 
-TEST(PeerPropagation, AHostThatListedLateTellsPeersOfAllThatThereIs) {
+TEST(PeerPropagation, AHostThatListedLateSendsACompleteListing) {
   GatewayBench Bench;
   Bench.configure(1);
-  // Two engines, listed at offset 5: what went before that is not known here.
+  // Two engines, listed at offset 5. Changes before that offset are unknown
+  // here.
   Bench.registerEngines("desk", 2, 3);
   EnginesRead Listing;
   Listing.Complete = true;
   Listing.UpTo = 5;
-  for (int Each = 1; Each <= 2; ++Each) {
-    EngineChange Known;
-    Known.Engine.Id = UpstreamId("e" + std::to_string(Each));
-    Known.Engine.Service = ServiceId("desk");
-    Known.Offset = 2 + static_cast<LogOffset>(Each);
-    Listing.Changes.push_back(Known);
+  for (int Index = 1; Index <= 2; ++Index) {
+    EngineChange Listed;
+    Listed.Engine.Id = UpstreamId("e" + std::to_string(Index));
+    Listed.Engine.Service = ServiceId("desk");
+    Listed.Offset = 2 + static_cast<LogOffset>(Index);
+    Listing.Changes.push_back(Listed);
   }
   Bench.send(GatewayEvent(Listing));
   Bench.receive("h2", EnginesRequest{1});
   ASSERT_EQ(Bench.sent<EnginesRelayed>().size(), 1U);
   EXPECT_TRUE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 2U);
-  // Two are only renewed; the third is new, and all that there is to tell.
+  // Two engines are only renewed. The third is new and the only change to send.
   Bench.registerEngines("desk", 3, 6);
   Bench.receive("h2", EnginesRequest{5});
   EXPECT_FALSE(Bench.sent<EnginesRelayed>().back().Complete);
   EXPECT_EQ(Bench.sent<EnginesRelayed>().back().Changes.size(), 1U);
 }
 
-TEST(PeerPropagation, WhatACompleteTellingDoesNotNameIsGone) {
+TEST(PeerPropagation, EnginesMissingFromACompleteListingAreRemoved) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("desk", 1, 0);
@@ -137,7 +139,7 @@
   EXPECT_TRUE(Bench.all<DispatchRelay>().empty());
 }
 
-TEST(PeerPropagation, TheDirectoryNamesReadyHostsAndForgetsLeavingOnes) {
+TEST(PeerPropagation, ResolvesToReadyHostsAndOmitsLeavingOnes) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.receive("h2", beatOf("h2", 10));
@@ -155,13 +157,13 @@
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
-TEST(PeerPropagation, AHostWithoutAConfigurationIsNotNamed) {
+TEST(PeerPropagation, DoesNotResolveToAHostWithoutAConfiguration) {
   GatewayBench Bench;
   Bench.send(Event(ResolveRequest{ResolveRequestId(1), TeamId(), ZoneId("z")}));
   EXPECT_TRUE(Bench.resolved().empty());
 }
 
-TEST(PeerPropagation, ADrainingEngineGetsNothingNew) {
+TEST(PeerPropagation, ADrainingEngineReceivesNoNewRequests) {
   GatewayBench Bench;
   Bench.configure(1);
   Bench.registerEngines("desk", 2);
@@ -174,7 +176,7 @@
   Read.Changes.push_back(Change);
   Read.UpTo = 11;
   Bench.send(GatewayEvent(Read));
-  for (int Each = 0; Each < 20; ++Each) {
+  for (int Index = 0; Index < 20; ++Index) {
     Bench.arrive("/once/1");
     EXPECT_EQ(Bench.last<DispatchRelay>().Engine, UpstreamId("e2"));
   }
--- a/tests/auto/gateway/ShortPlacementTest.cpp
+++ b/tests/auto/gateway/ShortPlacementTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Short prompts gather, so that other engines stay clear.
+/// Tests that short prompts are gathered on few engines, so that other engines
+/// stay idle.
 #include "plugins/engineload/ShortPlacement.h"
 
 #include "kernel/PluginRegistry.h"
@@ -28,69 +29,69 @@
 const PromptWork Query{30, 5000, 5500, 120};
 
 TEST(PrefillCost, FollowsTheDeclaredParameters) {
-  EngineParameters Of;
-  Of.PrefillTokensPerMs = 154;
-  Of.MsPerMillionPairs = 0.162;
-  EXPECT_NEAR(prefillMs(Of, 5000), 32.5 + 2.0, 0.1);
-  EXPECT_NEAR(prefillMs(Of, 182'000), 1181.8 + 2683.1, 1.0);
+  EngineParameters Model;
+  Model.PrefillTokensPerMs = 154;
+  Model.MsPerMillionPairs = 0.162;
+  EXPECT_NEAR(prefillMs(Model, 5000), 32.5 + 2.0, 0.1);
+  EXPECT_NEAR(prefillMs(Model, 182'000), 1181.8 + 2683.1, 1.0);
 }
 
-TEST(PrefillCost, TheRoomInAPauseIsWhatAFullBatchLeaves) {
-  EngineParameters Of;
-  Of.Slots = 16;
-  Of.StepsPerPass = 46;
-  Of.StepMs = 0.925;
-  Of.StepMsPerDecode = 0.00483;
-  Of.StepMsPerKiloContext = 0.00254;
-  Of.MeanPromptTokens = 6000;
-  EXPECT_NEAR(prefillBudgetMs(Of, 200), 200 - 57.3, 0.1);
-  EXPECT_LT(prefillBudgetMs(Of, 50), 0);
+TEST(PrefillCost, ThePrefillBudgetIsWhatAFullBatchLeaves) {
+  EngineParameters Model;
+  Model.Slots = 16;
+  Model.StepsPerPass = 46;
+  Model.StepMs = 0.925;
+  Model.StepMsPerDecode = 0.00483;
+  Model.StepMsPerKiloContext = 0.00254;
+  Model.MeanPromptTokens = 6000;
+  EXPECT_NEAR(prefillBudgetMs(Model, 200), 200 - 57.3, 0.1);
+  EXPECT_LT(prefillBudgetMs(Model, 50), 0);
 }
 
-TEST(PrefillCost, APlaceInAFullBatchIsAwaited) {
-  EngineParameters Of;
-  Of.Slots = 16;
-  Of.StepsPerPass = 50;
-  Of.StepMs = 1;
-  Of.MeanAnswerTokens = 1600;
-  EXPECT_EQ(slotWaitMs(Of, 15), 0);
-  EXPECT_NEAR(slotWaitMs(Of, 16), 100, 0.1);
-  EXPECT_NEAR(slotWaitMs(Of, 17), 200, 0.1);
-  Of.MeanAnswerTokens = 0;
-  EXPECT_EQ(slotWaitMs(Of, 20), 0);
+TEST(PrefillCost, EstimatesTheWaitForASlotInAFullBatch) {
+  EngineParameters Model;
+  Model.Slots = 16;
+  Model.StepsPerPass = 50;
+  Model.StepMs = 1;
+  Model.MeanAnswerTokens = 1600;
+  EXPECT_EQ(slotWaitMs(Model, 15), 0);
+  EXPECT_NEAR(slotWaitMs(Model, 16), 100, 0.1);
+  EXPECT_NEAR(slotWaitMs(Model, 17), 200, 0.1);
+  Model.MeanAnswerTokens = 0;
+  EXPECT_EQ(slotWaitMs(Model, 20), 0);
 }
 
-TEST(ShortPlacement, PromptsGatherInFront) {
+TEST(ShortPlacement, PromptsGatherOnTheFrontEngines) {
   std::vector<EngineState> States = engines(10);
-  for (int Each = 0; Each < 30; ++Each) {
+  for (int Index = 0; Index < 30; ++Index) {
     const PromptPlacement Where =
         placeShort(States, 3, Slots, Query, weights());
-    ++States[Where.At].Running;
-    EXPECT_LT(Where.At, 3U);
+    ++States[Where.Chosen].Running;
+    EXPECT_LT(Where.Chosen, 3U);
   }
 }
 
-TEST(ShortPlacement, AFullEngineSendsThemFurtherBack) {
+TEST(ShortPlacement, AFullEngineIsPassedOver) {
   std::vector<EngineState> States = engines(3);
   for (std::size_t At = 0; At < 2; ++At)
     States[At].Running = Slots - 1;
-  EXPECT_EQ(placeShort(States, 2, Slots, Query, weights()).At, 2U);
+  EXPECT_EQ(placeShort(States, 2, Slots, Query, weights()).Chosen, 2U);
 }
 
-TEST(ShortPlacement, DoesNotWaitBehindALongPrompt) {
+TEST(ShortPlacement, AvoidsEnginesWithALongPrefill) {
   std::vector<EngineState> States = engines(3);
   States[0].BacklogMs = 2000;
-  EXPECT_NE(placeShort(States, 3, Slots, Query, weights()).At, 0U);
+  EXPECT_NE(placeShort(States, 3, Slots, Query, weights()).Chosen, 0U);
 }
 
-TEST(ShortPlacement, KeepsFromEnginesWhereAnswersWouldPauseTooLong) {
+TEST(ShortPlacement, AvoidsEnginesWhereGapsWouldExceedTheirBound) {
   std::vector<EngineState> States = engines(2);
   States[0].PassMs = 60;
   States[0].Answers = {{80, 1000}};
-  EXPECT_EQ(placeShort(States, 2, Slots, Query, weights()).At, 1U);
+  EXPECT_EQ(placeShort(States, 2, Slots, Query, weights()).Chosen, 1U);
 }
 
-TEST(ShortPlacement, TheFrontFollowsWhatRunsNow) {
+TEST(ShortPlacement, TheFrontGrowsWithRunningRequests) {
   EXPECT_EQ(frontEngines(14, 0, Slots, weights()), 1U);
   EXPECT_EQ(frontEngines(14, 11, Slots, weights()), 1U);
   EXPECT_EQ(frontEngines(14, 12, Slots, weights()), 2U);
