--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -54,7 +54,7 @@
       [](const auto &) {});
   for (auto &[Engine, Of] : this->Engines) {
     this->borrow(Engine, Of, Now, Out);
-    this->lend(Engine, Of, Now, Out);
+    this->allocate(Engine, Of, Now, Out);
     showHeld(Engine, Of, Now, Out);
   }
   this->send(Out);
@@ -63,9 +63,9 @@
 Time EngineLimitsPlugin::nextWake() const {
   Time Result = Never;
   for (const auto &[Id, Of] : this->Engines) {
-    Result = std::min({Result, Of.Held.nextLapse(), Of.NextAsk});
+    Result = std::min({Result, Of.Held.nextExpiry(), Of.NextAsk});
     if (Of.Lends)
-      Result = std::min(Result, Of.Lends->nextAt());
+      Result = std::min(Result, Of.Lends->nextAllocation());
   }
   return Result;
 }
@@ -94,9 +94,9 @@
 void EngineLimitsPlugin::hearUnreadable(const UpstreamId &Engine, Time Now,
                                         Actions &Out) {
   // The engine is in need all the same: what was believed stays.
-  const double PerSecond = this->isLimited(Engine)
-                               ? *this->Engines[Engine].Belief.word().PerSecond
-                               : CautiousLimit;
+  const double PerSecond =
+      this->isLimited(Engine) ? *this->Engines[Engine].Belief.newest().PerSecond
+                              : CautiousLimit;
   Out.count("engine_limits_unreadable", Engine.Value);
   this->believe(Engine, {PerSecond, Now}, this->Self, Now, Out);
   const auto Found = this->Engines.find(Engine);
@@ -110,13 +110,13 @@
 }
 
 void EngineLimitsPlugin::believe(const UpstreamId &Engine,
-                                 const LimitWord &Word, const HostId &From,
+                                 const LimitReport &Word, const HostId &From,
                                  Time Now, Actions &Out) {
   // An engine that is gone names nothing any more.
   if (!this->Directory->find(Engine))
     return;
   Limited &Of = this->Engines[Engine];
-  const std::optional<double> Before = Of.Belief.word().PerSecond;
+  const std::optional<double> Before = Of.Belief.newest().PerSecond;
   if (!Of.Belief.take(Word))
     return;
   if (!Word.PerSecond) {
@@ -153,7 +153,7 @@
 EngineLimits::LimitReport EngineLimitsPlugin::wordFor(const UpstreamId &Engine,
                                                       const Limited &Of,
                                                       Time Now) {
-  const LimitWord &Newest = Of.Belief.word();
+  const LimitReport &Newest = Of.Belief.newest();
   return {Engine, Newest.PerSecond, inMilliseconds(Now - Newest.At)};
 }
 
@@ -168,7 +168,7 @@
   for (const EngineLimits::Return &Each : Told.Returns) {
     const auto Found = this->Engines.find(Each.Engine);
     if (Found != this->Engines.end() && Found->second.Lends)
-      Found->second.Lends->giveBack(From, Each.Number, Each.Count, Now);
+      Found->second.Lends->returnUnused(From, Each.Number, Each.Count, Now);
   }
   for (const EngineLimits::LeaseRequest &Each : Told.LeaseRequests)
     this->takeAsk(From, Each, Now, Out);
@@ -186,8 +186,8 @@
     this->tell(Is.Engine, Of, {&From, 1}, Now);
     return;
   }
-  Of.Lends->ask(From, Is.Number, Is.Count, Now);
-  this->lend(Is.Engine, Of, Now, Out);
+  Of.Lends->request(From, Is.Number, Is.Count, Now);
+  this->allocate(Is.Engine, Of, Now, Out);
   if (const auto After = Of.Lends->waitOf(From, Now))
     this->Outbox[From].Leases.push_back(
         {Is.Engine, Is.Number, 0, inMilliseconds(*After)});
@@ -253,27 +253,28 @@
   if (Found == this->Engines.end())
     return;
   if (Found->second.Belief.isLimited())
-    Out.log(logEvent(events::EngineLimitChanged)
-                .with("engine", Id.Value)
-                .with("limit", -1)
-                .with("before", *Found->second.Belief.word().PerSecond)
-                .with("from", "registry")
-                .with("age_us", (Now - Found->second.Belief.word().At).count())
-                .with("lender", Found->second.Lender.Value)
-                .build());
+    Out.log(
+        logEvent(events::EngineLimitChanged)
+            .with("engine", Id.Value)
+            .with("limit", -1)
+            .with("before", *Found->second.Belief.newest().PerSecond)
+            .with("from", "registry")
+            .with("age_us", (Now - Found->second.Belief.newest().At).count())
+            .with("lender", Found->second.Lender.Value)
+            .build());
   this->Engines.erase(Found);
 }
 
 std::uint32_t EngineLimitsPlugin::mostHeld(const Limited &Of) {
-  const double Burst = *Of.Belief.word().PerSecond * inSeconds(BurstTime);
+  const double Burst = *Of.Belief.newest().PerSecond * inSeconds(BurstTime);
   return 1 + static_cast<std::uint32_t>(Burst);
 }
 
 void EngineLimitsPlugin::borrow(const UpstreamId &Engine, Limited &Of, Time Now,
                                 Actions &Out) {
-  for (const HeldRoom &Each : Of.Held.takeLapsed(Now)) {
+  for (const HeldLease &Each : Of.Held.takeExpired(Now)) {
     Out.count("engine_room_unused", Engine.Value);
-    this->giveBack(Engine, Of, Each, Now);
+    this->returnUnused(Engine, Of, Each, Now);
   }
   if (Now < Of.NextAsk)
     return;
@@ -293,10 +294,10 @@
                               static_cast<double>(Held)});
 }
 
-void EngineLimitsPlugin::giveBack(const UpstreamId &Engine, Limited &Of,
-                                  const HeldRoom &Unused, Time Now) {
+void EngineLimitsPlugin::returnUnused(const UpstreamId &Engine, Limited &Of,
+                                      const HeldLease &Unused, Time Now) {
   if (Of.Lends)
-    Of.Lends->giveBack(this->Self, Unused.Number, Unused.Count, Now);
+    Of.Lends->returnUnused(this->Self, Unused.Number, Unused.Count, Now);
   else
     this->Outbox[Of.Lender].Returns.push_back(
         {Engine, Unused.Number, Unused.Count});
@@ -313,8 +314,8 @@
     To.LeaseRequests.push_back({Engine, Of.Number, mostHeld(Of)});
     return;
   }
-  Of.Lends->ask(this->Self, Of.Number, mostHeld(Of), Now);
-  this->lend(Engine, Of, Now, Out);
+  Of.Lends->request(this->Self, Of.Number, mostHeld(Of), Now);
+  this->allocate(Engine, Of, Now, Out);
   if (const auto After = Of.Lends->waitOf(this->Self, Now))
     Of.RoomAt = Now + *After;
 }
@@ -340,7 +341,7 @@
   Of.Number = 0;
   Of.NextAsk = Never;
   Of.RoomAt = Never;
-  Of.Held.add({Is.Number, Is.Count, Of.AskedAt + AskLapses + RoomKept});
+  Of.Held.add({Is.Number, Is.Count, Of.AskedAt + RequestTtl + RoomKept});
 }
 
 // --- lending
@@ -394,20 +395,20 @@
   // Others may take an earlier host for the lender until they know of this one;
   // two that lend at once would lend too much.
   const Time From = std::max(Now, this->HostsSince + this->Settle);
-  Of.Lends.emplace(*Of.Belief.word().PerSecond, From);
+  Of.Lends.emplace(*Of.Belief.newest().PerSecond, From);
   Out.log(logEvent(events::EngineQuotaLeased)
               .with("engine", Engine.Value)
-              .with("limit", *Of.Belief.word().PerSecond)
+              .with("limit", *Of.Belief.newest().PerSecond)
               .with("after_us", (From - Now).count())
               .with("active", this->Hosts.size())
               .build());
 }
 
-void EngineLimitsPlugin::lend(const UpstreamId &Engine, Limited &Of, Time Now,
-                              Actions &Out) {
+void EngineLimitsPlugin::allocate(const UpstreamId &Engine, Limited &Of,
+                                  Time Now, Actions &Out) {
   if (!Of.Lends)
     return;
-  for (const RoomLoan &Each : Of.Lends->lend(Now)) {
+  for (const QuotaLease &Each : Of.Lends->allocate(Now)) {
     Out.count("engine_room_lent", Engine.Value);
     const EngineLimits::Lease Lease{Engine, Each.Number, Each.Count, 0};
     if (Each.To == this->Self)
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -4,9 +4,9 @@
 
 #include "kernel/GatewayServices.h"
 #include "kernel/Plugin.h"
-#include "plugins/enginelimits/LimitBelief.h"
-#include "plugins/enginelimits/RoomHeld.h"
-#include "plugins/enginelimits/RoomLender.h"
+#include "plugins/enginelimits/HeldQuota.h"
+#include "plugins/enginelimits/LimitState.h"
+#include "plugins/enginelimits/QuotaAllocator.h"
 
 #include <map>
 #include <optional>
@@ -41,9 +41,9 @@
 private:
   /// What is known of one engine that names a limit, or did.
   struct Limited {
-    LimitBelief Belief;
+    LimitState Belief;
     HostId Lender;
-    RoomHeld Held;
+    HeldQuota Held;
     std::uint32_t HeldShown = 0; ///< By the gauge.
     Time WantedAt{};             ///< A request would have gone there.
     Time NextAsk = Never;        ///< For room.
@@ -52,12 +52,12 @@
     Time RoomAt = Never;       ///< As the lender said: there may be room then.
     bool IsUnreadable = false; ///< Its last answer named no limit that can be
                                ///< read.
-    std::optional<RoomLender> Lends; ///< While this host is the lender.
+    std::optional<QuotaAllocator> Lends; ///< While this host is the lender.
   };
   void hear(const EngineSignalsReceived &Is, Time Now, Actions &Out);
   /// Takes in a word; tells the others when it changes what is believed here
   /// and comes of an own answer (\p From is this host then).
-  void believe(const UpstreamId &Engine, const LimitWord &Word,
+  void believe(const UpstreamId &Engine, const LimitReport &Word,
                const HostId &From, Time Now, Actions &Out);
   void takePeer(const HostId &From, const EngineLimits &Told, Time Now,
                 Actions &Out);
@@ -72,11 +72,11 @@
   HostId lenderOf(const UpstreamId &Engine) const;
   /// Asks for room where it is wanted, and gives back what was not used.
   void borrow(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
-  void giveBack(const UpstreamId &Engine, Limited &Of, const HeldRoom &Unused,
-                Time Now);
+  void returnUnused(const UpstreamId &Engine, Limited &Of,
+                    const HeldLease &Unused, Time Now);
   void ask(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
   /// Lends what there is to those that wait.
-  void lend(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
+  void allocate(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
   static void showHeld(const UpstreamId &Engine, Limited &Of, Time Now,
                        Actions &Out);
   void countUse(const UpstreamId &Engine, Time Now, Actions &Out);
--- a/src/plugins/enginelimits/LimitBelief.cpp
+++ b/src/plugins/enginelimits/LimitState.cpp
@@ -1,4 +1,4 @@
-#include "plugins/enginelimits/LimitBelief.h"
+#include "plugins/enginelimits/LimitState.h"
 
 #include <cmath>
 #include <limits>
@@ -7,13 +7,13 @@
 
 namespace {
 
-double rateOf(const LimitWord &Word) {
+double rateOf(const LimitReport &Word) {
   return Word.PerSecond.value_or(std::numeric_limits<double>::infinity());
 }
 
 } // namespace
 
-bool LimitBelief::take(const LimitWord &Word) {
+bool LimitState::take(const LimitReport &Word) {
   const bool Newer = Word.At > this->Newest.At;
   const bool Stricter =
       Word.At == this->Newest.At && rateOf(Word) < rateOf(this->Newest);
--- a/src/plugins/enginelimits/LimitBelief.h
+++ b/src/plugins/enginelimits/LimitState.h
@@ -9,7 +9,7 @@
 namespace banyanpick {
 
 /// What was said of an engine's limit, and how new that is.
-struct LimitWord {
+struct LimitReport {
   std::optional<double> PerSecond; ///< None: it names no limit.
   /// A limit counts from when its answer was read, its end from when the
   /// request was sent whose answer named none: of two hosts' words the newer
@@ -19,16 +19,16 @@
 
 /// Holds the newest word. Hosts that hear the same words in any order end up
 /// with the same one; of two of the same moment, the lower limit.
-class LimitBelief {
+class LimitState {
 public:
   /// Whether it changed what is believed.
-  bool take(const LimitWord &Word);
+  bool take(const LimitReport &Word);
 
   bool isLimited() const { return this->Newest.PerSecond.has_value(); }
-  const LimitWord &word() const { return this->Newest; }
+  const LimitReport &newest() const { return this->Newest; }
 
 private:
-  LimitWord Newest;
+  LimitReport Newest;
 };
 
 } // namespace banyanpick
--- a/src/plugins/enginelimits/RoomLender.cpp
+++ b/src/plugins/enginelimits/QuotaAllocator.cpp
@@ -1,4 +1,4 @@
-#include "plugins/enginelimits/RoomLender.h"
+#include "plugins/enginelimits/QuotaAllocator.h"
 
 #include <algorithm>
 
@@ -11,14 +11,14 @@
 
 } // namespace
 
-RoomLender::RoomLender(double PerSecondGiven, Time From)
-    : PerSecond(std::max(PerSecondGiven, LeastRate)), CountedTo(From) {}
+QuotaAllocator::QuotaAllocator(double PerSecondGiven, Time From)
+    : PerSecond(std::max(PerSecondGiven, MinRate)), CountedTo(From) {}
 
-double RoomLender::burst() const {
-  return std::max(LeastBurst, this->PerSecond * inSeconds(BurstTime));
+double QuotaAllocator::burst() const {
+  return std::max(MinBurst, this->PerSecond * inSeconds(BurstTime));
 }
 
-void RoomLender::accrue(Time Now) {
+void QuotaAllocator::accrue(Time Now) {
   if (Now <= this->CountedTo)
     return;
   this->Room =
@@ -27,14 +27,14 @@
   this->CountedTo = Now;
 }
 
-void RoomLender::setRate(double PerSecondGiven, Time Now) {
+void QuotaAllocator::setRate(double PerSecondGiven, Time Now) {
   this->accrue(Now);
-  this->PerSecond = std::max(PerSecondGiven, LeastRate);
+  this->PerSecond = std::max(PerSecondGiven, MinRate);
   this->Room = std::min(this->Room, this->burst());
 }
 
-void RoomLender::ask(const HostId &From, std::uint64_t Number,
-                     std::uint32_t Count, Time Now) {
+void QuotaAllocator::request(const HostId &From, std::uint64_t Number,
+                             std::uint32_t Count, Time Now) {
   const auto Found = std::ranges::find(this->Waiting, From, &Asker::Host);
   if (Found != this->Waiting.end())
     *Found = {From, Number, Count, Now};
@@ -42,8 +42,8 @@
     this->Waiting.push_back({From, Number, Count, Now});
 }
 
-void RoomLender::giveBack(const HostId &From, std::uint64_t Number,
-                          std::uint32_t Count, Time Now) {
+void QuotaAllocator::returnUnused(const HostId &From, std::uint64_t Number,
+                                  std::uint32_t Count, Time Now) {
   const auto Found =
       std::ranges::find_if(this->Lent, [&](const Outstanding &Each) {
         return Each.Of.To == From && Each.Of.Number == Number;
@@ -56,15 +56,15 @@
   this->Lent.erase(Found);
 }
 
-std::vector<RoomLoan> RoomLender::lend(Time Now) {
+std::vector<QuotaLease> QuotaAllocator::allocate(Time Now) {
   this->accrue(Now);
   std::erase_if(this->Waiting, [&](const Asker &Each) {
-    return Now > Each.LastAt + AskLapses;
+    return Now > Each.LastAt + RequestTtl;
   });
   std::erase_if(this->Lent, [&](const Outstanding &Each) {
     return Now > Each.At + ReturnedWithin;
   });
-  std::vector<RoomLoan> Result;
+  std::vector<QuotaLease> Result;
   while (Now >= this->CountedTo && !this->Waiting.empty() && this->Room >= 1) {
     const Asker First = this->Waiting.front();
     this->Waiting.pop_front();
@@ -77,11 +77,12 @@
   return Result;
 }
 
-Duration RoomLender::until(double RoomWanted) const {
+Duration QuotaAllocator::until(double RoomWanted) const {
   return fromSeconds(std::max(0.0, RoomWanted - this->Room) / this->PerSecond);
 }
 
-std::optional<Duration> RoomLender::waitOf(const HostId &Host, Time Now) const {
+std::optional<Duration> QuotaAllocator::waitOf(const HostId &Host,
+                                               Time Now) const {
   const auto Found = std::ranges::find(this->Waiting, Host, &Asker::Host);
   if (Found == this->Waiting.end())
     return std::nullopt;
@@ -90,7 +91,7 @@
   return std::max(Duration(0), At - Now);
 }
 
-Time RoomLender::nextAt() const {
+Time QuotaAllocator::nextAllocation() const {
   if (this->Waiting.empty())
     return Never;
   // A moment more, so that rounding does not wake it too early.
--- a/src/plugins/enginelimits/RoomLender.h
+++ b/src/plugins/enginelimits/QuotaAllocator.h
@@ -17,7 +17,7 @@
 namespace banyanpick {
 
 /// Room for requests, told to the host that asked.
-struct RoomLoan {
+struct QuotaLease {
   HostId To;
   std::uint64_t Number = 0; ///< Of the ask that it answers.
   std::uint32_t Count = 0;  ///< Requests that may be sent.
@@ -27,26 +27,26 @@
 /// than the bucket had, so hosts that die, freeze or are cut off with room of
 /// theirs lose it, and the engine never gets more. Room that comes back unused
 /// is lent again.
-class RoomLender {
+class QuotaAllocator {
 public:
   /// Nothing is lent before \p From.
-  RoomLender(double PerSecond, Time From);
+  QuotaAllocator(double PerSecond, Time From);
 
   void setRate(double PerSecond, Time Now);
   /// The host wants room for so many requests; a newer ask replaces an older
   /// one and keeps its place.
-  void ask(const HostId &From, std::uint64_t Number, std::uint32_t Count,
-           Time Now);
+  void request(const HostId &From, std::uint64_t Number, std::uint32_t Count,
+               Time Now);
   /// Room of that loan was not used. Once for each loan.
-  void giveBack(const HostId &From, std::uint64_t Number, std::uint32_t Count,
-                Time Now);
+  void returnUnused(const HostId &From, std::uint64_t Number,
+                    std::uint32_t Count, Time Now);
   /// What can be lent now, to those first who have waited longest.
-  std::vector<RoomLoan> lend(Time Now);
+  std::vector<QuotaLease> allocate(Time Now);
 
   /// Until there may be room for the host; nothing when it does not wait.
   std::optional<Duration> waitOf(const HostId &Host, Time Now) const;
   /// When the first of those that wait may get room; Never when nobody waits.
-  Time nextAt() const;
+  Time nextAllocation() const;
 
 private:
   struct Asker {
@@ -58,7 +58,7 @@
 
   /// Room that a host may still give back.
   struct Outstanding {
-    RoomLoan Of;
+    QuotaLease Of;
     Time At{};
   };
 
@@ -75,16 +75,16 @@
 };
 
 /// So much of an engine's limit may be sent at once: what it allows in this
-/// time, or LeastBurst.
+/// time, or MinBurst.
 inline constexpr milliseconds BurstTime(100);
-inline constexpr double LeastBurst = 2;
+inline constexpr double MinBurst = 2;
 
 /// An engine that takes next to nothing still gets a request now and then, as
 /// only an answer shows that its limit has ended.
-inline constexpr double LeastRate = 0.25;
+inline constexpr double MinRate = 0.25;
 
 /// A host that still wants room repeats its ask in less time; what is older is
 /// not answered any more, so that room never waits for a host that is gone.
-inline constexpr milliseconds AskLapses(500);
+inline constexpr milliseconds RequestTtl(500);
 
 } // namespace banyanpick
