--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-/// Room lent is used within so long, or given back: longer than the pause
-/// between two requests of a busy host, and short against the time in which an
-/// engine's requests are counted.
-constexpr milliseconds RoomKept(400);
+/// Lifetime of a lease; unused quota is returned afterwards. The time is longer
+/// than the gap between two requests of a busy host, and short against the time
+/// over which an engine counts its requests.
+constexpr milliseconds LeaseTtl(400);
 
-/// An ask without an answer is repeated after so long, before it lapses.
-constexpr milliseconds AskAgain(400);
+/// Interval after which an unanswered request is repeated, before it expires.
+constexpr milliseconds RequestRetry(400);
 
-/// Room is asked for while a request would have gone there so lately.
+/// Quota is requested while a request for the engine was this recent.
 constexpr milliseconds WantedFor(600);
 
-/// A limit that can't be read is taken for this one, when none is believed.
+/// Limit in requests a second that is assumed when a limit cannot be parsed and
+/// none was known before.
 constexpr double CautiousLimit = 1;
 
 } // namespace
@@ -39,66 +40,67 @@
   Context.services().list<EngineObserver>().add(*this);
 }
 
-void EngineLimitsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  this->reviewLenders(Now, Out);
+void EngineLimitsPlugin::handle(const Event &Received, Time Now, Actions &Out) {
+  this->reviewAllocators(Now, Out);
   match(
-      What,
-      [&](const PeerMessageReceived &Is) {
-        if (const auto *Told = std::get_if<EngineLimits>(&Is.Message.Body))
-          this->takePeer(Is.Message.From, *Told, Now, Out);
+      Received,
+      [&](const PeerMessageReceived &Incoming) {
+        if (const auto *Message =
+                std::get_if<EngineLimits>(&Incoming.Message.Body))
+          this->takePeer(Incoming.Message.From, *Message, Now, Out);
       },
-      [&](const GatewayEvent &Is) {
-        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Is))
-          this->hear(*Heard, Now, Out);
+      [&](const GatewayEvent &Change) {
+        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Change))
+          this->takeSignal(*Heard, Now, Out);
       },
       [](const auto &) {});
-  for (auto &[Engine, Of] : this->Engines) {
-    this->borrow(Engine, Of, Now, Out);
-    this->allocate(Engine, Of, Now, Out);
-    showHeld(Engine, Of, Now, Out);
+  for (auto &[Engine, Entry] : this->Engines) {
+    this->renewQuota(Engine, Entry, Now, Out);
+    this->allocate(Engine, Entry, Now, Out);
+    showHeld(Engine, Entry, Now, Out);
   }
   this->send(Out);
 }
 
 Time EngineLimitsPlugin::nextWake() const {
   Time Result = Never;
-  for (const auto &[Id, Of] : this->Engines) {
-    Result = std::min({Result, Of.Held.nextExpiry(), Of.NextAsk});
-    if (Of.Lends)
-      Result = std::min(Result, Of.Lends->nextAllocation());
+  for (const auto &[Id, Entry] : this->Engines) {
+    Result = std::min({Result, Entry.Held.nextExpiry(), Entry.NextRequest});
+    if (Entry.OwnAllocator)
+      Result = std::min(Result, Entry.OwnAllocator->nextAllocation());
   }
   return Result;
 }
 
-// --- what engines say
+// --- limits named by engines
 
-void EngineLimitsPlugin::hear(const EngineSignalsReceived &Is, Time Now,
-                              Actions &Out) {
-  const UpstreamId &Engine = Is.Engine;
+void EngineLimitsPlugin::takeSignal(const EngineSignalsReceived &Answer,
+                                    Time Now, Actions &Out) {
+  const UpstreamId &Engine = Answer.Engine;
   match(
-      Is.Signals.Limit, [](const LimitUnknown &) {},
+      Answer.Signals.Limit, [](const LimitUnknown &) {},
       [&](const LimitNone &) {
         if (this->Engines.contains(Engine))
-          this->believe(Engine, {std::nullopt, Is.SentAt}, this->Self, Now,
-                        Out);
+          this->updateLimit(Engine, {std::nullopt, Answer.SentAt}, this->Self,
+                            Now, Out);
       },
-      [&](const LimitDeclared &Each) {
-        this->believe(Engine, {Each.PerSecond, Now}, this->Self, Now, Out);
+      [&](const LimitDeclared &Limit) {
+        this->updateLimit(Engine, {Limit.PerSecond, Now}, this->Self, Now, Out);
         const auto Known = this->Engines.find(Engine);
         if (Known != this->Engines.end())
           Known->second.IsUnreadable = false;
       },
-      [&](const LimitUnreadable &) { this->hearUnreadable(Engine, Now, Out); });
+      [&](const LimitUnreadable &) { this->takeUnreadable(Engine, Now, Out); });
 }
 
-void EngineLimitsPlugin::hearUnreadable(const UpstreamId &Engine, Time Now,
+void EngineLimitsPlugin::takeUnreadable(const UpstreamId &Engine, Time Now,
                                         Actions &Out) {
-  // The engine is in need all the same: what was believed stays.
-  const double PerSecond =
-      this->isLimited(Engine) ? *this->Engines[Engine].Belief.newest().PerSecond
-                              : CautiousLimit;
+  // The engine is still limited, so the known limit stays.
+  const double PerSecond = this->isLimited(Engine)
+                               ? *this->Engines[Engine].State.newest().PerSecond
+                               : CautiousLimit;
   Out.count("engine_limits_unreadable", Engine.Value);
-  this->believe(Engine, {PerSecond, Now}, this->Self, Now, Out);
+  this->updateLimit(Engine, {PerSecond, Now}, this->Self, Now, Out);
   const auto Found = this->Engines.find(Engine);
   if (Found == this->Engines.end() ||
       std::exchange(Found->second.IsUnreadable, true))
@@ -109,100 +111,105 @@
               .build());
 }
 
-void EngineLimitsPlugin::believe(const UpstreamId &Engine,
-                                 const LimitReport &Word, const HostId &From,
-                                 Time Now, Actions &Out) {
-  // An engine that is gone names nothing any more.
+void EngineLimitsPlugin::updateLimit(const UpstreamId &Engine,
+                                     const LimitReport &Report,
+                                     const HostId &From, Time Now,
+                                     Actions &Out) {
+  // Removed engines have no limit.
   if (!this->Directory->find(Engine))
     return;
-  Limited &Of = this->Engines[Engine];
-  const std::optional<double> Before = Of.Belief.newest().PerSecond;
-  if (!Of.Belief.take(Word))
+  LimitedEngine &Entry = this->Engines[Engine];
+  const std::optional<double> Before = Entry.State.newest().PerSecond;
+  if (!Entry.State.take(Report))
     return;
-  if (!Word.PerSecond) {
-    Of.Held.clear();
-    Of.Lends.reset();
-    Of.NextAsk = Never;
-  } else if (Of.Lends) {
-    Of.Lends->setRate(*Word.PerSecond, Now);
+  if (!Report.PerSecond) {
+    Entry.Held.clear();
+    Entry.OwnAllocator.reset();
+    Entry.NextRequest = Never;
+  } else if (Entry.OwnAllocator) {
+    Entry.OwnAllocator->setRate(*Report.PerSecond, Now);
   } else {
-    this->setLender(Engine, Of, Now, Out);
+    this->setAllocator(Engine, Entry, Now, Out);
   }
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Gauge,
                             "engine_limit_per_second", Engine.Value,
-                            Word.PerSecond.value_or(-1)});
+                            Report.PerSecond.value_or(-1)});
   Out.log(logEvent(events::EngineLimitChanged)
               .with("engine", Engine.Value)
-              .with("limit", Word.PerSecond.value_or(-1))
+              .with("limit", Report.PerSecond.value_or(-1))
               .with("before", Before.value_or(-1))
               .with("from", From.Value)
-              .with("age_us", (Now - Word.At).count())
-              .with("lender", Of.Lender.Value)
+              .with("age_us", (Now - Report.At).count())
+              .with("lender", Entry.Allocator.Value)
               .build());
   if (From == this->Self)
-    this->tell(Engine, Of, this->Active->activeHosts(), Now);
+    this->sendReport(Engine, Entry, this->Active->activeHosts(), Now);
 }
 
-void EngineLimitsPlugin::tell(const UpstreamId &Engine, const Limited &Of,
-                              std::span<const HostId> Hosts, Time Now) {
-  for (const HostId &Each : Hosts)
-    if (Each != this->Self)
-      this->Outbox[Each].LimitReports.push_back(wordFor(Engine, Of, Now));
+void EngineLimitsPlugin::sendReport(const UpstreamId &Engine,
+                                    const LimitedEngine &Entry,
+                                    std::span<const HostId> Hosts, Time Now) {
+  for (const HostId &Host : Hosts)
+    if (Host != this->Self)
+      this->Outbox[Host].LimitReports.push_back(reportFor(Engine, Entry, Now));
 }
 
-EngineLimits::LimitReport EngineLimitsPlugin::wordFor(const UpstreamId &Engine,
-                                                      const Limited &Of,
-                                                      Time Now) {
-  const LimitReport &Newest = Of.Belief.newest();
-  return {Engine, Newest.PerSecond, inMilliseconds(Now - Newest.At)};
+EngineLimits::LimitReport
+EngineLimitsPlugin::reportFor(const UpstreamId &Engine,
+                              const LimitedEngine &Entry, Time Now) {
+  const LimitReport &Report = Entry.State.newest();
+  return {Engine, Report.PerSecond, inMilliseconds(Now - Report.At)};
 }
 
-void EngineLimitsPlugin::takePeer(const HostId &From, const EngineLimits &Told,
-                                  Time Now, Actions &Out) {
-  for (const EngineLimits::LimitReport &Each : Told.LimitReports)
-    this->believe(Each.Engine,
-                  {Each.PerSecond, Now - fromMilliseconds(Each.AgeMs)}, From,
-                  Now, Out);
-  for (const EngineLimits::Lease &Each : Told.Leases)
-    this->takeLoan(From, Each, Now);
-  for (const EngineLimits::Return &Each : Told.Returns) {
-    const auto Found = this->Engines.find(Each.Engine);
-    if (Found != this->Engines.end() && Found->second.Lends)
-      Found->second.Lends->returnUnused(From, Each.Number, Each.Count, Now);
+void EngineLimitsPlugin::takePeer(const HostId &From,
+                                  const EngineLimits &Message, Time Now,
+                                  Actions &Out) {
+  for (const EngineLimits::LimitReport &Report : Message.LimitReports)
+    this->updateLimit(Report.Engine,
+                      {Report.PerSecond, Now - fromMilliseconds(Report.AgeMs)},
+                      From, Now, Out);
+  for (const EngineLimits::Lease &Lease : Message.Leases)
+    this->takeLease(From, Lease, Now);
+  for (const EngineLimits::Return &Returned : Message.Returns) {
+    const auto Found = this->Engines.find(Returned.Engine);
+    if (Found != this->Engines.end() && Found->second.OwnAllocator)
+      Found->second.OwnAllocator->returnUnused(From, Returned.Number,
+                                               Returned.Count, Now);
   }
-  for (const EngineLimits::LeaseRequest &Each : Told.LeaseRequests)
-    this->takeAsk(From, Each, Now, Out);
+  for (const EngineLimits::LeaseRequest &Request : Message.LeaseRequests)
+    this->takeRequest(From, Request, Now, Out);
 }
 
-void EngineLimitsPlugin::takeAsk(const HostId &From,
-                                 const EngineLimits::LeaseRequest &Is, Time Now,
-                                 Actions &Out) {
-  const auto Found = this->Engines.find(Is.Engine);
+void EngineLimitsPlugin::takeRequest(const HostId &From,
+                                     const EngineLimits::LeaseRequest &Request,
+                                     Time Now, Actions &Out) {
+  const auto Found = this->Engines.find(Request.Engine);
   if (Found == this->Engines.end())
     return;
-  Limited &Of = Found->second;
-  if (!Of.Lends) {
-    // It may have missed that the limit has ended, and would ask in vain.
-    this->tell(Is.Engine, Of, {&From, 1}, Now);
+  LimitedEngine &Entry = Found->second;
+  if (!Entry.OwnAllocator) {
+    // The host may have missed the end of the limit, and would repeat its
+    // request without effect.
+    this->sendReport(Request.Engine, Entry, {&From, 1}, Now);
     return;
   }
-  Of.Lends->request(From, Is.Number, Is.Count, Now);
-  this->allocate(Is.Engine, Of, Now, Out);
-  if (const auto After = Of.Lends->waitOf(From, Now))
+  Entry.OwnAllocator->request(From, Request.Number, Request.Count, Now);
+  this->allocate(Request.Engine, Entry, Now, Out);
+  if (const auto After = Entry.OwnAllocator->waitOf(From, Now))
     this->Outbox[From].Leases.push_back(
-        {Is.Engine, Is.Number, 0, inMilliseconds(*After)});
+        {Request.Engine, Request.Number, 0, inMilliseconds(*After)});
 }
 
-// --- room for this host's requests
+// --- quota for this host's requests
 
 bool EngineLimitsPlugin::isLimited(const UpstreamId &Engine) const {
   const auto Found = this->Engines.find(Engine);
-  return Found != this->Engines.end() && Found->second.Belief.isLimited();
+  return Found != this->Engines.end() && Found->second.State.isLimited();
 }
 
 bool EngineLimitsPlugin::hasQuota(const UpstreamId &Engine, Time Now) const {
   const auto Found = this->Engines.find(Engine);
-  return Found == this->Engines.end() || !Found->second.Belief.isLimited() ||
+  return Found == this->Engines.end() || !Found->second.State.isLimited() ||
          Found->second.Held.count(Now) > 0;
 }
 
@@ -211,39 +218,39 @@
   if (Found == this->Engines.end())
     return;
   Found->second.WantedAt = Now;
-  if (Found->second.NextAsk == Never)
-    Found->second.NextAsk = Now;
+  if (Found->second.NextRequest == Never)
+    Found->second.NextRequest = Now;
 }
 
 std::optional<Duration>
 EngineLimitsPlugin::quotaAvailableAfter(const UpstreamId &Engine,
                                         Time Now) const {
   const auto Found = this->Engines.find(Engine);
-  if (Found == this->Engines.end() || Found->second.RoomAt == Never)
+  if (Found == this->Engines.end() || Found->second.QuotaAt == Never)
     return std::nullopt;
-  return std::max(Duration(0), Found->second.RoomAt - Now);
+  return std::max(Duration(0), Found->second.QuotaAt - Now);
 }
 
-void EngineLimitsPlugin::attemptSent(const RelayAttempt &Each, Time Now,
+void EngineLimitsPlugin::attemptSent(const RelayAttempt &Attempt, Time Now,
                                      Actions &Out) {
   if (this->Engines.empty())
     return;
-  this->countUse(Each.Engine, Now, Out);
-  // A helper reads a part of the prompt, which is a request to it, too.
-  for (const HelperEngine &Helper : Each.Helpers)
-    if (Helper.Engine != Each.Engine)
+  this->countUse(Attempt.Engine, Now, Out);
+  // A helper prefills a part of the prompt, which is also a request to it.
+  for (const HelperEngine &Helper : Attempt.Helpers)
+    if (Helper.Engine != Attempt.Engine)
       this->countUse(Helper.Engine, Now, Out);
 }
 
 void EngineLimitsPlugin::countUse(const UpstreamId &Engine, Time Now,
                                   Actions &Out) {
   const auto Found = this->Engines.find(Engine);
-  if (Found == this->Engines.end() || !Found->second.Belief.isLimited())
+  if (Found == this->Engines.end() || !Found->second.State.isLimited())
     return;
   Out.count(Found->second.Held.use(Now) ? "engine_room_used"
                                         : "engine_room_exceeded",
             Engine.Value);
-  // Whoever has used room is likely to want more.
+  // A host that has used quota probably needs more.
   this->requestQuota(Engine, Now);
 }
 
@@ -252,114 +259,121 @@
   const auto Found = this->Engines.find(Id);
   if (Found == this->Engines.end())
     return;
-  if (Found->second.Belief.isLimited())
-    Out.log(
-        logEvent(events::EngineLimitChanged)
-            .with("engine", Id.Value)
-            .with("limit", -1)
-            .with("before", *Found->second.Belief.newest().PerSecond)
-            .with("from", "registry")
-            .with("age_us", (Now - Found->second.Belief.newest().At).count())
-            .with("lender", Found->second.Lender.Value)
-            .build());
+  if (Found->second.State.isLimited())
+    Out.log(logEvent(events::EngineLimitChanged)
+                .with("engine", Id.Value)
+                .with("limit", -1)
+                .with("before", *Found->second.State.newest().PerSecond)
+                .with("from", "registry")
+                .with("age_us", (Now - Found->second.State.newest().At).count())
+                .with("lender", Found->second.Allocator.Value)
+                .build());
   this->Engines.erase(Found);
 }
 
-std::uint32_t EngineLimitsPlugin::mostHeld(const Limited &Of) {
-  const double Burst = *Of.Belief.newest().PerSecond * inSeconds(BurstTime);
+std::uint32_t EngineLimitsPlugin::maxHeld(const LimitedEngine &Entry) {
+  const double Burst = *Entry.State.newest().PerSecond * inSeconds(BurstTime);
   return 1 + static_cast<std::uint32_t>(Burst);
 }
 
-void EngineLimitsPlugin::borrow(const UpstreamId &Engine, Limited &Of, Time Now,
-                                Actions &Out) {
-  for (const HeldLease &Each : Of.Held.takeExpired(Now)) {
+void EngineLimitsPlugin::renewQuota(const UpstreamId &Engine,
+                                    LimitedEngine &Entry, Time Now,
+                                    Actions &Out) {
+  for (const HeldLease &Lease : Entry.Held.takeExpired(Now)) {
     Out.count("engine_room_unused", Engine.Value);
-    this->returnUnused(Engine, Of, Each, Now);
+    this->returnUnused(Engine, Entry, Lease, Now);
   }
-  if (Now < Of.NextAsk)
+  if (Now < Entry.NextRequest)
     return;
-  Of.NextAsk = Never;
-  Of.Number = 0;
-  const bool IsWanted = Of.Belief.isLimited() && Now <= Of.WantedAt + WantedFor;
-  if (IsWanted && Of.Held.count(Now) == 0)
-    this->ask(Engine, Of, Now, Out);
+  Entry.NextRequest = Never;
+  Entry.Number = 0;
+  const bool IsWanted =
+      Entry.State.isLimited() && Now <= Entry.WantedAt + WantedFor;
+  if (IsWanted && Entry.Held.count(Now) == 0)
+    this->requestQuota(Engine, Entry, Now, Out);
 }
 
-void EngineLimitsPlugin::showHeld(const UpstreamId &Engine, Limited &Of,
-                                  Time Now, Actions &Out) {
-  const std::uint32_t Held = Of.Held.count(Now);
-  if (std::exchange(Of.HeldShown, Held) != Held)
+void EngineLimitsPlugin::showHeld(const UpstreamId &Engine,
+                                  LimitedEngine &Entry, Time Now,
+                                  Actions &Out) {
+  const std::uint32_t Held = Entry.Held.count(Now);
+  if (std::exchange(Entry.HeldShown, Held) != Held)
     Out.add(RecordMeasurement{RecordMeasurement::Kind::Gauge,
                               "engine_room_held", Engine.Value,
                               static_cast<double>(Held)});
 }
 
-void EngineLimitsPlugin::returnUnused(const UpstreamId &Engine, Limited &Of,
+void EngineLimitsPlugin::returnUnused(const UpstreamId &Engine,
+                                      LimitedEngine &Entry,
                                       const HeldLease &Unused, Time Now) {
-  if (Of.Lends)
-    Of.Lends->returnUnused(this->Self, Unused.Number, Unused.Count, Now);
+  if (Entry.OwnAllocator)
+    Entry.OwnAllocator->returnUnused(this->Self, Unused.Number, Unused.Count,
+                                     Now);
   else
-    this->Outbox[Of.Lender].Returns.push_back(
+    this->Outbox[Entry.Allocator].Returns.push_back(
         {Engine, Unused.Number, Unused.Count});
 }
 
-void EngineLimitsPlugin::ask(const UpstreamId &Engine, Limited &Of, Time Now,
-                             Actions &Out) {
-  Of.AskedAt = Now;
-  Of.NextAsk = Now + AskAgain;
-  Of.Number = ++this->Asks;
-  if (!Of.Lends) {
-    EngineLimits &To = this->Outbox[Of.Lender];
-    To.LimitReports.push_back(wordFor(Engine, Of, Now));
-    To.LeaseRequests.push_back({Engine, Of.Number, mostHeld(Of)});
+void EngineLimitsPlugin::requestQuota(const UpstreamId &Engine,
+                                      LimitedEngine &Entry, Time Now,
+                                      Actions &Out) {
+  Entry.RequestedAt = Now;
+  Entry.NextRequest = Now + RequestRetry;
+  Entry.Number = ++this->Requests;
+  if (!Entry.OwnAllocator) {
+    EngineLimits &Message = this->Outbox[Entry.Allocator];
+    Message.LimitReports.push_back(reportFor(Engine, Entry, Now));
+    Message.LeaseRequests.push_back({Engine, Entry.Number, maxHeld(Entry)});
     return;
   }
-  Of.Lends->request(this->Self, Of.Number, mostHeld(Of), Now);
-  this->allocate(Engine, Of, Now, Out);
-  if (const auto After = Of.Lends->waitOf(this->Self, Now))
-    Of.RoomAt = Now + *After;
+  Entry.OwnAllocator->request(this->Self, Entry.Number, maxHeld(Entry), Now);
+  this->allocate(Engine, Entry, Now, Out);
+  if (const auto After = Entry.OwnAllocator->waitOf(this->Self, Now))
+    Entry.QuotaAt = Now + *After;
 }
 
-void EngineLimitsPlugin::takeLoan(const HostId &From,
-                                  const EngineLimits::Lease &Is, Time Now) {
-  const auto Found = this->Engines.find(Is.Engine);
-  // Only an answer to the newest ask counts, and that of the lender: an earlier
-  // lender's loan might exceed what its successor lends.
-  const bool IsAwaited =
-      Found != this->Engines.end() && Found->second.Belief.isLimited() &&
-      Found->second.Lender == From && Found->second.Number == Is.Number;
-  if (!IsAwaited) {
-    if (Is.Count > 0 && From != this->Self)
-      this->Outbox[From].Returns.push_back({Is.Engine, Is.Number, Is.Count});
+void EngineLimitsPlugin::takeLease(const HostId &From,
+                                   const EngineLimits::Lease &Lease, Time Now) {
+  const auto Found = this->Engines.find(Lease.Engine);
+  // Only the current allocator's answer to the newest request counts. A lease
+  // of an earlier allocator might exceed the quota of its successor.
+  const bool IsExpected =
+      Found != this->Engines.end() && Found->second.State.isLimited() &&
+      Found->second.Allocator == From && Found->second.Number == Lease.Number;
+  if (!IsExpected) {
+    if (Lease.Count > 0 && From != this->Self)
+      this->Outbox[From].Returns.push_back(
+          {Lease.Engine, Lease.Number, Lease.Count});
     return;
   }
-  Limited &Of = Found->second;
-  if (Is.Count == 0) {
-    Of.RoomAt = Now + fromMilliseconds(Is.RetryAfterMs);
+  LimitedEngine &Entry = Found->second;
+  if (Lease.Count == 0) {
+    Entry.QuotaAt = Now + fromMilliseconds(Lease.RetryAfterMs);
     return;
   }
-  Of.Number = 0;
-  Of.NextAsk = Never;
-  Of.RoomAt = Never;
-  Of.Held.add({Is.Number, Is.Count, Of.AskedAt + RequestTtl + RoomKept});
+  Entry.Number = 0;
+  Entry.NextRequest = Never;
+  Entry.QuotaAt = Never;
+  Entry.Held.add(
+      {Lease.Number, Lease.Count, Entry.RequestedAt + RequestTtl + LeaseTtl});
 }
 
-// --- lending
+// --- allocation
 
-HostId EngineLimitsPlugin::lenderOf(const UpstreamId &Engine) const {
+HostId EngineLimitsPlugin::allocatorOf(const UpstreamId &Engine) const {
   HostId Best = this->Self;
-  std::uint64_t Most = 0;
-  for (const HostId &Each : this->Active->activeHosts()) {
-    const std::uint64_t Weight = rendezvousWeight(Engine.Value, Each.Value);
-    if (Weight <= Most)
+  std::uint64_t MaxWeight = 0;
+  for (const HostId &Host : this->Active->activeHosts()) {
+    const std::uint64_t Weight = rendezvousWeight(Engine.Value, Host.Value);
+    if (Weight <= MaxWeight)
       continue;
-    Most = Weight;
-    Best = Each;
+    MaxWeight = Weight;
+    Best = Host;
   }
   return Best;
 }
 
-void EngineLimitsPlugin::reviewLenders(Time Now, Actions &Out) {
+void EngineLimitsPlugin::reviewAllocators(Time Now, Actions &Out) {
   const auto Hosts = this->Active->activeHosts();
   if (std::ranges::equal(Hosts, this->Hosts))
     return;
@@ -368,53 +382,56 @@
                               std::back_inserter(Newcomers));
   this->Hosts.assign(Hosts.begin(), Hosts.end());
   this->HostsSince = Now;
-  for (auto &[Engine, Of] : this->Engines) {
-    if (!Of.Belief.isLimited())
+  for (auto &[Engine, Entry] : this->Engines) {
+    if (!Entry.State.isLimited())
       continue;
-    // Those that did not decide before may not know, and one of them may be the
-    // next lender.
-    if (Of.Lends)
-      this->tell(Engine, Of, Newcomers, Now);
-    this->setLender(Engine, Of, Now, Out);
+    // Hosts that were not active before may not know the limit, and one of them
+    // may be the next allocator.
+    if (Entry.OwnAllocator)
+      this->sendReport(Engine, Entry, Newcomers, Now);
+    this->setAllocator(Engine, Entry, Now, Out);
   }
 }
 
-void EngineLimitsPlugin::setLender(const UpstreamId &Engine, Limited &Of,
-                                   Time Now, Actions &Out) {
-  const HostId Lender = this->lenderOf(Engine);
-  if (Lender == Of.Lender && Of.Lends.has_value() == (Lender == this->Self))
+void EngineLimitsPlugin::setAllocator(const UpstreamId &Engine,
+                                      LimitedEngine &Entry, Time Now,
+                                      Actions &Out) {
+  const HostId Allocator = this->allocatorOf(Engine);
+  if (Allocator == Entry.Allocator &&
+      Entry.OwnAllocator.has_value() == (Allocator == this->Self))
     return;
-  Of.Lender = Lender;
-  // What the one before lent lapses; asks begin anew.
-  Of.Held.clear();
-  Of.Number = 0;
-  Of.RoomAt = Never;
-  Of.Lends.reset();
-  if (Lender != this->Self)
+  Entry.Allocator = Allocator;
+  // Leases of the previous allocator expire; requests start anew.
+  Entry.Held.clear();
+  Entry.Number = 0;
+  Entry.QuotaAt = Never;
+  Entry.OwnAllocator.reset();
+  if (Allocator != this->Self)
     return;
-  // Others may take an earlier host for the lender until they know of this one;
-  // two that lend at once would lend too much.
+  // Other hosts may use the previous allocator until they know this one. Two
+  // allocators at the same time would exceed the limit.
   const Time From = std::max(Now, this->HostsSince + this->Settle);
-  Of.Lends.emplace(*Of.Belief.newest().PerSecond, From);
+  Entry.OwnAllocator.emplace(*Entry.State.newest().PerSecond, From);
   Out.log(logEvent(events::EngineQuotaLeased)
               .with("engine", Engine.Value)
-              .with("limit", *Of.Belief.newest().PerSecond)
+              .with("limit", *Entry.State.newest().PerSecond)
               .with("after_us", (From - Now).count())
               .with("active", this->Hosts.size())
               .build());
 }
 
-void EngineLimitsPlugin::allocate(const UpstreamId &Engine, Limited &Of,
-                                  Time Now, Actions &Out) {
-  if (!Of.Lends)
+void EngineLimitsPlugin::allocate(const UpstreamId &Engine,
+                                  LimitedEngine &Entry, Time Now,
+                                  Actions &Out) {
+  if (!Entry.OwnAllocator)
     return;
-  for (const QuotaLease &Each : Of.Lends->allocate(Now)) {
+  for (const QuotaLease &Lease : Entry.OwnAllocator->allocate(Now)) {
     Out.count("engine_room_lent", Engine.Value);
-    const EngineLimits::Lease Lease{Engine, Each.Number, Each.Count, 0};
-    if (Each.To == this->Self)
-      this->takeLoan(this->Self, Lease, Now);
+    const EngineLimits::Lease Lease{Engine, Lease.Number, Lease.Count, 0};
+    if (Lease.To == this->Self)
+      this->takeLease(this->Self, Lease, Now);
     else
-      this->Outbox[Each.To].Leases.push_back(Lease);
+      this->Outbox[Lease.To].Leases.push_back(Lease);
   }
 }
 
@@ -425,8 +442,8 @@
 
 void EngineLimitsPlugin::checkInvariants(InvariantMonitor &Monitor,
                                          Time) const {
-  for (const auto &[Engine, Of] : this->Engines)
-    Monitor.require(!Of.Lends || Of.Lender == this->Self,
+  for (const auto &[Engine, Entry] : this->Engines)
+    Monitor.require(!Entry.OwnAllocator || Entry.Allocator == this->Self,
                     "only the lender lends room at an engine");
 }
 
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -1,5 +1,6 @@
 /// \file
-/// The plug-in that keeps all hosts together within what engines in need take.
+/// The plug-in that keeps all hosts together within the limits that engines
+/// name.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -13,17 +14,18 @@
 
 namespace banyanpick {
 
-/// An engine's answers name how many requests it takes a second, from all hosts
-/// together. Hosts tell each other of it at once. From then on a request goes
-/// there only against room, which one of the active hosts, the same for all,
-/// lends to those that want it.
+/// Tracks the limits that engines name in their answers: requests per second,
+/// from all hosts together. A host that reads a limit reports it to the others
+/// at once. From then on, a request to the engine requires quota. One active
+/// host, which all hosts compute alike, leases the quota to the hosts that
+/// request it.
 class EngineLimitsPlugin : public Plugin,
                            public EngineQuota,
                            public RelayObserver,
                            public EngineObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
@@ -33,70 +35,80 @@
   std::optional<Duration> quotaAvailableAfter(const UpstreamId &Engine,
                                               Time Now) const override;
 
-  void attemptSent(const RelayAttempt &Each, Time Now, Actions &Out) override;
+  void attemptSent(const RelayAttempt &Attempt, Time Now,
+                   Actions &Out) override;
   void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
 private:
-  /// What is known of one engine that names a limit, or did.
-  struct Limited {
-    LimitState Belief;
-    HostId Lender;
+  /// State of one engine that names a limit, or did.
+  struct LimitedEngine {
+    LimitState State;
+    HostId Allocator;
     HeldQuota Held;
-    std::uint32_t HeldShown = 0; ///< By the gauge.
-    Time WantedAt{};             ///< A request would have gone there.
-    Time NextAsk = Never;        ///< For room.
-    Time AskedAt{};              ///< The last time,
-    std::uint64_t Number = 0;    ///< under this number; zero: answered.
-    Time RoomAt = Never;       ///< As the lender said: there may be room then.
-    bool IsUnreadable = false; ///< Its last answer named no limit that can be
-                               ///< read.
-    std::optional<QuotaAllocator> Lends; ///< While this host is the lender.
+    std::uint32_t HeldShown = 0; ///< Last value of the gauge.
+    Time WantedAt{};          ///< When a request was last meant for the engine.
+    Time NextRequest = Never; ///< When to request quota next.
+    Time RequestedAt{};       ///< When quota was last requested.
+    /// Number of the pending request; zero when it is answered.
+    std::uint64_t Number = 0;
+    Time QuotaAt = Never; ///< When the allocator expects quota to be free.
+    /// The limit in the last answer could not be parsed.
+    bool IsUnreadable = false;
+    /// Set while this host is the allocator.
+    std::optional<QuotaAllocator> OwnAllocator;
   };
-  void hear(const EngineSignalsReceived &Is, Time Now, Actions &Out);
-  /// Takes in a word; tells the others when it changes what is believed here
-  /// and comes of an own answer (\p From is this host then).
-  void believe(const UpstreamId &Engine, const LimitReport &Word,
-               const HostId &From, Time Now, Actions &Out);
-  void takePeer(const HostId &From, const EngineLimits &Told, Time Now,
+  void takeSignal(const EngineSignalsReceived &Answer, Time Now, Actions &Out);
+  /// Processes a report of a limit. Sends it to the other hosts if it changes
+  /// the limit and comes from an answer to this host (\p From is this host).
+  void updateLimit(const UpstreamId &Engine, const LimitReport &Report,
+                   const HostId &From, Time Now, Actions &Out);
+  void takePeer(const HostId &From, const EngineLimits &Message, Time Now,
                 Actions &Out);
-  void hearUnreadable(const UpstreamId &Engine, Time Now, Actions &Out);
-  void takeLoan(const HostId &From, const EngineLimits::Lease &Is, Time Now);
-  /// A host wants room; it is told when there is none now.
-  void takeAsk(const HostId &From, const EngineLimits::LeaseRequest &Is,
-               Time Now, Actions &Out);
-  /// Looks who lends where, after the active hosts have changed.
-  void reviewLenders(Time Now, Actions &Out);
-  void setLender(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
-  HostId lenderOf(const UpstreamId &Engine) const;
-  /// Asks for room where it is wanted, and gives back what was not used.
-  void borrow(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
-  void returnUnused(const UpstreamId &Engine, Limited &Of,
+  void takeUnreadable(const UpstreamId &Engine, Time Now, Actions &Out);
+  void takeLease(const HostId &From, const EngineLimits::Lease &Lease,
+                 Time Now);
+  /// Processes a host's request for quota. Replies with the expected wait when
+  /// there is no quota now.
+  void takeRequest(const HostId &From,
+                   const EngineLimits::LeaseRequest &Request, Time Now,
+                   Actions &Out);
+  /// Recomputes the allocators after the active hosts have changed.
+  void reviewAllocators(Time Now, Actions &Out);
+  void setAllocator(const UpstreamId &Engine, LimitedEngine &Entry, Time Now,
+                    Actions &Out);
+  HostId allocatorOf(const UpstreamId &Engine) const;
+  /// Requests quota where it is wanted, and returns expired leases.
+  void renewQuota(const UpstreamId &Engine, LimitedEngine &Entry, Time Now,
+                  Actions &Out);
+  void returnUnused(const UpstreamId &Engine, LimitedEngine &Entry,
                     const HeldLease &Unused, Time Now);
-  void ask(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
-  /// Lends what there is to those that wait.
-  void allocate(const UpstreamId &Engine, Limited &Of, Time Now, Actions &Out);
-  static void showHeld(const UpstreamId &Engine, Limited &Of, Time Now,
+  void requestQuota(const UpstreamId &Engine, LimitedEngine &Entry, Time Now,
+                    Actions &Out);
+  /// Grants the available quota to the waiting hosts.
+  void allocate(const UpstreamId &Engine, LimitedEngine &Entry, Time Now,
+                Actions &Out);
+  static void showHeld(const UpstreamId &Engine, LimitedEngine &Entry, Time Now,
                        Actions &Out);
   void countUse(const UpstreamId &Engine, Time Now, Actions &Out);
-  static std::uint32_t mostHeld(const Limited &Of);
-  static EngineLimits::LimitReport wordFor(const UpstreamId &Engine,
-                                           const Limited &Of, Time Now);
-  void tell(const UpstreamId &Engine, const Limited &Of,
-            std::span<const HostId> Hosts, Time Now);
-  /// Sends what has gathered for each host.
+  static std::uint32_t maxHeld(const LimitedEngine &Entry);
+  static EngineLimits::LimitReport
+  reportFor(const UpstreamId &Engine, const LimitedEngine &Entry, Time Now);
+  void sendReport(const UpstreamId &Engine, const LimitedEngine &Entry,
+                  std::span<const HostId> Hosts, Time Now);
+  /// Sends the collected messages to each host.
   void send(Actions &Out);
 
   const EngineDirectory *Directory = nullptr;
   const ActiveHostsView *Active = nullptr;
   HostId Self;
   Duration Settle{};
-  std::map<UpstreamId, Limited> Engines;
+  std::map<UpstreamId, LimitedEngine> Engines;
   std::map<HostId, EngineLimits> Outbox;
-  std::vector<HostId> Hosts; ///< That are active,
-  Time HostsSince{};         ///< and since when.
-  std::uint64_t Asks = 0;
+  std::vector<HostId> Hosts; ///< The active hosts.
+  Time HostsSince{};         ///< When the active hosts last changed.
+  std::uint64_t Requests = 0;
 };
 
 } // namespace banyanpick
--- a/src/plugins/enginelimits/HeldQuota.cpp
+++ b/src/plugins/enginelimits/HeldQuota.cpp
@@ -6,30 +6,30 @@
 
 std::uint32_t HeldQuota::count(Time Now) const {
   std::uint32_t Sum = 0;
-  for (const HeldLease &Each : this->Loans)
-    Sum += Now < Each.Until ? Each.Count : 0;
+  for (const HeldLease &Lease : this->Leases)
+    Sum += Now < Lease.Until ? Lease.Count : 0;
   return Sum;
 }
 
 bool HeldQuota::use(Time Now) {
   HeldLease *First = nullptr;
-  for (HeldLease &Each : this->Loans)
-    if (Now < Each.Until && (!First || Each.Until < First->Until))
-      First = &Each;
+  for (HeldLease &Lease : this->Leases)
+    if (Now < Lease.Until && (!First || Lease.Until < First->Until))
+      First = &Lease;
   if (!First)
     return false;
   --First->Count;
-  std::erase_if(this->Loans,
-                [](const HeldLease &Each) { return Each.Count == 0; });
+  std::erase_if(this->Leases,
+                [](const HeldLease &Lease) { return Lease.Count == 0; });
   return true;
 }
 
 std::vector<HeldLease> HeldQuota::takeExpired(Time Now) {
   std::vector<HeldLease> Result;
-  std::erase_if(this->Loans, [&](const HeldLease &Each) {
-    if (Now < Each.Until)
+  std::erase_if(this->Leases, [&](const HeldLease &Lease) {
+    if (Now < Lease.Until)
       return false;
-    Result.push_back(Each);
+    Result.push_back(Lease);
     return true;
   });
   return Result;
@@ -37,8 +37,8 @@
 
 Time HeldQuota::nextExpiry() const {
   Time Result = Never;
-  for (const HeldLease &Each : this->Loans)
-    Result = std::min(Result, Each.Until);
+  for (const HeldLease &Lease : this->Leases)
+    Result = std::min(Result, Lease.Until);
   return Result;
 }
 
--- a/src/plugins/enginelimits/HeldQuota.h
+++ b/src/plugins/enginelimits/HeldQuota.h
@@ -1,5 +1,5 @@
 /// \file
-/// The room at one engine that this host has borrowed.
+/// The quota of one engine that this host has leased.
 #pragma once
 
 #include "base/Time.h"
@@ -9,30 +9,30 @@
 
 namespace banyanpick {
 
-/// Room that may be used until its time is over.
+/// Quota that may be used until the lease expires.
 struct HeldLease {
-  std::uint64_t Number = 0; ///< Of the ask that it was lent for.
+  std::uint64_t Number = 0; ///< Number of the request that the lease answers.
   std::uint32_t Count = 0;
   Time Until{};
 };
 
-/// What was lent and not used yet.
+/// The unused part of this host's leases.
 class HeldQuota {
 public:
-  void add(const HeldLease &Lent) { this->Loans.push_back(Lent); }
-  /// Requests that may be sent now.
+  void add(const HeldLease &Lease) { this->Leases.push_back(Lease); }
+  /// Returns how many requests may be sent now.
   std::uint32_t count(Time Now) const;
-  /// Uses room for one request, that which ends first; false when there is
-  /// none.
+  /// Uses quota for one request, from the lease that expires first. Returns
+  /// false when there is none.
   bool use(Time Now);
-  /// Takes out what was not used in its time.
+  /// Removes and returns expired leases.
   std::vector<HeldLease> takeExpired(Time Now);
-  void clear() { this->Loans.clear(); }
-  /// When the first of it lapses; Never when nothing is held.
+  void clear() { this->Leases.clear(); }
+  /// Returns when the first lease expires; Never when none is held.
   Time nextExpiry() const;
 
 private:
-  std::vector<HeldLease> Loans;
+  std::vector<HeldLease> Leases;
 };
 
 } // namespace banyanpick
--- a/src/plugins/enginelimits/LimitState.cpp
+++ b/src/plugins/enginelimits/LimitState.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-double rateOf(const LimitReport &Word) {
-  return Word.PerSecond.value_or(std::numeric_limits<double>::infinity());
+double rateOf(const LimitReport &Report) {
+  return Report.PerSecond.value_or(std::numeric_limits<double>::infinity());
 }
 
 } // namespace
 
-bool LimitState::take(const LimitReport &Word) {
-  const bool Newer = Word.At > this->Newest.At;
+bool LimitState::take(const LimitReport &Report) {
+  const bool Newer = Report.At > this->Newest.At;
   const bool Stricter =
-      Word.At == this->Newest.At && rateOf(Word) < rateOf(this->Newest);
+      Report.At == this->Newest.At && rateOf(Report) < rateOf(this->Newest);
   if (!Newer && !Stricter)
     return false;
-  const bool Changed = Word.PerSecond != this->Newest.PerSecond;
-  this->Newest = Word;
+  const bool Changed = Report.PerSecond != this->Newest.PerSecond;
+  this->Newest = Report;
   return Changed;
 }
 
--- a/src/plugins/enginelimits/LimitState.h
+++ b/src/plugins/enginelimits/LimitState.h
@@ -1,5 +1,5 @@
 /// \file
-/// What this host knows of one engine's limit.
+/// This host's view of one engine's limit.
 #pragma once
 
 #include "base/Time.h"
@@ -8,21 +8,22 @@
 
 namespace banyanpick {
 
-/// What was said of an engine's limit, and how new that is.
+/// A report of an engine's limit, with its age.
 struct LimitReport {
-  std::optional<double> PerSecond; ///< None: it names no limit.
-  /// A limit counts from when its answer was read, its end from when the
-  /// request was sent whose answer named none: of two hosts' words the newer
-  /// one holds, and an answer that was long on its way ends no limit.
+  std::optional<double> PerSecond; ///< Empty: the engine names no limit.
+  /// For a limit, when its answer was received; for the end of a limit, when
+  /// the request was sent whose answer named none. The newer of two hosts'
+  /// reports wins, and an answer that was delayed ends no limit.
   Time At{};
 };
 
-/// Holds the newest word. Hosts that hear the same words in any order end up
-/// with the same one; of two of the same moment, the lower limit.
+/// Keeps the newest report. Hosts that receive the same reports in any order
+/// end up with the same one; of two reports with the same time, the lower limit
+/// wins.
 class LimitState {
 public:
-  /// Whether it changed what is believed.
-  bool take(const LimitReport &Word);
+  /// Returns whether the limit changed.
+  bool take(const LimitReport &Report);
 
   bool isLimited() const { return this->Newest.PerSecond.has_value(); }
   const LimitReport &newest() const { return this->Newest; }
--- a/src/plugins/enginelimits/QuotaAllocator.cpp
+++ b/src/plugins/enginelimits/QuotaAllocator.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Room that was lent earlier is not taken back: its loan may have been used.
-constexpr seconds ReturnedWithin(2);
+/// Time within which a lease can be returned. An older lease is not taken back,
+/// because it may have been used.
+constexpr seconds ReturnWindow(2);
 
 } // namespace
 
@@ -21,21 +22,21 @@
 void QuotaAllocator::accrue(Time Now) {
   if (Now <= this->CountedTo)
     return;
-  this->Room =
-      std::min(this->burst(),
-               this->Room + this->PerSecond * inSeconds(Now - this->CountedTo));
+  this->Quota = std::min(this->burst(),
+                         this->Quota + this->PerSecond *
+                                           inSeconds(Now - this->CountedTo));
   this->CountedTo = Now;
 }
 
 void QuotaAllocator::setRate(double PerSecondGiven, Time Now) {
   this->accrue(Now);
   this->PerSecond = std::max(PerSecondGiven, MinRate);
-  this->Room = std::min(this->Room, this->burst());
+  this->Quota = std::min(this->Quota, this->burst());
 }
 
 void QuotaAllocator::request(const HostId &From, std::uint64_t Number,
                              std::uint32_t Count, Time Now) {
-  const auto Found = std::ranges::find(this->Waiting, From, &Asker::Host);
+  const auto Found = std::ranges::find(this->Waiting, From, &Requester::Host);
   if (Found != this->Waiting.end())
     *Found = {From, Number, Count, Now};
   else
@@ -45,56 +46,56 @@
 void QuotaAllocator::returnUnused(const HostId &From, std::uint64_t Number,
                                   std::uint32_t Count, Time Now) {
   const auto Found =
-      std::ranges::find_if(this->Lent, [&](const Outstanding &Each) {
-        return Each.Of.To == From && Each.Of.Number == Number;
+      std::ranges::find_if(this->Granted, [&](const Outstanding &Lease) {
+        return Lease.Lease.To == From && Lease.Lease.Number == Number;
       });
-  if (Found == this->Lent.end() || Now > Found->At + ReturnedWithin)
+  if (Found == this->Granted.end() || Now > Found->GrantedAt + ReturnWindow)
     return;
   this->accrue(Now);
-  this->Room =
-      std::min(this->burst(), this->Room + std::min(Count, Found->Of.Count));
-  this->Lent.erase(Found);
+  this->Quota = std::min(this->burst(),
+                         this->Quota + std::min(Count, Found->Lease.Count));
+  this->Granted.erase(Found);
 }
 
 std::vector<QuotaLease> QuotaAllocator::allocate(Time Now) {
   this->accrue(Now);
-  std::erase_if(this->Waiting, [&](const Asker &Each) {
-    return Now > Each.LastAt + RequestTtl;
+  std::erase_if(this->Waiting, [&](const Requester &Waiter) {
+    return Now > Waiter.LastRequestAt + RequestTtl;
   });
-  std::erase_if(this->Lent, [&](const Outstanding &Each) {
-    return Now > Each.At + ReturnedWithin;
+  std::erase_if(this->Granted, [&](const Outstanding &Lease) {
+    return Now > Lease.GrantedAt + ReturnWindow;
   });
   std::vector<QuotaLease> Result;
-  while (Now >= this->CountedTo && !this->Waiting.empty() && this->Room >= 1) {
-    const Asker First = this->Waiting.front();
+  while (Now >= this->CountedTo && !this->Waiting.empty() && this->Quota >= 1) {
+    const Requester First = this->Waiting.front();
     this->Waiting.pop_front();
     const auto Count =
-        std::min(First.Count, static_cast<std::uint32_t>(this->Room));
-    this->Room -= Count;
+        std::min(First.Count, static_cast<std::uint32_t>(this->Quota));
+    this->Quota -= Count;
     Result.push_back({First.Host, First.Number, Count});
-    this->Lent.push_back({Result.back(), Now});
+    this->Granted.push_back({Result.back(), Now});
   }
   return Result;
 }
 
-Duration QuotaAllocator::until(double RoomWanted) const {
-  return fromSeconds(std::max(0.0, RoomWanted - this->Room) / this->PerSecond);
+Duration QuotaAllocator::until(double Wanted) const {
+  return fromSeconds(std::max(0.0, Wanted - this->Quota) / this->PerSecond);
 }
 
 std::optional<Duration> QuotaAllocator::waitOf(const HostId &Host,
                                                Time Now) const {
-  const auto Found = std::ranges::find(this->Waiting, Host, &Asker::Host);
+  const auto Found = std::ranges::find(this->Waiting, Host, &Requester::Host);
   if (Found == this->Waiting.end())
     return std::nullopt;
-  const auto Place = static_cast<double>(Found - this->Waiting.begin());
-  const Time At = this->CountedTo + this->until(Place + 1);
-  return std::max(Duration(0), At - Now);
+  const auto Position = static_cast<double>(Found - this->Waiting.begin());
+  const Time FreeAt = this->CountedTo + this->until(Position + 1);
+  return std::max(Duration(0), FreeAt - Now);
 }
 
 Time QuotaAllocator::nextAllocation() const {
   if (this->Waiting.empty())
     return Never;
-  // A moment more, so that rounding does not wake it too early.
+  // One tick more, so that rounding does not wake the host too early.
   return this->CountedTo + this->until(1) + Duration(1);
 }
 
--- a/src/plugins/enginelimits/QuotaAllocator.h
+++ b/src/plugins/enginelimits/QuotaAllocator.h
@@ -1,10 +1,9 @@
 /// \file
-/// Lends room at one engine that names how many requests it takes.
+/// Allocation of one engine's request quota to hosts.
 ///
-/// The load that it answers: many hosts send to an engine in need, each a part
-/// of what it takes. An even division would leave most of it with hosts that
-/// have nothing to send; here whoever has a request asks for room when it needs
-/// it.
+/// Many hosts send to a limited engine, each a part of the load. An even
+/// division would leave most of the quota with hosts that have nothing to send,
+/// so a host requests quota when it needs it.
 #pragma once
 
 #include "base/Time.h"
@@ -16,75 +15,79 @@
 
 namespace banyanpick {
 
-/// Room for requests, told to the host that asked.
+/// Quota for requests, sent to the host that requested it.
 struct QuotaLease {
   HostId To;
-  std::uint64_t Number = 0; ///< Of the ask that it answers.
-  std::uint32_t Count = 0;  ///< Requests that may be sent.
+  std::uint64_t Number = 0; ///< Number of the request that the lease answers.
+  std::uint32_t Count = 0;  ///< Requests that the host may send.
 };
 
-/// A token bucket whose tokens are lent. At any instant no more room is out
-/// than the bucket had, so hosts that die, freeze or are cut off with room of
-/// theirs lose it, and the engine never gets more. Room that comes back unused
-/// is lent again.
+/// A token bucket whose tokens are leased to hosts. The leased quota never
+/// exceeds what the bucket held. Hosts that die, freeze or are partitioned lose
+/// their quota, and the engine never gets more than its limit. Unused quota
+/// that is returned is allocated again.
 class QuotaAllocator {
 public:
-  /// Nothing is lent before \p From.
+  /// No quota is allocated before \p From.
   QuotaAllocator(double PerSecond, Time From);
 
   void setRate(double PerSecond, Time Now);
-  /// The host wants room for so many requests; a newer ask replaces an older
-  /// one and keeps its place.
+  /// Registers a request for quota. A newer request of a host replaces the
+  /// older one and keeps its position.
   void request(const HostId &From, std::uint64_t Number, std::uint32_t Count,
                Time Now);
-  /// Room of that loan was not used. Once for each loan.
+  /// Returns unused quota of a lease. Counts once for each lease.
   void returnUnused(const HostId &From, std::uint64_t Number,
                     std::uint32_t Count, Time Now);
-  /// What can be lent now, to those first who have waited longest.
+  /// Returns the leases that can be granted now, to the longest waiting hosts
+  /// first.
   std::vector<QuotaLease> allocate(Time Now);
 
-  /// Until there may be room for the host; nothing when it does not wait.
+  /// Returns the expected wait until quota for the host; nothing when the host
+  /// does not wait.
   std::optional<Duration> waitOf(const HostId &Host, Time Now) const;
-  /// When the first of those that wait may get room; Never when nobody waits.
+  /// Returns when the first waiting host may get quota; Never when no host
+  /// waits.
   Time nextAllocation() const;
 
 private:
-  struct Asker {
+  struct Requester {
     HostId Host;
     std::uint64_t Number = 0;
     std::uint32_t Count = 0;
-    Time LastAt{};
+    Time LastRequestAt{};
   };
 
-  /// Room that a host may still give back.
+  /// A lease that the host may still return.
   struct Outstanding {
-    QuotaLease Of;
-    Time At{};
+    QuotaLease Lease;
+    Time GrantedAt{};
   };
 
   double burst() const;
   void accrue(Time Now);
-  /// Until the bucket holds so much.
-  Duration until(double Room) const;
+  /// Returns the time until the bucket holds \p Wanted requests.
+  Duration until(double Wanted) const;
 
   double PerSecond = 0;
-  double Room = 1;
+  double Quota = 1;
   Time CountedTo{};
-  std::deque<Asker> Waiting;
-  std::deque<Outstanding> Lent;
+  std::deque<Requester> Waiting;
+  std::deque<Outstanding> Granted;
 };
 
-/// So much of an engine's limit may be sent at once: what it allows in this
-/// time, or MinBurst.
+/// The share of an engine's limit that may be sent at once: what it allows in
+/// this time, but at least MinBurst.
 inline constexpr milliseconds BurstTime(100);
 inline constexpr double MinBurst = 2;
 
-/// An engine that takes next to nothing still gets a request now and then, as
-/// only an answer shows that its limit has ended.
+/// Lower bound of the rate, in requests a second. An engine with a limit near
+/// zero still gets occasional requests, because only an answer shows the end of
+/// the limit.
 inline constexpr double MinRate = 0.25;
 
-/// A host that still wants room repeats its ask in less time; what is older is
-/// not answered any more, so that room never waits for a host that is gone.
+/// Lifetime of a quota request. A host that still wants quota repeats its
+/// request sooner, so that no quota is reserved for a host that has gone.
 inline constexpr milliseconds RequestTtl(500);
 
 } // namespace banyanpick
--- a/tests/auto/gateway/QuotaAllocatorTest.cpp
+++ b/tests/auto/gateway/QuotaAllocatorTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Room at an engine that names how many requests it takes: what is believed of
-/// the limit, what is lent, and what is held.
+/// Tests the quota of a limited engine: the view of its limit, the allocation
+/// to hosts, and the leases that a host holds.
 #include "plugins/enginelimits/QuotaAllocator.h"
 #include "plugins/enginelimits/HeldQuota.h"
 #include "plugins/enginelimits/LimitState.h"
@@ -15,7 +15,7 @@
 const HostId One("one");
 const HostId Two("two");
 
-TEST(LimitState, OfTwoWordsTheNewerHoldsInAnyOrder) {
+TEST(LimitState, TheNewerReportWinsInAnyOrder) {
   LimitState Forward;
   LimitState Backward;
   const LimitReport Named{2.0, Begin};
@@ -28,108 +28,107 @@
   EXPECT_FALSE(Backward.isLimited());
 }
 
-TEST(LimitState, AnAnswerThatWasLongOnItsWayEndsNoLimit) {
-  LimitState Of;
-  Of.take({2.0, Begin + seconds(1)});
-  EXPECT_FALSE(Of.take({std::nullopt, Begin}));
-  EXPECT_TRUE(Of.isLimited());
+TEST(LimitState, ADelayedAnswerEndsNoLimit) {
+  LimitState State;
+  State.take({2.0, Begin + seconds(1)});
+  EXPECT_FALSE(State.take({std::nullopt, Begin}));
+  EXPECT_TRUE(State.isLimited());
 }
 
-TEST(LimitState, OfTheSameMomentTheLowerLimitHolds) {
-  LimitState Of;
-  Of.take({2.0, Begin});
-  EXPECT_TRUE(Of.take({1.0, Begin}));
-  EXPECT_FALSE(Of.take({3.0, Begin}));
-  EXPECT_EQ(Of.newest().PerSecond, 1.0);
+TEST(LimitState, AtTheSameTimeTheLowerLimitWins) {
+  LimitState State;
+  State.take({2.0, Begin});
+  EXPECT_TRUE(State.take({1.0, Begin}));
+  EXPECT_FALSE(State.take({3.0, Begin}));
+  EXPECT_EQ(State.newest().PerSecond, 1.0);
 }
 
-std::uint32_t countOf(std::span<const QuotaLease> Loans) {
+std::uint32_t totalCount(std::span<const QuotaLease> Leases) {
   std::uint32_t Sum = 0;
-  for (const QuotaLease &Each : Loans)
-    Sum += Each.Count;
+  for (const QuotaLease &Lease : Leases)
+    Sum += Lease.Count;
   return Sum;
 }
 
-TEST(QuotaAllocator, LendsNothingBeforeItsTime) {
-  QuotaAllocator Lender(10, Begin + seconds(2));
-  Lender.request(One, 1, 1, Begin);
-  EXPECT_TRUE(Lender.allocate(Begin).empty());
-  EXPECT_GE(Lender.nextAllocation(), Begin + seconds(2));
+TEST(QuotaAllocator, AllocatesNothingBeforeItsStart) {
+  QuotaAllocator Allocator(10, Begin + seconds(2));
+  Allocator.request(One, 1, 1, Begin);
+  EXPECT_TRUE(Allocator.allocate(Begin).empty());
+  EXPECT_GE(Allocator.nextAllocation(), Begin + seconds(2));
 }
 
-TEST(QuotaAllocator, TheLongestWaitingIsFirstAndIsToldWhen) {
-  QuotaAllocator Lender(1, Begin);
-  Lender.request(One, 1, 1, Begin);
-  EXPECT_EQ(countOf(Lender.allocate(Begin)), 1U);
-  Lender.request(Two, 2, 1, Begin);
-  Lender.request(One, 3, 1, Begin);
-  EXPECT_TRUE(Lender.allocate(Begin).empty());
-  EXPECT_EQ(Lender.waitOf(Two, Begin), Duration(seconds(1)));
-  EXPECT_EQ(Lender.waitOf(One, Begin), Duration(seconds(2)));
-  // An ask that is repeated keeps its place.
+TEST(QuotaAllocator, ServesTheLongestWaitingFirstAndEstimatesTheWait) {
+  QuotaAllocator Allocator(1, Begin);
+  Allocator.request(One, 1, 1, Begin);
+  EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
+  Allocator.request(Two, 2, 1, Begin);
+  Allocator.request(One, 3, 1, Begin);
+  EXPECT_TRUE(Allocator.allocate(Begin).empty());
+  EXPECT_EQ(Allocator.waitOf(Two, Begin), Duration(seconds(1)));
+  EXPECT_EQ(Allocator.waitOf(One, Begin), Duration(seconds(2)));
+  // A repeated request keeps its position.
   const Time Later = Begin + seconds(1);
-  Lender.request(One, 4, 1, Later);
-  Lender.request(Two, 5, 1, Later);
-  const auto Loans = Lender.allocate(Later + Duration(1));
-  ASSERT_EQ(Loans.size(), 1U);
-  EXPECT_EQ(Loans.front().To, Two);
-  EXPECT_EQ(Loans.front().Number, 5U);
+  Allocator.request(One, 4, 1, Later);
+  Allocator.request(Two, 5, 1, Later);
+  const auto Leases = Allocator.allocate(Later + Duration(1));
+  ASSERT_EQ(Leases.size(), 1U);
+  EXPECT_EQ(Leases.front().To, Two);
+  EXPECT_EQ(Leases.front().Number, 5U);
 }
 
-TEST(QuotaAllocator, WhoeverIsGoneGetsNothing) {
-  QuotaAllocator Lender(1, Begin);
-  Lender.request(One, 1, 1, Begin);
-  EXPECT_TRUE(Lender.allocate(Begin + RequestTtl + Duration(1)).empty());
+TEST(QuotaAllocator, RequestsExpire) {
+  QuotaAllocator Allocator(1, Begin);
+  Allocator.request(One, 1, 1, Begin);
+  EXPECT_TRUE(Allocator.allocate(Begin + RequestTtl + Duration(1)).empty());
 }
 
-TEST(QuotaAllocator, WhatComesBackIsLentAgainAndOnlyOnce) {
-  QuotaAllocator Lender(0.25, Begin);
-  Lender.request(One, 7, 1, Begin);
-  EXPECT_EQ(countOf(Lender.allocate(Begin)), 1U);
-  Lender.returnUnused(One, 7, 1, Begin);
-  Lender.returnUnused(One, 7, 1, Begin);
-  Lender.returnUnused(Two, 9, 1, Begin);
-  Lender.request(Two, 8, 2, Begin);
-  EXPECT_EQ(countOf(Lender.allocate(Begin)), 1U);
+TEST(QuotaAllocator, ReturnedQuotaIsAllocatedAgainOnlyOnce) {
+  QuotaAllocator Allocator(0.25, Begin);
+  Allocator.request(One, 7, 1, Begin);
+  EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
+  Allocator.returnUnused(One, 7, 1, Begin);
+  Allocator.returnUnused(One, 7, 1, Begin);
+  Allocator.returnUnused(Two, 9, 1, Begin);
+  Allocator.request(Two, 8, 2, Begin);
+  EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
 }
 
-TEST(QuotaAllocator, AnEngineThatTakesNothingIsTriedNowAndThen) {
-  QuotaAllocator Lender(0, Begin);
+TEST(QuotaAllocator, AnEngineWithLimitZeroIsProbed) {
+  QuotaAllocator Allocator(0, Begin);
   std::uint32_t Sum = 0;
   for (Time Now = Begin; Now < Begin + seconds(40); Now += milliseconds(100)) {
-    Lender.request(One, 1, 1, Now);
-    Sum += countOf(Lender.allocate(Now));
+    Allocator.request(One, 1, 1, Now);
+    Sum += totalCount(Allocator.allocate(Now));
   }
   EXPECT_GE(Sum, 8U);
   EXPECT_LE(Sum, 12U);
 }
 
-RC_GTEST_PROP(QuotaAllocatorProperty, NeverLendsMoreThanTheLimitAllowsInAnySpan,
-              ()) {
+RC_GTEST_PROP(QuotaAllocatorProperty, NeverExceedsTheLimitInAnyWindow, ()) {
   const double PerSecond = *rc::gen::inRange(1, 200) / 10.0;
-  QuotaAllocator Lender(PerSecond, Begin);
+  QuotaAllocator Allocator(PerSecond, Begin);
   Time Now = Begin;
   std::uint64_t Number = 0;
   double Used = 0;
   std::vector<std::pair<Time, double>> Uses;
-  // An engine that takes less still gets a request now and then.
+  // The rate has a lower bound.
   const double Rate = std::max(PerSecond, MinRate);
   for (int Step = 0; Step < 200; ++Step) {
     Now += milliseconds(*rc::gen::inRange(0, 200));
     const HostId Host(*rc::gen::element("a", "b", "c"));
-    Lender.request(Host, ++Number, *rc::gen::inRange(1U, 4U), Now);
-    for (const QuotaLease &Each : Lender.allocate(Now)) {
+    Allocator.request(Host, ++Number, *rc::gen::inRange(1U, 4U), Now);
+    for (const QuotaLease &Lease : Allocator.allocate(Now)) {
       const bool Unused = *rc::gen::inRange(0, 4) == 0;
       if (Unused)
-        Lender.returnUnused(Each.To, Each.Number, Each.Count, Now);
+        Allocator.returnUnused(Lease.To, Lease.Number, Lease.Count, Now);
       else {
-        Used += Each.Count;
-        Uses.emplace_back(Now, Each.Count);
+        Used += Lease.Count;
+        Uses.emplace_back(Now, Lease.Count);
       }
     }
     const double Burst = std::max(MinBurst, PerSecond * inSeconds(BurstTime));
     RC_ASSERT(Used <= 1 + Burst + Rate * inSeconds(Now - Begin) + 1e-6);
-    // As the platform counts, whatever the rate.
+    // The platform's rule for windows, independent of the rate.
     constexpr seconds Window(4);
     double InWindow = 0;
     for (const auto &[At, Count] : Uses)
@@ -138,7 +137,7 @@
   }
 }
 
-TEST(HeldQuota, WhatEndsFirstIsUsedFirstAndWhatLapsedComesOut) {
+TEST(HeldQuota, UsesTheEarliestExpiryFirstAndReturnsExpiredLeases) {
   HeldQuota Held;
   Held.add({1, 1, Begin + milliseconds(400)});
   Held.add({2, 2, Begin + milliseconds(200)});
