--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -62,7 +62,7 @@
   const UpstreamId Ended = Known.Record.Id;
   this->erase(Found);
   if (IsOver)
-    return {Effect::Gone, Ended, true};
+    return {Effect::Removed, Ended, true};
   this->add(Change, Now);
   return {Effect::Changed, Ended, true};
 }
@@ -120,11 +120,11 @@
   const UpstreamId Ended = Known.Record.Id;
   Over.BornMs = engineStartMs(Ended);
   this->erase(Found);
-  return {Effect::Gone, Ended};
+  return {Effect::Removed, Ended};
 }
 
-std::optional<UpstreamId> EngineTable::noteLife(const UpstreamId &Life,
-                                                Time Now) {
+std::optional<UpstreamId> EngineTable::noteIncarnation(const UpstreamId &Life,
+                                                       Time Now) {
   const auto Found = this->Engines.find(engineName(Life));
   if (Found == this->Engines.end())
     return std::nullopt;
@@ -188,7 +188,7 @@
   return Leaves ? EngineStanding::Leaving : EngineStanding::Usable;
 }
 
-std::vector<UpstreamId> EngineTable::age(Time Now) {
+std::vector<UpstreamId> EngineTable::expire(Time Now) {
   std::vector<UpstreamId> Gone;
   // Asked at every event, and hardly ever due.
   if (Now >= this->NextAge)
--- a/src/plugins/engines/EngineTable.h
+++ b/src/plugins/engines/EngineTable.h
@@ -27,13 +27,13 @@
   explicit EngineTable(EngineTimes Times) : Times(Times) {}
 
   /// What a change did to one upstream.
-  enum class Effect { None, Changed, Gone };
+  enum class Effect { None, Changed, Removed };
   struct Applied {
     Effect Is = Effect::None;
     /// The earlier life that ended because the upstream started anew, or the
     /// life that is gone.
     std::optional<UpstreamId> Ended;
-    bool Reborn = false; ///< Ended was followed by a new life.
+    bool Restarted = false; ///< Ended was followed by a new life.
   };
 
   /// \p Doubtful: the store was away lately, so that a removal may only mean
@@ -46,7 +46,7 @@
 
   /// The upstream itself says which life it is in; gives the earlier one that
   /// is over by it. The new life is used once it is registered.
-  std::optional<UpstreamId> noteLife(const UpstreamId &Life, Time Now);
+  std::optional<UpstreamId> noteIncarnation(const UpstreamId &Life, Time Now);
 
   /// A listing of everything up to \p UpTo; gives those that it does not name.
   std::vector<EngineChange> missingFrom(std::span<const EngineChange> Listing,
@@ -61,9 +61,9 @@
   bool noteLeaving(const UpstreamId &Id, Time Now);
 
   /// Forgets what is due; gives the upstreams that are gone by it.
-  std::vector<UpstreamId> age(Time Now);
+  std::vector<UpstreamId> expire(Time Now);
   /// When age() has something to do.
-  Time nextAge() const { return this->NextAge; }
+  Time nextExpiry() const { return this->NextAge; }
 
   const RegisteredEngine *find(const UpstreamId &Id) const;
   std::span<const RegisteredEngine *const>
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -42,13 +42,13 @@
         if (const auto *Seen = std::get_if<StoreObserved>(&Is))
           this->note(*Seen, Now, Out);
         if (const auto *Reported = std::get_if<EngineReported>(&Is))
-          this->noteLife(Reported->Report.Engine, Now, Out);
+          this->noteIncarnation(Reported->Report.Engine, Now, Out);
       },
       [&](const PeerMessageReceived &Is) {
         this->takePeerMessage(Is.Message, Now, Out);
       },
       [](const auto &) {});
-  for (const UpstreamId &Gone : this->Table.age(Now))
+  for (const UpstreamId &Gone : this->Table.expire(Now))
     this->tellGone(Gone, "silence", Now, Out);
   const Time Confirmed = this->Store->storeConfirmedAt();
   if (Confirmed != Time{} && Now > Confirmed + this->DoubtAge)
@@ -58,7 +58,7 @@
 }
 
 Time EnginesPlugin::nextWake() const {
-  return std::min(this->NextLook, this->Table.nextAge());
+  return std::min(this->NextLook, this->Table.nextExpiry());
 }
 
 void EnginesPlugin::take(const EnginesRead &Read, Time Now, Actions &Out) {
@@ -136,7 +136,7 @@
   const bool Doubtful = this->isDoubtful(Now);
   for (const EngineChange &Each : Changes) {
     const EngineTable::Applied Done = this->Table.apply(Each, Doubtful, Now);
-    if (Done.Reborn)
+    if (Done.Restarted)
       this->tellReborn(*Done.Ended, From, Now, Out);
     else if (Done.Ended)
       this->tellGone(*Done.Ended, From, Now, Out);
@@ -184,8 +184,9 @@
     Each->engineRemoved(Id, Now, Out);
 }
 
-void EnginesPlugin::noteLife(const UpstreamId &Life, Time Now, Actions &Out) {
-  if (const auto Ended = this->Table.noteLife(Life, Now))
+void EnginesPlugin::noteIncarnation(const UpstreamId &Life, Time Now,
+                                    Actions &Out) {
+  if (const auto Ended = this->Table.noteIncarnation(Life, Now))
     this->tellReborn(*Ended, "report", Now, Out);
 }
 
--- a/src/plugins/engines/EnginesPlugin.h
+++ b/src/plugins/engines/EnginesPlugin.h
@@ -48,7 +48,7 @@
   void tellGone(const UpstreamId &Id, std::string_view From, Time Now,
                 Actions &Out);
   /// The upstream says which life it is in.
-  void noteLife(const UpstreamId &Life, Time Now, Actions &Out);
+  void noteIncarnation(const UpstreamId &Life, Time Now, Actions &Out);
   void tellReborn(const UpstreamId &Ended, std::string_view From, Time Now,
                   Actions &Out);
   /// The peer knows what changed up to the offset. Whether that is news here;
--- a/tests/auto/gateway/EngineTableTest.cpp
+++ b/tests/auto/gateway/EngineTableTest.cpp
@@ -97,8 +97,8 @@
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), true, at(10));
   EXPECT_EQ(Table.find(UpstreamId("e1"))->Standing, EngineStanding::Missing);
-  EXPECT_TRUE(Table.age(at(2009)).empty());
-  EXPECT_EQ(Table.age(at(2010)).size(), 1U);
+  EXPECT_TRUE(Table.expire(at(2009)).empty());
+  EXPECT_EQ(Table.expire(at(2010)).size(), 1U);
   EXPECT_EQ(Table.find(UpstreamId("e1")), nullptr);
 }
 
@@ -108,14 +108,14 @@
   Table.apply(removal("e1", 2), true, at(10));
   Table.apply(change("e1", 3), true, at(20));
   EXPECT_EQ(Table.find(UpstreamId("e1"))->Standing, EngineStanding::Usable);
-  EXPECT_TRUE(Table.age(at(5000)).empty());
+  EXPECT_TRUE(Table.expire(at(5000)).empty());
 }
 
 TEST(EngineTable, ALeavingEngineIsGoneAtOnceEvenBesideAnOutage) {
   EngineTable Table = table();
   Table.apply(change("e1", 1, true), false, at(0));
   EXPECT_EQ(Table.apply(removal("e1", 2), true, at(10)).Is,
-            EngineTable::Effect::Gone);
+            EngineTable::Effect::Removed);
 }
 
 TEST(EngineTable, AListingTakesAwayWhatItDoesNotName) {
@@ -145,14 +145,14 @@
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), true, at(10));
   Table.setLeaving(UpstreamId("e1"), at(20));
-  EXPECT_EQ(Table.age(at(20)), std::vector<UpstreamId>{UpstreamId("e1")});
+  EXPECT_EQ(Table.expire(at(20)), std::vector<UpstreamId>{UpstreamId("e1")});
 }
 
 TEST(EngineTable, ForgottenRemovalsAreNoted) {
   EngineTable Table = table();
   Table.apply(removal("e1", 4), false, at(0));
   EXPECT_EQ(Table.forgottenTo(), 0U);
-  Table.age(at(60'000));
+  Table.expire(at(60'000));
   EXPECT_EQ(Table.forgottenTo(), 5U);
 }
 
@@ -182,7 +182,7 @@
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1, true), false, at(0));
   const auto Done = Table.apply(change("e1@2000", 2), false, at(1));
-  EXPECT_TRUE(Done.Reborn);
+  EXPECT_TRUE(Done.Restarted);
   EXPECT_EQ(Done.Ended, UpstreamId("e1@1000"));
   EXPECT_EQ(Table.find(UpstreamId("e1@1000")), nullptr);
   EXPECT_EQ(Table.find(UpstreamId("e1@2000"))->Standing,
@@ -202,8 +202,8 @@
 TEST(EngineTable, ALifeThatAReportTellsOfEndsTheEarlierOneUntilItRegisters) {
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1), false, at(0));
-  EXPECT_FALSE(Table.noteLife(UpstreamId("e1@1000"), at(1)));
-  EXPECT_EQ(Table.noteLife(UpstreamId("e1@2000"), at(1)),
+  EXPECT_FALSE(Table.noteIncarnation(UpstreamId("e1@1000"), at(1)));
+  EXPECT_EQ(Table.noteIncarnation(UpstreamId("e1@2000"), at(1)),
             UpstreamId("e1@1000"));
   Table.apply(change("e1@1000", 2), false, at(2));
   EXPECT_TRUE(Table.ofService(Ring).empty());
@@ -214,7 +214,7 @@
 TEST(EngineTable, AnEngineRebornTwiceBetweenTwoRecordsHasItsLastLife) {
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1), false, at(0));
-  Table.noteLife(UpstreamId("e1@2000"), at(1));
+  Table.noteIncarnation(UpstreamId("e1@2000"), at(1));
   Table.apply(change("e1@3000", 2), false, at(2));
   ASSERT_EQ(Table.ofService(Ring).size(), 1U);
   EXPECT_EQ(Table.ofService(Ring).front()->Record.Id, UpstreamId("e1@3000"));
@@ -300,9 +300,9 @@
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), false, at(10));
-  Table.age(at(59'000));
+  Table.expire(at(59'000));
   EXPECT_EQ(Table.forgottenTo(), 0U);
-  Table.age(at(61'000));
+  Table.expire(at(61'000));
   EXPECT_EQ(Table.forgottenTo(), 3U);
 }
 
