--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -14,7 +14,7 @@
 
 std::string_view name(TrustRecord::Verdict What) {
   switch (What) {
-  case TrustRecord::Verdict::Sound:
+  case TrustRecord::Verdict::Healthy:
     return "sound";
   case TrustRecord::Verdict::Failing:
     return "failing";
@@ -36,8 +36,8 @@
   const Settings &Values = Context.settings();
   const std::string_view In = "engine_trust";
   this->Directory = &Context.services().get<EngineDirectory>();
-  this->Limits.FirstPause = Values.span(In, "first_pause");
-  this->Limits.LongestPause = Values.span(In, "longest_pause");
+  this->Limits.FirstEjection = Values.span(In, "first_pause");
+  this->Limits.MaxEjection = Values.span(In, "longest_pause");
   this->Limits.SuspectShare = Values.fraction(In, "suspect_share");
   this->Limits.Memory = Values.fraction(In, "memory");
   Context.services().provide<EngineTrustView>(*this);
@@ -48,7 +48,7 @@
 bool EngineTrustPlugin::isAvoided(const UpstreamId &Id, Time Now) const {
   const auto Found = this->Records.find(Id);
   const bool Own = Found != this->Records.end() && Found->second.isAvoided(Now);
-  return Own || this->Peers.isHeld(Id, Now);
+  return Own || this->Peers.isHeldBack(Id, Now);
 }
 
 std::vector<EngineWork::Distrust>
@@ -89,13 +89,13 @@
 
 void EngineTrustPlugin::attemptBegan(const RelayAttempt &Each, Time,
                                      Actions &) {
-  this->noteSound(Each);
+  this->noteHealthy(Each);
 }
 
-void EngineTrustPlugin::noteSound(const RelayAttempt &Each) {
+void EngineTrustPlugin::noteHealthy(const RelayAttempt &Each) {
   // The last answers of an engine may come after it is gone.
   if (this->Directory->find(Each.Engine))
-    this->Peers.noteSound(Each.Engine, Each.SentAt);
+    this->Peers.noteHealthy(Each.Engine, Each.SentAt);
 }
 
 void EngineTrustPlugin::attemptEnded(const RelayAttempt &Each,
@@ -108,8 +108,8 @@
     return;
   }
   const TrustRecord::Verdict What = verdictOf(Outcome);
-  if (What == TrustRecord::Verdict::Sound)
-    this->noteSound(Each);
+  if (What == TrustRecord::Verdict::Healthy)
+    this->noteHealthy(Each);
   this->judge(Each.Engine, Each.Service, What, Now, Out);
 }
 
@@ -118,7 +118,7 @@
                               TrustRecord::Verdict What, Time Now,
                               Actions &Out) {
   ServiceShare &Usual = this->Services[Service];
-  if (What == TrustRecord::Verdict::Sound ||
+  if (What == TrustRecord::Verdict::Healthy ||
       What == TrustRecord::Verdict::Failing) {
     const double Failed = What == TrustRecord::Verdict::Failing ? 1 : 0;
     Usual.Failures += ServiceMemory * (Failed - Usual.Failures);
@@ -136,7 +136,7 @@
                 .with("usual_share", Usual.Failures)
                 .with("for_us", (Of.avoidUntil() - Now).count())
                 .build());
-  } else if (Until != Time{} && What == TrustRecord::Verdict::Sound) {
+  } else if (Until != Time{} && What == TrustRecord::Verdict::Healthy) {
     Out.log(logEvent(events::EngineTrusted)
                 .with("engine", Engine.Value)
                 .with("failure_share", Of.failureShare())
--- a/src/plugins/enginetrust/EngineTrustPlugin.h
+++ b/src/plugins/enginetrust/EngineTrustPlugin.h
@@ -32,7 +32,7 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void noteSound(const RelayAttempt &Each);
+  void noteHealthy(const RelayAttempt &Each);
   void judge(const UpstreamId &Engine, const ServiceId &Service,
              TrustRecord::Verdict What, Time Now, Actions &Out);
 
--- a/src/plugins/enginetrust/PeerDistrust.cpp
+++ b/src/plugins/enginetrust/PeerDistrust.cpp
@@ -46,7 +46,7 @@
   return New;
 }
 
-void PeerDistrust::noteSound(const UpstreamId &Engine, Time SentAt) {
+void PeerDistrust::noteHealthy(const UpstreamId &Engine, Time SentAt) {
   Time &Last = this->SoundSentAt[Engine];
   Last = std::max(Last, SentAt);
   const auto Found = this->ByEngine.find(Engine);
@@ -54,7 +54,7 @@
     this->ByEngine.erase(Found);
 }
 
-bool PeerDistrust::isHeld(const UpstreamId &Engine, Time Now) const {
+bool PeerDistrust::isHeldBack(const UpstreamId &Engine, Time Now) const {
   const auto Found = this->ByEngine.find(Engine);
   return Found != this->ByEngine.end() && Now < Found->second.Until;
 }
--- a/src/plugins/enginetrust/PeerDistrust.h
+++ b/src/plugins/enginetrust/PeerDistrust.h
@@ -24,9 +24,9 @@
                    std::span<const EngineWork::Distrust> Told,
                    std::size_t Engines, Time Now);
   /// A try that this host sent then is answered by the engine.
-  void noteSound(const UpstreamId &Engine, Time SentAt);
+  void noteHealthy(const UpstreamId &Engine, Time SentAt);
 
-  bool isHeld(const UpstreamId &Engine, Time Now) const;
+  bool isHeldBack(const UpstreamId &Engine, Time Now) const;
   void forget(const UpstreamId &Engine);
   std::size_t size() const { return this->ByEngine.size(); }
 
--- a/src/plugins/enginetrust/TrustRecord.cpp
+++ b/src/plugins/enginetrust/TrustRecord.cpp
@@ -26,10 +26,10 @@
                        const TrustLimits &Limits, Time Now) {
   if (What == Verdict::Neutral)
     return;
-  const double Failed = What == Verdict::Sound ? 0 : 1;
+  const double Failed = What == Verdict::Healthy ? 0 : 1;
   this->Failures += Limits.Memory * (Failed - this->Failures);
   ++this->Seen;
-  if (What == Verdict::Sound) {
+  if (What == Verdict::Healthy) {
     this->InARow = 0;
     this->Pauses = 0;
     return;
@@ -50,10 +50,10 @@
   if (this->isAvoided(Now))
     return;
   const auto Doublings = std::min(this->Pauses, MostDoublings);
-  const Duration Pause = Limits.FirstPause * (1 << Doublings);
+  const Duration Pause = Limits.FirstEjection * (1 << Doublings);
   ++this->Pauses;
   this->AvoidSince = Now;
-  this->AvoidUntil = Now + std::min(Pause, Limits.LongestPause);
+  this->AvoidUntil = Now + std::min(Pause, Limits.MaxEjection);
   // After the pause a few answers decide anew.
   this->Seen = 0;
 }
@@ -66,10 +66,10 @@
         return Is.Withdrawn ? Verdict::Neutral : Verdict::Silent;
       },
       [](const RelayNotRun &) { return Verdict::Neutral; },
-      [](const RelayDelivered &) { return Verdict::Sound; },
+      [](const RelayDelivered &) { return Verdict::Healthy; },
       [](const RelayFailed &Is) {
         return Is.Status >= FirstServerError ? Verdict::Failing
-                                             : Verdict::Sound;
+                                             : Verdict::Healthy;
       },
       [](const RelayBroken &Is) {
         const bool Refused = Is.Reason == RelayBroken::Why::Reset && !Is.Began;
--- a/src/plugins/enginetrust/TrustRecord.h
+++ b/src/plugins/enginetrust/TrustRecord.h
@@ -8,8 +8,8 @@
 
 /// When an upstream is avoided, and for how long.
 struct TrustLimits {
-  Duration FirstPause{}; ///< After a failure; doubles with each in a row.
-  Duration LongestPause{};
+  Duration FirstEjection{}; ///< After a failure; doubles with each in a row.
+  Duration MaxEjection{};
   double SuspectShare = 0; ///< Failures among its last answers that are too
                            ///< many, above what its service shows.
   double Memory = 0;       ///< Weight of the newest answer in the share.
@@ -20,7 +20,7 @@
 public:
   /// How much an outcome speaks against the upstream.
   enum class Verdict {
-    Sound,   ///< It answered.
+    Healthy, ///< It answered.
     Failing, ///< It answered with a failure of its own.
     Broken,  ///< It broke off its answer, or answered not in the protocol.
     Refused, ///< It closed the connection in place of an answer.
--- a/tests/auto/gateway/PeerDistrustTest.cpp
+++ b/tests/auto/gateway/PeerDistrustTest.cpp
@@ -24,9 +24,9 @@
 TEST(PeerDistrust, HoldsBackALittleLongerThanThePeer) {
   PeerDistrust Peers;
   Peers.take(Peer, told(1), Engines, at(0));
-  EXPECT_TRUE(Peers.isHeld(Engine, at(510)));
-  EXPECT_FALSE(Peers.isHeld(Engine, at(1000)));
-  EXPECT_FALSE(Peers.isHeld(UpstreamId("e2"), at(0)));
+  EXPECT_TRUE(Peers.isHeldBack(Engine, at(510)));
+  EXPECT_FALSE(Peers.isHeldBack(Engine, at(1000)));
+  EXPECT_FALSE(Peers.isHeldBack(UpstreamId("e2"), at(0)));
 }
 
 TEST(PeerDistrust, APeerThatDistrustsManyIsNotBelieved) {
@@ -41,8 +41,8 @@
   const std::vector<EngineWork::Distrust> Desk{{UpstreamId("d1"), 0, 500}};
   EXPECT_EQ(Peers.take(Peer, Desk, 3, at(0)), 1U);
   EXPECT_EQ(Peers.take(Peer, told(4), Engines, at(5)), 0U);
-  EXPECT_TRUE(Peers.isHeld(UpstreamId("d1"), at(10)));
-  EXPECT_FALSE(Peers.isHeld(Engine, at(10)));
+  EXPECT_TRUE(Peers.isHeldBack(UpstreamId("d1"), at(10)));
+  EXPECT_FALSE(Peers.isHeldBack(Engine, at(10)));
 }
 
 TEST(PeerDistrust, AnswersAnAnewHeldEngineOnce) {
@@ -56,18 +56,19 @@
 TEST(PeerDistrust, AnAnswerToALaterTryGoesFirst) {
   PeerDistrust Peers;
   Peers.take(Peer, told(1, 50), Engines, at(100));
-  Peers.noteSound(Engine, at(40));
-  EXPECT_TRUE(Peers.isHeld(Engine, at(110)));
-  Peers.noteSound(Engine, at(60));
-  EXPECT_FALSE(Peers.isHeld(Engine, at(110)));
+  Peers.noteHealthy(Engine, at(40));
+  EXPECT_TRUE(Peers.isHeldBack(Engine, at(110)));
+  Peers.noteHealthy(Engine, at(60));
+  EXPECT_FALSE(Peers.isHeldBack(Engine, at(110)));
   Peers.take(Peer, told(1, 70), Engines, at(120));
-  EXPECT_FALSE(Peers.isHeld(Engine, at(121))) << "the same pause, told again";
+  EXPECT_FALSE(Peers.isHeldBack(Engine, at(121)))
+      << "the same pause, told again";
 }
 
 TEST(PeerDistrust, OneOfThreeEnginesMayBeDistrusted) {
   PeerDistrust Peers;
   Peers.take(Peer, told(1), 3, at(0));
-  EXPECT_TRUE(Peers.isHeld(Engine, at(1)));
+  EXPECT_TRUE(Peers.isHeldBack(Engine, at(1)));
 }
 
 } // namespace
--- a/tests/auto/gateway/TrustRecordTest.cpp
+++ b/tests/auto/gateway/TrustRecordTest.cpp
@@ -22,7 +22,7 @@
 
 TEST(TrustRecord, OneLostAnswerIsForgiven) {
   TrustRecord Record;
-  Record.take(Verdict::Sound, 0, Limits, at(0));
+  Record.take(Verdict::Healthy, 0, Limits, at(0));
   Record.take(Verdict::Broken, 0, Limits, at(10));
   EXPECT_FALSE(Record.isAvoided(at(11)));
   Record.take(Verdict::Broken, 0, Limits, at(20));
@@ -34,7 +34,7 @@
   EXPECT_EQ(verdictOf(RelayBroken{RelayBroken::Why::Reset, true, {}}),
             Verdict::Broken);
   TrustRecord Record;
-  Record.take(Verdict::Sound, 0, Limits, at(0));
+  Record.take(Verdict::Healthy, 0, Limits, at(0));
   Record.take(Verdict::Refused, 0, Limits, at(10));
   EXPECT_TRUE(Record.isAvoided(at(11)));
   EXPECT_EQ(Record.avoidSince(), at(10));
@@ -48,7 +48,7 @@
     EXPECT_EQ(Record.avoidUntil(), at(Now + Expected));
     Now += Expected;
   }
-  Record.take(Verdict::Sound, 0, Limits, at(Now));
+  Record.take(Verdict::Healthy, 0, Limits, at(Now));
   Record.take(Verdict::Silent, 0, Limits, at(Now));
   EXPECT_EQ(Record.avoidUntil(), at(Now + 500));
 }
@@ -57,7 +57,7 @@
   TrustRecord Record;
   for (int Each = 0; Each < 70; ++Each) {
     const bool Fails = Each % 7 == 0;
-    Record.take(Fails ? Verdict::Failing : Verdict::Sound, 0.14, Limits,
+    Record.take(Fails ? Verdict::Failing : Verdict::Healthy, 0.14, Limits,
                 at(Each));
     EXPECT_FALSE(Record.isAvoided(at(Each)));
   }
@@ -67,8 +67,8 @@
   TrustRecord Record;
   bool Avoided = false;
   for (int Each = 0; Each < 20 && !Avoided; ++Each) {
-    Record.take(Each % 2 == 0 ? Verdict::Failing : Verdict::Sound, 0.05, Limits,
-                at(Each));
+    Record.take(Each % 2 == 0 ? Verdict::Failing : Verdict::Healthy, 0.05,
+                Limits, at(Each));
     Avoided = Record.isAvoided(at(Each));
   }
   EXPECT_TRUE(Avoided);
@@ -77,7 +77,7 @@
 TEST(TrustRecord, AFullEngineIsNotAtFault) {
   EXPECT_EQ(verdictOf(RelayNotRun{}), Verdict::Neutral);
   EXPECT_EQ(verdictOf(RelayFailed{500}), Verdict::Failing);
-  EXPECT_EQ(verdictOf(RelayFailed{404}), Verdict::Sound);
+  EXPECT_EQ(verdictOf(RelayFailed{404}), Verdict::Healthy);
   EXPECT_EQ(verdictOf(RelayNeverSent{}), Verdict::Silent);
 }
 
