--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -11,17 +11,19 @@
 
 namespace {
 
-/// An engine that leaves has ended long before.
-constexpr hours LeavingKept(1);
+/// Retention of an announcement. A leaving engine has ended long before.
+constexpr hours LeavingTtl(1);
 
-std::uint64_t digestOf(const EngineRecord &Of) {
-  const std::string Rest =
-      fmt::format("{} {}:{} {} {} {}", Of.Service.Value, Of.At.Ip, Of.At.Port,
-                  Of.Zone.Value, Of.Slots, Of.Draining);
-  return rendezvousWeight(Of.Id.Value, Rest);
+std::uint64_t digestOf(const EngineRecord &Record) {
+  const std::string Fields = fmt::format(
+      "{} {}:{} {} {} {}", Record.Service.Value, Record.At.Ip, Record.At.Port,
+      Record.Zone.Value, Record.Slots, Record.Draining);
+  return rendezvousWeight(Record.Id.Value, Fields);
 }
 
-const UpstreamId &idOf(const RegisteredEngine *Of) { return Of->Record.Id; }
+const UpstreamId &idOf(const RegisteredEngine *Known) {
+  return Known->Record.Id;
+}
 
 } // namespace
 
@@ -38,101 +40,103 @@
 }
 
 EngineTable::Applied EngineTable::apply(const EngineChange &Change,
-                                        bool Doubtful, Time Now) {
+                                        bool StoreSuspect, Time Now) {
   if (Change.Removed)
-    return this->remove(Change, Doubtful, Now);
-  const std::string_view Of = engineName(Change.Engine.Id);
-  const std::uint64_t BornMs = engineStartMs(Change.Engine.Id);
-  const auto Over = this->Removed.find(Of);
-  const bool WasRemoved = Over != this->Removed.end();
-  if (WasRemoved && BornMs < Over->second.BornMs)
+    return this->remove(Change, StoreSuspect, Now);
+  const std::string_view EngineName = engineName(Change.Engine.Id);
+  const std::uint64_t StartedMs = engineStartMs(Change.Engine.Id);
+  const auto LastRemoval = this->Removed.find(EngineName);
+  const bool WasRemoved = LastRemoval != this->Removed.end();
+  if (WasRemoved && StartedMs < LastRemoval->second.StartedMs)
     return {};
-  const bool IsOver = WasRemoved && Over->second.Offset >= Change.Offset;
-  if (IsOver)
-    Over->second.BornMs = BornMs;
-  const auto Found = this->Engines.find(Of);
+  const bool IsRemoved =
+      WasRemoved && LastRemoval->second.Offset >= Change.Offset;
+  if (IsRemoved)
+    LastRemoval->second.StartedMs = StartedMs;
+  const auto Found = this->Engines.find(EngineName);
   if (Found == this->Engines.end())
-    return IsOver ? Applied{} : this->add(Change, Now);
+    return IsRemoved ? Applied{} : this->add(Change, Now);
   RegisteredEngine &Known = Found->second;
   const std::uint64_t KnownMs = engineStartMs(Known.Record.Id);
-  if (BornMs < KnownMs || (BornMs == KnownMs && Known.Offset >= Change.Offset))
+  if (StartedMs < KnownMs ||
+      (StartedMs == KnownMs && Known.Offset >= Change.Offset))
     return {};
-  if (BornMs == KnownMs)
+  if (StartedMs == KnownMs)
     return this->change(Known, Change, Now);
   const UpstreamId Ended = Known.Record.Id;
   this->erase(Found);
-  if (IsOver)
+  if (IsRemoved)
     return {Effect::Removed, Ended, true};
   this->add(Change, Now);
   return {Effect::Changed, Ended, true};
 }
 
 EngineTable::Applied EngineTable::add(const EngineChange &Change, Time Now) {
-  const Name Of(engineName(Change.Engine.Id));
-  RegisteredEngine &Added = this->Engines[Of];
+  const Name EngineName(engineName(Change.Engine.Id));
+  RegisteredEngine &Added = this->Engines[EngineName];
   Added.Record = Change.Engine;
   Added.Offset = Change.Offset;
   Added.ChangedAt = Change.Offset;
   Added.Standing = this->registeredStanding(Change.Engine);
   Added.Since = Now;
-  Added.NameHash = rendezvousWeight("part", Of);
-  this->include(Added);
+  Added.NameHash = rendezvousWeight("part", EngineName);
+  this->addToIndex(Added);
   return {Effect::Changed, std::nullopt};
 }
 
-EngineTable::Applied EngineTable::change(RegisteredEngine &Of,
+EngineTable::Applied EngineTable::change(RegisteredEngine &Known,
                                          const EngineChange &Change, Time Now) {
-  Of.Offset = Change.Offset;
-  // A life that is known to leave does not come back.
-  const EngineStanding Next = Of.Standing == EngineStanding::Leaving
+  Known.Offset = Change.Offset;
+  // A leaving incarnation stays leaving.
+  const EngineStanding Next = Known.Standing == EngineStanding::Leaving
                                   ? EngineStanding::Leaving
                                   : this->registeredStanding(Change.Engine);
-  if (Of.Record == Change.Engine && Of.Standing == Next)
+  if (Known.Record == Change.Engine && Known.Standing == Next)
     return {};
-  this->exclude(Of);
-  Of.Record = Change.Engine;
-  Of.ChangedAt = Change.Offset;
-  this->stand(Of, Next, Now);
-  this->include(Of);
+  this->removeFromIndex(Known);
+  Known.Record = Change.Engine;
+  Known.ChangedAt = Change.Offset;
+  this->setStanding(Known, Next, Now);
+  this->addToIndex(Known);
   return {Effect::Changed, std::nullopt};
 }
 
 EngineTable::Applied EngineTable::remove(const EngineChange &Change,
-                                         bool Doubtful, Time Now) {
-  const Name Of(engineName(Change.Engine.Id));
-  const auto Found = this->Engines.find(Of);
-  Removal &Over = this->noteRemoval(Of, Change.Offset, Now);
+                                         bool StoreSuspect, Time Now) {
+  const Name EngineName(engineName(Change.Engine.Id));
+  const auto Found = this->Engines.find(EngineName);
+  Removal &LastRemoval = this->noteRemoval(EngineName, Change.Offset, Now);
   if (Found == this->Engines.end() || Found->second.Offset >= Change.Offset)
     return {};
   RegisteredEngine &Known = Found->second;
-  if (Doubtful && Known.Standing == EngineStanding::Usable) {
+  if (StoreSuspect && Known.Standing == EngineStanding::Usable) {
     Known.Offset = Change.Offset;
     Known.ChangedAt = Change.Offset;
-    this->exclude(Known);
-    this->stand(Known, EngineStanding::Missing, Now);
-    this->include(Known);
+    this->removeFromIndex(Known);
+    this->setStanding(Known, EngineStanding::Missing, Now);
+    this->addToIndex(Known);
     return {Effect::Changed, std::nullopt};
   }
-  if (Doubtful && Known.Standing == EngineStanding::Missing) {
+  if (StoreSuspect && Known.Standing == EngineStanding::Missing) {
     Known.Offset = Change.Offset;
     return {};
   }
   const UpstreamId Ended = Known.Record.Id;
-  Over.BornMs = engineStartMs(Ended);
+  LastRemoval.StartedMs = engineStartMs(Ended);
   this->erase(Found);
   return {Effect::Removed, Ended};
 }
 
-std::optional<UpstreamId> EngineTable::noteIncarnation(const UpstreamId &Life,
-                                                       Time Now) {
-  const auto Found = this->Engines.find(engineName(Life));
+std::optional<UpstreamId>
+EngineTable::noteIncarnation(const UpstreamId &Incarnation, Time Now) {
+  const auto Found = this->Engines.find(engineName(Incarnation));
   if (Found == this->Engines.end())
     return std::nullopt;
   const UpstreamId Known = Found->second.Record.Id;
-  if (engineStartMs(Life) <= engineStartMs(Known))
+  if (engineStartMs(Incarnation) <= engineStartMs(Known))
     return std::nullopt;
-  this->noteRemoval(Found->first, Found->second.Offset, Now).BornMs =
-      engineStartMs(Life);
+  this->noteRemoval(Found->first, Found->second.Offset, Now).StartedMs =
+      engineStartMs(Incarnation);
   this->erase(Found);
   return Known;
 }
@@ -141,16 +145,16 @@
 EngineTable::missingFrom(std::span<const EngineChange> Listing,
                          LogOffset UpTo) const {
   std::set<std::string_view> Named;
-  for (const EngineChange &Each : Listing)
-    Named.insert(engineName(Each.Engine.Id));
+  for (const EngineChange &Change : Listing)
+    Named.insert(engineName(Change.Engine.Id));
   std::vector<EngineChange> Result;
-  for (const auto &[Of, Each] : this->Engines) {
-    if (Named.contains(Of) || Each.Offset >= UpTo)
+  for (const auto &[EngineName, Entry] : this->Engines) {
+    if (Named.contains(EngineName) || Entry.Offset >= UpTo)
       continue;
     EngineChange Gone;
-    Gone.Engine = Each.Record;
+    Gone.Engine = Entry.Record;
     Gone.Removed = true;
-    // The next record has UpTo; it may bring the same upstream back.
+    // The next record has the offset UpTo and may restore the engine.
     Gone.Offset = UpTo - 1;
     Result.push_back(std::move(Gone));
   }
@@ -163,56 +167,59 @@
       Found->second.Standing == EngineStanding::Leaving)
     return false;
   if (Found->second.Standing == EngineStanding::Missing) {
-    // No registration and no address: age() takes it away now. As one that
-    // leaves it would stay for ever, since its removal was already told.
+    // The engine has no registration and no address, so expire() removes it
+    // now. As a leaving engine it would stay forever, because its removal was
+    // already processed.
     Found->second.Since = Now - this->Times.MissingFor;
-    this->NextAge = Now;
+    this->NextExpiry = Now;
     return false;
   }
-  this->exclude(Found->second);
-  this->stand(Found->second, EngineStanding::Leaving, Now);
-  this->include(Found->second);
+  this->removeFromIndex(Found->second);
+  this->setStanding(Found->second, EngineStanding::Leaving, Now);
+  this->addToIndex(Found->second);
   return true;
 }
 
 bool EngineTable::noteLeaving(const UpstreamId &Id, Time Now) {
-  std::erase_if(this->SaidLeaving, [&](const auto &Each) {
-    return Now >= Each.second + Duration(LeavingKept);
+  std::erase_if(this->AnnouncedLeaving, [&](const auto &Entry) {
+    return Now >= Entry.second + Duration(LeavingTtl);
   });
-  this->SaidLeaving.emplace(Id, Now);
+  this->AnnouncedLeaving.emplace(Id, Now);
   return this->setLeaving(Id, Now);
 }
 
-EngineStanding EngineTable::registeredStanding(const EngineRecord &Of) const {
-  const bool Leaves = Of.Draining || this->SaidLeaving.contains(Of.Id);
+EngineStanding
+EngineTable::registeredStanding(const EngineRecord &Record) const {
+  const bool Leaves =
+      Record.Draining || this->AnnouncedLeaving.contains(Record.Id);
   return Leaves ? EngineStanding::Leaving : EngineStanding::Usable;
 }
 
 std::vector<UpstreamId> EngineTable::expire(Time Now) {
   std::vector<UpstreamId> Gone;
-  // Asked at every event, and hardly ever due.
-  if (Now >= this->NextAge)
-    Gone = this->endMissing(Now);
+  // Called at every event, but rarely due.
+  if (Now >= this->NextExpiry)
+    Gone = this->removeMissing(Now);
   if (Now >= this->NextForgetting)
     this->forgetRemovals(Now);
   return Gone;
 }
 
-std::vector<UpstreamId> EngineTable::endMissing(Time Now) {
+std::vector<UpstreamId> EngineTable::removeMissing(Time Now) {
   std::vector<UpstreamId> Gone;
-  this->NextAge = Never;
-  for (const auto &[Of, Each] : this->Engines) {
-    if (Each.Standing != EngineStanding::Missing)
+  this->NextExpiry = Never;
+  for (const auto &[EngineName, Entry] : this->Engines) {
+    if (Entry.Standing != EngineStanding::Missing)
       continue;
-    const Time DueAt = Each.Since + this->Times.MissingFor;
+    const Time DueAt = Entry.Since + this->Times.MissingFor;
     if (Now >= DueAt)
-      Gone.push_back(Each.Record.Id);
+      Gone.push_back(Entry.Record.Id);
     else
-      this->NextAge = std::min(this->NextAge, DueAt);
+      this->NextExpiry = std::min(this->NextExpiry, DueAt);
   }
   for (const UpstreamId &Id : Gone) {
     const auto Found = this->Engines.find(engineName(Id));
-    this->noteRemoval(Found->first, Found->second.Offset, Now).BornMs =
+    this->noteRemoval(Found->first, Found->second.Offset, Now).StartedMs =
         engineStartMs(Id);
     this->erase(Found);
   }
@@ -221,25 +228,25 @@
 
 void EngineTable::forgetRemovals(Time Now) {
   this->NextForgetting = Never;
-  std::erase_if(this->Removed, [&](const auto &Each) {
-    const Time DueAt = Each.second.At + this->Times.KeepRemoved;
+  std::erase_if(this->Removed, [&](const auto &Entry) {
+    const Time DueAt = Entry.second.RemovedAt + this->Times.KeepRemoved;
     const bool Due = Now >= DueAt;
     if (Due)
-      this->ForgottenTo = std::max(this->ForgottenTo, Each.second.Offset + 1);
+      this->ForgottenTo = std::max(this->ForgottenTo, Entry.second.Offset + 1);
     else
       this->NextForgetting = std::min(this->NextForgetting, DueAt);
     return Due;
   });
 }
 
-EngineTable::Removal &EngineTable::noteRemoval(const Name &Of, LogOffset Offset,
-                                               Time Now) {
-  Removal &Over = this->Removed[Of];
-  Over.Offset = std::max(Over.Offset, Offset);
-  Over.At = Now;
+EngineTable::Removal &EngineTable::noteRemoval(const Name &EngineName,
+                                               LogOffset Offset, Time Now) {
+  Removal &LastRemoval = this->Removed[EngineName];
+  LastRemoval.Offset = std::max(LastRemoval.Offset, Offset);
+  LastRemoval.RemovedAt = Now;
   this->NextForgetting =
       std::min(this->NextForgetting, Now + this->Times.KeepRemoved);
-  return Over;
+  return LastRemoval;
 }
 
 const RegisteredEngine *EngineTable::find(const UpstreamId &Id) const {
@@ -259,53 +266,54 @@
 
 std::vector<EngineChange> EngineTable::changesFrom(LogOffset From) const {
   std::vector<EngineChange> Result;
-  for (const auto &[Of, Each] : this->Engines)
-    if (Each.ChangedAt >= From)
-      Result.push_back({Each.Record, Each.Standing == EngineStanding::Missing,
-                        Each.ChangedAt});
-  for (const auto &[Of, Each] : this->Removed) {
-    if (Each.Offset < From)
+  for (const auto &[EngineName, Entry] : this->Engines)
+    if (Entry.ChangedAt >= From)
+      Result.push_back({Entry.Record, Entry.Standing == EngineStanding::Missing,
+                        Entry.ChangedAt});
+  for (const auto &[EngineName, Entry] : this->Removed) {
+    if (Entry.Offset < From)
       continue;
     EngineChange Gone;
-    Gone.Engine.Id = UpstreamId(Of);
+    Gone.Engine.Id = UpstreamId(EngineName);
     Gone.Removed = true;
-    Gone.Offset = Each.Offset;
+    Gone.Offset = Entry.Offset;
     Result.push_back(std::move(Gone));
   }
   return Result;
 }
 
-void EngineTable::stand(RegisteredEngine &Of, EngineStanding Next, Time Now) {
-  if (Of.Standing == Next)
+void EngineTable::setStanding(RegisteredEngine &Known, EngineStanding Next,
+                              Time Now) {
+  if (Known.Standing == Next)
     return;
-  Of.Standing = Next;
-  Of.Since = Now;
+  Known.Standing = Next;
+  Known.Since = Now;
   if (Next == EngineStanding::Missing)
-    this->NextAge = std::min(this->NextAge, Now + this->Times.MissingFor);
+    this->NextExpiry = std::min(this->NextExpiry, Now + this->Times.MissingFor);
 }
 
-void EngineTable::include(const RegisteredEngine &Of) {
+void EngineTable::addToIndex(const RegisteredEngine &Known) {
   std::vector<const RegisteredEngine *> &All =
-      this->ByService[Of.Record.Service];
-  All.insert(std::ranges::lower_bound(All, Of.Record.Id, {}, idOf), &Of);
-  // The order of the sum does not matter, so no host has to sort.
-  if (Of.Standing != EngineStanding::Missing)
-    this->Digest += digestOf(Of.Record);
+      this->ByService[Known.Record.Service];
+  All.insert(std::ranges::lower_bound(All, Known.Record.Id, {}, idOf), &Known);
+  // The digest is a sum, so hosts need no common order.
+  if (Known.Standing != EngineStanding::Missing)
+    this->Digest += digestOf(Known.Record);
 }
 
-void EngineTable::exclude(const RegisteredEngine &Of) {
-  const auto Found = this->ByService.find(Of.Record.Service);
+void EngineTable::removeFromIndex(const RegisteredEngine &Known) {
+  const auto Found = this->ByService.find(Known.Record.Service);
   std::vector<const RegisteredEngine *> &All = Found->second;
-  All.erase(std::ranges::lower_bound(All, Of.Record.Id, {}, idOf));
+  All.erase(std::ranges::lower_bound(All, Known.Record.Id, {}, idOf));
   if (All.empty())
     this->ByService.erase(Found);
-  if (Of.Standing != EngineStanding::Missing)
-    this->Digest -= digestOf(Of.Record);
+  if (Known.Standing != EngineStanding::Missing)
+    this->Digest -= digestOf(Known.Record);
 }
 
-void EngineTable::erase(ByName::const_iterator At) {
-  this->exclude(At->second);
-  this->Engines.erase(At);
+void EngineTable::erase(ByName::const_iterator Position) {
+  this->removeFromIndex(Position->second);
+  this->Engines.erase(Position);
 }
 
 } // namespace banyanpick
--- a/src/plugins/engines/EngineTable.h
+++ b/src/plugins/engines/EngineTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// The registered upstreams and what became of them.
+/// The registered engines and their standing.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -11,113 +11,114 @@
 
 namespace banyanpick {
 
-/// How long things are remembered.
+/// Retention times of the engine table.
 struct EngineTimes {
-  /// A registration that vanished beside an outage of the store comes back
-  /// within so long if its upstream lives.
+  /// How long an engine stays usable after its registration vanished during an
+  /// outage of the store. A live engine registers again within this time.
   Duration MissingFor{};
-  /// Removed upstreams are told to peers for so long.
+  /// How long removals are sent to peers.
   Duration KeepRemoved{};
 };
 
-/// Merges changes from the store and from peers by their offsets.
+/// Merges changes from the store and from peers by their offsets. Changes of
+/// one engine are ordered by their offsets. A change of an earlier incarnation
+/// is ignored, so a late write of an ended incarnation cannot restore it.
 class EngineTable {
 public:
   EngineTable() = default;
   explicit EngineTable(EngineTimes Times) : Times(Times) {}
 
-  /// What a change did to one upstream.
+  /// The effect of a change on one engine.
   enum class Effect { None, Changed, Removed };
   struct Applied {
-    Effect Is = Effect::None;
-    /// The earlier life that ended because the upstream started anew, or the
-    /// life that is gone.
+    Effect Outcome = Effect::None;
+    /// The incarnation that ended because the engine restarted or was removed.
     std::optional<UpstreamId> Ended;
-    bool Restarted = false; ///< Ended was followed by a new life.
+    bool Restarted = false; ///< A later incarnation followed.
   };
 
-  /// \p Doubtful: the store was away lately, so that a removal may only mean
-  /// that the upstream could not renew its registration.
-  ///
-  /// Changes of one upstream are ordered by their offsets; one that tells of an
-  /// earlier life than is known changes nothing, so a late write of a life that
-  /// is over cannot bring it back.
-  Applied apply(const EngineChange &Change, bool Doubtful, Time Now);
+  /// Applies a change. \p StoreSuspect: the store was unavailable recently, so
+  /// a removal may only mean that the engine could not renew its registration.
+  Applied apply(const EngineChange &Change, bool StoreSuspect, Time Now);
 
-  /// The upstream itself says which life it is in; gives the earlier one that
-  /// is over by it. The new life is used once it is registered.
-  std::optional<UpstreamId> noteIncarnation(const UpstreamId &Life, Time Now);
+  /// Called when the engine itself reports its incarnation. Returns the earlier
+  /// incarnation that ended. The new incarnation is used once it is registered.
+  std::optional<UpstreamId> noteIncarnation(const UpstreamId &Incarnation,
+                                            Time Now);
 
-  /// A listing of everything up to \p UpTo; gives those that it does not name.
+  /// Returns removals for the engines that a complete listing up to \p UpTo
+  /// does not name.
   std::vector<EngineChange> missingFrom(std::span<const EngineChange> Listing,
                                         LogOffset UpTo) const;
 
-  /// Another upstream has the address. True when that is news.
+  /// Called when another engine has the address. Returns whether the standing
+  /// changed.
   bool setLeaving(const UpstreamId &Id, Time Now);
 
-  /// The upstream itself says that it leaves: whatever the registry has said or
-  /// will say of this life of it, it does not come back. True when its standing
-  /// is another now.
+  /// Called when the engine itself announces that it leaves. This incarnation
+  /// stays leaving, whatever the registry contains. Returns whether the
+  /// standing changed.
   bool noteLeaving(const UpstreamId &Id, Time Now);
 
-  /// Forgets what is due; gives the upstreams that are gone by it.
+  /// Drops expired entries. Returns the engines that are removed.
   std::vector<UpstreamId> expire(Time Now);
-  /// When age() has something to do.
-  Time nextExpiry() const { return this->NextAge; }
+  /// Returns when expire() is due next.
+  Time nextExpiry() const { return this->NextExpiry; }
 
   const RegisteredEngine *find(const UpstreamId &Id) const;
   std::span<const RegisteredEngine *const>
   ofService(const ServiceId &Service) const;
   std::size_t size() const { return this->Engines.size(); }
 
-  /// Removals before this offset may be forgotten.
+  /// Removals before this offset may have been forgotten.
   LogOffset forgottenTo() const { return this->ForgottenTo; }
 
-  /// Of the registrations, however often they were renewed. Equal at hosts that
-  /// know the same, whatever each believes of missing ones.
+  /// Returns a digest of the registrations, independent of renewals. Hosts with
+  /// the same registrations have the same digest, regardless of how they treat
+  /// missing engines.
   std::uint64_t digest() const { return this->Digest; }
 
-  /// Changes at or after the offset, removals of late among them; renewals are
-  /// none.
+  /// Returns the changes at or after the offset, including recent removals but
+  /// not renewals.
   std::vector<EngineChange> changesFrom(LogOffset From) const;
 
 private:
-  /// By the upstream's name: all of its lives.
+  /// The engine's name, common to all of its incarnations.
   using Name = std::string;
   struct Removal {
     LogOffset Offset = 0;
-    Time At{};
-    std::uint64_t BornMs = 0; ///< No earlier life comes back.
+    Time RemovedAt{};
+    std::uint64_t StartedMs = 0; ///< Earlier incarnations are ignored.
   };
 
   using ByName = std::map<Name, RegisteredEngine, std::less<>>;
 
-  /// Takes the engine into what is derived of all, or out of it while it is
-  /// changed: thousands of engines register at once when hosts start, so one
-  /// registration must not cost a look at all others.
-  void include(const RegisteredEngine &Of);
-  void exclude(const RegisteredEngine &Of);
+  /// Adds the engine to the index by service and to the digest, or removes it
+  /// while it changes. Thousands of engines register at once when hosts start,
+  /// so a registration must not visit all others.
+  void addToIndex(const RegisteredEngine &Known);
+  void removeFromIndex(const RegisteredEngine &Known);
   void erase(ByName::const_iterator At);
-  void stand(RegisteredEngine &Of, EngineStanding Next, Time Now);
-  EngineStanding registeredStanding(const EngineRecord &Of) const;
-  std::vector<UpstreamId> endMissing(Time Now);
+  void setStanding(RegisteredEngine &Known, EngineStanding Next, Time Now);
+  EngineStanding registeredStanding(const EngineRecord &Record) const;
+  std::vector<UpstreamId> removeMissing(Time Now);
   void forgetRemovals(Time Now);
-  Removal &noteRemoval(const Name &Of, LogOffset Offset, Time Now);
+  Removal &noteRemoval(const Name &EngineName, LogOffset Offset, Time Now);
   Applied add(const EngineChange &Change, Time Now);
-  Applied change(RegisteredEngine &Of, const EngineChange &Change, Time Now);
-  Applied remove(const EngineChange &Change, bool Doubtful, Time Now);
+  Applied change(RegisteredEngine &Known, const EngineChange &Change, Time Now);
+  Applied remove(const EngineChange &Change, bool StoreSuspect, Time Now);
 
   EngineTimes Times;
   ByName Engines;
   std::map<Name, Removal, std::less<>> Removed;
-  /// Lives that said that they leave, and when. Kept beyond their registration,
-  /// which may vanish and come back while they still serve.
-  std::map<UpstreamId, Time> SaidLeaving;
+  /// Incarnations that announced that they leave, and when. Kept beyond their
+  /// registration, which may vanish and return while they still serve.
+  std::map<UpstreamId, Time> AnnouncedLeaving;
   LogOffset ForgottenTo = 0;
   std::map<ServiceId, std::vector<const RegisteredEngine *>> ByService;
   std::uint64_t Digest = 0;
-  Time NextAge = Never;
-  Time NextForgetting = Never; ///< Of a removal.
+  Time NextExpiry = Never;
+  Time NextForgetting = Never; ///< When the next removal is forgotten.
 };
 
 } // namespace banyanpick
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -10,55 +10,55 @@
 
 namespace {
 
-/// An answer to a question for changes takes a few milliseconds; several peers
-/// that tell of the same change are not all asked.
-constexpr milliseconds LeastAskPause(50);
+/// Minimum interval between two requests for changes. An answer takes a few
+/// milliseconds, and peers that announce the same change are not all asked.
+constexpr milliseconds MinRequestInterval(50);
 
 } // namespace
 
 void EnginesPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "engines";
+  const std::string_view Section = "engines";
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->Table = EngineTable(
-      {Values.span(In, "missing_for"), Values.span(In, "keep_removed")});
-  this->LookInterval = Values.span(In, "peer_look_interval");
-  this->DoubtFor = Values.span(In, "doubt_for");
-  this->DoubtAge = Values.span(In, "doubt_age");
+  this->Table = EngineTable({Values.span(Section, "missing_for"),
+                             Values.span(Section, "keep_removed")});
+  this->PollInterval = Values.span(Section, "peer_look_interval");
+  this->SuspectFor = Values.span(Section, "doubt_for");
+  this->SuspectAge = Values.span(Section, "doubt_age");
   this->Store = &Context.services().get<StoreFreshness>();
   Context.services().provide<EngineDirectory>(*this);
   Context.services().provide<RegistryProgress>(*this);
 }
 
-void EnginesPlugin::start(Time Now, Actions &) { this->NextLook = Now; }
+void EnginesPlugin::start(Time Now, Actions &) { this->NextPoll = Now; }
 
-void EnginesPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void EnginesPlugin::handle(const Event &Received, Time Now, Actions &Out) {
   match(
-      What,
-      [&](const GatewayEvent &Is) {
-        if (const auto *Read = std::get_if<EnginesRead>(&Is))
+      Received,
+      [&](const GatewayEvent &Change) {
+        if (const auto *Read = std::get_if<EnginesRead>(&Change))
           this->take(*Read, Now, Out);
-        if (const auto *Seen = std::get_if<StoreObserved>(&Is))
-          this->note(*Seen, Now, Out);
-        if (const auto *Reported = std::get_if<EngineReported>(&Is))
+        if (const auto *Status = std::get_if<StoreObserved>(&Change))
+          this->noteStore(*Status, Now, Out);
+        if (const auto *Reported = std::get_if<EngineReported>(&Change))
           this->noteIncarnation(Reported->Report.Engine, Now, Out);
       },
-      [&](const PeerMessageReceived &Is) {
-        this->takePeerMessage(Is.Message, Now, Out);
+      [&](const PeerMessageReceived &Incoming) {
+        this->takePeerMessage(Incoming.Message, Now, Out);
       },
       [](const auto &) {});
   for (const UpstreamId &Gone : this->Table.expire(Now))
-    this->tellGone(Gone, "silence", Now, Out);
+    this->notifyRemoved(Gone, "silence", Now, Out);
   const Time Confirmed = this->Store->storeConfirmedAt();
-  if (Confirmed != Time{} && Now > Confirmed + this->DoubtAge)
+  if (Confirmed != Time{} && Now > Confirmed + this->SuspectAge)
     this->LastFailed = Now;
-  if (Now >= this->NextLook)
-    this->look(Now, Out);
+  if (Now >= this->NextPoll)
+    this->pollPeers(Now, Out);
 }
 
 Time EnginesPlugin::nextWake() const {
-  return std::min(this->NextLook, this->Table.nextExpiry());
+  return std::min(this->NextPoll, this->Table.nextExpiry());
 }
 
 void EnginesPlugin::take(const EnginesRead &Read, Time Now, Actions &Out) {
@@ -71,18 +71,19 @@
   this->KnownTo = std::max(this->KnownTo, Read.UpTo);
 }
 
-void EnginesPlugin::note(const StoreObserved &Seen, Time Now, Actions &Out) {
-  if (Seen.Source != StoreObserved::Part::Engines)
+void EnginesPlugin::noteStore(const StoreObserved &Status, Time Now,
+                              Actions &Out) {
+  if (Status.Source != StoreObserved::Part::Engines)
     return;
-  if (!Seen.Reachable)
+  if (!Status.Reachable)
     this->LastFailed = Now;
-  if (Seen.Reachable == this->Reachable)
+  if (Status.Reachable == this->Reachable)
     return;
-  this->Reachable = Seen.Reachable;
-  Out.log(logEvent(Seen.Reachable ? events::StoreReachable
-                                  : events::StoreUnreachable)
+  this->Reachable = Status.Reachable;
+  Out.log(logEvent(Status.Reachable ? events::StoreReachable
+                                    : events::StoreUnreachable)
               .with("for", "engines")
-              .with("why", Seen.Why)
+              .with("why", Status.Why)
               .with("known_to", this->KnownTo)
               .build());
 }
@@ -99,9 +100,9 @@
         this->takeRelayed(Relayed, Message.From, Now, Out);
       },
       [&](const Heartbeat &Beat) {
-        // Most hosts hear of changes in this way only.
-        if (!this->isFurther(Beat.EnginesKnownTo, Beat.EnginesDigest) ||
-            Now < this->AskedAt + LeastAskPause)
+        // Most hosts learn of changes only from heartbeats.
+        if (!this->isAhead(Beat.EnginesKnownTo, Beat.EnginesDigest) ||
+            Now < this->AskedAt + MinRequestInterval)
           return;
         this->AskedAt = Now;
         Out.add(SendToPeer{Message.From, EnginesRequest{this->KnownTo}});
@@ -125,7 +126,7 @@
 EnginesRelayed EnginesPlugin::changesFrom(LogOffset From) const {
   EnginesRelayed Result;
   Result.UpTo = this->KnownTo;
-  // Who never heard of a removal can't pass it on.
+  // A host that never received a removal cannot forward it.
   Result.Complete = From < std::max(this->ListedAt, this->Table.forgottenTo());
   Result.Changes = this->Table.changesFrom(Result.Complete ? 0 : From);
   return Result;
@@ -133,31 +134,32 @@
 
 void EnginesPlugin::apply(std::span<const EngineChange> Changes,
                           std::string_view From, Time Now, Actions &Out) {
-  const bool Doubtful = this->isDoubtful(Now);
-  for (const EngineChange &Each : Changes) {
-    const EngineTable::Applied Done = this->Table.apply(Each, Doubtful, Now);
+  const bool StoreSuspect = this->isStoreSuspect(Now);
+  for (const EngineChange &Change : Changes) {
+    const EngineTable::Applied Done =
+        this->Table.apply(Change, StoreSuspect, Now);
     if (Done.Restarted)
-      this->tellReborn(*Done.Ended, From, Now, Out);
+      this->notifyRestarted(*Done.Ended, From, Now, Out);
     else if (Done.Ended)
-      this->tellGone(*Done.Ended, From, Now, Out);
-    if (Done.Is == EngineTable::Effect::Changed)
-      this->tell(Each.Engine.Id, From, Now, Out);
+      this->notifyRemoved(*Done.Ended, From, Now, Out);
+    if (Done.Outcome == EngineTable::Effect::Changed)
+      this->notifyChanged(Change.Engine.Id, From, Now, Out);
   }
 }
 
 void EnginesPlugin::addressTaken(const UpstreamId &Id, Time Now, Actions &Out) {
   if (this->Table.setLeaving(Id, Now))
-    this->tell(Id, "refusal", Now, Out);
+    this->notifyChanged(Id, "refusal", Now, Out);
 }
 
 void EnginesPlugin::noteLeaving(const UpstreamId &Id, std::string_view From,
                                 Time Now, Actions &Out) {
   if (this->Table.noteLeaving(Id, Now))
-    this->tell(Id, From, Now, Out);
+    this->notifyChanged(Id, From, Now, Out);
 }
 
-void EnginesPlugin::tell(const UpstreamId &Id, std::string_view From, Time Now,
-                         Actions &Out) {
+void EnginesPlugin::notifyChanged(const UpstreamId &Id, std::string_view From,
+                                  Time Now, Actions &Out) {
   const RegisteredEngine *Changed = this->Table.find(Id);
   if (!Changed)
     return;
@@ -168,81 +170,83 @@
               .with("from", From)
               .with("offset", Changed->Offset)
               .build());
-  for (EngineObserver *Each : this->Offered->list<EngineObserver>().all())
-    Each->engineChanged(*Changed, Now, Out);
+  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+    Observer->engineChanged(*Changed, Now, Out);
 }
 
-void EnginesPlugin::tellGone(const UpstreamId &Id, std::string_view From,
-                             Time Now, Actions &Out) {
+void EnginesPlugin::notifyRemoved(const UpstreamId &Id, std::string_view From,
+                                  Time Now, Actions &Out) {
   Out.log(logEvent(events::EngineChanged)
               .with("engine", Id.Value)
               .with("standing", "gone")
               .with("from", From)
               .with("offset", this->KnownTo)
               .build());
-  for (EngineObserver *Each : this->Offered->list<EngineObserver>().all())
-    Each->engineRemoved(Id, Now, Out);
+  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+    Observer->engineRemoved(Id, Now, Out);
 }
 
-void EnginesPlugin::noteIncarnation(const UpstreamId &Life, Time Now,
+void EnginesPlugin::noteIncarnation(const UpstreamId &Incarnation, Time Now,
                                     Actions &Out) {
-  if (const auto Ended = this->Table.noteIncarnation(Life, Now))
-    this->tellReborn(*Ended, "report", Now, Out);
+  if (const auto Ended = this->Table.noteIncarnation(Incarnation, Now))
+    this->notifyRestarted(*Ended, "report", Now, Out);
 }
 
-void EnginesPlugin::tellReborn(const UpstreamId &Ended, std::string_view From,
-                               Time Now, Actions &Out) {
-  for (EngineObserver *Each : this->Offered->list<EngineObserver>().all())
-    Each->engineRestarted(Ended, Now, Out);
-  this->tellGone(Ended, From, Now, Out);
+void EnginesPlugin::notifyRestarted(const UpstreamId &Ended,
+                                    std::string_view From, Time Now,
+                                    Actions &Out) {
+  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+    Observer->engineRestarted(Ended, Now, Out);
+  this->notifyRemoved(Ended, From, Now, Out);
 }
 
-bool EnginesPlugin::isFurther(LogOffset PeerKnowsTo, std::uint64_t Digest) {
-  if (PeerKnowsTo <= this->KnownTo)
+bool EnginesPlugin::isAhead(LogOffset PeerKnownTo, std::uint64_t Digest) {
+  if (PeerKnownTo <= this->KnownTo)
     return false;
   if (Digest != this->Table.digest())
     return true;
-  this->KnownTo = PeerKnowsTo;
+  this->KnownTo = PeerKnownTo;
   return false;
 }
 
-void EnginesPlugin::look(Time Now, Actions &Out) {
-  this->NextLook = Now + this->LookInterval;
-  // Even a host that reads the store asks: its read may hang on a connection
-  // that went silent.
+void EnginesPlugin::pollPeers(Time Now, Actions &Out) {
+  this->NextPoll = Now + this->PollInterval;
+  // A host that reads the store also polls peers, because its read may hang on
+  // a connection that went silent.
   const Member *Best = nullptr;
-  for (const Member &Each : this->Members->peers())
-    if (Each.State != MemberState::Dead &&
-        this->isFurther(Each.EnginesKnownTo, Each.EnginesDigest) &&
-        (!Best || Each.EnginesKnownTo > Best->EnginesKnownTo))
-      Best = &Each;
+  for (const Member &Peer : this->Members->peers())
+    if (Peer.State != MemberState::Dead &&
+        this->isAhead(Peer.EnginesKnownTo, Peer.EnginesDigest) &&
+        (!Best || Peer.EnginesKnownTo > Best->EnginesKnownTo))
+      Best = &Peer;
   if (Best)
     Out.add(SendToPeer{Best->Listing.Id, EnginesRequest{this->KnownTo}});
 }
 
-bool EnginesPlugin::isDoubtful(Time Now) const {
-  return this->LastFailed != Time{} && Now < this->LastFailed + this->DoubtFor;
+bool EnginesPlugin::isStoreSuspect(Time Now) const {
+  return this->LastFailed != Time{} &&
+         Now < this->LastFailed + this->SuspectFor;
 }
 
 std::vector<SettingDeclaration> EnginesPlugin::settings() {
   constexpr auto Span = SettingKind::Span;
-  const std::string In = "engines";
+  const std::string Section = "engines";
   return {
-      {In, "missing_for", Span, "2s",
+      {Section, "missing_for", Span, "2s",
        "How long an upstream whose registration vanished beside an outage of "
        "the store may still be used; the registry's operators say within how "
        "long it is back.",
        0, 60e6},
-      {In, "doubt_for", Span, "4s",
+      {Section, "doubt_for", Span, "4s",
        "How long after an outage of the store a vanished registration may be "
        "one that could not be renewed: the outage's end and one renewal.",
        0, 60e6},
-      {In, "keep_removed", Span, "1min",
+      {Section, "keep_removed", Span, "1min",
        "How long peers are told of upstreams that are gone.", 1e6, 3600e6},
-      {In, "peer_look_interval", Span, "400ms",
+      {Section, "peer_look_interval", Span, "400ms",
        "How often a host that the store does not answer asks a peer.", 50e3,
        10e6},
-      {In, "doubt_age", Span, "6s",
+      {Section, "doubt_age", Span, "6s",
        "A store that nobody is known to have read for so long counts as out of "
        "reach; longer than readers wait and heartbeats need.",
        100e3, 60e6},
--- a/src/plugins/engines/EnginesPlugin.h
+++ b/src/plugins/engines/EnginesPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that knows the upstreams behind a gateway.
+/// The plug-in that tracks the engines behind a gateway.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// Follows the service registry: from the store, or from peers when the store
+/// Follows the service registry, from the store, or from peers while the store
 /// does not answer this host.
 class EnginesPlugin : public Plugin,
                       public EngineDirectory,
@@ -16,7 +16,7 @@
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
   const RegisteredEngine *find(const UpstreamId &Id) const override {
@@ -39,37 +39,39 @@
   void takeRelayed(const EnginesRelayed &Relayed, const HostId &From, Time Now,
                    Actions &Out);
   EnginesRelayed changesFrom(LogOffset From) const;
-  void note(const StoreObserved &Seen, Time Now, Actions &Out);
+  void noteStore(const StoreObserved &Status, Time Now, Actions &Out);
   void takePeerMessage(const PeerMessage &Message, Time Now, Actions &Out);
   void apply(std::span<const EngineChange> Changes, std::string_view From,
              Time Now, Actions &Out);
-  void tell(const UpstreamId &Id, std::string_view From, Time Now,
-            Actions &Out);
-  void tellGone(const UpstreamId &Id, std::string_view From, Time Now,
-                Actions &Out);
-  /// The upstream says which life it is in.
-  void noteIncarnation(const UpstreamId &Life, Time Now, Actions &Out);
-  void tellReborn(const UpstreamId &Ended, std::string_view From, Time Now,
-                  Actions &Out);
-  /// The peer knows what changed up to the offset. Whether that is news here;
-  /// most registrations are only renewed, and need not be asked for.
-  bool isFurther(LogOffset KnownTo, std::uint64_t Digest);
-  /// Asks a peer that is further.
-  void look(Time Now, Actions &Out);
-  bool isDoubtful(Time Now) const;
+  void notifyChanged(const UpstreamId &Id, std::string_view From, Time Now,
+                     Actions &Out);
+  void notifyRemoved(const UpstreamId &Id, std::string_view From, Time Now,
+                     Actions &Out);
+  /// Called when an engine reports its incarnation.
+  void noteIncarnation(const UpstreamId &Incarnation, Time Now, Actions &Out);
+  void notifyRestarted(const UpstreamId &Ended, std::string_view From, Time Now,
+                       Actions &Out);
+  /// Returns whether a peer has changes that this host lacks. Most
+  /// registrations are only renewed and need not be requested; then only the
+  /// known offset advances.
+  bool isAhead(LogOffset KnownTo, std::uint64_t Digest);
+  /// Requests changes from the most advanced peer.
+  void pollPeers(Time Now, Actions &Out);
+  bool isStoreSuspect(Time Now) const;
 
   Services *Offered = nullptr;
   const MembershipView *Members = nullptr;
   const StoreFreshness *Store = nullptr;
   EngineTable Table;
   LogOffset KnownTo = 0;
-  LogOffset ListedAt = 0; ///< Removals before it were never told here.
-  Duration LookInterval{};
-  Duration DoubtFor{};
-  Duration DoubtAge{};
-  Time NextLook{};
-  Time AskedAt{};           ///< A peer that is further.
-  Time LastFailed = Time{}; ///< The store did not answer.
+  /// Removals before this offset were never received here.
+  LogOffset ListedAt = 0;
+  Duration PollInterval{};
+  Duration SuspectFor{};
+  Duration SuspectAge{};
+  Time NextPoll{};
+  Time AskedAt{};           ///< When a peer was last asked for changes.
+  Time LastFailed = Time{}; ///< When the store last did not answer.
   bool Reachable = false;
 };
 
--- a/tests/auto/gateway/EngineTableTest.cpp
+++ b/tests/auto/gateway/EngineTableTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What is known of upstreams does not depend on who told it first.
+/// Tests that the engine table does not depend on the source or order of
+/// changes.
 #include "plugins/engines/EngineTable.h"
 
 #include "gateway/EngineIncarnation.h"
@@ -34,44 +35,45 @@
   return Result;
 }
 
-/// The changes in any order.
+/// Generates the changes in random order.
 rc::Gen<std::vector<EngineChange>> shuffled(std::vector<EngineChange> Given) {
   return rc::gen::exec([Given = std::move(Given)] {
     std::vector<EngineChange> Result = Given;
-    for (std::size_t Left = Result.size(); Left > 1; --Left)
-      std::swap(Result[Left - 1],
+    for (std::size_t Remaining = Result.size(); Remaining > 1; --Remaining)
+      std::swap(Result[Remaining - 1],
                 Result[static_cast<std::size_t>(
-                    *rc::gen::inRange(0, static_cast<int>(Left)))]);
+                    *rc::gen::inRange(0, static_cast<int>(Remaining)))]);
     return Result;
   });
 }
 
-TEST(EngineTable, AnOlderChangeAfterANewerOneChangesNothing) {
+TEST(EngineTable, AnOlderChangeAfterANewerOneIsIgnored) {
   EngineTable Table = table();
   Table.apply(change("e1", 5, true), false, at(0));
-  EXPECT_EQ(Table.apply(change("e1", 3), false, at(1)).Is,
+  EXPECT_EQ(Table.apply(change("e1", 3), false, at(1)).Outcome,
             EngineTable::Effect::None);
   EXPECT_EQ(Table.find(UpstreamId("e1"))->Standing, EngineStanding::Leaving);
 }
 
-TEST(EngineTable, WhoSaidThatItLeavesIsNotUsedAgainWhateverTheRegistrySays) {
+TEST(EngineTable, AnEngineThatAnnouncedLeavingStaysLeaving) {
   EngineTable Table = table();
   const UpstreamId Id("e1");
   Table.apply(change("e1", 1), false, at(0));
   EXPECT_TRUE(Table.noteLeaving(Id, at(1)));
-  EXPECT_FALSE(Table.noteLeaving(Id, at(2))) << "no news";
+  EXPECT_FALSE(Table.noteLeaving(Id, at(2))) << "already leaving";
   Table.apply(change("e1", 2), false, at(3));
   EXPECT_EQ(Table.find(Id)->Standing, EngineStanding::Leaving) << "renewed";
   Table.apply(removal("e1", 3), false, at(4));
   Table.apply(change("e1", 4), false, at(5));
-  EXPECT_EQ(Table.find(Id)->Standing, EngineStanding::Leaving) << "enlisted";
+  EXPECT_EQ(Table.find(Id)->Standing, EngineStanding::Leaving)
+      << "registered again";
   EXPECT_FALSE(Table.noteLeaving(UpstreamId("e2"), at(6)));
   Table.apply(change("e2", 5), false, at(7));
   EXPECT_EQ(Table.find(UpstreamId("e2"))->Standing, EngineStanding::Leaving)
-      << "it said so before it was known";
+      << "announced before it was registered";
 }
 
-TEST(EngineTable, ANewLifeOfAnEngineThatLeftIsUsed) {
+TEST(EngineTable, ANewIncarnationOfALeavingEngineIsUsable) {
   EngineTable Table = table();
   EngineChange Old = change("e1", 1);
   Old.Engine.Id = engineIncarnation("e1", 1000);
@@ -83,16 +85,16 @@
   EXPECT_EQ(Table.find(New.Engine.Id)->Standing, EngineStanding::Usable);
 }
 
-TEST(EngineTable, ARemovedEngineStaysRemovedWhateverLatePeersSay) {
+TEST(EngineTable, LateChangesDoNotRestoreARemovedEngine) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 5), false, at(1));
-  EXPECT_EQ(Table.apply(change("e1", 4), false, at(2)).Is,
+  EXPECT_EQ(Table.apply(change("e1", 4), false, at(2)).Outcome,
             EngineTable::Effect::None);
   EXPECT_EQ(Table.find(UpstreamId("e1")), nullptr);
 }
 
-TEST(EngineTable, ARemovalBesideAnOutageIsHeldForTwoSeconds) {
+TEST(EngineTable, ARemovalDuringAnOutageIsDelayedForTwoSeconds) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), true, at(10));
@@ -111,14 +113,14 @@
   EXPECT_TRUE(Table.expire(at(5000)).empty());
 }
 
-TEST(EngineTable, ALeavingEngineIsGoneAtOnceEvenBesideAnOutage) {
+TEST(EngineTable, ALeavingEngineIsRemovedAtOnceEvenDuringAnOutage) {
   EngineTable Table = table();
   Table.apply(change("e1", 1, true), false, at(0));
-  EXPECT_EQ(Table.apply(removal("e1", 2), true, at(10)).Is,
+  EXPECT_EQ(Table.apply(removal("e1", 2), true, at(10)).Outcome,
             EngineTable::Effect::Removed);
 }
 
-TEST(EngineTable, AListingTakesAwayWhatItDoesNotName) {
+TEST(EngineTable, AListingRemovesEnginesItDoesNotName) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(change("e2", 2), false, at(0));
@@ -130,17 +132,17 @@
   EXPECT_TRUE(Missing.front().Removed);
 }
 
-TEST(EngineTable, AnEngineMissingInAListingComesBackWithTheNextRecord) {
+TEST(EngineTable, TheNextRecordRestoresAnEngineMissingFromAListing) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
-  for (const EngineChange &Each : Table.missingFrom({}, 8))
-    Table.apply(Each, false, at(1));
+  for (const EngineChange &Change : Table.missingFrom({}, 8))
+    Table.apply(Change, false, at(1));
   ASSERT_EQ(Table.find(UpstreamId("e1")), nullptr);
   Table.apply(change("e1", 8), false, at(2));
   EXPECT_NE(Table.find(UpstreamId("e1")), nullptr);
 }
 
-TEST(EngineTable, AMissingEngineWhoseAddressIsTakenIsGone) {
+TEST(EngineTable, AMissingEngineWhoseAddressIsTakenIsRemoved) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), true, at(10));
@@ -148,7 +150,7 @@
   EXPECT_EQ(Table.expire(at(20)), std::vector<UpstreamId>{UpstreamId("e1")});
 }
 
-TEST(EngineTable, ForgottenRemovalsAreNoted) {
+TEST(EngineTable, RecordsTheOffsetOfForgottenRemovals) {
   EngineTable Table = table();
   Table.apply(removal("e1", 4), false, at(0));
   EXPECT_EQ(Table.forgottenTo(), 0U);
@@ -156,7 +158,7 @@
   EXPECT_EQ(Table.forgottenTo(), 5U);
 }
 
-RC_GTEST_PROP(EngineTableProperty, AnyOrderOfTheSameChangesEndsAlike, ()) {
+RC_GTEST_PROP(EngineTableProperty, ChangesConvergeInAnyOrder, ()) {
   std::vector<EngineChange> Changes;
   const auto Count = *rc::gen::inRange(1, 12);
   for (int Offset = 0; Offset < Count; ++Offset) {
@@ -168,17 +170,17 @@
   }
   const auto Final = [](const std::vector<EngineChange> &Given) {
     EngineTable Table = table();
-    for (const EngineChange &Each : Given)
-      Table.apply(Each, false, at(0));
+    for (const EngineChange &Change : Given)
+      Table.apply(Change, false, at(0));
     std::vector<std::pair<UpstreamId, LogOffset>> Result;
-    for (const RegisteredEngine *Each : Table.ofService(Ring))
-      Result.emplace_back(Each->Record.Id, Each->Offset);
+    for (const RegisteredEngine *Known : Table.ofService(Ring))
+      Result.emplace_back(Known->Record.Id, Known->Offset);
     return Result;
   };
   RC_ASSERT(Final(Changes) == Final(*shuffled(Changes)));
 }
 
-TEST(EngineTable, ALaterLifeTakesThePlaceOfOneThatLeaves) {
+TEST(EngineTable, ALaterIncarnationReplacesALeavingOne) {
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1, true), false, at(0));
   const auto Done = Table.apply(change("e1@2000", 2), false, at(1));
@@ -189,17 +191,17 @@
             EngineStanding::Usable);
 }
 
-TEST(EngineTable, ALateRecordOfAnEarlierLifeChangesNothing) {
+TEST(EngineTable, ALateRecordOfAnEarlierIncarnationIsIgnored) {
   EngineTable Table = table();
   Table.apply(change("e1@2000", 2), false, at(0));
-  EXPECT_EQ(Table.apply(change("e1@1000", 3), false, at(1)).Is,
+  EXPECT_EQ(Table.apply(change("e1@1000", 3), false, at(1)).Outcome,
             EngineTable::Effect::None);
   Table.apply(removal("e1", 4), false, at(2));
   Table.apply(change("e1@1000", 5), false, at(3));
   EXPECT_TRUE(Table.ofService(Ring).empty());
 }
 
-TEST(EngineTable, ALifeThatAReportTellsOfEndsTheEarlierOneUntilItRegisters) {
+TEST(EngineTable, AReportedIncarnationEndsTheEarlierOneBeforeItRegisters) {
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1), false, at(0));
   EXPECT_FALSE(Table.noteIncarnation(UpstreamId("e1@1000"), at(1)));
@@ -211,7 +213,8 @@
   EXPECT_NE(Table.find(UpstreamId("e1@2000")), nullptr);
 }
 
-TEST(EngineTable, AnEngineRebornTwiceBetweenTwoRecordsHasItsLastLife) {
+TEST(EngineTable,
+     AnEngineRestartedTwiceBetweenTwoRecordsHasItsLastIncarnation) {
   EngineTable Table = table();
   Table.apply(change("e1@1000", 1), false, at(0));
   Table.noteIncarnation(UpstreamId("e1@2000"), at(1));
@@ -220,44 +223,45 @@
   EXPECT_EQ(Table.ofService(Ring).front()->Record.Id, UpstreamId("e1@3000"));
 }
 
-TEST(EngineLife, IsTheNameWhereNoBirthIsTold) {
+TEST(EngineLife, IsTheNameWithoutAStartTime) {
   EXPECT_EQ(engineIncarnation("e1", 0), UpstreamId("e1"));
   EXPECT_EQ(engineStartMs(UpstreamId("e1")), 0U);
   EXPECT_EQ(engineName(UpstreamId("a@b")), "a@b");
 }
 
-RC_GTEST_PROP(EngineLifeProperty, NameAndBirthAreReadBack,
-              (const std::string &Name, std::uint64_t BornMs)) {
-  const std::uint64_t Born = std::max<std::uint64_t>(BornMs, 1);
-  const UpstreamId Life = engineIncarnation(Name, Born);
-  RC_ASSERT(engineName(Life) == Name);
-  RC_ASSERT(engineStartMs(Life) == Born);
+RC_GTEST_PROP(EngineLifeProperty, NameAndStartTimeRoundTrip,
+              (const std::string &Name, std::uint64_t GivenMs)) {
+  const std::uint64_t StartedMs = std::max<std::uint64_t>(GivenMs, 1);
+  const UpstreamId Incarnation = engineIncarnation(Name, StartedMs);
+  RC_ASSERT(engineName(Incarnation) == Name);
+  RC_ASSERT(engineStartMs(Incarnation) == StartedMs);
 }
 
-RC_GTEST_PROP(EngineTableProperty, NewsOfTwoLivesEndAlikeInAnyOrder, ()) {
+RC_GTEST_PROP(EngineTableProperty, ChangesOfTwoIncarnationsConvergeInAnyOrder,
+              ()) {
   std::vector<EngineChange> Changes;
   const int Count = *rc::gen::inRange(1, 12);
   for (int Offset = 0; Offset < Count; ++Offset) {
     const auto At = static_cast<LogOffset>(Offset);
-    const char *Lives[] = {"e1@1000", "e1@2000", "e2@1000", "e2@2000"};
+    const char *Incarnations[] = {"e1@1000", "e1@2000", "e2@1000", "e2@2000"};
     const char *Names[] = {"e1", "e2"};
     Changes.push_back(*rc::gen::inRange(0, 4) == 0
                           ? removal(Names[*rc::gen::inRange(0, 2)], At)
-                          : change(Lives[*rc::gen::inRange(0, 4)], At));
+                          : change(Incarnations[*rc::gen::inRange(0, 4)], At));
   }
   const auto Final = [](const std::vector<EngineChange> &Given) {
     EngineTable Table = table();
-    for (const EngineChange &Each : Given)
-      Table.apply(Each, false, at(0));
+    for (const EngineChange &Change : Given)
+      Table.apply(Change, false, at(0));
     std::vector<std::pair<UpstreamId, LogOffset>> Result;
-    for (const RegisteredEngine *Each : Table.ofService(Ring))
-      Result.emplace_back(Each->Record.Id, Each->Offset);
+    for (const RegisteredEngine *Known : Table.ofService(Ring))
+      Result.emplace_back(Known->Record.Id, Known->Offset);
     return Result;
   };
   RC_ASSERT(Final(Changes) == Final(*shuffled(Changes)));
 }
 
-TEST(EngineTable, ARenewalIsNoChangeToTellOf) {
+TEST(EngineTable, ARenewalIsNotSentAsAChange) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(change("e2", 2), false, at(0));
@@ -272,31 +276,31 @@
 }
 
 TEST(EngineTable, AMissingEngineCountsAsRemovedInTheDigest) {
-  EngineTable One = table();
+  EngineTable First = table();
   EngineTable Other = table();
-  for (EngineTable *Each : {&One, &Other}) {
-    Each->apply(change("e1", 1), false, at(0));
-    Each->apply(change("e2", 2), false, at(0));
+  for (EngineTable *Table : {&First, &Other}) {
+    Table->apply(change("e1", 1), false, at(0));
+    Table->apply(change("e2", 2), false, at(0));
   }
-  One.apply(removal("e1", 3), true, at(1));
+  First.apply(removal("e1", 3), true, at(1));
   Other.apply(removal("e1", 3), false, at(1));
-  EXPECT_EQ(One.digest(), Other.digest());
+  EXPECT_EQ(First.digest(), Other.digest());
 }
 
-RC_GTEST_PROP(EngineTable, HostsThatKnowTheSameHaveOneDigest, ()) {
+RC_GTEST_PROP(EngineTable, HostsWithTheSameStateHaveTheSameDigest, ()) {
   const std::vector<EngineChange> All = {
       change("e1", 1), change("e2", 2),  change("e1", 4, true),
       change("e3", 5), removal("e2", 6), change("e3", 8)};
-  EngineTable One = table();
+  EngineTable First = table();
   EngineTable Other = table();
-  for (const EngineChange &Each : *shuffled(All))
-    One.apply(Each, false, at(1));
-  for (const EngineChange &Each : *shuffled(All))
-    Other.apply(Each, false, at(1));
-  RC_ASSERT(One.digest() == Other.digest());
+  for (const EngineChange &Change : *shuffled(All))
+    First.apply(Change, false, at(1));
+  for (const EngineChange &Change : *shuffled(All))
+    Other.apply(Change, false, at(1));
+  RC_ASSERT(First.digest() == Other.digest());
 }
 
-TEST(EngineTable, TheLongRemovedAreForgottenOnceTheyAreDue) {
+TEST(EngineTable, RemovalsAreForgottenWhenTheyExpire) {
   EngineTable Table = table();
   Table.apply(change("e1", 1), false, at(0));
   Table.apply(removal("e1", 2), false, at(10));
