--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Weight of one answer in a service's usual share of failures: the memory of
+/// Weight of one answer in a service's usual share of failures; averages over
 /// some fifty answers.
 constexpr double ServiceMemory = 0.02;
 
-std::string_view name(TrustRecord::Verdict What) {
-  switch (What) {
+std::string_view name(TrustRecord::Verdict Result) {
+  switch (Result) {
   case TrustRecord::Verdict::Healthy:
     return "sound";
   case TrustRecord::Verdict::Failing:
@@ -34,12 +34,12 @@
 
 void EngineTrustPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "engine_trust";
+  const std::string_view Section = "engine_trust";
   this->Directory = &Context.services().get<EngineDirectory>();
-  this->Limits.FirstEjection = Values.span(In, "first_pause");
-  this->Limits.MaxEjection = Values.span(In, "longest_pause");
-  this->Limits.SuspectShare = Values.fraction(In, "suspect_share");
-  this->Limits.Memory = Values.fraction(In, "memory");
+  this->Limits.FirstEjection = Values.span(Section, "first_pause");
+  this->Limits.MaxEjection = Values.span(Section, "longest_pause");
+  this->Limits.SuspectShare = Values.fraction(Section, "suspect_share");
+  this->Limits.Memory = Values.fraction(Section, "memory");
   Context.services().provide<EngineTrustView>(*this);
   Context.services().list<RelayObserver>().add(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -54,92 +54,95 @@
 std::vector<EngineWork::Distrust>
 EngineTrustPlugin::distrusted(Time Now) const {
   std::vector<EngineWork::Distrust> Result;
-  for (const auto &[Id, Of] : this->Records)
-    if (Of.isAvoided(Now))
-      Result.push_back({Id, inMilliseconds(Now - Of.avoidSince()),
-                        inMilliseconds(Of.avoidUntil() - Now)});
+  for (const auto &[Id, Record] : this->Records)
+    if (Record.isAvoided(Now))
+      Result.push_back({Id, inMilliseconds(Now - Record.avoidSince()),
+                        inMilliseconds(Record.avoidUntil() - Now)});
   return Result;
 }
 
-void EngineTrustPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  const auto *Is = std::get_if<PeerMessageReceived>(&What);
-  const auto *Work = Is ? std::get_if<EngineWork>(&Is->Message.Body) : nullptr;
+void EngineTrustPlugin::handle(const Event &Received, Time Now, Actions &Out) {
+  const auto *Incoming = std::get_if<PeerMessageReceived>(&Received);
+  const auto *Work =
+      Incoming ? std::get_if<EngineWork>(&Incoming->Message.Body) : nullptr;
   if (!Work)
     return;
-  // A peer may be right of one service and at fault for another.
+  // A peer's report may be right for one service and wrong for another, so each
+  // service is judged separately.
   std::map<ServiceId, std::vector<EngineWork::Distrust>> ByService;
-  for (const EngineWork::Distrust &Each : Work->Distrusted)
-    if (const RegisteredEngine *Known = this->Directory->find(Each.Engine))
-      ByService[Known->Record.Service].push_back(Each);
-  for (const auto &[Service, Told] : ByService) {
-    const std::size_t New =
-        this->Peers.take(Is->Message.From, Told,
+  for (const EngineWork::Distrust &Report : Work->Distrusted)
+    if (const RegisteredEngine *Known = this->Directory->find(Report.Engine))
+      ByService[Known->Record.Service].push_back(Report);
+  for (const auto &[Service, Reported] : ByService) {
+    const std::size_t Added =
+        this->Peers.take(Incoming->Message.From, Reported,
                          this->Directory->ofService(Service).size(), Now);
-    if (New == 0)
+    if (Added == 0)
       continue;
     Out.log(logEvent(events::PeerDistrustChanged)
-                .with("from", Is->Message.From.Value)
+                .with("from", Incoming->Message.From.Value)
                 .with("service", Service.Value)
-                .with("told", Told.size())
-                .with("new", New)
+                .with("told", Reported.size())
+                .with("new", Added)
                 .with("held_back", this->Peers.size())
                 .build());
   }
 }
 
-void EngineTrustPlugin::attemptBegan(const RelayAttempt &Each, Time,
+void EngineTrustPlugin::attemptBegan(const RelayAttempt &Attempt, Time,
                                      Actions &) {
-  this->noteHealthy(Each);
+  this->noteHealthy(Attempt);
 }
 
-void EngineTrustPlugin::noteHealthy(const RelayAttempt &Each) {
-  // The last answers of an engine may come after it is gone.
-  if (this->Directory->find(Each.Engine))
-    this->Peers.noteHealthy(Each.Engine, Each.SentAt);
+void EngineTrustPlugin::noteHealthy(const RelayAttempt &Attempt) {
+  // The last answers of an engine may arrive after its removal.
+  if (this->Directory->find(Attempt.Engine))
+    this->Peers.noteHealthy(Attempt.Engine, Attempt.SentAt);
 }
 
-void EngineTrustPlugin::attemptEnded(const RelayAttempt &Each,
+void EngineTrustPlugin::attemptEnded(const RelayAttempt &Attempt,
                                      const RelayOutcome &Outcome, Time Now,
                                      Actions &Out) {
   if (const auto *NotRun = std::get_if<RelayNotRun>(&Outcome)) {
-    const UpstreamId At = faultyEngine(*NotRun, Each.Engine, Each.Helpers);
-    if (At != Each.Engine)
-      this->judge(At, Each.Service, TrustRecord::Verdict::Silent, Now, Out);
+    const UpstreamId At =
+        faultyEngine(*NotRun, Attempt.Engine, Attempt.Helpers);
+    if (At != Attempt.Engine)
+      this->judge(At, Attempt.Service, TrustRecord::Verdict::Silent, Now, Out);
     return;
   }
-  const TrustRecord::Verdict What = verdictOf(Outcome);
-  if (What == TrustRecord::Verdict::Healthy)
-    this->noteHealthy(Each);
-  this->judge(Each.Engine, Each.Service, What, Now, Out);
+  const TrustRecord::Verdict Result = verdictOf(Outcome);
+  if (Result == TrustRecord::Verdict::Healthy)
+    this->noteHealthy(Attempt);
+  this->judge(Attempt.Engine, Attempt.Service, Result, Now, Out);
 }
 
 void EngineTrustPlugin::judge(const UpstreamId &Engine,
                               const ServiceId &Service,
-                              TrustRecord::Verdict What, Time Now,
+                              TrustRecord::Verdict Result, Time Now,
                               Actions &Out) {
   ServiceShare &Usual = this->Services[Service];
-  if (What == TrustRecord::Verdict::Healthy ||
-      What == TrustRecord::Verdict::Failing) {
-    const double Failed = What == TrustRecord::Verdict::Failing ? 1 : 0;
+  if (Result == TrustRecord::Verdict::Healthy ||
+      Result == TrustRecord::Verdict::Failing) {
+    const double Failed = Result == TrustRecord::Verdict::Failing ? 1 : 0;
     Usual.Failures += ServiceMemory * (Failed - Usual.Failures);
   }
-  TrustRecord &Of = this->Records[Engine];
-  const Time Until = Of.avoidUntil();
-  Of.take(What, Usual.Failures, this->Limits, Now);
-  if (Of.avoidUntil() != Until) {
-    Out.count("engines_avoided", name(What));
+  TrustRecord &Record = this->Records[Engine];
+  const Time Until = Record.avoidUntil();
+  Record.take(Result, Usual.Failures, this->Limits, Now);
+  if (Record.avoidUntil() != Until) {
+    Out.count("engines_avoided", name(Result));
     Out.log(logEvent(events::EngineAvoided)
                 .with("engine", Engine.Value)
-                .with("after", name(What))
-                .with("in_a_row", Of.failuresInARow())
-                .with("failure_share", Of.failureShare())
+                .with("after", name(Result))
+                .with("in_a_row", Record.failuresInARow())
+                .with("failure_share", Record.failureShare())
                 .with("usual_share", Usual.Failures)
-                .with("for_us", (Of.avoidUntil() - Now).count())
+                .with("for_us", (Record.avoidUntil() - Now).count())
                 .build());
-  } else if (Until != Time{} && What == TrustRecord::Verdict::Healthy) {
+  } else if (Until != Time{} && Result == TrustRecord::Verdict::Healthy) {
     Out.log(logEvent(events::EngineTrusted)
                 .with("engine", Engine.Value)
-                .with("failure_share", Of.failureShare())
+                .with("failure_share", Record.failureShare())
                 .build());
     this->Records.erase(Engine);
   }
@@ -153,20 +156,20 @@
 std::vector<SettingDeclaration> EngineTrustPlugin::settings() {
   constexpr auto Span = SettingKind::Span;
   constexpr auto Fraction = SettingKind::Fraction;
-  const std::string In = "engine_trust";
+  const std::string Section = "engine_trust";
   return {
-      {In, "first_pause", Span, "500ms",
+      {Section, "first_pause", Span, "500ms",
        "How long an upstream is avoided after it failed; doubles with each "
        "further failure. Long enough for a restart to be seen.",
        10e3, 60e6},
-      {In, "longest_pause", Span, "4s",
+      {Section, "longest_pause", Span, "4s",
        "The longest time an upstream is avoided before it gets a try again.",
        10e3, 600e6},
-      {In, "suspect_share", Fraction, "0.25",
+      {Section, "suspect_share", Fraction, "0.25",
        "An upstream whose failures exceed its service's usual share by so much "
        "is avoided.",
        0.01, 1},
-      {In, "memory", Fraction, "0.2",
+      {Section, "memory", Fraction, "0.2",
        "Weight of the newest answer in an upstream's share of failures.", 0.01,
        1},
   };
--- a/src/plugins/enginetrust/EngineTrustPlugin.h
+++ b/src/plugins/enginetrust/EngineTrustPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that keeps work away from upstreams that fail it.
+/// The plug-in that avoids engines that fail.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -11,32 +11,33 @@
 
 namespace banyanpick {
 
-/// An avoided upstream gets a try again after its pause; each further failure
-/// doubles the pause, one sound answer ends it. Hosts tell each other what they
-/// avoid.
+/// Ejects engines that fail. An ejected engine gets an attempt again after its
+/// ejection time; each further failure doubles the time, and one healthy answer
+/// ends it. Hosts report to each other which engines they avoid.
 class EngineTrustPlugin : public Plugin,
                           public EngineTrustView,
                           public RelayObserver,
                           public EngineObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
 
   bool isAvoided(const UpstreamId &Id, Time Now) const override;
   std::vector<EngineWork::Distrust> distrusted(Time Now) const override;
-  void attemptBegan(const RelayAttempt &Each, Time Now, Actions &Out) override;
-  void attemptEnded(const RelayAttempt &Each, const RelayOutcome &Outcome,
+  void attemptBegan(const RelayAttempt &Attempt, Time Now,
+                    Actions &Out) override;
+  void attemptEnded(const RelayAttempt &Attempt, const RelayOutcome &Outcome,
                     Time Now, Actions &Out) override;
   void engineRemoved(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void noteHealthy(const RelayAttempt &Each);
+  void noteHealthy(const RelayAttempt &Attempt);
   void judge(const UpstreamId &Engine, const ServiceId &Service,
-             TrustRecord::Verdict What, Time Now, Actions &Out);
+             TrustRecord::Verdict Result, Time Now, Actions &Out);
 
-  /// Moving average over a whole service.
+  /// Moving average of failures over a whole service.
   struct ServiceShare {
     double Failures = 0;
   };
--- a/src/plugins/enginetrust/PeerDistrust.cpp
+++ b/src/plugins/enginetrust/PeerDistrust.cpp
@@ -8,46 +8,49 @@
 
 namespace {
 
-/// Of the engines, that a peer may distrust and still be believed.
-constexpr double MostOfEngines = 0.25;
+/// Largest share of a service's engines that a peer may distrust without being
+/// ignored.
+constexpr double MaxDistrustedShare = 0.25;
 
-/// The peer's own next try is answered, or not, within so long after its pause.
-constexpr milliseconds PeerTriesFirst(300);
+/// Additional time after the peer's ejection, in which the peer's own next
+/// attempt is answered or fails.
+constexpr milliseconds PeerRetryMargin(300);
 
 } // namespace
 
 std::size_t PeerDistrust::take(const HostId &Peer,
-                               std::span<const EngineWork::Distrust> Told,
+                               std::span<const EngineWork::Distrust> Reported,
                                std::size_t Engines, Time Now) {
   std::erase_if(this->ByEngine,
-                [&](const auto &Each) { return Now >= Each.second.Until; });
-  const double Most =
-      std::max(1.0, static_cast<double>(Engines) * MostOfEngines);
-  if (static_cast<double>(Told.size()) > Most) {
-    for (const EngineWork::Distrust &Each : Told) {
-      const auto Found = this->ByEngine.find(Each.Engine);
-      if (Found != this->ByEngine.end() && Found->second.By == Peer)
+                [&](const auto &Entry) { return Now >= Entry.second.Until; });
+  const double MaxReported =
+      std::max(1.0, static_cast<double>(Engines) * MaxDistrustedShare);
+  if (static_cast<double>(Reported.size()) > MaxReported) {
+    for (const EngineWork::Distrust &Report : Reported) {
+      const auto Found = this->ByEngine.find(Report.Engine);
+      if (Found != this->ByEngine.end() && Found->second.Peer == Peer)
         this->ByEngine.erase(Found);
     }
     return 0;
   }
-  std::size_t New = 0;
-  for (const EngineWork::Distrust &Each : Told) {
-    const Time Since = Now - fromMilliseconds(Each.SinceMs);
-    const Time Until = Now + fromMilliseconds(Each.LeftMs) + PeerTriesFirst;
-    const auto Sound = this->SoundSentAt.find(Each.Engine);
-    if (Sound != this->SoundSentAt.end() && Sound->second >= Since)
+  std::size_t NewlyHeld = 0;
+  for (const EngineWork::Distrust &Report : Reported) {
+    const Time Since = Now - fromMilliseconds(Report.SinceMs);
+    const Time Until = Now + fromMilliseconds(Report.LeftMs) + PeerRetryMargin;
+    const auto LastHealthy = this->HealthySentAt.find(Report.Engine);
+    if (LastHealthy != this->HealthySentAt.end() &&
+        LastHealthy->second >= Since)
       continue;
-    const auto [Of, Added] = this->ByEngine.try_emplace(Each.Engine);
-    New += Added ? 1 : 0;
-    if (Until > Of->second.Until)
-      Of->second = {Peer, Since, Until};
+    const auto [Entry, Added] = this->ByEngine.try_emplace(Report.Engine);
+    NewlyHeld += Added ? 1 : 0;
+    if (Until > Entry->second.Until)
+      Entry->second = {Peer, Since, Until};
   }
-  return New;
+  return NewlyHeld;
 }
 
 void PeerDistrust::noteHealthy(const UpstreamId &Engine, Time SentAt) {
-  Time &Last = this->SoundSentAt[Engine];
+  Time &Last = this->HealthySentAt[Engine];
   Last = std::max(Last, SentAt);
   const auto Found = this->ByEngine.find(Engine);
   if (Found != this->ByEngine.end() && SentAt >= Found->second.Since)
@@ -61,7 +64,7 @@
 
 void PeerDistrust::forget(const UpstreamId &Engine) {
   this->ByEngine.erase(Engine);
-  this->SoundSentAt.erase(Engine);
+  this->HealthySentAt.erase(Engine);
 }
 
 } // namespace banyanpick
--- a/src/plugins/enginetrust/PeerDistrust.h
+++ b/src/plugins/enginetrust/PeerDistrust.h
@@ -1,5 +1,5 @@
 /// \file
-/// What other hosts say of engines that fail them.
+/// Peers' reports of engines that fail.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -9,21 +9,23 @@
 
 namespace banyanpick {
 
-/// Holds each engine back that a peer avoids, a little longer than the peer
-/// does, so that one host tries it anew and not all at once. What this host saw
-/// itself of tries sent later goes first.
+/// Holds back engines that a peer avoids, slightly longer than the peer does,
+/// so that a single host probes the engine and not all hosts at once. A healthy
+/// answer to a later attempt of this host takes precedence.
 ///
-/// The load that it answers: engines that fail at once look idle, and draw what
-/// every host gathers; each host would learn it alone, by losing requests.
+/// Engines that fail at once look idle and attract the requests of all hosts.
+/// Without reports, each host would detect the failure only by losing requests.
 class PeerDistrust {
 public:
-  /// \p Told are engines of one service, which has so many \p Engines. A peer
-  /// that distrusts many of them is at fault itself, or its link is, and is not
-  /// believed. Returns how many are held back that were not before.
+  /// Processes a peer's report. \p Reported are engines of one service, which
+  /// has \p Engines engines. A peer that distrusts many of them is probably
+  /// faulty itself or behind a faulty link, and is ignored. Returns the number
+  /// of engines that are newly held back.
   std::size_t take(const HostId &Peer,
-                   std::span<const EngineWork::Distrust> Told,
+                   std::span<const EngineWork::Distrust> Reported,
                    std::size_t Engines, Time Now);
-  /// A try that this host sent then is answered by the engine.
+  /// Called when the engine answers an attempt that this host sent at \p
+  /// SentAt.
   void noteHealthy(const UpstreamId &Engine, Time SentAt);
 
   bool isHeldBack(const UpstreamId &Engine, Time Now) const;
@@ -32,13 +34,13 @@
 
 private:
   struct Held {
-    HostId By;
+    HostId Peer;
     Time Since{};
     Time Until{};
   };
 
   std::map<UpstreamId, Held> ByEngine;
-  std::map<UpstreamId, Time> SoundSentAt;
+  std::map<UpstreamId, Time> HealthySentAt;
 };
 
 } // namespace banyanpick
--- a/src/plugins/enginetrust/TrustRecord.cpp
+++ b/src/plugins/enginetrust/TrustRecord.cpp
@@ -8,71 +8,73 @@
 
 namespace {
 
-/// Fewer answers say nothing of a share.
-constexpr std::uint32_t FewestAnswers = 5;
+/// Minimum number of answers for a significant share of failures.
+constexpr std::uint32_t MinAnswers = 5;
 
-/// One lost answer among many is not the upstream's state.
+/// Consecutive broken answers that eject an engine. A single lost answer is
+/// tolerated.
 constexpr std::uint32_t BrokenInARow = 2;
 
-/// A pause is doubled no more often than this.
-constexpr std::uint32_t MostDoublings = 6;
+/// Maximum number of times that an ejection time is doubled.
+constexpr std::uint32_t MaxDoublings = 6;
 
-/// The first status that stands for a failure of the upstream.
+/// The first status code that counts as a failure of the engine.
 constexpr std::uint32_t FirstServerError = 500;
 
 } // namespace
 
-void TrustRecord::take(Verdict What, double UsualFailures,
+void TrustRecord::take(Verdict Result, double UsualFailures,
                        const TrustLimits &Limits, Time Now) {
-  if (What == Verdict::Neutral)
+  if (Result == Verdict::Neutral)
     return;
-  const double Failed = What == Verdict::Healthy ? 0 : 1;
+  const double Failed = Result == Verdict::Healthy ? 0 : 1;
   this->Failures += Limits.Memory * (Failed - this->Failures);
-  ++this->Seen;
-  if (What == Verdict::Healthy) {
+  ++this->Answers;
+  if (Result == Verdict::Healthy) {
     this->InARow = 0;
-    this->Pauses = 0;
+    this->Ejections = 0;
     return;
   }
-  if (What != Verdict::Failing)
+  if (Result != Verdict::Failing)
     ++this->InARow;
-  const bool TooMany = this->Seen >= FewestAnswers &&
+  const bool TooMany = this->Answers >= MinAnswers &&
                        this->Failures > UsualFailures + Limits.SuspectShare;
-  // An engine that closes connections at once looks idle, so that it draws
-  // whatever is gathered; there is no time for a second one.
-  const bool Out = What == Verdict::Silent || What == Verdict::Refused ||
-                   this->InARow >= BrokenInARow;
-  if (Out || TooMany)
+  // An engine that closes connections at once looks idle and attracts all
+  // gathered requests, so it is not given a second chance.
+  const bool IsDown = Result == Verdict::Silent || Result == Verdict::Refused ||
+                      this->InARow >= BrokenInARow;
+  if (IsDown || TooMany)
     this->avoid(Limits, Now);
 }
 
 void TrustRecord::avoid(const TrustLimits &Limits, Time Now) {
   if (this->isAvoided(Now))
     return;
-  const auto Doublings = std::min(this->Pauses, MostDoublings);
-  const Duration Pause = Limits.FirstEjection * (1 << Doublings);
-  ++this->Pauses;
+  const auto Doublings = std::min(this->Ejections, MaxDoublings);
+  const Duration Ejection = Limits.FirstEjection * (1 << Doublings);
+  ++this->Ejections;
   this->AvoidSince = Now;
-  this->AvoidUntil = Now + std::min(Pause, Limits.MaxEjection);
-  // After the pause a few answers decide anew.
-  this->Seen = 0;
+  this->AvoidUntil = Now + std::min(Ejection, Limits.MaxEjection);
+  // After the ejection, a few answers decide again.
+  this->Answers = 0;
 }
 
 TrustRecord::Verdict verdictOf(const RelayOutcome &Outcome) {
   using Verdict = TrustRecord::Verdict;
   return match(
       Outcome,
-      [](const RelayNeverSent &Is) {
-        return Is.Withdrawn ? Verdict::Neutral : Verdict::Silent;
+      [](const RelayNeverSent &Result) {
+        return Result.Withdrawn ? Verdict::Neutral : Verdict::Silent;
       },
       [](const RelayNotRun &) { return Verdict::Neutral; },
       [](const RelayDelivered &) { return Verdict::Healthy; },
-      [](const RelayFailed &Is) {
-        return Is.Status >= FirstServerError ? Verdict::Failing
-                                             : Verdict::Healthy;
+      [](const RelayFailed &Result) {
+        return Result.Status >= FirstServerError ? Verdict::Failing
+                                                 : Verdict::Healthy;
       },
-      [](const RelayBroken &Is) {
-        const bool Refused = Is.Reason == RelayBroken::Why::Reset && !Is.Began;
+      [](const RelayBroken &Result) {
+        const bool Refused =
+            Result.Reason == RelayBroken::Why::Reset && !Result.Began;
         return Refused ? Verdict::Refused : Verdict::Broken;
       });
 }
--- a/src/plugins/enginetrust/TrustRecord.h
+++ b/src/plugins/enginetrust/TrustRecord.h
@@ -1,40 +1,43 @@
 /// \file
-/// How one upstream has dealt with what it was given.
+/// The outcomes of attempts on one engine.
 #pragma once
 
 #include "gateway/RelayedRequest.h"
 
 namespace banyanpick {
 
-/// When an upstream is avoided, and for how long.
+/// Limits for the ejection of an engine.
 struct TrustLimits {
-  Duration FirstEjection{}; ///< After a failure; doubles with each in a row.
+  Duration FirstEjection{}; ///< Ejection time after a failure; doubles with
+                            ///< each further one.
   Duration MaxEjection{};
-  double SuspectShare = 0; ///< Failures among its last answers that are too
-                           ///< many, above what its service shows.
-  double Memory = 0;       ///< Weight of the newest answer in the share.
+  /// Share of failures among recent answers, above that of the service, from
+  /// which on the engine is ejected.
+  double SuspectShare = 0;
+  double Memory = 0; ///< Weight of the newest answer in the share.
 };
 
-/// Judges by outcomes, as a health check may be good while requests fail.
+/// Judges an engine by outcomes, because a health check may succeed while
+/// requests fail.
 class TrustRecord {
 public:
-  /// How much an outcome speaks against the upstream.
+  /// What an outcome says of the engine.
   enum class Verdict {
-    Healthy, ///< It answered.
-    Failing, ///< It answered with a failure of its own.
-    Broken,  ///< It broke off its answer, or answered not in the protocol.
-    Refused, ///< It closed the connection in place of an answer.
-    Silent,  ///< It can't be reached.
-    Neutral, ///< Says nothing, such as that it is full.
+    Healthy, ///< The engine answered.
+    Failing, ///< The engine answered with a failure of its own.
+    Broken,  ///< The engine broke off its answer, or violated the protocol.
+    Refused, ///< The engine closed the connection without an answer.
+    Silent,  ///< The engine is unreachable.
+    Neutral, ///< Not significant, such as a full engine.
   };
 
-  /// \p UsualFailures is the share of failures that its whole service shows.
-  void take(Verdict What, double UsualFailures, const TrustLimits &Limits,
+  /// \p UsualFailures is the share of failures of the whole service.
+  void take(Verdict Result, double UsualFailures, const TrustLimits &Limits,
             Time Now);
 
   bool isAvoided(Time Now) const { return Now < this->AvoidUntil; }
   Time avoidUntil() const { return this->AvoidUntil; }
-  /// When the pause began.
+  /// Returns when the ejection began.
   Time avoidSince() const { return this->AvoidSince; }
   double failureShare() const { return this->Failures; }
   std::uint32_t failuresInARow() const { return this->InARow; }
@@ -43,14 +46,15 @@
   void avoid(const TrustLimits &Limits, Time Now);
 
   double Failures = 0; ///< Moving average of 0 and 1.
-  std::uint32_t Seen = 0;
-  std::uint32_t InARow = 0; ///< Tries broken or silent, none sound between.
-  std::uint32_t Pauses = 0; ///< Without a sound answer between.
+  std::uint32_t Answers = 0;
+  std::uint32_t InARow = 0; ///< Consecutive broken or silent attempts.
+  /// Consecutive ejections without a healthy answer.
+  std::uint32_t Ejections = 0;
   Time AvoidSince{};
   Time AvoidUntil{};
 };
 
-/// What an outcome says of the upstream.
+/// Returns what an outcome says of the engine.
 TrustRecord::Verdict verdictOf(const RelayOutcome &Outcome);
 
 } // namespace banyanpick
--- a/tests/auto/gateway/PeerDistrustTest.cpp
+++ b/tests/auto/gateway/PeerDistrustTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What peers say of engines counts, unless the peer is at fault or this host
-/// knows better.
+/// Tests that reports of peers hold back engines, unless the peer is faulty or
+/// this host has newer results.
 #include "plugins/enginetrust/PeerDistrust.h"
 
 #include <gtest/gtest.h>
@@ -14,60 +14,60 @@
 
 Time at(int Ms) { return Time(seconds(100) + milliseconds(Ms)); }
 
-std::vector<EngineWork::Distrust> told(int Count, double SinceMs = 0) {
+std::vector<EngineWork::Distrust> reported(int Count, double SinceMs = 0) {
   std::vector<EngineWork::Distrust> Result;
-  for (int Each = 1; Each <= Count; ++Each)
-    Result.push_back({UpstreamId("e" + std::to_string(Each)), SinceMs, 500});
+  for (int Index = 1; Index <= Count; ++Index)
+    Result.push_back({UpstreamId("e" + std::to_string(Index)), SinceMs, 500});
   return Result;
 }
 
-TEST(PeerDistrust, HoldsBackALittleLongerThanThePeer) {
+TEST(PeerDistrust, HoldsBackSlightlyLongerThanThePeer) {
   PeerDistrust Peers;
-  Peers.take(Peer, told(1), Engines, at(0));
+  Peers.take(Peer, reported(1), Engines, at(0));
   EXPECT_TRUE(Peers.isHeldBack(Engine, at(510)));
   EXPECT_FALSE(Peers.isHeldBack(Engine, at(1000)));
   EXPECT_FALSE(Peers.isHeldBack(UpstreamId("e2"), at(0)));
 }
 
-TEST(PeerDistrust, APeerThatDistrustsManyIsNotBelieved) {
+TEST(PeerDistrust, IgnoresAPeerThatDistrustsManyEngines) {
   PeerDistrust Peers;
-  Peers.take(Peer, told(2), Engines, at(0));
-  Peers.take(Peer, told(4), Engines, at(5));
+  Peers.take(Peer, reported(2), Engines, at(0));
+  Peers.take(Peer, reported(4), Engines, at(5));
   EXPECT_EQ(Peers.size(), 0U);
 }
 
-TEST(PeerDistrust, WhatAPeerSaysOfAnotherServiceStays) {
+TEST(PeerDistrust, ReportsOfAnotherServiceStayValid) {
   PeerDistrust Peers;
   const std::vector<EngineWork::Distrust> Desk{{UpstreamId("d1"), 0, 500}};
   EXPECT_EQ(Peers.take(Peer, Desk, 3, at(0)), 1U);
-  EXPECT_EQ(Peers.take(Peer, told(4), Engines, at(5)), 0U);
+  EXPECT_EQ(Peers.take(Peer, reported(4), Engines, at(5)), 0U);
   EXPECT_TRUE(Peers.isHeldBack(UpstreamId("d1"), at(10)));
   EXPECT_FALSE(Peers.isHeldBack(Engine, at(10)));
 }
 
-TEST(PeerDistrust, AnswersAnAnewHeldEngineOnce) {
+TEST(PeerDistrust, CountsANewlyHeldBackEngineOnce) {
   PeerDistrust Peers;
-  EXPECT_EQ(Peers.take(Peer, told(1), Engines, at(0)), 1U);
-  EXPECT_EQ(Peers.take(Peer, told(1), Engines, at(100)), 0U);
-  // The first has run out, and its place is taken by another.
-  EXPECT_EQ(Peers.take(Peer, told(1), Engines, at(2000)), 1U);
+  EXPECT_EQ(Peers.take(Peer, reported(1), Engines, at(0)), 1U);
+  EXPECT_EQ(Peers.take(Peer, reported(1), Engines, at(100)), 0U);
+  // The first report has expired and is replaced.
+  EXPECT_EQ(Peers.take(Peer, reported(1), Engines, at(2000)), 1U);
 }
 
-TEST(PeerDistrust, AnAnswerToALaterTryGoesFirst) {
+TEST(PeerDistrust, AnAnswerToALaterAttemptTakesPrecedence) {
   PeerDistrust Peers;
-  Peers.take(Peer, told(1, 50), Engines, at(100));
+  Peers.take(Peer, reported(1, 50), Engines, at(100));
   Peers.noteHealthy(Engine, at(40));
   EXPECT_TRUE(Peers.isHeldBack(Engine, at(110)));
   Peers.noteHealthy(Engine, at(60));
   EXPECT_FALSE(Peers.isHeldBack(Engine, at(110)));
-  Peers.take(Peer, told(1, 70), Engines, at(120));
+  Peers.take(Peer, reported(1, 70), Engines, at(120));
   EXPECT_FALSE(Peers.isHeldBack(Engine, at(121)))
-      << "the same pause, told again";
+      << "a repeated report of the same ejection";
 }
 
-TEST(PeerDistrust, OneOfThreeEnginesMayBeDistrusted) {
+TEST(PeerDistrust, AcceptsDistrustOfOneInThreeEngines) {
   PeerDistrust Peers;
-  Peers.take(Peer, told(1), 3, at(0));
+  Peers.take(Peer, reported(1), 3, at(0));
   EXPECT_TRUE(Peers.isHeldBack(Engine, at(1)));
 }
 
--- a/tests/auto/gateway/TrustRecordTest.cpp
+++ b/tests/auto/gateway/TrustRecordTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Engines that fail are avoided, for longer each time, and come back.
+/// Tests that failing engines are ejected for increasing times and return
+/// afterwards.
 #include "plugins/enginetrust/TrustRecord.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   EXPECT_FALSE(Record.isAvoided(at(500)));
 }
 
-TEST(TrustRecord, OneLostAnswerIsForgiven) {
+TEST(TrustRecord, ASingleLostAnswerIsTolerated) {
   TrustRecord Record;
   Record.take(Verdict::Healthy, 0, Limits, at(0));
   Record.take(Verdict::Broken, 0, Limits, at(10));
@@ -29,7 +30,7 @@
   EXPECT_TRUE(Record.isAvoided(at(21)));
 }
 
-TEST(TrustRecord, AConnectionClosedInPlaceOfAnAnswerCountsAtOnce) {
+TEST(TrustRecord, AConnectionClosedWithoutAnAnswerCountsAtOnce) {
   EXPECT_EQ(verdictOf(RelayBroken{}), Verdict::Refused);
   EXPECT_EQ(verdictOf(RelayBroken{RelayBroken::Why::Reset, true, {}}),
             Verdict::Broken);
@@ -40,7 +41,7 @@
   EXPECT_EQ(Record.avoidSince(), at(10));
 }
 
-TEST(TrustRecord, PausesDoubleUpToTheLongest) {
+TEST(TrustRecord, EjectionTimesDoubleUpToTheMaximum) {
   TrustRecord Record;
   int Now = 0;
   for (const int Expected : {500, 1000, 2000, 4000, 4000}) {
@@ -53,23 +54,23 @@
   EXPECT_EQ(Record.avoidUntil(), at(Now + 500));
 }
 
-TEST(TrustRecord, FailuresUsualForTheServiceAreNoReason) {
+TEST(TrustRecord, FailuresUsualForTheServiceAreTolerated) {
   TrustRecord Record;
-  for (int Each = 0; Each < 70; ++Each) {
-    const bool Fails = Each % 7 == 0;
+  for (int Index = 0; Index < 70; ++Index) {
+    const bool Fails = Index % 7 == 0;
     Record.take(Fails ? Verdict::Failing : Verdict::Healthy, 0.14, Limits,
-                at(Each));
-    EXPECT_FALSE(Record.isAvoided(at(Each)));
+                at(Index));
+    EXPECT_FALSE(Record.isAvoided(at(Index)));
   }
 }
 
-TEST(TrustRecord, ManyFailuresBehindAGoodHealthCheckAreNoticed) {
+TEST(TrustRecord, ManyFailuresBehindAHealthyCheckAreDetected) {
   TrustRecord Record;
   bool Avoided = false;
-  for (int Each = 0; Each < 20 && !Avoided; ++Each) {
-    Record.take(Each % 2 == 0 ? Verdict::Failing : Verdict::Healthy, 0.05,
-                Limits, at(Each));
-    Avoided = Record.isAvoided(at(Each));
+  for (int Index = 0; Index < 20 && !Avoided; ++Index) {
+    Record.take(Index % 2 == 0 ? Verdict::Failing : Verdict::Healthy, 0.05,
+                Limits, at(Index));
+    Avoided = Record.isAvoided(at(Index));
   }
   EXPECT_TRUE(Avoided);
 }
