--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -19,17 +19,19 @@
   Context.services().list<EngineObserver>().add(*this);
 }
 
-void EngineSignalsPlugin::handle(const Event &What, Time Now, Actions &Out) {
-  this->greetNewcomers(Now, Out);
+void EngineSignalsPlugin::handle(const Event &Received, Time Now,
+                                 Actions &Out) {
+  this->sendToNewcomers(Now, Out);
   match(
-      What,
-      [&](const PeerMessageReceived &Is) {
-        if (const auto *Told = std::get_if<EngineSignals>(&Is.Message.Body))
-          this->takePeer(Is.Message.From, *Told, Now, Out);
+      Received,
+      [&](const PeerMessageReceived &Incoming) {
+        if (const auto *Message =
+                std::get_if<EngineSignals>(&Incoming.Message.Body))
+          this->takePeer(Incoming.Message.From, *Message, Now, Out);
       },
-      [&](const GatewayEvent &Is) {
-        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Is))
-          this->hear(*Heard, Now, Out);
+      [&](const GatewayEvent &Change) {
+        if (const auto *Heard = std::get_if<EngineSignalsReceived>(&Change))
+          this->takeSignal(*Heard, Now, Out);
       },
       [](const auto &) {});
 }
@@ -39,9 +41,9 @@
   const RegisteredEngine *Known = this->Directory->find(Engine);
   if (!Known || Known->Standing == EngineStanding::Leaving)
     return EngineBlocked{EngineBlocked::Why::Leaving, std::nullopt};
-  if (this->Own.isBackingOff(Engine, Now))
+  if (this->OwnBackoffs.isBackingOff(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::BackingOff,
-                         this->Own.until(Engine) - Now};
+                         this->OwnBackoffs.until(Engine) - Now};
   if (!this->Room->hasQuota(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::AtLimit,
                          this->Room->quotaAvailableAfter(Engine, Now)};
@@ -50,51 +52,51 @@
 
 bool EngineSignalsPlugin::isDiscouraged(const UpstreamId &Engine,
                                         Time Now) const {
-  return this->Peers.isBackingOff(Engine, Now);
+  return this->PeerBackoffs.isBackingOff(Engine, Now);
 }
 
-void EngineSignalsPlugin::hear(const EngineSignalsReceived &Is, Time Now,
-                               Actions &Out) {
+void EngineSignalsPlugin::takeSignal(const EngineSignalsReceived &Answer,
+                                     Time Now, Actions &Out) {
   match(
-      Is.Signals.Backoff, [](const NoBackoff &) {},
-      [&](const BackoffRequested &Each) {
-        this->rest(Is.Engine, Each.For, Now, Out);
+      Answer.Signals.Backoff, [](const NoBackoff &) {},
+      [&](const BackoffRequested &Rest) {
+        this->startBackoff(Answer.Engine, Rest.For, Now, Out);
       },
-      [&](const BackoffUnreadable &Each) {
+      [&](const BackoffUnreadable &Rest) {
         Out.log(logEvent(events::EngineBackoffUnreadable)
-                    .with("engine", Is.Engine.Value)
-                    .with("said", Each.Text)
-                    .with("taken_as_us", Each.AppliedLength.count())
+                    .with("engine", Answer.Engine.Value)
+                    .with("said", Rest.Text)
+                    .with("taken_as_us", Rest.AppliedLength.count())
                     .build());
-        Out.count("engine_rests_unreadable", Is.Engine.Value);
-        this->rest(Is.Engine, Each.AppliedLength, Now, Out);
+        Out.count("engine_rests_unreadable", Answer.Engine.Value);
+        this->startBackoff(Answer.Engine, Rest.AppliedLength, Now, Out);
       });
-  if (Is.Signals.Leaving == LeavingSignal::Absent)
+  if (Answer.Signals.Leaving == LeavingSignal::Absent)
     return;
-  const bool IsNews = this->leave(Is.Engine, Now, Out);
-  if (IsNews && Is.Signals.Leaving == LeavingSignal::Unreadable)
+  const bool IsNews = this->startLeaving(Answer.Engine, Now, Out);
+  if (IsNews && Answer.Signals.Leaving == LeavingSignal::Unreadable)
     Out.log(logEvent(events::EngineLeavingUnreadable)
-                .with("engine", Is.Engine.Value)
+                .with("engine", Answer.Engine.Value)
                 .with("taken_as", "leaving")
                 .build());
 }
 
-bool EngineSignalsPlugin::leave(const UpstreamId &Engine, Time Now,
-                                Actions &Out) {
+bool EngineSignalsPlugin::startLeaving(const UpstreamId &Engine, Time Now,
+                                       Actions &Out) {
   if (!this->Leaving.insert(Engine).second)
     return false;
   Out.count("engines_said_leaving", Engine.Value);
   this->Directory->noteLeaving(Engine, "answer", Now, Out);
-  EngineSignals Told;
-  Told.Leaving.push_back(Engine);
-  this->tell(this->Active->activeHosts(), Told, Out);
+  EngineSignals Message;
+  Message.Leaving.push_back(Engine);
+  this->sendTo(this->Active->activeHosts(), Message, Out);
   return true;
 }
 
-void EngineSignalsPlugin::rest(const UpstreamId &Engine, Duration For, Time Now,
-                               Actions &Out) {
-  this->Own.age(Now);
-  if (!this->Own.take(Engine, Now + For, Now))
+void EngineSignalsPlugin::startBackoff(const UpstreamId &Engine, Duration For,
+                                       Time Now, Actions &Out) {
+  this->OwnBackoffs.age(Now);
+  if (!this->OwnBackoffs.take(Engine, Now + For, Now))
     return;
   Out.count("engine_rests", Engine.Value);
   Out.log(logEvent(events::EngineBackoffRequested)
@@ -102,29 +104,29 @@
               .with("for_us", For.count())
               .with("from", this->Self.Value)
               .build());
-  EngineSignals Told;
-  Told.Backoffs.push_back({Engine, inMilliseconds(For)});
-  this->tell(this->Active->activeHosts(), Told, Out);
+  EngineSignals Message;
+  Message.Backoffs.push_back({Engine, inMilliseconds(For)});
+  this->sendTo(this->Active->activeHosts(), Message, Out);
 }
 
 void EngineSignalsPlugin::takePeer(const HostId &From,
-                                   const EngineSignals &Told, Time Now,
+                                   const EngineSignals &Message, Time Now,
                                    Actions &Out) {
-  this->Peers.age(Now);
-  for (const EngineSignals::Backoff &Each : Told.Backoffs) {
-    const Duration Left = fromMilliseconds(Each.LeftMs);
-    if (this->Peers.take(Each.Engine, Now + Left, Now))
+  this->PeerBackoffs.age(Now);
+  for (const EngineSignals::Backoff &Rest : Message.Backoffs) {
+    const Duration Left = fromMilliseconds(Rest.LeftMs);
+    if (this->PeerBackoffs.take(Rest.Engine, Now + Left, Now))
       Out.log(logEvent(events::EngineBackoffRequested)
-                  .with("engine", Each.Engine.Value)
+                  .with("engine", Rest.Engine.Value)
                   .with("for_us", Left.count())
                   .with("from", From.Value)
                   .build());
   }
-  for (const UpstreamId &Each : Told.Leaving)
-    this->Directory->noteLeaving(Each, From.Value, Now, Out);
+  for (const UpstreamId &Engine : Message.Leaving)
+    this->Directory->noteLeaving(Engine, From.Value, Now, Out);
 }
 
-void EngineSignalsPlugin::greetNewcomers(Time Now, Actions &Out) {
+void EngineSignalsPlugin::sendToNewcomers(Time Now, Actions &Out) {
   const auto Active = this->Active->activeHosts();
   if (std::ranges::equal(Active, this->Hosts))
     return;
@@ -132,24 +134,25 @@
   std::ranges::set_difference(Active, this->Hosts,
                               std::back_inserter(Newcomers));
   this->Hosts.assign(Active.begin(), Active.end());
-  EngineSignals Told;
-  for (const auto &[Engine, Until] : this->Own.ends())
+  EngineSignals Message;
+  for (const auto &[Engine, Until] : this->OwnBackoffs.ends())
     if (Until > Now)
-      Told.Backoffs.push_back({Engine, inMilliseconds(Until - Now)});
-  Told.Leaving.assign(this->Leaving.begin(), this->Leaving.end());
-  if (Told != EngineSignals())
-    this->tell(Newcomers, Told, Out);
+      Message.Backoffs.push_back({Engine, inMilliseconds(Until - Now)});
+  Message.Leaving.assign(this->Leaving.begin(), this->Leaving.end());
+  if (Message != EngineSignals())
+    this->sendTo(Newcomers, Message, Out);
 }
 
 void EngineSignalsPlugin::engineRemoved(const UpstreamId &Id, Time, Actions &) {
   this->Leaving.erase(Id);
 }
 
-void EngineSignalsPlugin::tell(std::span<const HostId> To,
-                               const EngineSignals &What, Actions &Out) const {
-  for (const HostId &Each : To)
-    if (Each != this->Self)
-      Out.add(SendToPeer{Each, What});
+void EngineSignalsPlugin::sendTo(std::span<const HostId> To,
+                                 const EngineSignals &Message,
+                                 Actions &Out) const {
+  for (const HostId &Host : To)
+    if (Host != this->Self)
+      Out.add(SendToPeer{Host, Message});
 }
 
 std::vector<SettingDeclaration> EngineSignalsPlugin::settings() { return {}; }
--- a/src/plugins/enginesignals/EngineSignalsPlugin.h
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that heeds what engines say of themselves in their answers.
+/// The plug-in that follows the signals in engines' answers.
 #pragma once
 
 #include "gateway/EngineBackoffs.h"
@@ -10,18 +10,19 @@
 
 namespace banyanpick {
 
-/// An engine that turns a host away may ask that host for rest. The host then
-/// sends it nothing until the rest is over, and tells the other hosts that
-/// decide: they are free to go there, as none of them was asked, and do so
-/// where nothing else is left. An engine that says that it leaves gets nothing
-/// new from any host that heard or was told, sooner than the registry could say
-/// so, and also while it says otherwise.
+/// Follows backoff and leaving signals. An engine that refuses a request may
+/// ask the host for a backoff. The host then sends nothing to the engine until
+/// the backoff ends, and reports it to the other active hosts. Those were not
+/// asked themselves, so they may use the engine, but only if no other is left.
+/// An engine that announces that it leaves gets no new requests from any host
+/// that received the signal or a report of it. This takes effect before the
+/// registry shows it, and also while the registry contradicts it.
 class EngineSignalsPlugin : public Plugin,
                             public EngineGate,
                             public EngineObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
 
   std::optional<EngineBlocked> blocked(const UpstreamId &Engine,
                                        Time Now) const override;
@@ -32,25 +33,28 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  void hear(const EngineSignalsReceived &Is, Time Now, Actions &Out);
-  void rest(const UpstreamId &Engine, Duration For, Time Now, Actions &Out);
-  void takePeer(const HostId &From, const EngineSignals &Told, Time Now,
+  void takeSignal(const EngineSignalsReceived &Answer, Time Now, Actions &Out);
+  void startBackoff(const UpstreamId &Engine, Duration For, Time Now,
+                    Actions &Out);
+  void takePeer(const HostId &From, const EngineSignals &Message, Time Now,
                 Actions &Out);
-  /// Whether that is news here.
-  bool leave(const UpstreamId &Engine, Time Now, Actions &Out);
-  /// Tells hosts that have become active what they could not hear before.
-  void greetNewcomers(Time Now, Actions &Out);
-  void tell(std::span<const HostId> To, const EngineSignals &What,
-            Actions &Out) const;
+  /// Returns whether the engine was not known to leave.
+  bool startLeaving(const UpstreamId &Engine, Time Now, Actions &Out);
+  /// Sends the current signals to hosts that have become active.
+  void sendToNewcomers(Time Now, Actions &Out);
+  void sendTo(std::span<const HostId> To, const EngineSignals &Message,
+              Actions &Out) const;
 
   EngineDirectory *Directory = nullptr;
   const ActiveHostsView *Active = nullptr;
   const EngineQuota *Room = nullptr;
   HostId Self;
-  EngineBackoffs Own;           ///< Asked of this host.
-  EngineBackoffs Peers;         ///< Asked of others, as they told.
-  std::set<UpstreamId> Leaving; ///< Engines that said so to this host.
-  std::vector<HostId> Hosts;    ///< That are active.
+  EngineBackoffs OwnBackoffs; ///< Backoffs requested of this host.
+  /// Backoffs requested of other hosts, from their reports.
+  EngineBackoffs PeerBackoffs;
+  /// Engines that announced to this host that they leave.
+  std::set<UpstreamId> Leaving;
+  std::vector<HostId> Hosts; ///< The active hosts.
 };
 
 } // namespace banyanpick
--- a/tests/auto/manyhosts/EngineBackoffTest.cpp
+++ b/tests/auto/manyhosts/EngineBackoffTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Engines that turn hosts away and ask them for rest, before many hosts.
+/// Tests that many hosts follow the backoff that engines request when they
+/// refuse requests.
 #include "auto/manyhosts/SimulationLoad.h"
 
 #include <algorithm>
@@ -8,83 +9,87 @@
 namespace banyanpick {
 namespace {
 
-/// A host heeds a refusal so long after it came.
-constexpr milliseconds HeededAfter(500);
+/// Time after which a host follows a refusal.
+constexpr milliseconds EnforcedAfter(500);
 
-/// The most requests of one host that reached the engine in one rest that it
-/// had asked that host for.
-std::size_t mostInOneRest(std::span<const HostSimulation::Arrival> Arrivals) {
-  std::size_t Most = 0;
+/// Returns the maximum requests of one host that reached the engine during one
+/// backoff requested of that host.
+std::size_t
+maxDuringBackoff(std::span<const HostSimulation::Arrival> Arrivals) {
+  std::size_t Max = 0;
   for (const HostSimulation::Arrival &Asked : Arrivals) {
-    const auto InRest = std::ranges::count_if(Arrivals, [&](const auto &Each) {
-      return Each.From == Asked.From && Each.At > Asked.At + HeededAfter &&
-             Each.At < Asked.At + Asked.RequestedBackoff;
-    });
-    Most = std::max(Most, static_cast<std::size_t>(InRest));
+    const auto DuringBackoff =
+        std::ranges::count_if(Arrivals, [&](const auto &Arrival) {
+          return Arrival.From == Asked.From &&
+                 Arrival.At > Asked.At + EnforcedAfter &&
+                 Arrival.At < Asked.At + Asked.RequestedBackoff;
+        });
+    Max = std::max(Max, static_cast<std::size_t>(DuringBackoff));
   }
-  return Most;
+  return Max;
 }
 
-class EngineRestsAtSize : public testing::TestWithParam<SimulationSize> {};
+class EngineBackoffAtSize : public testing::TestWithParam<SimulationSize> {};
 
-/// Guards against requests that go on to an engine in the rest that it asked
-/// for.
-TEST_P(EngineRestsAtSize, AreGivenByEachHostThatWasTurnedAway) {
-  const SimulationSize Of = GetParam();
-  HostSimulation Crowd(Of.Hosts, Of.Engines);
+/// Guards against requests to an engine during the backoff that the engine
+/// requested.
+TEST_P(EngineBackoffAtSize, IsKeptByEachRefusedHost) {
+  const SimulationSize Size = GetParam();
+  HostSimulation Crowd(Size.Hosts, Size.Engines);
   Crowd.publish(1);
   Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Of.RequestInterval);
-  // The first engines are those that short prompts are gathered on.
+  offerLoad(Crowd, seconds(3), Size.RequestInterval);
+  // Short prompts are gathered on the first engines.
   Crowd.setShedding(0, seconds(3));
   Crowd.setShedding(1, seconds(3));
   Crowd.takeTally();
-  offerLoad(Crowd, seconds(10), Of.RequestInterval);
+  offerLoad(Crowd, seconds(10), Size.RequestInterval);
   for (const std::size_t Engine : {0, 1}) {
     const auto &Arrivals = Crowd.arrivals(Engine);
-    EXPECT_TRUE(std::ranges::any_of(Arrivals, [](const auto &Each) {
-      return Each.RequestedBackoff > Duration(0);
-    })) << "it never asked for rest";
-    EXPECT_EQ(mostInOneRest(Arrivals), 0U);
+    EXPECT_TRUE(std::ranges::any_of(Arrivals, [](const auto &Arrival) {
+      return Arrival.RequestedBackoff > Duration(0);
+    })) << "the engine never requested a backoff";
+    EXPECT_EQ(maxDuringBackoff(Arrivals), 0U);
   }
   const HostSimulation::Tally Tally = Crowd.takeTally();
-  EXPECT_EQ(lostRequests(Tally), 0U) << "other engines have room for all";
+  EXPECT_EQ(lostRequests(Tally), 0U) << "the other engines accept all requests";
   EXPECT_EQ(Tally.RetryLaterAnswers, 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, EngineRestsAtSize,
+INSTANTIATE_TEST_SUITE_P(All, EngineBackoffAtSize,
                          testing::ValuesIn(StandardSizes),
-                         [](const auto &Of) { return sizeName(Of); });
+                         [](const auto &Info) { return sizeName(Info); });
 
 std::size_t refusalsOf(const HostSimulation &Crowd) {
   std::size_t Sum = 0;
   for (std::size_t Engine = 0; Engine < Crowd.engines(); ++Engine)
     Sum += static_cast<std::size_t>(
-        std::ranges::count_if(Crowd.arrivals(Engine), [](const auto &Each) {
-          return Each.RequestedBackoff > Duration(0);
+        std::ranges::count_if(Crowd.arrivals(Engine), [](const auto &Arrival) {
+          return Arrival.RequestedBackoff > Duration(0);
         }));
   return Sum;
 }
 
-class EngineRestsInTurn : public testing::TestWithParam<SimulationSize> {};
+class EngineBackoffInTurn : public testing::TestWithParam<SimulationSize> {};
 
-/// Guards against hosts that find out one by one, each at the price of a
-/// repeat, that an engine turns everybody away.
-TEST_P(EngineRestsInTurn, CostLessThanHalfOfTheRepeatsThatAreAllowed) {
-  const SimulationSize Of = GetParam();
-  HostSimulation Crowd(Of.Hosts, Of.Engines);
+/// Guards against each host learning separately, at the cost of a retry, that
+/// an engine refuses all requests.
+TEST_P(EngineBackoffInTurn, CostsLessThanHalfOfTheAllowedRetries) {
+  const SimulationSize Size = GetParam();
+  HostSimulation Crowd(Size.Hosts, Size.Engines);
   Crowd.publish(1);
   Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Of.RequestInterval);
+  offerLoad(Crowd, seconds(3), Size.RequestInterval);
   Crowd.takeTally();
   std::size_t Asked = 0;
   constexpr std::size_t Turns = 10;
   for (std::size_t Turn = 0; Turn < Turns; ++Turn) {
-    Crowd.setShedding(Turn % Of.Engines, seconds(3));
-    Asked += offerLoad(Crowd, seconds(2), Of.RequestInterval);
-    Crowd.setShedding(Turn % Of.Engines, std::nullopt);
+    Crowd.setShedding(Turn % Size.Engines, seconds(3));
+    Asked += offerLoad(Crowd, seconds(2), Size.RequestInterval);
+    Crowd.setShedding(Turn % Size.Engines, std::nullopt);
   }
-  // A fifth of the requests, and a hundred more in ten seconds.
+  // The retry budget: a fifth of the requests, and a hundred more in ten
+  // seconds.
   const double Allowed = static_cast<double>(Asked) * 0.2 + 100 * 2;
   EXPECT_LT(static_cast<double>(refusalsOf(Crowd)), Allowed / 2);
   const HostSimulation::Tally Tally = Crowd.takeTally();
@@ -95,12 +100,12 @@
   RecordProperty("late", static_cast<int>(Tally.Late));
 }
 
-INSTANTIATE_TEST_SUITE_P(All, EngineRestsInTurn,
+INSTANTIATE_TEST_SUITE_P(All, EngineBackoffInTurn,
                          testing::ValuesIn(StandardSizes),
-                         [](const auto &Of) { return sizeName(Of); });
+                         [](const auto &Info) { return sizeName(Info); });
 
-/// Guards against all hosts that come back to an engine at once.
-TEST(EngineRests, AreFollowedByNoMoreLoadThanBefore) {
+/// Guards against all hosts returning to an engine at once.
+TEST(EngineBackoff, IsNotFollowedByALoadPeak) {
   HostSimulation Crowd(7, 14);
   Crowd.publish(1);
   Crowd.run(seconds(25));
@@ -113,7 +118,8 @@
   offerLoad(Crowd, seconds(2), milliseconds(20));
   const Time After = Crowd.now();
   offerLoad(Crowd, seconds(3), milliseconds(20));
-  EXPECT_GT(countSince(Crowd.arrivals(0), After), 0U) << "it is used again";
+  EXPECT_GT(countSince(Crowd.arrivals(0), After), 0U)
+      << "the engine is used again";
   EXPECT_LE(static_cast<double>(countSince(Crowd.arrivals(0), After)),
             static_cast<double>(Usual) * 1.2 + 1);
 }
--- a/tests/auto/manyhosts/EngineSignalsTest.cpp
+++ b/tests/auto/manyhosts/EngineSignalsTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Engines that say in their answers that they leave, and engines that do all
-/// of it in random runs, before many hosts.
+/// Tests engines that announce in their answers that they leave, and random
+/// runs of all signals, with many hosts.
 #include "auto/manyhosts/SimulationLoad.h"
 
 #include "base/Random.h"
@@ -12,49 +12,49 @@
 namespace banyanpick {
 namespace {
 
-/// Others than the host that heard it first know of it within so long.
-constexpr milliseconds ToldWithin(200);
+/// Time within which a report of a host reaches the others.
+constexpr milliseconds ReportedWithin(200);
 
-/// A host heeds a refusal so long after it came.
-constexpr milliseconds RestHeededAfter(500);
+/// Time after which a host follows a refusal.
+constexpr milliseconds BackoffEnforcedAfter(500);
 
-/// An answer is with the host so long after the request came; the crowd's
-/// engines begin within 120 ms.
+/// Time within which an answer reaches the host; simulated engines begin their
+/// answers within 120 ms.
 constexpr milliseconds AnsweredWithin(125);
 
 class EngineLeavingAtSize : public testing::TestWithParam<SimulationSize> {};
 
-/// Guards against requests that begin on an engine after it has said that it
-/// leaves, though its registration says otherwise again and again.
-TEST_P(EngineLeavingAtSize, GetsNothingNewFromAnyHost) {
-  const SimulationSize Of = GetParam();
-  HostSimulation Crowd(Of.Hosts, Of.Engines);
+/// Guards against new requests to an engine that has announced that it leaves,
+/// although its registration contradicts this repeatedly.
+TEST_P(EngineLeavingAtSize, GetsNoNewRequestsFromAnyHost) {
+  const SimulationSize Size = GetParam();
+  HostSimulation Crowd(Size.Hosts, Size.Engines);
   Crowd.publish(1);
   Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Of.RequestInterval);
+  offerLoad(Crowd, seconds(3), Size.RequestInterval);
   Crowd.setSignalsLeaving(0);
   Crowd.takeTally();
   const Time From = Crowd.now();
-  offerLoad(Crowd, seconds(6), Of.RequestInterval);
+  offerLoad(Crowd, seconds(6), Size.RequestInterval);
   const auto &Arrivals = Crowd.arrivals(0);
   ASSERT_FALSE(Arrivals.empty());
-  const Time Known = From + AnsweredWithin + ToldWithin;
+  const Time Known = From + AnsweredWithin + ReportedWithin;
   EXPECT_EQ(countSince(Arrivals, Known), 0U);
   const HostSimulation::Tally Tally = Crowd.takeTally();
-  EXPECT_EQ(lostRequests(Tally), 0U) << "other engines have room for all";
-  // Each host that heard it tells the hosts that decide, once.
-  const auto Said = Tally.Messages.find("signals");
-  ASSERT_NE(Said, Tally.Messages.end());
-  constexpr std::size_t MostActive = 40;
-  EXPECT_LE(Said->second, MostActive * MostActive);
+  EXPECT_EQ(lostRequests(Tally), 0U) << "the other engines accept all requests";
+  // Each host that receives the signal reports it once to the active hosts.
+  const auto Sent = Tally.Messages.find("signals");
+  ASSERT_NE(Sent, Tally.Messages.end());
+  constexpr std::size_t MaxActive = 40;
+  EXPECT_LE(Sent->second, MaxActive * MaxActive);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, EngineLeavingAtSize,
                          testing::ValuesIn(StandardSizes),
-                         [](const auto &Of) { return sizeName(Of); });
+                         [](const auto &Info) { return sizeName(Info); });
 
-/// Engines that shed, limit, leave and serve again, and hosts that die, stand
-/// still and are cut off, by turns and together.
+/// A random run in which engines shed load, name limits, leave and serve again,
+/// while hosts die, freeze and are partitioned.
 class RandomSignals {
 public:
   explicit RandomSignals(std::uint64_t Seed)
@@ -71,7 +71,7 @@
       offerLoad(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
     }
     for (std::size_t Engine = 0; Engine < this->engines(); ++Engine)
-      this->judge(Engine);
+      this->check(Engine);
   }
 
 private:
@@ -98,7 +98,7 @@
       this->Crowd.setLimit(Engine, std::nullopt);
       return;
     default:
-      // Some stay, so that there is something left to choose.
+      // Some engines never leave, so that candidates remain.
       if (Engine % 3 == 0)
         this->Crowd.setSignalsLeaving(Engine);
       return;
@@ -127,33 +127,36 @@
     this->Disturbed[Host].push_back(this->Crowd.now());
   }
 
-  /// Whether a restart, freeze or cut of the host between the two excuses it.
+  /// Returns whether the host restarted, froze or was partitioned between the
+  /// two times.
   bool isExcused(std::size_t Host, Time From, Time To) const {
     const auto Found = this->Disturbed.find(Host);
     if (Found == this->Disturbed.end())
       return false;
-    return std::ranges::any_of(
-        Found->second, [&](Time Each) { return Each >= From && Each <= To; });
+    return std::ranges::any_of(Found->second, [&](Time Disturbance) {
+      return Disturbance >= From && Disturbance <= To;
+    });
   }
 
-  void judge(std::size_t Engine) const {
+  void check(std::size_t Engine) const {
     const auto &Arrivals = this->Crowd.arrivals(Engine);
     for (auto Asked = Arrivals.begin(); Asked != Arrivals.end(); ++Asked)
-      for (auto Each = Asked + 1; Each != Arrivals.end(); ++Each) {
-        if (Each->From != Asked->From ||
-            this->isExcused(Asked->From, Asked->At, Each->At))
+      for (auto Later = Asked + 1; Later != Arrivals.end(); ++Later) {
+        if (Later->From != Asked->From ||
+            this->isExcused(Asked->From, Asked->At, Later->At))
           continue;
-        const bool InRest = Each->At > Asked->At + RestHeededAfter &&
-                            Each->At < Asked->At + Asked->RequestedBackoff;
-        EXPECT_FALSE(InRest)
-            << "engine " << Engine << " host " << Each->From << " asked at "
+        const bool DuringBackoff =
+            Later->At > Asked->At + BackoffEnforcedAfter &&
+            Later->At < Asked->At + Asked->RequestedBackoff;
+        EXPECT_FALSE(DuringBackoff)
+            << "engine " << Engine << " host " << Later->From << " asked at "
             << Asked->At.time_since_epoch().count() << " for "
             << Asked->RequestedBackoff.count() << ", sent at "
-            << Each->At.time_since_epoch().count();
-        const bool AfterWord =
-            Asked->SignalledLeaving && Each->At > Asked->AnsweredAt;
-        EXPECT_FALSE(AfterWord)
-            << "engine " << Engine << " host " << Each->From << " leaving";
+            << Later->At.time_since_epoch().count();
+        const bool AfterLeaving =
+            Asked->SignalledLeaving && Later->At > Asked->AnsweredAt;
+        EXPECT_FALSE(AfterLeaving)
+            << "engine " << Engine << " host " << Later->From << " leaving";
       }
   }
 
@@ -162,7 +165,7 @@
   std::map<std::size_t, std::vector<Time>> Disturbed;
 };
 
-TEST(EngineSignals, AreHeededInRandomRuns) {
+TEST(EngineSignals, AreFollowedInRandomRuns) {
   for (std::uint64_t Seed = 1; Seed <= seedCount(); ++Seed) {
     SCOPED_TRACE(Seed);
     RandomSignals(Seed).run();
