--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -10,15 +10,15 @@
 
 void EngineMemoryPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "engine_memory";
+  const std::string_view Section = "engine_memory";
   this->Offered = &Context.services();
-  this->Own = Context.self();
-  this->Hold = Values.span(In, "hold");
-  this->RenewInterval = Values.span(In, "renew_interval");
-  this->AskInterval = Values.span(In, "ask_interval");
-  this->AcquireFor = Values.span(In, "acquire_for");
-  this->LateFor = Values.span(In, "late_for");
-  this->LateInterval = Values.span(In, "late_interval");
+  this->Self = Context.self();
+  this->Hold = Values.span(Section, "hold");
+  this->RenewInterval = Values.span(Section, "renew_interval");
+  this->AskInterval = Values.span(Section, "ask_interval");
+  this->AcquireFor = Values.span(Section, "acquire_for");
+  this->LateFor = Values.span(Section, "late_for");
+  this->LateInterval = Values.span(Section, "late_interval");
   this->Gate = &Context.services().get<EngineGate>();
   Context.services().provide<MemoryReserver>(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -26,12 +26,12 @@
 
 void EngineMemoryPlugin::start(Time, Actions &) {}
 
-void EngineMemoryPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void EngineMemoryPlugin::handle(const Event &Received, Time Now, Actions &Out) {
   match(
-      What,
-      [&](const GatewayEvent &Is) {
-        if (const auto *Answered = std::get_if<ReservationAnswered>(&Is))
-          this->take(*Answered, Now, Out);
+      Received,
+      [&](const GatewayEvent &Change) {
+        if (const auto *Answered = std::get_if<ReservationAnswered>(&Change))
+          this->takeAnswer(*Answered, Now, Out);
       },
       [](const auto &) {});
   if (Now < this->nextWake())
@@ -42,11 +42,11 @@
 
 Time EngineMemoryPlugin::nextWake() const {
   Time Result = Never;
-  for (const auto &[Id, Of] : this->Reservations)
-    for (const Share &Each : Of.Shares)
-      Result = std::min(Result, Each.AskAgainAt);
-  for (const LateRelease &Each : this->Late)
-    Result = std::min(Result, Each.NextAt);
+  for (const auto &[Id, Reserved] : this->Reservations)
+    for (const Share &Part : Reserved.Shares)
+      Result = std::min(Result, Part.NextRequestAt);
+  for (const LateRelease &Release : this->LateReleases)
+    Result = std::min(Result, Release.NextAt);
   return Result;
 }
 
@@ -54,194 +54,199 @@
                                  std::span<const HelperEngine> Shares, Time Now,
                                  Actions &Out) {
   this->release(Id, Now, Out);
-  Reservation &Of = this->Reservations[Id];
-  Of.AskedAt = Now;
-  Of.All.assign(Shares.begin(), Shares.end());
-  for (HelperEngine &Each : Of.All) {
-    if (Each.Tokens == 0)
+  Reservation &Reserved = this->Reservations[Id];
+  Reserved.RequestedAt = Now;
+  Reserved.Helpers.assign(Shares.begin(), Shares.end());
+  for (HelperEngine &Helper : Reserved.Helpers) {
+    if (Helper.Tokens == 0)
       continue;
-    // A life's number makes it unlike any name of an earlier life.
-    Each.Reservation = "b" + std::to_string(this->Own.Life.Value) + "-" +
-                       std::to_string(++this->Names);
-    Of.Shares.push_back({Each, Stage::Asked, false, Now});
+    // The incarnation number makes the name unique across restarts.
+    Helper.Reservation = "b" + std::to_string(this->Self.Life.Value) + "-" +
+                         std::to_string(++this->NameCount);
+    Reserved.Shares.push_back({Helper, Stage::Requested, false, Now});
   }
-  for (Share &Each : Of.Shares)
-    this->ask(Each, Now, Out);
+  for (Share &Part : Reserved.Shares)
+    this->request(Part, Now, Out);
 }
 
-void EngineMemoryPlugin::ask(Share &Each, Time Now, Actions &Out) {
-  Each.AskAgainAt =
-      Now + (Each.Is == Stage::Held ? this->RenewInterval : this->AskInterval);
-  Out.add(GatewayAction(ReserveMemory{Each.Where.Engine, Each.Where.At,
-                                      Each.Where.Reservation, Each.Where.Tokens,
-                                      this->Hold, false}));
+void EngineMemoryPlugin::request(Share &Part, Time Now, Actions &Out) {
+  Part.NextRequestAt = Now + (Part.Status == Stage::Held ? this->RenewInterval
+                                                         : this->AskInterval);
+  Out.add(GatewayAction(ReserveMemory{Part.Target.Engine, Part.Target.At,
+                                      Part.Target.Reservation,
+                                      Part.Target.Tokens, this->Hold, false}));
 }
 
-void EngineMemoryPlugin::askAgain(Share &Each, Time Now, Actions &Out) {
-  // What is held would be lost without a renewal; more is not asked for where
-  // nothing may be sent.
-  if (Each.Is == Stage::Held || !this->Gate->blocked(Each.Where.Engine, Now)) {
-    this->ask(Each, Now, Out);
+void EngineMemoryPlugin::renewOrRetry(Share &Part, Time Now, Actions &Out) {
+  // A held share would be lost without a renewal. No further memory is
+  // requested where no requests may be sent.
+  if (Part.Status == Stage::Held ||
+      !this->Gate->blocked(Part.Target.Engine, Now)) {
+    this->request(Part, Now, Out);
     return;
   }
-  Each.Is = Stage::Refused;
-  Each.Unanswered = true;
-  Each.AskAgainAt = Never;
+  Part.Status = Stage::Refused;
+  Part.Unanswered = true;
+  Part.NextRequestAt = Never;
 }
 
-void EngineMemoryPlugin::take(const ReservationAnswered &Is, Time Now,
-                              Actions &Out) {
-  for (auto &[Id, Of] : this->Reservations) {
-    const auto Found = std::ranges::find_if(Of.Shares, [&](const Share &Each) {
-      return Each.Where.Reservation == Is.Name;
-    });
-    if (Found == Of.Shares.end())
+void EngineMemoryPlugin::takeAnswer(const ReservationAnswered &Answer, Time Now,
+                                    Actions &Out) {
+  for (auto &[Id, Reserved] : this->Reservations) {
+    const auto Found =
+        std::ranges::find_if(Reserved.Shares, [&](const Share &Part) {
+          return Part.Target.Reservation == Answer.Name;
+        });
+    if (Found == Reserved.Shares.end())
       continue;
-    switch (Is.Result) {
+    switch (Answer.Result) {
     case ReservationResult::Held:
-      Found->Is = Stage::Held;
-      Found->AskAgainAt = Now + this->RenewInterval;
+      Found->Status = Stage::Held;
+      Found->NextRequestAt = Now + this->RenewInterval;
       break;
     case ReservationResult::Waiting:
-      Found->Is = Stage::Waiting;
+      Found->Status = Stage::Waiting;
       break;
     case ReservationResult::Refused:
-      Found->Is = Stage::Refused;
-      for (MemoryObserver *Each : this->Offered->list<MemoryObserver>().all())
-        Each->memoryRefused(Found->Where.Engine, Now);
+      Found->Status = Stage::Refused;
+      for (MemoryObserver *Observer :
+           this->Offered->list<MemoryObserver>().all())
+        Observer->memoryRefused(Found->Target.Engine, Now);
       break;
     case ReservationResult::Unknown:
       Found->Unanswered = true;
       break;
     }
     const RequestId Request = Id;
-    this->decide(Request, Of, Now, Out);
+    this->decide(Request, Reserved, Now, Out);
     return;
   }
 }
 
-void EngineMemoryPlugin::decide(const RequestId &Id, Reservation &Of, Time Now,
-                                Actions &Out) {
-  if (Of.Decided)
+void EngineMemoryPlugin::decide(const RequestId &Id, Reservation &Reserved,
+                                Time Now, Actions &Out) {
+  if (Reserved.Decided)
     return;
-  const auto Counts = [&](Stage Wanted) {
-    return std::ranges::count(Of.Shares, Wanted, &Share::Is);
+  const auto countOf = [&](Stage Wanted) {
+    return std::ranges::count(Reserved.Shares, Wanted, &Share::Status);
   };
-  const bool All =
-      Counts(Stage::Held) == static_cast<std::ptrdiff_t>(Of.Shares.size());
-  const bool Failed =
-      Counts(Stage::Refused) > 0 || Now >= Of.AskedAt + this->AcquireFor;
+  const bool All = countOf(Stage::Held) ==
+                   static_cast<std::ptrdiff_t>(Reserved.Shares.size());
+  const bool Failed = countOf(Stage::Refused) > 0 ||
+                      Now >= Reserved.RequestedAt + this->AcquireFor;
   if (!All && !Failed)
     return;
-  Of.Decided = true;
+  Reserved.Decided = true;
   Out.log(logEvent(events::MemoryReserved)
               .with("request", Id.Value)
-              .with("engines", Of.Shares.size())
-              .with("tokens_each", Of.Shares.front().Where.Tokens)
+              .with("engines", Reserved.Shares.size())
+              .with("tokens_each", Reserved.Shares.front().Target.Tokens)
               .with("had", All ? "true" : "false")
-              .with("after_us", (Now - Of.AskedAt).count())
+              .with("after_us", (Now - Reserved.RequestedAt).count())
               .build());
   Out.count("memory_reservations", All ? "held" : "refused");
   const std::vector<HelperEngine> Shares =
-      All ? Of.All : std::vector<HelperEngine>();
+      All ? Reserved.Helpers : std::vector<HelperEngine>();
   if (!All)
     this->release(Id, Now, Out);
-  for (MemoryObserver *Each : this->Offered->list<MemoryObserver>().all())
-    Each->memoryDecided(Id, Shares, Now, Out);
+  for (MemoryObserver *Observer : this->Offered->list<MemoryObserver>().all())
+    Observer->memoryDecided(Id, Shares, Now, Out);
 }
 
 void EngineMemoryPlugin::release(const RequestId &Id, Time Now, Actions &Out) {
   const auto Found = this->Reservations.find(Id);
   if (Found == this->Reservations.end())
     return;
-  this->letGo(Found->second, Now, Out);
+  this->releaseAll(Found->second, Now, Out);
   this->Reservations.erase(Found);
   Out.log(logEvent(events::MemoryReleased).with("request", Id.Value).build());
 }
 
 void EngineMemoryPlugin::engineRestarted(const UpstreamId &Id, Time Now,
                                          Actions &Out) {
-  std::erase_if(this->Late, [&](const LateRelease &Each) {
-    return Each.Where.Engine == Id;
+  std::erase_if(this->LateReleases, [&](const LateRelease &Release) {
+    return Release.Target.Engine == Id;
   });
-  std::vector<RequestId> Hit;
-  for (auto &[Request, Of] : this->Reservations)
-    for (Share &Each : Of.Shares) {
-      if (Each.Where.Engine != Id)
+  std::vector<RequestId> Affected;
+  for (auto &[Request, Reserved] : this->Reservations)
+    for (Share &Part : Reserved.Shares) {
+      if (Part.Target.Engine != Id)
         continue;
-      Each.Is = Stage::Refused;
-      Each.Unanswered = false;
-      Each.AskAgainAt = Never;
-      Hit.push_back(Request);
+      Part.Status = Stage::Refused;
+      Part.Unanswered = false;
+      Part.NextRequestAt = Never;
+      Affected.push_back(Request);
     }
-  for (const RequestId &Request : Hit) {
+  for (const RequestId &Request : Affected) {
     const auto Found = this->Reservations.find(Request);
     if (Found != this->Reservations.end())
       this->decide(Request, Found->second, Now, Out);
   }
 }
 
-void EngineMemoryPlugin::letGo(const Reservation &Of, Time Now, Actions &Out) {
-  for (const Share &Each : Of.Shares) {
-    if (Each.Is != Stage::Refused || Each.Unanswered)
-      Out.add(GatewayAction(ReleaseMemory{Each.Where.Engine, Each.Where.At,
-                                          Each.Where.Reservation}));
-    if (Each.Unanswered || Each.Is == Stage::Asked)
-      this->Late.push_back(
-          {Each.Where, Now + this->LateInterval, Now + this->LateFor});
+void EngineMemoryPlugin::releaseAll(const Reservation &Reserved, Time Now,
+                                    Actions &Out) {
+  for (const Share &Part : Reserved.Shares) {
+    if (Part.Status != Stage::Refused || Part.Unanswered)
+      Out.add(GatewayAction(ReleaseMemory{Part.Target.Engine, Part.Target.At,
+                                          Part.Target.Reservation}));
+    if (Part.Unanswered || Part.Status == Stage::Requested)
+      this->LateReleases.push_back(
+          {Part.Target, Now + this->LateInterval, Now + this->LateFor});
   }
 }
 
 void EngineMemoryPlugin::renew(Time Now, Actions &Out) {
   std::vector<RequestId> Ids;
-  for (const auto &[Id, Of] : this->Reservations)
+  for (const auto &[Id, Reserved] : this->Reservations)
     Ids.push_back(Id);
   for (const RequestId &Id : Ids) {
     const auto Found = this->Reservations.find(Id);
     if (Found == this->Reservations.end())
       continue;
-    for (Share &Each : Found->second.Shares)
-      if (Now >= Each.AskAgainAt)
-        this->askAgain(Each, Now, Out);
+    for (Share &Part : Found->second.Shares)
+      if (Now >= Part.NextRequestAt)
+        this->renewOrRetry(Part, Now, Out);
     this->decide(Id, Found->second, Now, Out);
   }
 }
 
 void EngineMemoryPlugin::releaseLate(Time Now, Actions &Out) {
-  for (LateRelease &Each : this->Late) {
-    if (Now < Each.NextAt)
+  for (LateRelease &Release : this->LateReleases) {
+    if (Now < Release.NextAt)
       continue;
-    Each.NextAt = Now + this->LateInterval;
-    Out.add(GatewayAction(ReleaseMemory{Each.Where.Engine, Each.Where.At,
-                                        Each.Where.Reservation}));
+    Release.NextAt = Now + this->LateInterval;
+    Out.add(GatewayAction(ReleaseMemory{
+        Release.Target.Engine, Release.Target.At, Release.Target.Reservation}));
   }
-  std::erase_if(this->Late,
-                [&](const LateRelease &Each) { return Now >= Each.Until; });
+  std::erase_if(this->LateReleases, [&](const LateRelease &Release) {
+    return Now >= Release.Until;
+  });
 }
 
 std::vector<SettingDeclaration> EngineMemoryPlugin::settings() {
   constexpr auto Span = SettingKind::Span;
-  const std::string In = "engine_memory";
+  const std::string Section = "engine_memory";
   return {
-      {In, "hold", Span, "3s",
+      {Section, "hold", Span, "3s",
        "How long an engine keeps memory set aside without a renewal; under the "
        "four seconds in which unused memory must be free again.",
        100e3, 60e6},
-      {In, "renew_interval", Span, "700ms",
+      {Section, "renew_interval", Span, "700ms",
        "How often memory in use is renewed: three renewals in a row may be "
        "lost.",
        10e3, 60e6},
-      {In, "ask_interval", Span, "250ms",
+      {Section, "ask_interval", Span, "250ms",
        "How soon an engine that did not grant memory yet is asked again.", 10e3,
        60e6},
-      {In, "acquire_for", Span, "1200ms",
+      {Section, "acquire_for", Span, "1200ms",
        "After so long without all memory that a prompt needs, all is let go.",
        10e3, 60e6},
-      {In, "late_for", Span, "14s",
+      {Section, "late_for", Span, "14s",
        "Orders without an answer may be carried out so much later; memory is "
        "let go again until then.",
        0, 600e6},
-      {In, "late_interval", Span, "1s",
+      {Section, "late_interval", Span, "1s",
        "How often memory is let go again after an order without an answer.",
        10e3, 60e6},
   };
--- a/src/plugins/enginememory/EngineMemoryPlugin.h
+++ b/src/plugins/enginememory/EngineMemoryPlugin.h
@@ -1,6 +1,6 @@
 /// \file
-/// The plug-in that sets memory aside on engines for prompts that one engine
-/// can't hold.
+/// The plug-in that reserves memory on engines for prompts that exceed the
+/// memory of one engine.
 #pragma once
 
 #include "kernel/GatewayServices.h"
@@ -11,71 +11,73 @@
 
 namespace banyanpick {
 
-/// All of a request's shares are asked for at once, and all are let go when
-/// one is refused, so that two requests never wait for each other. Holds are
-/// short and renewed while they are used: when their owner dies, engines free
-/// them by themselves, sooner than anybody else could notice.
+/// Requests all shares of a request at once, and releases all when one is
+/// refused, so that two requests never wait for each other. Reservations are
+/// short and renewed while in use. When their owner dies, engines free them on
+/// their own, sooner than any other host could notice.
 class EngineMemoryPlugin : public Plugin,
                            public MemoryReserver,
                            public EngineObserver {
 public:
   void initialize(PluginContext &Context) override;
   void start(Time Now, Actions &Out) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
   void acquire(const RequestId &Id, std::span<const HelperEngine> Shares,
                Time Now, Actions &Out) override;
   void release(const RequestId &Id, Time Now, Actions &Out) override;
 
-  /// What was set aside there is gone with the engine's earlier life. It is
-  /// neither renewed nor let go on the new one.
+  /// The reservations ended with the engine's earlier incarnation. They are
+  /// neither renewed nor released on the new one.
   void engineRestarted(const UpstreamId &Id, Time Now, Actions &Out) override;
 
   static std::vector<SettingDeclaration> settings();
 
 private:
-  enum class Stage { Asked, Waiting, Held, Refused };
+  enum class Stage { Requested, Waiting, Held, Refused };
   struct Share {
-    HelperEngine Where;
-    Stage Is = Stage::Asked;
-    bool Unanswered = false; ///< An order may be carried out later.
-    Time AskAgainAt{};
+    HelperEngine Target;
+    Stage Status = Stage::Requested;
+    bool Unanswered = false; ///< An unanswered order may take effect later.
+    Time NextRequestAt{};
   };
   struct Reservation {
-    std::vector<HelperEngine> All; ///< Those without memory, too.
+    /// All helpers, including those without a reservation.
+    std::vector<HelperEngine> Helpers;
     std::vector<Share> Shares;
-    Time AskedAt{};
+    Time RequestedAt{};
     bool Decided = false;
   };
-  /// A release repeated, as an order without an answer may be carried out late.
+  /// A repeated release, as an order without an answer may take effect late.
   struct LateRelease {
-    HelperEngine Where;
+    HelperEngine Target;
     Time NextAt{};
     Time Until{};
   };
 
-  void ask(Share &Each, Time Now, Actions &Out);
-  /// Renews what is held, or asks once more for what is not.
-  void askAgain(Share &Each, Time Now, Actions &Out);
-  void take(const ReservationAnswered &Is, Time Now, Actions &Out);
-  void decide(const RequestId &Id, Reservation &Of, Time Now, Actions &Out);
-  void letGo(const Reservation &Of, Time Now, Actions &Out);
+  void request(Share &Part, Time Now, Actions &Out);
+  /// Renews a held share, or requests a share again that is not held yet.
+  void renewOrRetry(Share &Part, Time Now, Actions &Out);
+  void takeAnswer(const ReservationAnswered &Answer, Time Now, Actions &Out);
+  void decide(const RequestId &Id, Reservation &Reserved, Time Now,
+              Actions &Out);
+  void releaseAll(const Reservation &Reserved, Time Now, Actions &Out);
   void renew(Time Now, Actions &Out);
   void releaseLate(Time Now, Actions &Out);
 
   Services *Offered = nullptr;
   const EngineGate *Gate = nullptr;
-  Identity Own;
+  Identity Self;
   Duration Hold{};
   Duration RenewInterval{};
   Duration AskInterval{};
   Duration AcquireFor{};
   Duration LateFor{};
   Duration LateInterval{};
-  std::uint64_t Names = 0;
+  std::uint64_t NameCount = 0;
   std::map<RequestId, Reservation> Reservations;
-  std::vector<LateRelease> Late;
+  std::vector<LateRelease> LateReleases;
 };
 
 } // namespace banyanpick
--- a/tests/auto/gateway/GatewayMemoryTest.cpp
+++ b/tests/auto/gateway/GatewayMemoryTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Memory set aside on engines is used, renewed and always let go.
+/// Tests that memory reservations on engines are used, renewed and always
+/// released.
 #include "auto/gateway/GatewayBench.h"
 
 #include <gtest/gtest.h>
@@ -21,24 +22,24 @@
   }
 
   void answerAll(ReservationResult Result) {
-    for (const ReserveMemory &Each : this->Bench.all<ReserveMemory>())
-      this->Bench.send(
-          GatewayEvent(ReservationAnswered{Each.Engine, Each.Name, Result}));
+    for (const ReserveMemory &Request : this->Bench.all<ReserveMemory>())
+      this->Bench.send(GatewayEvent(
+          ReservationAnswered{Request.Engine, Request.Name, Result}));
   }
-  std::set<std::string> asked() const {
+  std::set<std::string> requested() const {
     std::set<std::string> Result;
-    for (const ReserveMemory &Each : this->Bench.all<ReserveMemory>())
-      Result.insert(Each.Name);
+    for (const ReserveMemory &Request : this->Bench.all<ReserveMemory>())
+      Result.insert(Request.Name);
     return Result;
   }
-  std::size_t askedOf(const UpstreamId &Engine) const {
+  std::size_t requestsTo(const UpstreamId &Engine) const {
     const auto All = this->Bench.all<ReserveMemory>();
     return std::ranges::count(All, Engine, &ReserveMemory::Engine);
   }
   std::set<std::string> released() const {
     std::set<std::string> Result;
-    for (const ReleaseMemory &Each : this->Bench.all<ReleaseMemory>())
-      Result.insert(Each.Name);
+    for (const ReleaseMemory &Order : this->Bench.all<ReleaseMemory>())
+      Result.insert(Order.Name);
     return Result;
   }
 
@@ -46,33 +47,33 @@
   RequestId Request;
 };
 
-TEST_F(EngineMemory, IsSetAsideOnSeveralEnginesBeforeTheRequestIsSent) {
-  EXPECT_GE(this->asked().size(), 2U);
+TEST_F(EngineMemory, IsReservedOnSeveralEnginesBeforeTheRequestIsSent) {
+  EXPECT_GE(this->requested().size(), 2U);
   EXPECT_TRUE(this->Bench.all<DispatchRelay>().empty());
   this->answerAll(ReservationResult::Held);
   const DispatchRelay Sent = this->Bench.last<DispatchRelay>();
   ASSERT_FALSE(Sent.Helpers.empty());
   EXPECT_EQ(Sent.Helpers.front().Engine, Sent.Engine);
   std::uint64_t Tokens = 0;
-  for (const HelperEngine &Each : Sent.Helpers)
-    Tokens += Each.Tokens;
+  for (const HelperEngine &Helper : Sent.Helpers)
+    Tokens += Helper.Tokens;
   EXPECT_GE(Tokens, HugePrompt);
 }
 
-TEST_F(EngineMemory, IsRenewedWhileInUseAndLetGoAtTheEnd) {
+TEST_F(EngineMemory, IsRenewedWhileInUseAndReleasedAtTheEnd) {
   this->answerAll(ReservationResult::Held);
   const std::size_t Before = this->Bench.all<ReserveMemory>().size();
   this->Bench.advance(milliseconds(1500));
   EXPECT_GE(this->Bench.all<ReserveMemory>().size(), Before + 4);
   this->Bench.endAttempt(this->Bench.last<DispatchRelay>().Attempt,
                          RelayDelivered{});
-  EXPECT_EQ(this->released(), this->asked());
+  EXPECT_EQ(this->released(), this->requested());
   const std::size_t Asked = this->Bench.all<ReserveMemory>().size();
   this->Bench.advance(seconds(5));
   EXPECT_EQ(this->Bench.all<ReserveMemory>().size(), Asked);
 }
 
-TEST_F(EngineMemory, IsAllLetGoWhenOneEngineRefuses) {
+TEST_F(EngineMemory, IsReleasedOnAllEnginesWhenOneRefuses) {
   const auto Asked = this->Bench.all<ReserveMemory>();
   this->Bench.send(GatewayEvent(ReservationAnswered{
       Asked[0].Engine, Asked[0].Name, ReservationResult::Held}));
@@ -82,13 +83,13 @@
   EXPECT_TRUE(this->Bench.all<DispatchRelay>().empty());
 }
 
-TEST_F(EngineMemory, IsLetGoWhenTheCallerLeaves) {
+TEST_F(EngineMemory, IsReleasedWhenTheCallerDisconnects) {
   this->answerAll(ReservationResult::Held);
   this->Bench.send(Event(CallerDisconnected{this->Request}));
-  EXPECT_EQ(this->released(), this->asked());
+  EXPECT_EQ(this->released(), this->requested());
 }
 
-TEST_F(EngineMemory, AnOrderThatMayBeCarriedOutLateIsTakenBackAgain) {
+TEST_F(EngineMemory, IsReleasedRepeatedlyAfterAnUnansweredOrder) {
   this->answerAll(ReservationResult::Unknown);
   this->Bench.send(Event(CallerDisconnected{this->Request}));
   const std::size_t Before = this->Bench.all<ReleaseMemory>().size();
@@ -96,14 +97,15 @@
   EXPECT_GE(this->Bench.all<ReleaseMemory>().size(), Before + 20);
 }
 
-TEST_F(EngineMemory, OfAnEarlierLifeIsNeitherRenewedNorLetGoOnTheNewOne) {
+TEST_F(EngineMemory, OfAnEarlierIncarnationIsNeitherRenewedNorReleased) {
   this->answerAll(ReservationResult::Held);
-  const HelperEngine Kept = this->Bench.last<DispatchRelay>().Helpers.front();
-  const std::size_t Asked = this->askedOf(Kept.Engine);
-  this->Bench.report(UpstreamId(Kept.Engine.Value + "@5000"));
+  const HelperEngine Reserving =
+      this->Bench.last<DispatchRelay>().Helpers.front();
+  const std::size_t Asked = this->requestsTo(Reserving.Engine);
+  this->Bench.report(UpstreamId(Reserving.Engine.Value + "@5000"));
   this->Bench.advance(seconds(20));
-  EXPECT_EQ(this->askedOf(Kept.Engine), Asked);
-  EXPECT_FALSE(this->released().contains(Kept.Reservation));
+  EXPECT_EQ(this->requestsTo(Reserving.Engine), Asked);
+  EXPECT_FALSE(this->released().contains(Reserving.Reservation));
 }
 
 } // namespace
