--- a/src/plugins/prefixcache/CacheIndex.cpp
+++ b/src/plugins/prefixcache/CacheIndex.cpp
@@ -3,25 +3,25 @@
 namespace banyanpick {
 
 bool CacheIndex::take(Incarnation Newest, std::span<const CacheEvent> Events) {
-  if (this->Life != Newest) {
+  if (this->EngineIncarnation != Newest) {
     this->clear();
-    this->Life = Newest;
+    this->EngineIncarnation = Newest;
   }
-  bool Gap = false;
-  for (const CacheEvent &Each : Events) {
-    if (Each.Sequence <= this->LastSequence)
+  bool HasGap = false;
+  for (const CacheEvent &Change : Events) {
+    if (Change.Sequence <= this->LastSequence)
       continue;
-    if (Each.Sequence != this->LastSequence + 1) {
-      Gap = true;
+    if (Change.Sequence != this->LastSequence + 1) {
+      HasGap = true;
       ++this->Generation;
     }
-    this->LastSequence = Each.Sequence;
-    if (!Each.Stored)
-      this->Known.erase(Each.Block);
+    this->LastSequence = Change.Sequence;
+    if (!Change.Stored)
+      this->Known.erase(Change.Block);
     else if (this->Known.size() < MaximumBlocks)
-      this->Known[Each.Block] = this->Generation;
+      this->Known[Change.Block] = this->Generation;
   }
-  return Gap;
+  return HasGap;
 }
 
 void CacheIndex::clear() {
@@ -37,8 +37,8 @@
     const auto Found = this->Known.find(Block);
     if (Found == this->Known.end())
       break;
-    const bool Sure = Found->second == this->Generation;
-    Tokens += Sure ? PromptBlockTokens : PromptBlockTokens / 2;
+    const bool IsCertain = Found->second == this->Generation;
+    Tokens += IsCertain ? PromptBlockTokens : PromptBlockTokens / 2;
   }
   return Tokens;
 }
--- a/src/plugins/prefixcache/CacheIndex.h
+++ b/src/plugins/prefixcache/CacheIndex.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one engine is believed to have cached.
+/// The index of one engine's cached prompt blocks.
 #pragma once
 
 #include "kernel/Request.h"
@@ -10,30 +10,34 @@
 
 namespace banyanpick {
 
-/// The index of one engine's cached blocks, built from its events. After a
-/// gap the blocks known before are unsure until an event names them again.
+/// Index of one engine's cached blocks, built from its cache events. After a
+/// gap in the events, the known blocks are uncertain until another event names
+/// them.
 class CacheIndex {
 public:
-  /// Takes events in; true when some before them were missed.
-  bool take(Incarnation Life, std::span<const CacheEvent> Events);
+  /// Applies events. Returns whether some events before them were missed.
+  bool take(Incarnation Newest, std::span<const CacheEvent> Events);
 
-  /// Forgets everything: the engine died or began a new life.
+  /// Clears the index, after the engine died or restarted.
   void clear();
 
-  /// Probably cached tokens at the prompt's start; unsure blocks count half.
+  /// Returns the number of tokens at the prompt's start that are probably
+  /// cached. Uncertain blocks count for half.
   std::uint64_t cachedTokens(std::span<const BlockHash> Blocks) const;
 
   std::uint64_t lastSequence() const { return this->LastSequence; }
   std::size_t blocks() const { return this->Known.size(); }
 
 private:
-  /// An engine's memory holds far fewer blocks; more are an error of its.
+  /// An engine's memory holds far fewer blocks. A larger number is an error of
+  /// the engine.
   static constexpr std::size_t MaximumBlocks = 65'536;
 
-  Incarnation Life;
+  Incarnation EngineIncarnation;
   std::uint64_t LastSequence = 0;
-  std::uint32_t Generation = 0;                       ///< Counts gaps.
-  std::unordered_map<BlockHash, std::uint32_t> Known; ///< To its generation.
+  std::uint32_t Generation = 0; ///< Number of gaps so far.
+  /// Generation of each block.
+  std::unordered_map<BlockHash, std::uint32_t> Known;
 };
 
 } // namespace banyanpick
--- a/src/plugins/prefixcache/PrefixCachePlugin.cpp
+++ b/src/plugins/prefixcache/PrefixCachePlugin.cpp
@@ -13,8 +13,8 @@
   Context.services().list<FleetObserver>().add(*this);
 }
 
-void PrefixCachePlugin::handle(const Event &What, Time Now, Actions &Out) {
-  if (const auto *Reported = std::get_if<CacheEventsReported>(&What))
+void PrefixCachePlugin::handle(const Event &Received, Time Now, Actions &Out) {
+  if (const auto *Reported = std::get_if<CacheEventsReported>(&Received))
     this->take(*Reported, Out);
   if (Now < this->NextPoll)
     return;
@@ -38,13 +38,13 @@
 }
 
 void PrefixCachePlugin::poll(Time, Actions &Out) {
-  for (const Upstream &Each : this->Offered->get<FleetView>().upstreams()) {
-    const bool Asked = Each.Listing.Kind == UpstreamKind::Engine &&
-                       Each.State == UpstreamState::Live;
-    if (!Asked)
+  for (const Upstream &Known : this->Offered->get<FleetView>().upstreams()) {
+    const bool IsPolled = Known.Listing.Kind == UpstreamKind::Engine &&
+                          Known.State == UpstreamState::Live;
+    if (!IsPolled)
       continue;
-    const std::uint64_t After = this->Indexes[Each.Listing.Id].lastSequence();
-    Out.add(PollCacheEvents{Each.Listing.Id, Each.Listing.At, After});
+    const std::uint64_t After = this->Indexes[Known.Listing.Id].lastSequence();
+    Out.add(PollCacheEvents{Known.Listing.Id, Known.Listing.At, After});
   }
 }
 
--- a/src/plugins/prefixcache/PrefixCachePlugin.h
+++ b/src/plugins/prefixcache/PrefixCachePlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that follows what engines have cached.
+/// The plug-in that tracks which prompt blocks engines have cached.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -10,13 +10,13 @@
 
 namespace banyanpick {
 
-/// Polls engines for cache events, which come late and with gaps.
+/// Polls engines for cache events, which may arrive late and with gaps.
 class PrefixCachePlugin : public Plugin,
                           public PrefixCacheView,
                           public FleetObserver {
 public:
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override { return this->NextPoll; }
 
   std::uint64_t cachedTokens(const UpstreamId &Engine,
--- a/src/plugins/prefixcache/PrefixCacheView.h
+++ b/src/plugins/prefixcache/PrefixCacheView.h
@@ -1,5 +1,5 @@
 /// \file
-/// What other plug-ins may ask of the prefix cache index.
+/// The interface of the prefix cache index for other plug-ins.
 #pragma once
 
 #include "kernel/Request.h"
@@ -12,8 +12,9 @@
 class PrefixCacheView {
 public:
   virtual ~PrefixCacheView() = default;
-  /// Tokens at the start of the prompt that the engine probably has cached.
-  /// Blocks known from before a gap in its events count for half.
+  /// Returns the number of tokens at the prompt's start that the engine
+  /// probably has cached. Blocks known from before a gap in the engine's events
+  /// count for half.
   virtual std::uint64_t
   cachedTokens(const UpstreamId &Engine,
                std::span<const BlockHash> Blocks) const = 0;
--- a/tests/auto/prefixcache/CacheIndexTest.cpp
+++ b/tests/auto/prefixcache/CacheIndexTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The index of cached blocks under gaps, removals and new lives.
+/// Tests the index of cached blocks with gaps, removals and restarts of the
+/// engine.
 #include "plugins/prefixcache/CacheIndex.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   EXPECT_EQ(Index.cachedTokens(Prompt), 0U);
 }
 
-TEST(CacheIndex, CountsBlocksFromBeforeAGapForHalf) {
+TEST(CacheIndex, CountsBlocksFromBeforeAGapHalf) {
   CacheIndex Index;
   Index.take(Incarnation(1), std::vector<CacheEvent>{{1, true, 1}});
   EXPECT_TRUE(
@@ -28,7 +29,7 @@
   EXPECT_EQ(Index.cachedTokens(Prompt), PromptBlockTokens * 3 / 2);
 }
 
-TEST(CacheIndex, ForgetsAnEarlierLife) {
+TEST(CacheIndex, ClearsBlocksOfAnEarlierIncarnation) {
   CacheIndex Index;
   Index.take(Incarnation(1), std::vector<CacheEvent>{{1, true, 1}});
   Index.take(Incarnation(2), std::vector<CacheEvent>{{1, true, 9}});
