--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -412,7 +412,7 @@
   for (GapGroup &Group : Result.Answers)
     Group.GapMs *= this->Weights.GapShare;
   if (Model) {
-    Result.Slowdown = this->Slowdowns.of(Known.Record.Id, Now);
+    Result.Slowdown = this->Slowdowns.factorOf(Known.Record.Id, Now);
     Result.BacklogMs = Load.backlogMs(Now) * Result.Slowdown;
     Result.Overdue = Load.isOverdue(Now);
     Result.PassMs =
--- a/src/plugins/engineload/EngineSlowdowns.cpp
+++ b/src/plugins/engineload/EngineSlowdowns.cpp
@@ -58,7 +58,7 @@
 }
 
 void EngineSlowdowns::takePeer(const EngineWork::Pace &Reported, Time Now) {
-  Record &Slowdown = this->ById[Reported.Engine];
+  EngineSlowdowns::Record &Slowdown = this->ById[Reported.Engine];
   // The engine's own report to this host is at least as new.
   if (Slowdown.Own && Now < Slowdown.HeardAt + this->Limits.AskInterval)
     return;
@@ -67,7 +67,7 @@
   Slowdown.Own = false;
 }
 
-double EngineSlowdowns::of(const UpstreamId &Engine, Time Now) const {
+double EngineSlowdowns::factorOf(const UpstreamId &Engine, Time Now) const {
   const auto Found = this->ById.find(Engine);
   return Found != this->ById.end() && this->isSlow(Found->second, Now)
              ? Found->second.Factor
--- a/src/plugins/engineload/EngineSlowdowns.h
+++ b/src/plugins/engineload/EngineSlowdowns.h
@@ -39,7 +39,7 @@
 
   /// Returns how many times longer than declared the engine's work takes; 1
   /// when unknown.
-  double of(const UpstreamId &Engine, Time Now) const;
+  double factorOf(const UpstreamId &Engine, Time Now) const;
   /// Returns the slow engines that reported to this host, for its peers.
   std::vector<EngineWork::Slowdown> own(Time Now) const;
 
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -137,9 +137,9 @@
                            std::span<const std::size_t> Among,
                            const PromptWork &Work, const PlacementTimes &Times,
                            const PlacementWeights &Weights) {
-  const std::size_t Most = std::min(Among.size(), Weights.MaxHelpers + 1);
+  const std::size_t MaxParts = std::min(Among.size(), Weights.MaxHelpers + 1);
   BestSharing Found;
-  for (std::size_t Count = 1; Count <= Most; ++Count)
+  for (std::size_t Count = 1; Count <= MaxParts; ++Count)
     Found.offer(sharingAmong(States, Among, Work, Count), Work, Times, Weights);
   return Found.placedAt(decoderAmong(States, Found.best().Taken, Work));
 }
@@ -202,9 +202,9 @@
   const auto Margin = static_cast<std::uint64_t>(
       static_cast<double>(EngineTokens) * MemoryMarginShare);
   // The engine that decodes the answer is one of the helpers here.
-  const std::size_t Most = std::min(States.size(), Weights.MaxHelpers);
+  const std::size_t MaxParts = std::min(States.size(), Weights.MaxHelpers);
   BestSharing Found;
-  for (std::size_t Count = 2; Count <= Most; ++Count) {
+  for (std::size_t Count = 2; Count <= MaxParts; ++Count) {
     const std::uint64_t Share = evenShare(Work.Tokens, Count);
     const auto Roomy = indicesOf(States, [&](const EngineState &State) {
       // A memory reservation takes several requests to the engine.
--- a/tests/auto/gateway/EngineSlowdownsTest.cpp
+++ b/tests/auto/gateway/EngineSlowdownsTest.cpp
@@ -35,19 +35,19 @@
   EngineSlowdowns Slowdowns = slowdowns();
   Slowdowns.noteLate(First, Start);
   EXPECT_TRUE(Slowdowns.takeReport(report(First, 3), Start));
-  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(1)), 3);
+  EXPECT_DOUBLE_EQ(Slowdowns.factorOf(First, Start + seconds(1)), 3);
   EXPECT_EQ(Slowdowns.nextDue(), Start + seconds(2));
   EXPECT_EQ(Slowdowns.due(Start + seconds(2)), std::vector<UpstreamId>{First});
   EXPECT_TRUE(Slowdowns.takeReport(report(First, 1), Start + seconds(2)));
-  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(3)), 1);
+  EXPECT_DOUBLE_EQ(Slowdowns.factorOf(First, Start + seconds(3)), 1);
   EXPECT_EQ(Slowdowns.nextDue(), Never);
 }
 
 TEST(EngineSlowdowns, ReportsExpire) {
   EngineSlowdowns Slowdowns = slowdowns();
   Slowdowns.takePeer({First, 4}, Start);
-  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(4)), 4);
-  EXPECT_DOUBLE_EQ(Slowdowns.of(First, Start + seconds(5)), 1);
+  EXPECT_DOUBLE_EQ(Slowdowns.factorOf(First, Start + seconds(4)), 4);
+  EXPECT_DOUBLE_EQ(Slowdowns.factorOf(First, Start + seconds(5)), 1);
   EXPECT_TRUE(Slowdowns.own(Start).empty())
       << "peers receive only this host's own reports";
 }
