--- a/src/plugins/enginelimits/LimitState.h
+++ b/src/plugins/enginelimits/LimitState.h
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// A report of an engine's limit, with its age.
+/// A report of an engine's limit, with its time.
 struct LimitReport {
   std::optional<double> PerSecond; ///< Empty: the engine names no limit.
   /// For a limit, when its answer was received; for the end of a limit, when
--- a/tests/auto/gateway/QuotaAllocatorTest.cpp
+++ b/tests/auto/gateway/QuotaAllocatorTest.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Time Begin = Time(seconds(1000));
-const HostId One("one");
-const HostId Two("two");
+const HostId FirstHost("one");
+const HostId SecondHost("two");
 
 TEST(LimitState, TheNewerReportWinsInAnyOrder) {
   LimitState Forward;
@@ -52,44 +52,44 @@
 
 TEST(QuotaAllocator, AllocatesNothingBeforeItsStart) {
   QuotaAllocator Allocator(10, Begin + seconds(2));
-  Allocator.request(One, 1, 1, Begin);
+  Allocator.request(FirstHost, 1, 1, Begin);
   EXPECT_TRUE(Allocator.allocate(Begin).empty());
   EXPECT_GE(Allocator.nextAllocation(), Begin + seconds(2));
 }
 
 TEST(QuotaAllocator, ServesTheLongestWaitingFirstAndEstimatesTheWait) {
   QuotaAllocator Allocator(1, Begin);
-  Allocator.request(One, 1, 1, Begin);
+  Allocator.request(FirstHost, 1, 1, Begin);
   EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
-  Allocator.request(Two, 2, 1, Begin);
-  Allocator.request(One, 3, 1, Begin);
+  Allocator.request(SecondHost, 2, 1, Begin);
+  Allocator.request(FirstHost, 3, 1, Begin);
   EXPECT_TRUE(Allocator.allocate(Begin).empty());
-  EXPECT_EQ(Allocator.waitOf(Two, Begin), Duration(seconds(1)));
-  EXPECT_EQ(Allocator.waitOf(One, Begin), Duration(seconds(2)));
+  EXPECT_EQ(Allocator.waitOf(SecondHost, Begin), Duration(seconds(1)));
+  EXPECT_EQ(Allocator.waitOf(FirstHost, Begin), Duration(seconds(2)));
   // A repeated request keeps its position.
   const Time Later = Begin + seconds(1);
-  Allocator.request(One, 4, 1, Later);
-  Allocator.request(Two, 5, 1, Later);
+  Allocator.request(FirstHost, 4, 1, Later);
+  Allocator.request(SecondHost, 5, 1, Later);
   const auto Leases = Allocator.allocate(Later + Duration(1));
   ASSERT_EQ(Leases.size(), 1U);
-  EXPECT_EQ(Leases.front().To, Two);
+  EXPECT_EQ(Leases.front().To, SecondHost);
   EXPECT_EQ(Leases.front().Number, 5U);
 }
 
 TEST(QuotaAllocator, RequestsExpire) {
   QuotaAllocator Allocator(1, Begin);
-  Allocator.request(One, 1, 1, Begin);
+  Allocator.request(FirstHost, 1, 1, Begin);
   EXPECT_TRUE(Allocator.allocate(Begin + RequestTtl + Duration(1)).empty());
 }
 
 TEST(QuotaAllocator, ReturnedQuotaIsAllocatedAgainOnlyOnce) {
   QuotaAllocator Allocator(0.25, Begin);
-  Allocator.request(One, 7, 1, Begin);
+  Allocator.request(FirstHost, 7, 1, Begin);
   EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
-  Allocator.returnUnused(One, 7, 1, Begin);
-  Allocator.returnUnused(One, 7, 1, Begin);
-  Allocator.returnUnused(Two, 9, 1, Begin);
-  Allocator.request(Two, 8, 2, Begin);
+  Allocator.returnUnused(FirstHost, 7, 1, Begin);
+  Allocator.returnUnused(FirstHost, 7, 1, Begin);
+  Allocator.returnUnused(SecondHost, 9, 1, Begin);
+  Allocator.request(SecondHost, 8, 2, Begin);
   EXPECT_EQ(totalCount(Allocator.allocate(Begin)), 1U);
 }
 
@@ -97,7 +97,7 @@
   QuotaAllocator Allocator(0, Begin);
   std::uint32_t Sum = 0;
   for (Time Now = Begin; Now < Begin + seconds(40); Now += milliseconds(100)) {
-    Allocator.request(One, 1, 1, Now);
+    Allocator.request(FirstHost, 1, 1, Now);
     Sum += totalCount(Allocator.allocate(Now));
   }
   EXPECT_GE(Sum, 8U);
--- a/tests/auto/manyhosts/EngineLimitsTest.cpp
+++ b/tests/auto/manyhosts/EngineLimitsTest.cpp
@@ -59,30 +59,32 @@
 TEST_P(EngineLimitsAtSize, AreKeptByAllHostsTogetherAndUsed) {
   const Sizes Size = GetParam();
   constexpr double PerSecond = 1.6;
-  HostSimulation Crowd(Size.Hosts, Size.Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Size.Between);
+  HostSimulation Simulation(Size.Hosts, Size.Engines);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, seconds(3), Size.Between);
   // Short prompts are gathered on the first engines.
-  Crowd.setLimit(0, PerSecond);
-  Crowd.setLimit(1, PerSecond);
-  const Time Named = Crowd.now();
-  Crowd.takeTally();
-  offerLoad(Crowd, seconds(20), Size.Between);
+  Simulation.setLimit(0, PerSecond);
+  Simulation.setLimit(1, PerSecond);
+  const Time Named = Simulation.now();
+  Simulation.takeTally();
+  offerLoad(Simulation, seconds(20), Size.Between);
   const Time Enforced = Named + EnforcedAfter;
   for (const std::size_t Engine : {0, 1}) {
-    EXPECT_LE(static_cast<double>(maxWithin(Crowd.arrivals(Engine), Enforced)),
-              maxAllowed(PerSecond));
+    EXPECT_LE(
+        static_cast<double>(maxWithin(Simulation.arrivals(Engine), Enforced)),
+        maxAllowed(PerSecond));
     // Active hosts know the limit within 200 ms of the first answer.
     const Time Heard = Named + milliseconds(400);
-    EXPECT_LE(static_cast<double>(maxWithin(Crowd.arrivals(Engine), Heard)),
-              maxAllowed(PerSecond));
+    EXPECT_LE(
+        static_cast<double>(maxWithin(Simulation.arrivals(Engine), Heard)),
+        maxAllowed(PerSecond));
     const auto Used =
-        static_cast<double>(countSince(Crowd.arrivals(Engine), Enforced));
+        static_cast<double>(countSince(Simulation.arrivals(Engine), Enforced));
     EXPECT_GE(Used,
               PerSecond * inSeconds(seconds(20) - EnforcedAfter) * Size.MinUse);
   }
-  const HostSimulation::Tally Tally = Crowd.takeTally();
+  const HostSimulation::Tally Tally = Simulation.takeTally();
   EXPECT_EQ(lostRequests(Tally), 0U) << "the other engines accept all requests";
   EXPECT_EQ(Tally.RetryLaterAnswers, 0U);
   // The messages of a host do not grow with the number of hosts.
@@ -105,10 +107,10 @@
                          });
 
 /// Seven simulated hosts that know the limit of one engine.
-struct LimitedCrowd : HostSimulation {
+struct LimitedSimulation : HostSimulation {
   static constexpr double PerSecond = 1.6;
 
-  LimitedCrowd() : HostSimulation(7, 14) {
+  LimitedSimulation() : HostSimulation(7, 14) {
     this->publish(1);
     this->run(seconds(15));
     offerLoad(*this, seconds(2), milliseconds(20));
@@ -118,115 +120,116 @@
 };
 
 TEST(EngineLimits, AreKeptWhileEachHostRestartsInTurn) {
-  LimitedCrowd Crowd;
-  const Time From = Crowd.now();
-  for (std::size_t Host = 0; Host < Crowd.size(); ++Host) {
-    Crowd.kill(Host);
-    offerLoad(Crowd, seconds(3), milliseconds(20));
-    Crowd.restart(Host);
-    offerLoad(Crowd, seconds(3), milliseconds(20));
+  LimitedSimulation Simulation;
+  const Time From = Simulation.now();
+  for (std::size_t Host = 0; Host < Simulation.size(); ++Host) {
+    Simulation.kill(Host);
+    offerLoad(Simulation, seconds(3), milliseconds(20));
+    Simulation.restart(Host);
+    offerLoad(Simulation, seconds(3), milliseconds(20));
   }
-  EXPECT_LE(static_cast<double>(maxWithin(Crowd.arrivals(0), From)),
-            maxAllowed(LimitedCrowd::PerSecond));
+  EXPECT_LE(static_cast<double>(maxWithin(Simulation.arrivals(0), From)),
+            maxAllowed(LimitedSimulation::PerSecond));
 }
 
 TEST(EngineLimits, AreKeptWhileEachHostIsPartitionedInTurn) {
-  LimitedCrowd Crowd;
-  const Time From = Crowd.now();
-  for (std::size_t Host = 0; Host < Crowd.size(); ++Host) {
-    Crowd.setPartitioned(Host, true);
-    offerLoad(Crowd, seconds(4), milliseconds(20));
-    Crowd.setPartitioned(Host, false);
-    offerLoad(Crowd, seconds(4), milliseconds(20));
+  LimitedSimulation Simulation;
+  const Time From = Simulation.now();
+  for (std::size_t Host = 0; Host < Simulation.size(); ++Host) {
+    Simulation.setPartitioned(Host, true);
+    offerLoad(Simulation, seconds(4), milliseconds(20));
+    Simulation.setPartitioned(Host, false);
+    offerLoad(Simulation, seconds(4), milliseconds(20));
   }
   // The bound includes requests of partitioned hosts, which cannot know of the
   // others.
-  EXPECT_LE(static_cast<double>(maxWithin(Crowd.arrivals(0), From)),
-            maxAllowed(LimitedCrowd::PerSecond) * 2);
-  for (std::size_t Apart = 0; Apart < Crowd.size(); ++Apart)
+  EXPECT_LE(static_cast<double>(maxWithin(Simulation.arrivals(0), From)),
+            maxAllowed(LimitedSimulation::PerSecond) * 2);
+  for (std::size_t Apart = 0; Apart < Simulation.size(); ++Apart)
     EXPECT_LE(static_cast<double>(
-                  maxWithin(Crowd.arrivals(0), From,
+                  maxWithin(Simulation.arrivals(0), From,
                             [&](std::size_t Host) { return Host != Apart; })),
-              maxAllowed(LimitedCrowd::PerSecond) * 2)
+              maxAllowed(LimitedSimulation::PerSecond) * 2)
         << Apart;
 }
 
 TEST(EngineLimits, EndSoonAfterTheEngineNamesNoLimit) {
-  LimitedCrowd Crowd;
-  Crowd.setLimit(0, std::nullopt);
-  offerLoad(Crowd, seconds(3), milliseconds(20));
-  const Time From = Crowd.now();
-  offerLoad(Crowd, Window, milliseconds(20));
-  EXPECT_GT(static_cast<double>(countSince(Crowd.arrivals(0), From)),
-            maxAllowed(LimitedCrowd::PerSecond));
+  LimitedSimulation Simulation;
+  Simulation.setLimit(0, std::nullopt);
+  offerLoad(Simulation, seconds(3), milliseconds(20));
+  const Time From = Simulation.now();
+  offerLoad(Simulation, Window, milliseconds(20));
+  EXPECT_GT(static_cast<double>(countSince(Simulation.arrivals(0), From)),
+            maxAllowed(LimitedSimulation::PerSecond));
 }
 
 TEST(EngineLimits, EndAlsoForAPartitionedHost) {
-  LimitedCrowd Crowd;
+  LimitedSimulation Simulation;
   constexpr std::size_t Apart = 3;
-  Crowd.setPartitioned(Apart, true);
-  Crowd.setLimit(0, std::nullopt);
+  Simulation.setPartitioned(Apart, true);
+  Simulation.setLimit(0, std::nullopt);
   // Too short for the others to declare the host dead.
-  offerLoad(Crowd, milliseconds(600), milliseconds(20));
-  Crowd.setPartitioned(Apart, false);
-  offerLoad(Crowd, seconds(2), milliseconds(20));
-  const Time From = Crowd.now();
+  offerLoad(Simulation, milliseconds(600), milliseconds(20));
+  Simulation.setPartitioned(Apart, false);
+  offerLoad(Simulation, seconds(2), milliseconds(20));
+  const Time From = Simulation.now();
   for (int Index = 0; Index < 100; ++Index) {
-    Crowd.sendRequest(Apart, milliseconds(300));
-    Crowd.run(milliseconds(20));
+    Simulation.sendRequest(Apart, milliseconds(300));
+    Simulation.run(milliseconds(20));
   }
-  EXPECT_GT(countSince(Crowd.arrivals(0), From), 10U);
+  EXPECT_GT(countSince(Simulation.arrivals(0), From), 10U);
 }
 
 TEST(EngineLimits, OfZeroAllowProbesThatShowTheirEnd) {
-  LimitedCrowd Crowd;
-  Crowd.setLimit(0, 0);
-  offerLoad(Crowd, EnforcedAfter, milliseconds(20));
-  const Time From = Crowd.now();
-  offerLoad(Crowd, seconds(20), milliseconds(20));
-  EXPECT_LE(maxWithin(Crowd.arrivals(0), From), 5U);
-  EXPECT_GE(countSince(Crowd.arrivals(0), From), 2U);
-  Crowd.setLimit(0, std::nullopt);
-  offerLoad(Crowd, seconds(6), milliseconds(20));
-  const Time Ended = Crowd.now();
-  offerLoad(Crowd, Window, milliseconds(20));
-  EXPECT_GT(countSince(Crowd.arrivals(0), Ended), 10U);
+  LimitedSimulation Simulation;
+  Simulation.setLimit(0, 0);
+  offerLoad(Simulation, EnforcedAfter, milliseconds(20));
+  const Time From = Simulation.now();
+  offerLoad(Simulation, seconds(20), milliseconds(20));
+  EXPECT_LE(maxWithin(Simulation.arrivals(0), From), 5U);
+  EXPECT_GE(countSince(Simulation.arrivals(0), From), 2U);
+  Simulation.setLimit(0, std::nullopt);
+  offerLoad(Simulation, seconds(6), milliseconds(20));
+  const Time Ended = Simulation.now();
+  offerLoad(Simulation, Window, milliseconds(20));
+  EXPECT_GT(countSince(Simulation.arrivals(0), Ended), 10U);
 }
 
 TEST(EngineLimits, AreFollowedWhenTheyChange) {
-  LimitedCrowd Crowd;
-  Crowd.setLimit(0, 6);
-  offerLoad(Crowd, EnforcedAfter, milliseconds(20));
-  Time From = Crowd.now();
-  offerLoad(Crowd, seconds(8), milliseconds(20));
-  EXPECT_GE(static_cast<double>(countSince(Crowd.arrivals(0), From)),
+  LimitedSimulation Simulation;
+  Simulation.setLimit(0, 6);
+  offerLoad(Simulation, EnforcedAfter, milliseconds(20));
+  Time From = Simulation.now();
+  offerLoad(Simulation, seconds(8), milliseconds(20));
+  EXPECT_GE(static_cast<double>(countSince(Simulation.arrivals(0), From)),
             6 * 8 * 0.85);
-  Crowd.setLimit(0, 0.5);
-  offerLoad(Crowd, EnforcedAfter, milliseconds(20));
-  From = Crowd.now();
-  offerLoad(Crowd, seconds(8), milliseconds(20));
-  EXPECT_LE(static_cast<double>(maxWithin(Crowd.arrivals(0), From)),
+  Simulation.setLimit(0, 0.5);
+  offerLoad(Simulation, EnforcedAfter, milliseconds(20));
+  From = Simulation.now();
+  offerLoad(Simulation, seconds(8), milliseconds(20));
+  EXPECT_LE(static_cast<double>(maxWithin(Simulation.arrivals(0), From)),
             maxAllowed(0.5));
 }
 
 TEST(EngineLimits, OnAllEnginesRefuseCallersAtOnceAndUseTheQuota) {
-  HostSimulation Crowd(7, 14);
-  Crowd.publish(1);
-  Crowd.run(seconds(15));
-  offerLoad(Crowd, seconds(2), milliseconds(25));
+  HostSimulation Simulation(7, 14);
+  Simulation.publish(1);
+  Simulation.run(seconds(15));
+  offerLoad(Simulation, seconds(2), milliseconds(25));
   // 28 requests a second in all, of the 40 that arrive.
   for (std::size_t Engine = 0; Engine < 14; ++Engine)
-    Crowd.setLimit(Engine, 2);
-  const Time Named = Crowd.now();
-  offerLoad(Crowd, EnforcedAfter, milliseconds(25));
-  Crowd.takeTally();
-  const std::size_t Asked = offerLoad(Crowd, seconds(15), milliseconds(25));
+    Simulation.setLimit(Engine, 2);
+  const Time Named = Simulation.now();
+  offerLoad(Simulation, EnforcedAfter, milliseconds(25));
+  Simulation.takeTally();
+  const std::size_t Asked =
+      offerLoad(Simulation, seconds(15), milliseconds(25));
   for (std::size_t Engine = 0; Engine < 14; ++Engine)
-    EXPECT_LE(static_cast<double>(
-                  maxWithin(Crowd.arrivals(Engine), Named + EnforcedAfter)),
+    EXPECT_LE(static_cast<double>(maxWithin(Simulation.arrivals(Engine),
+                                            Named + EnforcedAfter)),
               maxAllowed(2))
         << Engine;
-  const HostSimulation::Tally Tally = Crowd.takeTally();
+  const HostSimulation::Tally Tally = Simulation.takeTally();
   EXPECT_GT(Tally.RetryLaterAnswers, 0U);
   // 28 of 40 requests can be served, with hardly any quota unused.
   EXPECT_GE(static_cast<double>(Tally.InTime + Tally.Late),
@@ -237,24 +240,25 @@
 class RandomLimits {
 public:
   explicit RandomLimits(std::uint64_t Seed)
-      : Numbers(Seed), Crowd(7 + Seed % 10, 10 + Seed % 7),
-        Disturbed(Crowd.size(), false) {}
+      : Numbers(Seed), Simulation(7 + Seed % 10, 10 + Seed % 7),
+        Disturbed(Simulation.size(), false) {}
 
   /// Draws faults and limits for twenty seconds, and checks engine 0, which
   /// names a limit from the start.
   void run() {
-    this->Crowd.publish(1);
-    this->Crowd.run(seconds(15));
+    this->Simulation.publish(1);
+    this->Simulation.run(seconds(15));
     this->name(0);
-    const Time Named = this->Crowd.now();
-    offerLoad(this->Crowd, EnforcedAfter, milliseconds(25));
+    const Time Named = this->Simulation.now();
+    offerLoad(this->Simulation, EnforcedAfter, milliseconds(25));
     for (int Second = 0; Second < 20; ++Second) {
       this->disturb();
-      offerLoad(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
+      offerLoad(this->Simulation, seconds(1),
+                milliseconds(20 + this->below(20)));
     }
     // Hosts that restarted, froze or were partitioned are not counted.
     EXPECT_LE(static_cast<double>(maxWithin(
-                  this->Crowd.arrivals(0), Named + EnforcedAfter,
+                  this->Simulation.arrivals(0), Named + EnforcedAfter,
                   [&](std::size_t Host) { return !this->Disturbed[Host]; })),
               maxAllowed(this->Highest));
   }
@@ -268,21 +272,21 @@
     const double PerSecond = 0.4 + static_cast<double>(this->below(40)) / 10;
     if (Engine == 0)
       this->Highest = std::max(this->Highest, PerSecond);
-    this->Crowd.setLimit(Engine, PerSecond);
+    this->Simulation.setLimit(Engine, PerSecond);
   }
 
   void disturb() {
-    const std::size_t Host = this->below(this->Crowd.size());
+    const std::size_t Host = this->below(this->Simulation.size());
     switch (this->below(6)) {
     case 0:
-      this->Crowd.kill(Host);
+      this->Simulation.kill(Host);
       break;
     case 1:
-      if (this->Crowd.isRunning(Host))
-        this->Crowd.pause(Host, milliseconds(200 + this->below(3000)));
+      if (this->Simulation.isRunning(Host))
+        this->Simulation.pause(Host, milliseconds(200 + this->below(3000)));
       break;
     case 2:
-      this->Crowd.setPartitioned(Host, true);
+      this->Simulation.setPartitioned(Host, true);
       break;
     case 3:
       this->name(1 + this->below(5));
@@ -291,14 +295,14 @@
       this->name(0);
       return;
     default:
-      restoreAll(this->Crowd);
+      restoreAll(this->Simulation);
       return;
     }
     this->Disturbed[Host] = true;
   }
 
   Random Numbers;
-  HostSimulation Crowd;
+  HostSimulation Simulation;
   std::vector<bool> Disturbed;
   double Highest = 0; ///< Highest limit of engine 0 so far.
 };
