--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -45,8 +45,8 @@
     return this->remove(Change, StoreSuspect, Now);
   const std::string_view EngineName = engineName(Change.Engine.Id);
   const std::uint64_t StartedMs = engineStartMs(Change.Engine.Id);
-  const auto LastRemoval = this->Removed.find(EngineName);
-  const bool WasRemoved = LastRemoval != this->Removed.end();
+  const auto LastRemoval = this->Removals.find(EngineName);
+  const bool WasRemoved = LastRemoval != this->Removals.end();
   if (WasRemoved && StartedMs < LastRemoval->second.StartedMs)
     return {};
   const bool IsRemoved =
@@ -228,7 +228,7 @@
 
 void EngineTable::forgetRemovals(Time Now) {
   this->NextForgetting = Never;
-  std::erase_if(this->Removed, [&](const auto &Entry) {
+  std::erase_if(this->Removals, [&](const auto &Entry) {
     const Time DueAt = Entry.second.RemovedAt + this->Times.KeepRemoved;
     const bool Due = Now >= DueAt;
     if (Due)
@@ -241,7 +241,7 @@
 
 EngineTable::Removal &EngineTable::noteRemoval(const Name &EngineName,
                                                LogOffset Offset, Time Now) {
-  Removal &LastRemoval = this->Removed[EngineName];
+  Removal &LastRemoval = this->Removals[EngineName];
   LastRemoval.Offset = std::max(LastRemoval.Offset, Offset);
   LastRemoval.RemovedAt = Now;
   this->NextForgetting =
@@ -270,7 +270,7 @@
     if (Entry.ChangedAt >= From)
       Result.push_back({Entry.Record, Entry.Standing == EngineStanding::Missing,
                         Entry.ChangedAt});
-  for (const auto &[EngineName, Entry] : this->Removed) {
+  for (const auto &[EngineName, Entry] : this->Removals) {
     if (Entry.Offset < From)
       continue;
     EngineChange Gone;
--- a/src/plugins/engines/EngineTable.h
+++ b/src/plugins/engines/EngineTable.h
@@ -110,7 +110,7 @@
 
   EngineTimes Times;
   ByName Engines;
-  std::map<Name, Removal, std::less<>> Removed;
+  std::map<Name, Removal, std::less<>> Removals;
   /// Incarnations that announced that they leave, and when. Kept beyond their
   /// registration, which may vanish and return while they still serve.
   std::map<UpstreamId, Time> AnnouncedLeaving;
