--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -12,8 +12,8 @@
 /// some fifty answers.
 constexpr double ServiceMemory = 0.02;
 
-std::string_view name(TrustRecord::Verdict Result) {
-  switch (Result) {
+std::string_view name(TrustRecord::Verdict Verdict) {
+  switch (Verdict) {
   case TrustRecord::Verdict::Healthy:
     return "sound";
   case TrustRecord::Verdict::Failing:
@@ -110,36 +110,36 @@
       this->judge(At, Attempt.Service, TrustRecord::Verdict::Silent, Now, Out);
     return;
   }
-  const TrustRecord::Verdict Result = verdictOf(Outcome);
-  if (Result == TrustRecord::Verdict::Healthy)
+  const TrustRecord::Verdict Verdict = verdictOf(Outcome);
+  if (Verdict == TrustRecord::Verdict::Healthy)
     this->noteHealthy(Attempt);
-  this->judge(Attempt.Engine, Attempt.Service, Result, Now, Out);
+  this->judge(Attempt.Engine, Attempt.Service, Verdict, Now, Out);
 }
 
 void EngineTrustPlugin::judge(const UpstreamId &Engine,
                               const ServiceId &Service,
-                              TrustRecord::Verdict Result, Time Now,
+                              TrustRecord::Verdict Verdict, Time Now,
                               Actions &Out) {
   ServiceShare &Usual = this->Services[Service];
-  if (Result == TrustRecord::Verdict::Healthy ||
-      Result == TrustRecord::Verdict::Failing) {
-    const double Failed = Result == TrustRecord::Verdict::Failing ? 1 : 0;
+  if (Verdict == TrustRecord::Verdict::Healthy ||
+      Verdict == TrustRecord::Verdict::Failing) {
+    const double Failed = Verdict == TrustRecord::Verdict::Failing ? 1 : 0;
     Usual.Failures += ServiceMemory * (Failed - Usual.Failures);
   }
   TrustRecord &Record = this->Records[Engine];
   const Time Until = Record.avoidUntil();
-  Record.take(Result, Usual.Failures, this->Limits, Now);
+  Record.take(Verdict, Usual.Failures, this->Limits, Now);
   if (Record.avoidUntil() != Until) {
-    Out.count("engines_avoided", name(Result));
+    Out.count("engines_avoided", name(Verdict));
     Out.log(logEvent(events::EngineAvoided)
                 .with("engine", Engine.Value)
-                .with("after", name(Result))
+                .with("after", name(Verdict))
                 .with("in_a_row", Record.failuresInARow())
                 .with("failure_share", Record.failureShare())
                 .with("usual_share", Usual.Failures)
                 .with("for_us", (Record.avoidUntil() - Now).count())
                 .build());
-  } else if (Until != Time{} && Result == TrustRecord::Verdict::Healthy) {
+  } else if (Until != Time{} && Verdict == TrustRecord::Verdict::Healthy) {
     Out.log(logEvent(events::EngineTrusted)
                 .with("engine", Engine.Value)
                 .with("failure_share", Record.failureShare())
--- a/src/plugins/enginetrust/EngineTrustPlugin.h
+++ b/src/plugins/enginetrust/EngineTrustPlugin.h
@@ -35,7 +35,7 @@
 private:
   void noteHealthy(const RelayAttempt &Attempt);
   void judge(const UpstreamId &Engine, const ServiceId &Service,
-             TrustRecord::Verdict Result, Time Now, Actions &Out);
+             TrustRecord::Verdict Verdict, Time Now, Actions &Out);
 
   /// Moving average of failures over a whole service.
   struct ServiceShare {
--- a/src/plugins/enginetrust/TrustRecord.cpp
+++ b/src/plugins/enginetrust/TrustRecord.cpp
@@ -40,7 +40,7 @@
   const bool TooMany = this->Answers >= MinAnswers &&
                        this->Failures > UsualFailures + Limits.SuspectShare;
   // An engine that closes connections at once looks idle and attracts all
-  // gathered requests, so it is not given a second chance.
+  // gathered requests, so the first failure ejects it.
   const bool IsDown = Result == Verdict::Silent || Result == Verdict::Refused ||
                       this->InARow >= BrokenInARow;
   if (IsDown || TooMany)
