--- a/tests/auto/manyhosts/EngineBackoffTest.cpp
+++ b/tests/auto/manyhosts/EngineBackoffTest.cpp
@@ -35,23 +35,23 @@
 /// requested.
 TEST_P(EngineBackoffAtSize, IsKeptByEachRefusedHost) {
   const SimulationSize Size = GetParam();
-  HostSimulation Crowd(Size.Hosts, Size.Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Size.RequestInterval);
+  HostSimulation Simulation(Size.Hosts, Size.Engines);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, seconds(3), Size.RequestInterval);
   // Short prompts are gathered on the first engines.
-  Crowd.setShedding(0, seconds(3));
-  Crowd.setShedding(1, seconds(3));
-  Crowd.takeTally();
-  offerLoad(Crowd, seconds(10), Size.RequestInterval);
+  Simulation.setShedding(0, seconds(3));
+  Simulation.setShedding(1, seconds(3));
+  Simulation.takeTally();
+  offerLoad(Simulation, seconds(10), Size.RequestInterval);
   for (const std::size_t Engine : {0, 1}) {
-    const auto &Arrivals = Crowd.arrivals(Engine);
+    const auto &Arrivals = Simulation.arrivals(Engine);
     EXPECT_TRUE(std::ranges::any_of(Arrivals, [](const auto &Arrival) {
       return Arrival.RequestedBackoff > Duration(0);
     })) << "the engine never requested a backoff";
     EXPECT_EQ(maxDuringBackoff(Arrivals), 0U);
   }
-  const HostSimulation::Tally Tally = Crowd.takeTally();
+  const HostSimulation::Tally Tally = Simulation.takeTally();
   EXPECT_EQ(lostRequests(Tally), 0U) << "the other engines accept all requests";
   EXPECT_EQ(Tally.RetryLaterAnswers, 0U);
 }
@@ -60,11 +60,11 @@
                          testing::ValuesIn(StandardSizes),
                          [](const auto &Info) { return sizeName(Info); });
 
-std::size_t refusalsOf(const HostSimulation &Crowd) {
+std::size_t refusalsOf(const HostSimulation &Simulation) {
   std::size_t Sum = 0;
-  for (std::size_t Engine = 0; Engine < Crowd.engines(); ++Engine)
-    Sum += static_cast<std::size_t>(
-        std::ranges::count_if(Crowd.arrivals(Engine), [](const auto &Arrival) {
+  for (std::size_t Engine = 0; Engine < Simulation.engines(); ++Engine)
+    Sum += static_cast<std::size_t>(std::ranges::count_if(
+        Simulation.arrivals(Engine), [](const auto &Arrival) {
           return Arrival.RequestedBackoff > Duration(0);
         }));
   return Sum;
@@ -76,25 +76,25 @@
 /// an engine refuses all requests.
 TEST_P(EngineBackoffInTurn, CostsLessThanHalfOfTheAllowedRetries) {
   const SimulationSize Size = GetParam();
-  HostSimulation Crowd(Size.Hosts, Size.Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Size.RequestInterval);
-  Crowd.takeTally();
+  HostSimulation Simulation(Size.Hosts, Size.Engines);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, seconds(3), Size.RequestInterval);
+  Simulation.takeTally();
   std::size_t Asked = 0;
   constexpr std::size_t Turns = 10;
   for (std::size_t Turn = 0; Turn < Turns; ++Turn) {
-    Crowd.setShedding(Turn % Size.Engines, seconds(3));
-    Asked += offerLoad(Crowd, seconds(2), Size.RequestInterval);
-    Crowd.setShedding(Turn % Size.Engines, std::nullopt);
+    Simulation.setShedding(Turn % Size.Engines, seconds(3));
+    Asked += offerLoad(Simulation, seconds(2), Size.RequestInterval);
+    Simulation.setShedding(Turn % Size.Engines, std::nullopt);
   }
   // The retry budget: a fifth of the requests, and a hundred more in ten
   // seconds.
   const double Allowed = static_cast<double>(Asked) * 0.2 + 100 * 2;
-  EXPECT_LT(static_cast<double>(refusalsOf(Crowd)), Allowed / 2);
-  const HostSimulation::Tally Tally = Crowd.takeTally();
+  EXPECT_LT(static_cast<double>(refusalsOf(Simulation)), Allowed / 2);
+  const HostSimulation::Tally Tally = Simulation.takeTally();
   EXPECT_EQ(lostRequests(Tally), 0U);
-  RecordProperty("refusals", static_cast<int>(refusalsOf(Crowd)));
+  RecordProperty("refusals", static_cast<int>(refusalsOf(Simulation)));
   RecordProperty("requests", static_cast<int>(Asked));
   RecordProperty("in_time", static_cast<int>(Tally.InTime));
   RecordProperty("late", static_cast<int>(Tally.Late));
@@ -106,21 +106,21 @@
 
 /// Guards against all hosts returning to an engine at once.
 TEST(EngineBackoff, IsNotFollowedByALoadPeak) {
-  HostSimulation Crowd(7, 14);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(4), milliseconds(20));
-  const Time Before = Crowd.now() - seconds(3);
-  const std::size_t Usual = countSince(Crowd.arrivals(0), Before);
-  Crowd.setShedding(0, seconds(3));
-  offerLoad(Crowd, seconds(1), milliseconds(20));
-  Crowd.setShedding(0, std::nullopt);
-  offerLoad(Crowd, seconds(2), milliseconds(20));
-  const Time After = Crowd.now();
-  offerLoad(Crowd, seconds(3), milliseconds(20));
-  EXPECT_GT(countSince(Crowd.arrivals(0), After), 0U)
+  HostSimulation Simulation(7, 14);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, seconds(4), milliseconds(20));
+  const Time Before = Simulation.now() - seconds(3);
+  const std::size_t Usual = countSince(Simulation.arrivals(0), Before);
+  Simulation.setShedding(0, seconds(3));
+  offerLoad(Simulation, seconds(1), milliseconds(20));
+  Simulation.setShedding(0, std::nullopt);
+  offerLoad(Simulation, seconds(2), milliseconds(20));
+  const Time After = Simulation.now();
+  offerLoad(Simulation, seconds(3), milliseconds(20));
+  EXPECT_GT(countSince(Simulation.arrivals(0), After), 0U)
       << "the engine is used again";
-  EXPECT_LE(static_cast<double>(countSince(Crowd.arrivals(0), After)),
+  EXPECT_LE(static_cast<double>(countSince(Simulation.arrivals(0), After)),
             static_cast<double>(Usual) * 1.2 + 1);
 }
 
--- a/tests/auto/manyhosts/EngineSignalsTest.cpp
+++ b/tests/auto/manyhosts/EngineSignalsTest.cpp
@@ -28,19 +28,19 @@
 /// although its registration contradicts this repeatedly.
 TEST_P(EngineLeavingAtSize, GetsNoNewRequestsFromAnyHost) {
   const SimulationSize Size = GetParam();
-  HostSimulation Crowd(Size.Hosts, Size.Engines);
-  Crowd.publish(1);
-  Crowd.run(seconds(25));
-  offerLoad(Crowd, seconds(3), Size.RequestInterval);
-  Crowd.setSignalsLeaving(0);
-  Crowd.takeTally();
-  const Time From = Crowd.now();
-  offerLoad(Crowd, seconds(6), Size.RequestInterval);
-  const auto &Arrivals = Crowd.arrivals(0);
+  HostSimulation Simulation(Size.Hosts, Size.Engines);
+  Simulation.publish(1);
+  Simulation.run(seconds(25));
+  offerLoad(Simulation, seconds(3), Size.RequestInterval);
+  Simulation.setSignalsLeaving(0);
+  Simulation.takeTally();
+  const Time From = Simulation.now();
+  offerLoad(Simulation, seconds(6), Size.RequestInterval);
+  const auto &Arrivals = Simulation.arrivals(0);
   ASSERT_FALSE(Arrivals.empty());
   const Time Known = From + AnsweredWithin + ReportedWithin;
   EXPECT_EQ(countSince(Arrivals, Known), 0U);
-  const HostSimulation::Tally Tally = Crowd.takeTally();
+  const HostSimulation::Tally Tally = Simulation.takeTally();
   EXPECT_EQ(lostRequests(Tally), 0U) << "the other engines accept all requests";
   // Each host that receives the signal reports it once to the active hosts.
   const auto Sent = Tally.Messages.find("signals");
@@ -58,17 +58,18 @@
 class RandomSignals {
 public:
   explicit RandomSignals(std::uint64_t Seed)
-      : Numbers(Seed), Crowd(7 + Seed % 10, 10 + Seed % 7) {}
+      : Numbers(Seed), Simulation(7 + Seed % 10, 10 + Seed % 7) {}
 
   void run() {
-    this->Crowd.publish(1);
-    this->Crowd.run(seconds(15));
-    offerLoad(this->Crowd, seconds(2), milliseconds(25));
+    this->Simulation.publish(1);
+    this->Simulation.run(seconds(15));
+    offerLoad(this->Simulation, seconds(2), milliseconds(25));
     constexpr int Seconds = 20;
     for (int Second = 0; Second < Seconds; ++Second) {
       this->change();
       this->disturb();
-      offerLoad(this->Crowd, seconds(1), milliseconds(20 + this->below(20)));
+      offerLoad(this->Simulation, seconds(1),
+                milliseconds(20 + this->below(20)));
     }
     for (std::size_t Engine = 0; Engine < this->engines(); ++Engine)
       this->check(Engine);
@@ -78,53 +79,53 @@
   std::uint64_t below(std::uint64_t Bound) {
     return this->Numbers.below(Bound);
   }
-  std::size_t engines() const { return this->Crowd.engines(); }
+  std::size_t engines() const { return this->Simulation.engines(); }
 
   void change() {
     const std::size_t Engine = this->below(this->engines());
     switch (this->below(6)) {
     case 0:
     case 1:
-      this->Crowd.setShedding(Engine, milliseconds(this->below(5000)));
+      this->Simulation.setShedding(Engine, milliseconds(this->below(5000)));
       return;
     case 2:
-      this->Crowd.setShedding(Engine, std::nullopt);
+      this->Simulation.setShedding(Engine, std::nullopt);
       return;
     case 3:
-      this->Crowd.setLimit(Engine,
-                           0.4 + static_cast<double>(this->below(40)) / 10);
+      this->Simulation.setLimit(
+          Engine, 0.4 + static_cast<double>(this->below(40)) / 10);
       return;
     case 4:
-      this->Crowd.setLimit(Engine, std::nullopt);
+      this->Simulation.setLimit(Engine, std::nullopt);
       return;
     default:
       // Some engines never leave, so that candidates remain.
       if (Engine % 3 == 0)
-        this->Crowd.setSignalsLeaving(Engine);
+        this->Simulation.setSignalsLeaving(Engine);
       return;
     }
   }
 
   void disturb() {
-    const std::size_t Host = this->below(this->Crowd.size());
+    const std::size_t Host = this->below(this->Simulation.size());
     switch (this->below(6)) {
     case 0:
-      this->Crowd.kill(Host);
+      this->Simulation.kill(Host);
       break;
     case 1:
-      if (this->Crowd.isRunning(Host))
-        this->Crowd.pause(Host, milliseconds(200 + this->below(3000)));
+      if (this->Simulation.isRunning(Host))
+        this->Simulation.pause(Host, milliseconds(200 + this->below(3000)));
       break;
     case 2:
-      this->Crowd.setPartitioned(Host, true);
+      this->Simulation.setPartitioned(Host, true);
       break;
     case 3:
-      restoreAll(this->Crowd);
+      restoreAll(this->Simulation);
       return;
     default:
       return;
     }
-    this->Disturbed[Host].push_back(this->Crowd.now());
+    this->Disturbed[Host].push_back(this->Simulation.now());
   }
 
   /// Returns whether the host restarted, froze or was partitioned between the
@@ -139,7 +140,7 @@
   }
 
   void check(std::size_t Engine) const {
-    const auto &Arrivals = this->Crowd.arrivals(Engine);
+    const auto &Arrivals = this->Simulation.arrivals(Engine);
     for (auto Asked = Arrivals.begin(); Asked != Arrivals.end(); ++Asked)
       for (auto Later = Asked + 1; Later != Arrivals.end(); ++Later) {
         if (Later->From != Asked->From ||
@@ -161,7 +162,7 @@
   }
 
   Random Numbers;
-  HostSimulation Crowd;
+  HostSimulation Simulation;
   std::map<std::size_t, std::vector<Time>> Disturbed;
 };
 
