--- a/src/plugins/engineload/EngineSlowdowns.cpp
+++ b/src/plugins/engineload/EngineSlowdowns.cpp
@@ -50,14 +50,14 @@
 bool EngineSlowdowns::takeReport(const EngineReport &Report, Time Now) {
   Record &Slowdown = this->ById[Report.Engine];
   const double Before = Slowdown.Own ? Slowdown.Factor : 1;
-  Slowdown.Factor = std::max(Report.Pace, MinFactor);
+  Slowdown.Factor = std::max(Report.Slowdown, MinFactor);
   Slowdown.HeardAt = Now;
   Slowdown.Own = true;
   constexpr double MinChange = 0.1;
   return std::abs(Slowdown.Factor - Before) >= MinChange;
 }
 
-void EngineSlowdowns::takePeer(const EngineWork::Pace &Reported, Time Now) {
+void EngineSlowdowns::takePeer(const EngineWork::Slowdown &Reported, Time Now) {
   EngineSlowdowns::Record &Slowdown = this->ById[Reported.Engine];
   // The engine's own report to this host is at least as new.
   if (Slowdown.Own && Now < Slowdown.HeardAt + this->Limits.AskInterval)
@@ -74,8 +74,8 @@
              : 1;
 }
 
-std::vector<EngineWork::Pace> EngineSlowdowns::own(Time Now) const {
-  std::vector<EngineWork::Pace> Result;
+std::vector<EngineWork::Slowdown> EngineSlowdowns::own(Time Now) const {
+  std::vector<EngineWork::Slowdown> Result;
   for (const auto &[Id, Slowdown] : this->ById)
     if (Slowdown.Own && this->isSlow(Slowdown, Now))
       Result.push_back({Id, Slowdown.Factor});
