--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -221,7 +221,7 @@
 
 Task<RelayOutcome> EngineRun::relayEvents(Parser &From,
                                           const EngineRunListener &Tell) {
-  this->Borders.resumeAfter(this->Order.LastEvent);
+  this->Splitter.resumeAfter(this->Order.LastEvent);
   http::response_header<> Head = From.get().base();
   removeHopHeaders(Head);
   Head.erase(http::field::content_length);
@@ -229,20 +229,20 @@
     if (this->Began && this->Order.MaxSilence > Duration(0))
       this->armSilence(this->Order.MaxSilence);
     const std::string Events =
-        this->Borders.feed(co_await this->readPiece(From));
+        this->Splitter.feed(co_await this->readPiece(From));
     this->Watch.cancel();
     if (this->Cancelled)
       co_return this->broken(RelayBroken::Why::Reset);
-    if (!this->Borders.isInOrder() ||
-        this->Borders.unfinished() > this->Limits.EventBytes)
+    if (!this->Splitter.isInOrder() ||
+        this->Splitter.pendingBytes() > this->Limits.EventBytes)
       co_return this->broken(RelayBroken::Why::Corrupt);
     if (!Events.empty()) {
       this->notePause();
       if (!this->Caller->hasBegun() && !co_await this->Caller->begin(Head))
         co_return this->broken(RelayBroken::Why::Reset);
-      if (!co_await this->Caller->send(Events, this->Borders.lastId()))
+      if (!co_await this->Caller->send(Events, this->Splitter.lastId()))
         co_return this->broken(RelayBroken::Why::Reset);
-      this->Order.LastEvent = this->Borders.lastId();
+      this->Order.LastEvent = this->Splitter.lastId();
       if (!this->Began)
         Tell.OnBegan();
       this->Began = true;
@@ -250,7 +250,7 @@
     if (this->ReadFailure)
       co_return this->brokenBy(this->ReadFailure);
   }
-  if (this->Borders.unfinished() > 0)
+  if (this->Splitter.pendingBytes() > 0)
     co_return this->broken(RelayBroken::Why::Corrupt);
   this->keepLink(From);
   if (!this->Caller->hasBegun() && !co_await this->Caller->begin(Head))
--- a/src/libs/relay/EngineRun.h
+++ b/src/libs/relay/EngineRun.h
@@ -5,7 +5,7 @@
 
 #include "relay/CallerSide.h"
 #include "relay/EngineLinkPool.h"
-#include "relay/EventBorders.h"
+#include "relay/EventSplitter.h"
 #include "relay/GatewayProtocol.h"
 
 #include <functional>
@@ -76,7 +76,7 @@
   const EngineRunLimits &Limits;
   std::shared_ptr<EngineLink> Link;
   net::steady_timer Watch;
-  EventBorders Borders;
+  EventSplitter Splitter;
   std::array<char, ReadBytes> Piece{};
   ErrorCode ReadFailure;
   std::vector<std::string> Unknown;
--- a/src/libs/relay/EventBorders.cpp
+++ b/src/libs/relay/EventSplitter.cpp
@@ -1,4 +1,4 @@
-#include "relay/EventBorders.h"
+#include "relay/EventSplitter.h"
 
 #include <algorithm>
 #include <charconv>
@@ -23,31 +23,31 @@
 }
 
 /// Behind the last empty line of \p Text, or 0.
-std::size_t lastBorder(std::string_view Text) {
-  const std::size_t Plain = Text.rfind("\n\n");
-  const std::size_t Carriage = Text.rfind("\n\r\n");
-  std::size_t Border = 0;
-  if (Plain != std::string_view::npos)
-    Border = Plain + 2;
-  if (Carriage != std::string_view::npos)
-    Border = std::max(Border, Carriage + 3);
-  return Border;
+std::size_t lastBoundary(std::string_view Text) {
+  const std::size_t AfterLineFeed = Text.rfind("\n\n");
+  const std::size_t AfterCarriageReturn = Text.rfind("\n\r\n");
+  std::size_t Boundary = 0;
+  if (AfterLineFeed != std::string_view::npos)
+    Boundary = AfterLineFeed + 2;
+  if (AfterCarriageReturn != std::string_view::npos)
+    Boundary = std::max(Boundary, AfterCarriageReturn + 3);
+  return Boundary;
 }
 
 } // namespace
 
-std::string EventBorders::feed(std::string_view Bytes) {
+std::string EventSplitter::feed(std::string_view Bytes) {
   this->Pending += Bytes;
-  const std::size_t Border = lastBorder(this->Pending);
-  if (Border == 0)
+  const std::size_t Boundary = lastBoundary(this->Pending);
+  if (Boundary == 0)
     return {};
-  std::string Whole = this->Pending.substr(0, Border);
-  this->Pending.erase(0, Border);
-  this->noteIds(Whole);
-  return Whole;
+  std::string Complete = this->Pending.substr(0, Boundary);
+  this->Pending.erase(0, Boundary);
+  this->checkIds(Complete);
+  return Complete;
 }
 
-void EventBorders::noteIds(std::string_view Events) {
+void EventSplitter::checkIds(std::string_view Events) {
   while (!Events.empty()) {
     const std::size_t End = std::min(Events.find('\n'), Events.size());
     const auto Id = idOf(Events.substr(0, End));
--- a/src/libs/relay/EventBorders.h
+++ b/src/libs/relay/EventSplitter.h
@@ -11,7 +11,7 @@
 
 /// Bytes are passed on unchanged, but only whole events: half of one may be
 /// the last thing that an upstream sends.
-class EventBorders {
+class EventSplitter {
 public:
   /// Adds bytes; gives the whole events that are there now.
   std::string feed(std::string_view Bytes);
@@ -22,12 +22,12 @@
   /// stream.
   bool isInOrder() const { return this->InOrder; }
   /// Bytes of an event that is not whole.
-  std::size_t unfinished() const { return this->Pending.size(); }
+  std::size_t pendingBytes() const { return this->Pending.size(); }
   /// Ids must be higher than this from now on.
   void resumeAfter(std::optional<std::uint64_t> Id) { this->LastId = Id; }
 
 private:
-  void noteIds(std::string_view Events);
+  void checkIds(std::string_view Events);
 
   std::string Pending;
   std::optional<std::uint64_t> LastId;
