--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -126,12 +126,12 @@
   Each.onHangUp([this, Id] {
     this->Uses.Events.send(CallerDisconnected{Id});
     if (const auto Gone = this->caller(Id))
-      Gone->hungUp();
+      Gone->disconnected();
   });
   this->Uses.Events.send(GatewayEvent(RelayArrived{std::move(Head)}));
-  co_await Side->finished();
+  co_await Side->waitUntilFinished();
   this->Callers.erase(Id);
-  co_await Side->sendDecided();
+  co_await Side->sendFinalAnswer();
 }
 
 Task<void> GatewayTraffic::resolve(HttpExchange &Each) {
--- a/src/libs/http/HttpClient.cpp
+++ b/src/libs/http/HttpClient.cpp
@@ -39,7 +39,7 @@
 Task<ClientResult> HttpClient::call(Address At, ClientRequest Given,
                                     Duration Timeout, Reuse Connections) {
   Stream Kept =
-      Connections == Reuse::Yes ? this->takeKept(At) : Stream(nullptr);
+      Connections == Reuse::Yes ? this->takeIdle(At) : Stream(nullptr);
   const bool MayRepeat = Kept && Given.Method == http::verb::get;
   ClientResult Result =
       co_await this->callOnce(At, Given, Timeout, std::move(Kept));
@@ -88,7 +88,7 @@
   co_return Answer;
 }
 
-HttpClient::Stream HttpClient::takeKept(const Address &At) {
+HttpClient::Stream HttpClient::takeIdle(const Address &At) {
   const auto Found = this->Idle.find(At);
   if (Found == this->Idle.end())
     return nullptr;
--- a/src/libs/http/HttpClient.h
+++ b/src/libs/http/HttpClient.h
@@ -37,7 +37,7 @@
                               Duration Timeout, Stream Kept);
   Task<ClientResult> exchange(const Address &At, const ClientRequest &Given,
                               Stream Link);
-  Stream takeKept(const Address &At);
+  Stream takeIdle(const Address &At);
   void keep(const Address &At, Stream Link);
 
   net::any_io_executor Executor;
--- a/src/libs/relay/CallerSide.cpp
+++ b/src/libs/relay/CallerSide.cpp
@@ -2,12 +2,12 @@
 
 namespace banyanpick {
 
-Task<bool> CallerSide::deliver(RelayedAnswer Given) {
+Task<bool> CallerSide::deliver(RelayedAnswer Answer) {
   if (this->isAnswered())
     co_return false;
-  const Using Now(*this);
+  const OperationGuard Guard(*this);
   this->Answering = true;
-  const bool Sent = co_await this->Each->respond(std::move(Given));
+  const bool Sent = co_await this->Exchange->respond(std::move(Answer));
   this->finish();
   co_return Sent;
 }
@@ -15,74 +15,74 @@
 Task<bool> CallerSide::begin(http::response_header<> Head) {
   if (!this->isOpen())
     co_return false;
-  const Using Now(*this);
-  this->Begun = true;
-  co_return co_await this->Each->beginEvents(std::move(Head));
+  const OperationGuard Guard(*this);
+  this->HasBegun = true;
+  co_return co_await this->Exchange->beginEvents(std::move(Head));
 }
 
 Task<bool> CallerSide::send(std::string_view Events,
-                            std::optional<std::uint64_t> LastId) {
+                            std::optional<std::uint64_t> LastEventId) {
   if (!this->isOpen())
     co_return false;
-  const Using Now(*this);
-  this->LastEvent = LastId;
-  co_return co_await this->Each->sendEvents(Events);
+  const OperationGuard Guard(*this);
+  this->LastEvent = LastEventId;
+  co_return co_await this->Exchange->sendEvents(Events);
 }
 
 Task<bool> CallerSide::end() {
   if (!this->isOpen())
     co_return false;
-  const Using Now(*this);
+  const OperationGuard Guard(*this);
   this->Answering = true;
-  const bool Sent = co_await this->Each->endEvents();
+  const bool Sent = co_await this->Exchange->endEvents();
   this->finish();
   co_return Sent;
 }
 
-void CallerSide::refuse(HttpAnswer Given) {
-  this->Refusal = std::move(Given);
+void CallerSide::refuse(HttpAnswer Answer) {
+  this->Refusal = std::move(Answer);
   this->finish();
 }
 
-void CallerSide::keepFailure(const AttemptId &Try, RelayedAnswer Given) {
-  this->Kept[Try] = std::move(Given);
+void CallerSide::keepFailure(const AttemptId &Attempt, RelayedAnswer Answer) {
+  this->KeptFailures[Attempt] = std::move(Answer);
 }
 
-void CallerSide::deliverFailure(const AttemptId &Try) {
-  const auto Found = this->Kept.find(Try);
-  if (Found != this->Kept.end())
+void CallerSide::deliverFailure(const AttemptId &Attempt) {
+  const auto Found = this->KeptFailures.find(Attempt);
+  if (Found != this->KeptFailures.end())
     this->Failure = std::move(Found->second);
   this->finish();
 }
 
 void CallerSide::breakOff() {
   if (this->isOpen())
-    this->Each->breakOff();
+    this->Exchange->breakOff();
   this->finish();
 }
 
-Task<void> CallerSide::idle() {
+Task<void> CallerSide::waitUntilIdle() {
   while (this->Operations > 0)
-    co_await this->News.wait();
+    co_await this->Changes.wait();
 }
 
-Task<void> CallerSide::finished() {
+Task<void> CallerSide::waitUntilFinished() {
   while (!this->Done || this->Operations > 0)
-    co_await this->News.wait();
+    co_await this->Changes.wait();
 }
 
-Task<void> CallerSide::sendDecided() {
-  if (this->Each->isAnswered())
+Task<void> CallerSide::sendFinalAnswer() {
+  if (this->Exchange->isAnswered())
     co_return;
   if (this->Failure)
-    co_await this->Each->respond(std::move(*this->Failure));
+    co_await this->Exchange->respond(std::move(*this->Failure));
   else if (this->Refusal)
-    co_await this->Each->respond(std::move(*this->Refusal));
+    co_await this->Exchange->respond(std::move(*this->Refusal));
 }
 
 void CallerSide::finish() {
   this->Done = true;
-  this->News.notify();
+  this->Changes.notify();
 }
 
 } // namespace banyanpick
--- a/src/libs/relay/CallerSide.h
+++ b/src/libs/relay/CallerSide.h
@@ -17,80 +17,83 @@
 /// used once finished() has returned. Used on one thread.
 class CallerSide {
 public:
-  CallerSide(HttpExchange &Each, RequestId Id)
-      : Each(&Each), Id(Id), News(Each.executor()) {}
+  CallerSide(HttpExchange &Exchange, RequestId Id)
+      : Exchange(&Exchange), Id(Id), Changes(Exchange.executor()) {}
 
   const RequestId &id() const { return this->Id; }
   /// What the caller sent; null once the request has ended, as the exchange may
   /// be gone then. Not to be kept over a wait.
-  const HttpExchange::Request *asked() const {
-    return this->Done ? nullptr : &this->Each->request();
+  const HttpExchange::Request *request() const {
+    return this->Done ? nullptr : &this->Exchange->request();
   }
 
   /// Whether something may still be sent to the caller.
   bool isOpen() const { return !this->Done; }
   /// The caller has closed its connection.
-  void hungUp() { this->breakOff(); }
+  void disconnected() { this->breakOff(); }
 
   // --- from an upstream's answer; false: the caller is gone
 
-  Task<bool> deliver(RelayedAnswer Given);
+  Task<bool> deliver(RelayedAnswer Answer);
   Task<bool> begin(http::response_header<> Head);
-  /// \p LastId is the id of the last of the events.
-  Task<bool> send(std::string_view Events, std::optional<std::uint64_t> LastId);
+  /// \p LastEventId is the id of the last of the events.
+  Task<bool> send(std::string_view Events,
+                  std::optional<std::uint64_t> LastEventId);
   Task<bool> end();
-  bool hasBegun() const { return this->Begun; }
+  bool hasBegun() const { return this->HasBegun; }
   /// The last event that went to the caller or is on its way there. Control
   /// may not know of it yet when it gives a try up.
   std::optional<std::uint64_t> lastEvent() const { return this->LastEvent; }
   /// Whether a whole answer is on its way; nothing else may be sent then.
   bool isAnswered() const { return this->Answering || this->Done; }
   /// Waits until nothing is being sent.
-  Task<void> idle();
+  Task<void> waitUntilIdle();
 
   // --- decided by control
 
   /// Gives the answer that control made.
-  void refuse(HttpAnswer Given);
-  void keepFailure(const AttemptId &Try, RelayedAnswer Given);
-  void deliverFailure(const AttemptId &Try);
+  void refuse(HttpAnswer Answer);
+  void keepFailure(const AttemptId &Attempt, RelayedAnswer Answer);
+  void deliverFailure(const AttemptId &Attempt);
   void breakOff();
 
   /// Waits until there is a final answer to send or all was sent, and nothing
   /// uses the caller's connection any more.
-  Task<void> finished();
+  Task<void> waitUntilFinished();
   /// Sends what control decided on, if that is what ends the request.
-  Task<void> sendDecided();
+  Task<void> sendFinalAnswer();
 
 private:
   /// Counts an operation on the caller's connection while it lives.
-  class Using {
+  class OperationGuard {
   public:
-    explicit Using(CallerSide &Of) : Of(Of) { ++Of.Operations; }
-    ~Using() {
-      --this->Of.Operations;
-      this->Of.News.notify();
+    explicit OperationGuard(CallerSide &Owner) : Owner(Owner) {
+      ++Owner.Operations;
     }
-    Using(const Using &) = delete;
-    Using &operator=(const Using &) = delete;
+    ~OperationGuard() {
+      --this->Owner.Operations;
+      this->Owner.Changes.notify();
+    }
+    OperationGuard(const OperationGuard &) = delete;
+    OperationGuard &operator=(const OperationGuard &) = delete;
 
   private:
-    CallerSide &Of;
+    CallerSide &Owner;
   };
 
   void finish();
 
-  HttpExchange *Each;
+  HttpExchange *Exchange;
   RequestId Id;
-  Signal News;
+  Signal Changes;
   std::size_t Operations = 0;
   std::optional<std::uint64_t> LastEvent;
   bool Answering = false;
-  bool Begun = false;
+  bool HasBegun = false;
   bool Done = false;
   std::optional<HttpAnswer> Refusal;
   std::optional<RelayedAnswer> Failure;
-  std::map<AttemptId, RelayedAnswer> Kept;
+  std::map<AttemptId, RelayedAnswer> KeptFailures;
 };
 
 } // namespace banyanpick
--- a/src/libs/relay/EngineLinkPool.cpp
+++ b/src/libs/relay/EngineLinkPool.cpp
@@ -9,11 +9,11 @@
 
 /// A connection is not used in the last part of the time that its upstream
 /// keeps it: the request could cross its close.
-constexpr double UsedShareOfIdle = 0.6;
+constexpr double UsableIdleShare = 0.6;
 
 /// Whether the peer has neither closed the connection nor sent anything; what
 /// comes without a request belongs to none.
-bool isQuiet(EngineLink &Link) {
+bool isIdle(EngineLink &Link) {
   if (Link.Buffer.size() != 0)
     return false;
   ErrorCode Failure;
@@ -25,37 +25,37 @@
 
 } // namespace
 
-std::shared_ptr<EngineLink> EngineLinkPool::takeKept(const UpstreamId &Engine) {
-  const auto Found = this->Kept.find(Engine);
-  if (Found == this->Kept.end())
+std::shared_ptr<EngineLink> EngineLinkPool::takeIdle(const UpstreamId &Engine) {
+  const auto Found = this->IdleLinks.find(Engine);
+  if (Found == this->IdleLinks.end())
     return nullptr;
   const auto Now = std::chrono::steady_clock::now();
   while (!Found->second.empty()) {
     std::shared_ptr<EngineLink> Last = std::move(Found->second.back());
     Found->second.pop_back();
-    if (Now < Last->IdleUntil && isQuiet(*Last))
+    if (Now < Last->IdleUntil && isIdle(*Last))
       return Last;
   }
-  this->Kept.erase(Found);
+  this->IdleLinks.erase(Found);
   return nullptr;
 }
 
-std::shared_ptr<EngineLink> EngineLinkPool::makeNew() {
+std::shared_ptr<EngineLink> EngineLinkPool::create() {
   return std::make_shared<EngineLink>(this->Executor);
 }
 
 void EngineLinkPool::keep(const UpstreamId &Engine,
                           std::shared_ptr<EngineLink> Link,
                           Duration ServerIdle) {
-  auto &Of = this->Kept[Engine];
-  if (Of.size() >= this->KeptPerUpstream)
+  auto &Links = this->IdleLinks[Engine];
+  if (Links.size() >= this->MaxIdlePerUpstream)
     return;
-  Duration Idle = this->IdleFor;
+  Duration Idle = this->MaxIdle;
   if (ServerIdle > Duration(0))
-    Idle = std::min(Idle, fromSeconds(inSeconds(ServerIdle) * UsedShareOfIdle));
-  Link->IsKept = true;
+    Idle = std::min(Idle, fromSeconds(inSeconds(ServerIdle) * UsableIdleShare));
+  Link->IsReused = true;
   Link->IdleUntil = std::chrono::steady_clock::now() + Idle;
-  Of.push_back(std::move(Link));
+  Links.push_back(std::move(Link));
 }
 
 } // namespace banyanpick
--- a/src/libs/relay/EngineLinkPool.h
+++ b/src/libs/relay/EngineLinkPool.h
@@ -19,33 +19,33 @@
 
   Tcp::socket Socket;
   beast::flat_buffer Buffer;
-  bool IsKept = false; ///< It served a request before.
+  bool IsReused = false; ///< It served a request before.
   std::chrono::steady_clock::time_point IdleUntil{};
 };
 
 /// Used on the thread of its executor.
 class EngineLinkPool {
 public:
-  EngineLinkPool(const net::any_io_executor &Executor, Duration IdleFor,
-                 std::size_t KeptPerUpstream)
-      : Executor(Executor), IdleFor(IdleFor), KeptPerUpstream(KeptPerUpstream) {
-  }
+  EngineLinkPool(const net::any_io_executor &Executor, Duration MaxIdle,
+                 std::size_t MaxIdlePerUpstream)
+      : Executor(Executor), MaxIdle(MaxIdle),
+        MaxIdlePerUpstream(MaxIdlePerUpstream) {}
 
   /// A kept connection on which nothing came since, or null.
-  std::shared_ptr<EngineLink> takeKept(const UpstreamId &Engine);
-  std::shared_ptr<EngineLink> makeNew();
+  std::shared_ptr<EngineLink> takeIdle(const UpstreamId &Engine);
+  std::shared_ptr<EngineLink> create();
   /// Keeps it for another request; \p ServerIdle is how long the upstream says
   /// that it keeps it, zero when it does not say.
   void keep(const UpstreamId &Engine, std::shared_ptr<EngineLink> Link,
             Duration ServerIdle);
   /// Closes what was kept to an upstream.
-  void forget(const UpstreamId &Engine) { this->Kept.erase(Engine); }
+  void forget(const UpstreamId &Engine) { this->IdleLinks.erase(Engine); }
 
 private:
   net::any_io_executor Executor;
-  Duration IdleFor;
-  std::size_t KeptPerUpstream;
-  std::map<UpstreamId, std::vector<std::shared_ptr<EngineLink>>> Kept;
+  Duration MaxIdle;
+  std::size_t MaxIdlePerUpstream;
+  std::map<UpstreamId, std::vector<std::shared_ptr<EngineLink>>> IdleLinks;
 };
 
 } // namespace banyanpick
--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -49,7 +49,7 @@
 
 Task<RelayOutcome> EngineRun::run(Duration Left, EngineRunListener Tell) {
   // A try that was given up may still be sending what it had read.
-  co_await this->Caller->idle();
+  co_await this->Caller->waitUntilIdle();
   if (this->Caller->isAnswered())
     co_return RelayDelivered{};
   if (this->Cancelled)
@@ -57,15 +57,15 @@
   if (this->Caller->lastEvent())
     this->Order.LastEvent = this->Caller->lastEvent();
   if (!this->Order.Fresh)
-    this->Link = this->Pool.takeKept(this->Order.Engine);
+    this->Link = this->Pool.takeIdle(this->Order.Engine);
   if (!this->Link && !co_await this->connect())
     co_return RelayNeverSent{};
   // The caller may have left while the connection was made, before control
   // could cancel the try.
   RelayOutcome Result = RelayNeverSent{};
-  if (this->Caller->asked() && !Tell.MaySend())
+  if (this->Caller->request() && !Tell.MaySend())
     Result = RelayNeverSent{true};
-  else if (this->Caller->asked())
+  else if (this->Caller->request())
     Result = co_await this->exchange(Left, Tell);
   this->Watch.cancel();
   if (this->Link) {
@@ -85,7 +85,7 @@
 }
 
 Task<bool> EngineRun::connect() {
-  this->Link = this->Pool.makeNew();
+  this->Link = this->Pool.create();
   this->armSilence(this->Limits.ConnectTimeout);
   ErrorCode Failure;
   co_await this->Link->Socket.async_connect(endpointOf(this->Order.At),
@@ -110,7 +110,7 @@
 }
 
 Task<bool> EngineRun::sendRequest(Duration Left) {
-  const HttpExchange::Request &Asked = *this->Caller->asked();
+  const HttpExchange::Request &Asked = *this->Caller->request();
   auto Request =
       std::make_shared<HttpExchange::Request>(Asked.base(), Asked.body());
   removeHopHeaders(*Request);
@@ -175,7 +175,7 @@
   if (Failure)
     co_return this->brokenBy(Failure);
   const http::response_header<> &Head = Answer.get();
-  const HttpExchange::Request *Asked = this->Caller->asked();
+  const HttpExchange::Request *Asked = this->Caller->request();
   if (!Asked)
     co_return this->broken(RelayBroken::Why::Reset);
   this->Unknown = this->Protocol.unknownHeaders(Head);
--- a/tests/auto/gateway/EngineLinkPoolTest.cpp
+++ b/tests/auto/gateway/EngineLinkPoolTest.cpp
@@ -11,11 +11,11 @@
 const UpstreamId Engine("e1");
 
 /// A connection to a listener on loopback that says nothing.
-struct Connected {
-  Connected() : Listener(this->Io, {net::ip::address_v4::loopback(), 0}) {}
+struct SilentServer {
+  SilentServer() : Listener(this->Io, {net::ip::address_v4::loopback(), 0}) {}
 
   std::shared_ptr<EngineLink> link(EngineLinkPool &Pool) {
-    auto Result = Pool.makeNew();
+    auto Result = Pool.create();
     Result->Socket.connect(this->Listener.local_endpoint());
     return Result;
   }
@@ -24,14 +24,14 @@
   Tcp::acceptor Listener;
 };
 
-TEST(EngineLinkPool, LeavesAConnectionBeforeTheUpstreamClosesIt) {
-  Connected To;
-  EngineLinkPool Pool(To.Io.get_executor(), seconds(10), 4);
-  Pool.keep(Engine, To.link(Pool), Duration(0));
-  EXPECT_NE(Pool.takeKept(Engine), nullptr) << "the upstream names no time";
-  Pool.keep(Engine, To.link(Pool), milliseconds(50));
+TEST(EngineLinkPool, DropsAConnectionBeforeTheUpstreamClosesIt) {
+  SilentServer Server;
+  EngineLinkPool Pool(Server.Io.get_executor(), seconds(10), 4);
+  Pool.keep(Engine, Server.link(Pool), Duration(0));
+  EXPECT_NE(Pool.takeIdle(Engine), nullptr) << "the upstream names no time";
+  Pool.keep(Engine, Server.link(Pool), milliseconds(50));
   std::this_thread::sleep_for(milliseconds(40));
-  EXPECT_EQ(Pool.takeKept(Engine), nullptr);
+  EXPECT_EQ(Pool.takeIdle(Engine), nullptr);
 }
 
 } // namespace
