--- a/src/app/GatewayDaemon.cpp
+++ b/src/app/GatewayDaemon.cpp
@@ -134,7 +134,7 @@
 }
 
 Task<void> GatewayDaemon::serveReadiness(HttpExchange &Each) {
-  if (!this->Protocol->callers().asksReadiness(Each.target())) {
+  if (!this->Protocol->callers().isReadinessCheck(Each.target())) {
     co_await Each.respond(notHere());
     co_return;
   }
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -135,7 +135,7 @@
 }
 
 Task<void> GatewayTraffic::resolve(HttpExchange &Each) {
-  ResolveRequest Asked = this->Uses.Protocol.callers().readQuestion(Each);
+  ResolveRequest Asked = this->Uses.Protocol.callers().readResolveRequest(Each);
   Asked.Id = ResolveRequestId(++this->LastId);
   const std::uint64_t Id = Asked.Id.Value;
   this->Uses.Events.send(std::move(Asked));
@@ -166,11 +166,11 @@
                                   DispatchRelay Order) {
   const Time SentAt = this->Uses.Clock.now();
   EngineRunListener Tell;
-  Tell.OnWord = [this, Engine = Order.Engine,
-                 SentAt](const AnswerSignals &Signals) {
+  Tell.OnSignals = [this, Engine = Order.Engine,
+                    SentAt](const AnswerSignals &Signals) {
     this->hear(Engine, SentAt, Signals);
   };
-  Tell.OnBegan = [this, Id = Order.Attempt] {
+  Tell.OnFirstEvent = [this, Id = Order.Attempt] {
     this->Uses.Events.send(GatewayEvent(RelayBegan{Id}));
   };
   Tell.MaySend = [this, Engine = Order.Engine] {
@@ -200,7 +200,7 @@
                           const ClientResult &Result) {
   if (const auto *Answer = std::get_if<ClientAnswer>(&Result))
     this->hear(Engine, SentAt,
-               this->Uses.Protocol.engines().wordOf(Answer->Head));
+               this->Uses.Protocol.engines().signalsOf(Answer->Head));
 }
 
 void GatewayTraffic::noteUnknownHeaders(const EngineRun &Of,
--- a/src/libs/http/ClientStream.cpp
+++ b/src/libs/http/ClientStream.cpp
@@ -41,7 +41,7 @@
 ClientStream::readRest(std::size_t MaxBytes) {
   std::string Result;
   while (!this->Parser.is_done() && !this->WasCut) {
-    Result += co_await this->readPiece();
+    Result += co_await this->readBodyPart();
     if (Result.size() > MaxBytes)
       co_return std::pair(std::move(Result), false);
   }
@@ -52,7 +52,7 @@
 ClientStream::readEvents(std::vector<ServerEvent> &Out) {
   const std::size_t Before = Out.size();
   while (!this->Parser.is_done() && !this->WasCut && Out.size() == Before) {
-    const std::string_view Bytes = co_await this->readPiece();
+    const std::string_view Bytes = co_await this->readBodyPart();
     this->Events.feed(Bytes, Out);
   }
   if (Out.size() != Before)
@@ -65,7 +65,7 @@
   this->Link.close();
 }
 
-Task<std::string_view> ClientStream::readPiece() {
+Task<std::string_view> ClientStream::readBodyPart() {
   auto &Body = this->Parser.get().body();
   Body.data = this->Piece.data();
   Body.size = this->Piece.size();
--- a/src/libs/http/ClientStream.h
+++ b/src/libs/http/ClientStream.h
@@ -45,7 +45,7 @@
   static constexpr std::size_t ReadBytes = 4096;
 
   /// Reads body bytes into Piece; a view of what came.
-  Task<std::string_view> readPiece();
+  Task<std::string_view> readBodyPart();
 
   beast::tcp_stream Link;
   beast::flat_buffer Buffer;
--- a/src/libs/relay/EngineRun.h
+++ b/src/libs/relay/EngineRun.h
@@ -22,9 +22,9 @@
 /// Told what happens in a run, on its thread.
 struct EngineRunListener {
   /// The header of the upstream's answer came.
-  std::function<void(const AnswerSignals &)> OnWord;
+  std::function<void(const AnswerSignals &)> OnSignals;
   /// The first event went to the caller.
-  std::function<void()> OnBegan;
+  std::function<void()> OnFirstEvent;
   /// Whether the upstream may still get the request, now that a connection
   /// stands.
   std::function<bool()> MaySend;
@@ -38,14 +38,14 @@
             const EngineProtocol &Protocol, const EngineRunLimits &Limits);
 
   /// Gives how it ended. \p Left is how long the upstream may take.
-  Task<RelayOutcome> run(Duration Left, EngineRunListener Tell);
+  Task<RelayOutcome> run(Duration Remaining, EngineRunListener Listener);
 
   /// Closes the connection; run() ends.
   void cancel();
   bool isCancelled() const { return this->Cancelled; }
   /// Headers of the answer that the protocol does not know.
   const std::vector<std::string> &unknownHeaders() const {
-    return this->Unknown;
+    return this->UnknownNames;
   }
 
 private:
@@ -53,18 +53,20 @@
 
   Task<bool> connect();
   /// False: the connection failed; the answer may be there all the same.
-  Task<bool> sendRequest(Duration Left);
-  Task<ErrorCode> readHead(Parser &Into);
+  Task<bool> sendRequest(Duration Remaining);
+  Task<ErrorCode> readHead(Parser &HeadParser);
   /// Reads body bytes; a view of what came.
-  Task<std::string_view> readPiece(Parser &From);
-  Task<RelayOutcome> exchange(Duration Left, const EngineRunListener &Tell);
-  Task<RelayOutcome> relayWhole(Parser &From, bool IsFailure);
-  Task<RelayOutcome> relayEvents(Parser &From, const EngineRunListener &Tell);
+  Task<std::string_view> readBodyPart(Parser &AnswerParser);
+  Task<RelayOutcome> exchange(Duration Remaining,
+                              const EngineRunListener &Listener);
+  Task<RelayOutcome> relayWhole(Parser &AnswerParser, bool IsFailure);
+  Task<RelayOutcome> relayEvents(Parser &AnswerParser,
+                                 const EngineRunListener &Listener);
   RelayOutcome broken(RelayBroken::Why Reason) const;
   RelayOutcome brokenBy(const ErrorCode &Failure) const;
-  void keepLink(const Parser &From);
-  void notePause();
-  void armSilence(Duration Limit);
+  void keepLink(const Parser &AnswerParser);
+  void recordEventGap();
+  void armTimeout(Duration Limit);
 
   static constexpr std::size_t ReadBytes = 8192;
 
@@ -75,18 +77,18 @@
   const EngineProtocol &Protocol;
   const EngineRunLimits &Limits;
   std::shared_ptr<EngineLink> Link;
-  net::steady_timer Watch;
+  net::steady_timer TimeoutTimer;
   EventSplitter Splitter;
-  std::array<char, ReadBytes> Piece{};
+  std::array<char, ReadBytes> ReadBuffer{};
   ErrorCode ReadFailure;
-  std::vector<std::string> Unknown;
+  std::vector<std::string> UnknownNames;
   std::chrono::steady_clock::time_point LastEventsAt{};
   Duration MaxEventGap{};
   bool Sent = false; ///< The whole request was written.
   bool AnyByteSent = false;
   bool Cancelled = false;
   bool TimedOut = false;
-  bool Began = false;
+  bool HasBegun = false;
 };
 
 } // namespace banyanpick
--- a/src/libs/relay/GatewayProtocol.cpp
+++ b/src/libs/relay/GatewayProtocol.cpp
@@ -10,8 +10,8 @@
 std::map<std::string, GatewayProtocolRegistration::Maker, std::less<>> &
 makers() {
   static std::map<std::string, GatewayProtocolRegistration::Maker, std::less<>>
-      All;
-  return All;
+      Registered;
+  return Registered;
 }
 
 } // namespace
--- a/src/libs/relay/GatewayProtocol.h
+++ b/src/libs/relay/GatewayProtocol.h
@@ -23,29 +23,30 @@
 
   /// What decides on the request. Throws Error(BadInput) when a header that
   /// matters is malformed. \p Asked may be changed no more afterwards.
-  virtual RelayHead readHead(const HttpExchange::Request &Asked) const = 0;
+  virtual RelayHead readHead(const HttpExchange::Request &Req) const = 0;
   /// The final answer of this host.
-  virtual HttpAnswer answerTo(const RefuseRelay &Refused) const = 0;
+  virtual HttpAnswer answerTo(const RefuseRelay &Refusal) const = 0;
 
   /// A question for hosts to connect to. Throws Error(BadInput) when it is
   /// none.
-  virtual ResolveRequest readQuestion(const HttpExchange &Each) const = 0;
-  virtual HttpAnswer answerTo(const AnswerResolve &Given) const = 0;
+  virtual ResolveRequest
+  readResolveRequest(const HttpExchange &Exchange) const = 0;
+  virtual HttpAnswer answerTo(const AnswerResolve &Answer) const = 0;
   /// Whether the target asks if this host takes requests.
-  virtual bool asksReadiness(const HttpTarget &Target) const = 0;
+  virtual bool isReadinessCheck(const HttpTarget &Target) const = 0;
 };
 
 /// What an upstream's answer is, by its header.
-struct AnswerIsWhole {};   ///< A success; its body follows.
-struct AnswerIsFailure {}; ///< It ran the request and failed.
-struct AnswerIsNotRun {
-  RelayNotRun How;
+struct SuccessAnswer {}; ///< A success; its body follows.
+struct FailureAnswer {}; ///< It ran the request and failed.
+struct NotRunAnswer {
+  RelayNotRun Details;
 };
-struct AnswerIsInvalid {
+struct InvalidAnswer {
   RelayBroken::Why Reason = RelayBroken::Why::Malformed;
 };
-using AnswerMeaning = std::variant<AnswerIsWhole, AnswerIsFailure,
-                                   AnswerIsNotRun, AnswerIsInvalid>;
+using AnswerClass =
+    std::variant<SuccessAnswer, FailureAnswer, NotRunAnswer, InvalidAnswer>;
 
 /// Translates between the gateway and upstreams.
 class EngineProtocol {
@@ -55,15 +56,17 @@
   /// Turns the caller's headers into those that the upstream gets. \p Left is
   /// how long its answer is waited for.
   virtual void writeHeaders(http::fields &Headers, const DispatchRelay &Order,
-                            Duration Left) const = 0;
-  virtual AnswerMeaning meaningOf(const http::response_header<> &Head,
-                                  const HttpExchange::Request &Asked) const = 0;
+                            Duration Remaining) const = 0;
+  virtual AnswerClass
+  classifyAnswer(const http::response_header<> &Head,
+                 const HttpExchange::Request &Req) const = 0;
 
   /// What the answer to a try says of the upstream itself.
-  virtual AnswerSignals wordOf(const http::response_header<> &Head,
-                               const HttpExchange::Request &Asked) const = 0;
+  virtual AnswerSignals signalsOf(const http::response_header<> &Head,
+                                  const HttpExchange::Request &Req) const = 0;
   /// The same of the answer to a question or an order.
-  virtual AnswerSignals wordOf(const http::response_header<> &Head) const = 0;
+  virtual AnswerSignals
+  signalsOf(const http::response_header<> &Head) const = 0;
   /// Headers of an upstream's answer that this protocol does not know: it may
   /// say something that nothing here heeds.
   virtual std::vector<std::string>
@@ -76,7 +79,7 @@
   virtual ClientRequest requestFor(const ReserveMemory &Order) const = 0;
   virtual ClientRequest requestFor(const ReleaseMemory &Order) const = 0;
   virtual ReservationResult
-  readReservation(const ClientAnswer &Given) const = 0;
+  readReservation(const ClientAnswer &Answer) const = 0;
 };
 
 /// Translates documents of the store.
--- a/src/libs/relay/HopHeaders.cpp
+++ b/src/libs/relay/HopHeaders.cpp
@@ -21,15 +21,15 @@
 } // namespace
 
 void removeHopHeaders(http::fields &Headers) {
-  std::vector<std::string> Named;
+  std::vector<std::string> ConnectionNames;
   const auto Range = Headers.equal_range(http::field::connection);
-  for (auto Each = Range.first; Each != Range.second; ++Each)
-    for (const auto &Name : http::token_list(Each->value()))
-      Named.emplace_back(Name.data(), Name.size());
-  for (const std::string &Name : Named)
+  for (auto Header = Range.first; Header != Range.second; ++Header)
+    for (const auto &Name : http::token_list(Header->value()))
+      ConnectionNames.emplace_back(Name.data(), Name.size());
+  for (const std::string &Name : ConnectionNames)
     Headers.erase(Name);
-  for (const http::field Each : HopFields)
-    Headers.erase(Each);
+  for (const http::field Field : HopFields)
+    Headers.erase(Field);
 }
 
 } // namespace banyanpick
--- a/tests/auto/platformadapter/HeadersTest.cpp
+++ b/tests/auto/platformadapter/HeadersTest.cpp
@@ -31,7 +31,7 @@
 
 template <class Wanted> bool means(const http::response_header<> &Head) {
   return std::holds_alternative<Wanted>(
-      PlatformEngines().meaningOf(Head, asked()));
+      PlatformEngines().classifyAnswer(Head, asked()));
 }
 
 TEST(CallerHeaders, BecomeTheHeadOfARequest) {
@@ -107,37 +107,37 @@
 
 TEST(EngineAnswers, MeanWhatTheirHeadersProve) {
   http::response_header<> Good = answer(200);
-  EXPECT_TRUE(means<AnswerIsInvalid>(Good)) << "without a seal";
+  EXPECT_TRUE(means<InvalidAnswer>(Good)) << "without a seal";
   Good.set("X-Server-Seal", "s");
-  EXPECT_TRUE(means<AnswerIsWhole>(Good));
+  EXPECT_TRUE(means<SuccessAnswer>(Good));
   Good.set(http::field::content_encoding, "gzip");
-  EXPECT_TRUE(means<AnswerIsInvalid>(Good));
+  EXPECT_TRUE(means<InvalidAnswer>(Good));
   http::response_header<> Failed = answer(500);
   Failed.set("X-Server-Seal", "s");
-  EXPECT_TRUE(means<AnswerIsFailure>(Failed));
+  EXPECT_TRUE(means<FailureAnswer>(Failed));
   http::response_header<> Foreign = Failed;
   Foreign.set("X-Attempt-Id", "other");
-  EXPECT_TRUE(means<AnswerIsInvalid>(Foreign));
+  EXPECT_TRUE(means<InvalidAnswer>(Foreign));
 }
 
 TEST(EngineAnswers, OnlyAWordOfTheEngineProvesThatItDidNotRun) {
-  EXPECT_TRUE(means<AnswerIsInvalid>(answer(503)));
+  EXPECT_TRUE(means<InvalidAnswer>(answer(503)));
   http::response_header<> Shed = answer(503);
   Shed.set("X-Not-Executed", "1");
   Shed.set("At-Server", "10.2.64.3:8080");
-  const auto Meaning = PlatformEngines().meaningOf(Shed, asked());
-  const auto *NotRun = std::get_if<AnswerIsNotRun>(&Meaning);
+  const auto Meaning = PlatformEngines().classifyAnswer(Shed, asked());
+  const auto *NotRun = std::get_if<NotRunAnswer>(&Meaning);
   ASSERT_NE(NotRun, nullptr);
-  EXPECT_EQ(NotRun->How.FailedAt, (Address{"10.2.64.3", 8080}));
+  EXPECT_EQ(NotRun->Details.FailedAt, (Address{"10.2.64.3", 8080}));
   http::response_header<> Other = answer(421);
   Other.erase("X-Attempt-Id");
-  const auto Misdirected = PlatformEngines().meaningOf(Other, asked());
-  ASSERT_TRUE(std::holds_alternative<AnswerIsNotRun>(Misdirected));
-  EXPECT_TRUE(std::get<AnswerIsNotRun>(Misdirected).How.OtherEngine);
+  const auto Misdirected = PlatformEngines().classifyAnswer(Other, asked());
+  ASSERT_TRUE(std::holds_alternative<NotRunAnswer>(Misdirected));
+  EXPECT_TRUE(std::get<NotRunAnswer>(Misdirected).Details.OtherEngine);
 }
 
 LimitSignal limitOf(const http::response_header<> &Head) {
-  return PlatformEngines().wordOf(Head, asked()).Limit;
+  return PlatformEngines().signalsOf(Head, asked()).Limit;
 }
 
 TEST(AnswerHeaders, NameTheLimitOfAnEngine) {
@@ -176,7 +176,7 @@
 }
 
 BackoffSignal restOf(const http::response_header<> &Head) {
-  return PlatformEngines().wordOf(Head).Backoff;
+  return PlatformEngines().signalsOf(Head).Backoff;
 }
 
 TEST(AnswerHeaders, OfARefusalAskForRest) {
@@ -184,7 +184,7 @@
   EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{}));
   Head.set("Retry-After", "0.25");
   EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{milliseconds(250)}));
-  EXPECT_EQ(PlatformEngines().wordOf(Head, asked()).Backoff, restOf(Head));
+  EXPECT_EQ(PlatformEngines().signalsOf(Head, asked()).Backoff, restOf(Head));
   Head.insert("Retry-After", "3");
   Head.insert("Retry-After", "2");
   EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
@@ -219,7 +219,7 @@
 }
 
 LeavingSignal leavingOf(const http::response_header<> &Head) {
-  return PlatformEngines().wordOf(Head).Leaving;
+  return PlatformEngines().signalsOf(Head).Leaving;
 }
 
 TEST(AnswerHeaders, OfAnyKindSayThatAnEngineLeaves) {
@@ -228,7 +228,7 @@
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
     Head.set("Server-Leaving", "1");
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Present);
-    EXPECT_EQ(PlatformEngines().wordOf(Head, asked()).Leaving,
+    EXPECT_EQ(PlatformEngines().signalsOf(Head, asked()).Leaving,
               LeavingSignal::Present);
     Head.set("Server-Leaving", "0");
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
