--- a/src/app/GatewaySettings.cpp
+++ b/src/app/GatewaySettings.cpp
@@ -99,13 +99,13 @@
   Result.Runs.ConnectTimeout = Values.span(Section, "connect_timeout");
   Result.Runs.WholeAnswerBytes = Values.size(Section, "whole_answer_bytes");
   Result.Runs.EventBytes = Values.size(Section, "event_bytes");
-  const Duration RetryFirst = Values.span(Section, "retry_first");
-  const Duration RetryMost = Values.span(Section, "retry_most");
+  const Duration InitialRetryDelay = Values.span(Section, "retry_first");
+  const Duration MaxRetryDelay = Values.span(Section, "retry_most");
   Result.Declarations = {Duration(0), Values.span(Section, "declarations_wait"),
-                         RetryFirst, RetryMost};
+                         InitialRetryDelay, MaxRetryDelay};
   Result.Engines = {Values.span(Section, "engines_interval"),
-                    Values.span(Section, "engines_wait"), RetryFirst,
-                    RetryMost};
+                    Values.span(Section, "engines_wait"), InitialRetryDelay,
+                    MaxRetryDelay};
   Result.LinkIdle = Values.span(Section, "link_idle");
   Result.LinksPerUpstream = Values.whole(Section, "links_per_upstream");
   Result.ReportTimeout = Values.span(Section, "report_timeout");
--- a/src/app/GatewaySettings.h
+++ b/src/app/GatewaySettings.h
@@ -19,8 +19,8 @@
   std::optional<Address> Metrics;
   Address Store;
   EngineRunLimits Runs;
-  FollowPace Declarations;
-  FollowPace Engines;
+  FollowOptions Declarations;
+  FollowOptions Engines;
   Duration LinkIdle{};
   std::size_t LinksPerUpstream = 0;
   Duration ReportTimeout{};
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -104,8 +104,8 @@
       },
       [&](const CloseCallers &) { this->Server->closeAfterAnswers(); },
       [&](const FollowStore &Is) {
-        this->Declarations->follow(Is.Enabled);
-        this->Engines->follow(Is.Enabled);
+        this->Declarations->setFollowing(Is.Enabled);
+        this->Engines->setFollowing(Is.Enabled);
       },
       [&](const AnnounceHost &Is) {
         net::co_spawn(this->Io, this->announce(Is.Present), net::detached);
@@ -376,7 +376,7 @@
 Task<void> GatewayTraffic::announce(bool Present) {
   const Identity &Self = this->Uses.Self;
   net::steady_timer Pause(this->Io);
-  Duration Retry = this->Uses.Values.Engines.RetryFirst;
+  Duration Retry = this->Uses.Values.Engines.InitialRetryDelay;
   for (;;) {
     KeyedRecord Record = writeHostRecord({Self.Host, Self.Zone, Self.Callers,
                                           Self.Peers, false, Self.Processor});
@@ -384,14 +384,14 @@
       Record.Value.reset();
     const StoreAppendResult Result =
         co_await this->Store->append(StoreTopic::Hosts, std::move(Record));
-    this->count("announcements", std::holds_alternative<AppendTaken>(Result)
+    this->count("announcements", std::holds_alternative<AppendAccepted>(Result)
                                      ? "taken"
                                      : "failed");
     // A host that stops is found dead by its peers if this is lost.
-    if (std::holds_alternative<AppendTaken>(Result) || !Present)
+    if (std::holds_alternative<AppendAccepted>(Result) || !Present)
       co_return;
     Pause.expires_after(Retry);
-    Retry = std::min(Retry * 2, this->Uses.Values.Engines.RetryMost);
+    Retry = std::min(Retry * 2, this->Uses.Values.Engines.MaxRetryDelay);
     ErrorCode Ignored;
     co_await Pause.async_wait(into(Ignored));
   }
--- a/src/libs/relay/KeyedFollower.cpp
+++ b/src/libs/relay/KeyedFollower.cpp
@@ -20,9 +20,9 @@
 
 KeyedFollower::KeyedFollower(const net::any_io_executor &ExecutorGiven,
                              OrderedStore &Store, StoreTopic Topic,
-                             FollowPace Pace, Listener TellGiven)
-    : Executor(ExecutorGiven), Store(Store), Topic(Topic), Pace(Pace),
-      Tell(std::move(TellGiven)), Timer(ExecutorGiven) {}
+                             FollowOptions Options, Listener CallbacksGiven)
+    : Executor(ExecutorGiven), Store(Store), Topic(Topic), Options(Options),
+      Callbacks(std::move(CallbacksGiven)), Timer(ExecutorGiven) {}
 
 void KeyedFollower::start() {
   net::co_spawn(
@@ -31,42 +31,43 @@
       net::detached);
 }
 
-void KeyedFollower::follow(bool On) {
-  this->Follows = On;
-  if (On)
+void KeyedFollower::setFollowing(bool Enabled) {
+  this->IsFollowing = Enabled;
+  if (Enabled)
     this->Timer.cancel();
 }
 
 Task<void> KeyedFollower::run() {
-  Duration Retry = this->Pace.RetryFirst;
+  Duration RetryDelay = this->Options.InitialRetryDelay;
   for (;;) {
-    while (!this->Follows)
+    while (!this->IsFollowing)
       co_await this->sleep(std::chrono::hours(1));
     const auto StartedAt = std::chrono::steady_clock::now();
-    const bool Done =
-        this->Listed ? co_await this->readOn() : co_await this->list();
-    if (!Done) {
-      co_await this->sleep(Retry);
-      Retry = std::min(Retry * 2, this->Pace.RetryMost);
+    const bool Succeeded =
+        this->HasListed ? co_await this->readNext() : co_await this->list();
+    if (!Succeeded) {
+      co_await this->sleep(RetryDelay);
+      RetryDelay = std::min(RetryDelay * 2, this->Options.MaxRetryDelay);
       continue;
     }
-    Retry = this->Pace.RetryFirst;
-    const auto Took = std::chrono::duration_cast<Duration>(
+    RetryDelay = this->Options.InitialRetryDelay;
+    const auto Elapsed = std::chrono::duration_cast<Duration>(
         std::chrono::steady_clock::now() - StartedAt);
-    if (Took < this->Pace.LeastInterval)
-      co_await this->sleep(this->Pace.LeastInterval - Took);
+    if (Elapsed < this->Options.MinInterval)
+      co_await this->sleep(this->Options.MinInterval - Elapsed);
   }
 }
 
 Task<bool> KeyedFollower::list() {
-  std::vector<KeyedRecord> All;
+  std::vector<KeyedRecord> AllRecords;
   std::optional<LogOffset> UpTo;
   for (bool More = true; More;) {
-    std::string After = All.empty() ? std::string() : All.back().Key;
+    std::string After =
+        AllRecords.empty() ? std::string() : AllRecords.back().Key;
     NewestResult Result =
         co_await this->Store.newest(this->Topic, std::move(After));
     if (const auto *Failure = std::get_if<StoreFailure>(&Result)) {
-      this->note(*Failure);
+      this->reportFailure(*Failure);
       co_return false;
     }
     NewestPage &Page = std::get<NewestPage>(Result);
@@ -76,52 +77,52 @@
       UpTo = Page.EndOffset;
     More = Page.More && !Page.Records.empty();
     std::move(Page.Records.begin(), Page.Records.end(),
-              std::back_inserter(All));
+              std::back_inserter(AllRecords));
   }
-  this->Listed = true;
+  this->HasListed = true;
   this->NextOffset = *UpTo;
-  this->noteReachable();
-  this->Tell.OnRecords(All, true, this->NextOffset);
+  this->reportReachable();
+  this->Callbacks.OnRecords(AllRecords, true, this->NextOffset);
   co_return true;
 }
 
-Task<bool> KeyedFollower::readOn() {
-  ReadResult Result =
-      co_await this->Store.read(this->Topic, this->NextOffset, this->Pace.Wait);
+Task<bool> KeyedFollower::readNext() {
+  ReadResult Result = co_await this->Store.read(this->Topic, this->NextOffset,
+                                                this->Options.Wait);
   co_return match(
       Result,
       [&](const RecordsRead &Read) {
         this->NextOffset = std::max(this->NextOffset, Read.NextOffset);
-        this->noteReachable();
-        this->Tell.OnRecords(Read.Records, false, this->NextOffset);
+        this->reportReachable();
+        this->Callbacks.OnRecords(Read.Records, false, this->NextOffset);
         return true;
       },
-      [&](const HistoryLost &) {
-        this->Listed = false;
+      [&](const RecordsExpired &) {
+        this->HasListed = false;
         return true;
       },
       [&](const StoreFailure &Failure) {
-        this->note(Failure);
+        this->reportFailure(Failure);
         return false;
       });
 }
 
-Task<void> KeyedFollower::sleep(Duration For) {
-  this->Timer.expires_after(For);
+Task<void> KeyedFollower::sleep(Duration Length) {
+  this->Timer.expires_after(Length);
   ErrorCode Ignored;
   co_await this->Timer.async_wait(into(Ignored));
 }
 
-void KeyedFollower::note(const StoreFailure &Failure) {
+void KeyedFollower::reportFailure(const StoreFailure &Failure) {
   this->Reachable = false;
-  this->Tell.OnReachable(false, Failure.Message);
+  this->Callbacks.OnReachable(false, Failure.Message);
 }
 
-void KeyedFollower::noteReachable() {
+void KeyedFollower::reportReachable() {
   if (this->Reachable == true)
     return;
   this->Reachable = true;
-  this->Tell.OnReachable(true, "");
+  this->Callbacks.OnReachable(true, "");
 }
 
 } // namespace banyanpick
--- a/src/libs/relay/KeyedFollower.h
+++ b/src/libs/relay/KeyedFollower.h
@@ -11,11 +11,11 @@
 namespace banyanpick {
 
 /// How a topic is followed.
-struct FollowPace {
-  Duration LeastInterval{}; ///< Between the starts of two reads.
-  Duration Wait{};          ///< How long a read waits for a record.
-  Duration RetryFirst{};    ///< After a failure; doubles with each.
-  Duration RetryMost{};
+struct FollowOptions {
+  Duration MinInterval{};       ///< Between the starts of two reads.
+  Duration Wait{};              ///< How long a read waits for a record.
+  Duration InitialRetryDelay{}; ///< After a failure; doubles with each.
+  Duration MaxRetryDelay{};
 };
 
 /// Lists all keys, then reads what is written from there on. Starts over when
@@ -28,33 +28,33 @@
     std::function<void(std::span<const KeyedRecord> Records, bool Complete,
                        LogOffset UpTo)>
         OnRecords;
-    std::function<void(bool Reachable, std::string_view Why)> OnReachable;
+    std::function<void(bool Reachable, std::string_view Reason)> OnReachable;
   };
 
   KeyedFollower(const net::any_io_executor &Executor, OrderedStore &Store,
-                StoreTopic Topic, FollowPace Pace, Listener Tell);
+                StoreTopic Topic, FollowOptions Options, Listener Callbacks);
 
   void start();
   /// Goes on reading from where it was, or ends after the read under way.
-  void follow(bool On);
+  void setFollowing(bool Enabled);
 
 private:
   Task<void> run();
   /// False: it failed.
   Task<bool> list();
-  Task<bool> readOn();
-  Task<void> sleep(Duration For);
-  void note(const StoreFailure &Failure);
-  void noteReachable();
+  Task<bool> readNext();
+  Task<void> sleep(Duration Length);
+  void reportFailure(const StoreFailure &Failure);
+  void reportReachable();
 
   net::any_io_executor Executor;
   OrderedStore &Store;
   StoreTopic Topic;
-  FollowPace Pace;
-  Listener Tell;
+  FollowOptions Options;
+  Listener Callbacks;
   net::steady_timer Timer;
-  bool Follows = true;
-  bool Listed = false;
+  bool IsFollowing = true;
+  bool HasListed = false;
   LogOffset NextOffset = 0;
   std::optional<bool> Reachable;
 };
--- a/src/libs/relay/OrderedStore.h
+++ b/src/libs/relay/OrderedStore.h
@@ -45,7 +45,7 @@
 };
 
 /// Records that were asked for are not kept any more.
-struct HistoryLost {};
+struct RecordsExpired {};
 
 /// The store did not do it, or may have: there is no answer.
 struct StoreFailure {
@@ -57,11 +57,11 @@
   std::string Message;
 };
 
-struct AppendTaken {};
+struct AppendAccepted {};
 
 using NewestResult = std::variant<NewestPage, StoreFailure>;
-using ReadResult = std::variant<RecordsRead, HistoryLost, StoreFailure>;
-using StoreAppendResult = std::variant<AppendTaken, StoreFailure>;
+using ReadResult = std::variant<RecordsRead, RecordsExpired, StoreFailure>;
+using StoreAppendResult = std::variant<AppendAccepted, StoreFailure>;
 
 /// Used on the thread of its executor.
 class OrderedStore {
