--- a/src/libs/relay/CallerSide.h
+++ b/src/libs/relay/CallerSide.h
@@ -1,6 +1,5 @@
 /// \file
-/// One relayed request on the traffic thread: what the caller sent, and its
-/// answer on the way.
+/// The caller's side of one relayed request: the request and its answer.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -13,58 +12,64 @@
 
 namespace banyanpick {
 
-/// Lives as long as the caller's side or a try needs it; the exchange is not
-/// used once finished() has returned. Used on one thread.
+/// Forwards an upstream's answer, or the answer that control chose, to the
+/// caller. Shared by the handler of the request and its attempts. The exchange
+/// is not used once waitUntilFinished() has returned. Used on the traffic
+/// thread only.
 class CallerSide {
 public:
   CallerSide(HttpExchange &Exchange, RequestId Id)
       : Exchange(&Exchange), Id(Id), Changes(Exchange.executor()) {}
 
   const RequestId &id() const { return this->Id; }
-  /// What the caller sent; null once the request has ended, as the exchange may
-  /// be gone then. Not to be kept over a wait.
+  /// Returns the caller's request, or null once it has ended, as the exchange
+  /// may be destroyed then. The pointer must not be kept across a co_await.
   const HttpExchange::Request *request() const {
     return this->Done ? nullptr : &this->Exchange->request();
   }
 
-  /// Whether something may still be sent to the caller.
+  /// Returns whether data may still be sent to the caller.
   bool isOpen() const { return !this->Done; }
-  /// The caller has closed its connection.
+  /// Called when the caller has closed its connection.
   void disconnected() { this->breakOff(); }
 
-  // --- from an upstream's answer; false: the caller is gone
+  // --- An upstream's answer. These return false if the caller has
+  // disconnected.
 
   Task<bool> deliver(RelayedAnswer Answer);
   Task<bool> begin(http::response_header<> Head);
-  /// \p LastEventId is the id of the last of the events.
+  /// \p LastEventId is the id of the last event in \p Events.
   Task<bool> send(std::string_view Events,
                   std::optional<std::uint64_t> LastEventId);
   Task<bool> end();
   bool hasBegun() const { return this->HasBegun; }
-  /// The last event that went to the caller or is on its way there. Control
-  /// may not know of it yet when it gives a try up.
+  /// Returns the id of the last event that was sent to the caller or is being
+  /// sent. Control may not know of it yet when it cancels an attempt.
   std::optional<std::uint64_t> lastEvent() const { return this->LastEvent; }
-  /// Whether a whole answer is on its way; nothing else may be sent then.
+  /// Returns whether a final answer is being sent or was sent. Nothing else may
+  /// be sent then.
   bool isAnswered() const { return this->Answering || this->Done; }
-  /// Waits until nothing is being sent.
+  /// Waits until no send operation is running.
   Task<void> waitUntilIdle();
 
-  // --- decided by control
+  // --- Decisions of control.
 
-  /// Gives the answer that control made.
+  /// Ends the request with an answer that control generated.
   void refuse(HttpAnswer Answer);
+  /// Stores the failure answer of an attempt until control decides on it.
   void keepFailure(const AttemptId &Attempt, RelayedAnswer Answer);
+  /// Ends the request with the stored failure answer of the attempt.
   void deliverFailure(const AttemptId &Attempt);
   void breakOff();
 
-  /// Waits until there is a final answer to send or all was sent, and nothing
-  /// uses the caller's connection any more.
+  /// Waits until the request has ended and no operation uses the caller's
+  /// connection any more.
   Task<void> waitUntilFinished();
-  /// Sends what control decided on, if that is what ends the request.
+  /// Sends the answer that control chose, unless an upstream's answer was sent.
   Task<void> sendFinalAnswer();
 
 private:
-  /// Counts an operation on the caller's connection while it lives.
+  /// Counts a running operation on the caller's connection.
   class OperationGuard {
   public:
     explicit OperationGuard(CallerSide &Owner) : Owner(Owner) {
--- a/src/libs/relay/EngineLinkPool.cpp
+++ b/src/libs/relay/EngineLinkPool.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-/// A connection is not used in the last part of the time that its upstream
-/// keeps it: the request could cross its close.
+/// The share of an upstream's keep-alive timeout during which an idle
+/// connection is reused. A request that is sent near the end of the timeout can
+/// reach the upstream after it has closed the connection.
 constexpr double UsableIdleShare = 0.6;
 
-/// Whether the peer has neither closed the connection nor sent anything; what
-/// comes without a request belongs to none.
+/// Returns whether the peer has neither closed the connection nor sent data.
+/// Data that arrives without a request in flight belongs to no request.
 bool isIdle(EngineLink &Link) {
   if (Link.Buffer.size() != 0)
     return false;
--- a/src/libs/relay/EngineLinkPool.h
+++ b/src/libs/relay/EngineLinkPool.h
@@ -1,5 +1,5 @@
 /// \file
-/// Connections to upstreams, kept between requests.
+/// Pool of idle connections to upstreams.
 #pragma once
 
 #include "http/ClientRequest.h"
@@ -12,18 +12,20 @@
 
 namespace banyanpick {
 
-/// One connection and what was read from it but not understood yet.
+/// A connection to an upstream and the bytes that were read from it but not
+/// parsed yet.
 struct EngineLink {
   explicit EngineLink(const net::any_io_executor &Executor)
       : Socket(Executor) {}
 
   Tcp::socket Socket;
   beast::flat_buffer Buffer;
-  bool IsReused = false; ///< It served a request before.
+  bool IsReused = false; ///< Has served a request before.
   std::chrono::steady_clock::time_point IdleUntil{};
 };
 
-/// Used on the thread of its executor.
+/// Keeps idle connections for reuse by later requests. Used on the thread of
+/// its executor.
 class EngineLinkPool {
 public:
   EngineLinkPool(const net::any_io_executor &Executor, Duration MaxIdle,
@@ -31,14 +33,15 @@
       : Executor(Executor), MaxIdle(MaxIdle),
         MaxIdlePerUpstream(MaxIdlePerUpstream) {}
 
-  /// A kept connection on which nothing came since, or null.
+  /// Removes an idle connection on which no data has arrived and returns it, or
+  /// null if there is none.
   std::shared_ptr<EngineLink> takeIdle(const UpstreamId &Engine);
   std::shared_ptr<EngineLink> create();
-  /// Keeps it for another request; \p ServerIdle is how long the upstream says
-  /// that it keeps it, zero when it does not say.
+  /// Keeps the connection for a later request. \p ServerIdle is the keep-alive
+  /// timeout that the upstream announced, or zero if it announced none.
   void keep(const UpstreamId &Engine, std::shared_ptr<EngineLink> Link,
             Duration ServerIdle);
-  /// Closes what was kept to an upstream.
+  /// Closes the idle connections to an upstream.
   void forget(const UpstreamId &Engine) { this->IdleLinks.erase(Engine); }
 
 private:
--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -12,12 +12,13 @@
 
 namespace {
 
-/// A request whose header and body are no longer fits the windows of a
-/// connection, so that writing it can wait for the upstream to read. Its answer
-/// is read meanwhile, as it may come before the body is in.
+/// Requests with larger bodies are written while the answer is read. A request
+/// of up to this size fits into the socket buffers of a connection. Writing a
+/// larger one can block until the upstream reads it, and the upstream may
+/// answer before it has read the whole body.
 constexpr std::size_t MaxSequentialWriteBytes = 16ULL * 1024;
 
-/// `timeout=N` of a Keep-Alive header.
+/// Returns the `timeout=N` parameter of the Keep-Alive header, or zero.
 Duration keepAliveTimeout(const http::response_header<> &Head) {
   const auto Value = Head[http::field::keep_alive];
   const std::string_view Text(Value.data(), Value.size());
@@ -49,7 +50,7 @@
 
 Task<RelayOutcome> EngineRun::run(Duration Remaining,
                                   EngineRunListener Listener) {
-  // A try that was given up may still be sending what it had read.
+  // A cancelled attempt may still be sending events that it has read.
   co_await this->Caller->waitUntilIdle();
   if (this->Caller->isAnswered())
     co_return RelayDelivered{};
@@ -61,8 +62,8 @@
     this->Link = this->Pool.takeIdle(this->Order.Engine);
   if (!this->Link && !co_await this->connect())
     co_return RelayNeverSent{};
-  // The caller may have left while the connection was made, before control
-  // could cancel the try.
+  // The caller may have disconnected while the connection was being set up,
+  // before control could cancel the attempt.
   RelayOutcome Result = RelayNeverSent{};
   if (this->Caller->request() && !Listener.MaySend())
     Result = RelayNeverSent{true};
@@ -143,7 +144,7 @@
 }
 
 Task<ErrorCode> EngineRun::readHead(Parser &HeadParser) {
-  // Not boost::none: Beast 1.74 compares it as less than any length.
+  // boost::none does not work: Beast 1.74 compares it as less than any length.
   HeadParser.body_limit(std::numeric_limits<std::uint64_t>::max());
   ErrorCode Failure;
   do {
@@ -169,7 +170,8 @@
 
 Task<RelayOutcome> EngineRun::exchange(Duration Remaining,
                                        const EngineRunListener &Listener) {
-  // An upstream may answer and close before it has read everything.
+  // A failed write is ignored: an upstream may answer and close the connection
+  // before it has read the whole request.
   co_await this->sendRequest(Remaining);
   Parser Answer;
   const ErrorCode Failure = co_await this->readHead(Answer);
@@ -183,7 +185,7 @@
   Listener.OnSignals(this->Protocol.signalsOf(Head, *CallerReq));
   const AnswerClass Class = this->Protocol.classifyAnswer(Head, *CallerReq);
   if (const auto *NotRun = std::get_if<NotRunAnswer>(&Class)) {
-    // Its body, if any, is not worth reading for the connection's sake.
+    // The body is not read, so the connection is not reused.
     co_return NotRun->Details;
   }
   if (const auto *Invalid = std::get_if<InvalidAnswer>(&Class))
@@ -288,9 +290,9 @@
 }
 
 void EngineRun::keepLink(const Parser &AnswerParser) {
-  // An upstream that answered early may still read the rest of the body; bytes
-  // behind the answer belong to no request. Such connections are not used
-  // again.
+  // The connection is not reused if the upstream answered early, as it may
+  // still be reading the request body, or if there are bytes after the answer,
+  // as they belong to no request.
   if (!this->Sent || !AnswerParser.keep_alive() || AnswerParser.need_eof() ||
       this->Link->Buffer.size() != 0)
     return;
--- a/src/libs/relay/EngineRun.h
+++ b/src/libs/relay/EngineRun.h
@@ -1,6 +1,6 @@
 /// \file
-/// One try on the traffic thread: the request to an upstream and the reading
-/// of its answer.
+/// Runs one attempt of a relayed request: sends the request to an upstream and
+/// reads the answer.
 #pragma once
 
 #include "relay/CallerSide.h"
@@ -12,38 +12,41 @@
 
 namespace banyanpick {
 
-/// Bounds of one try.
+/// Limits of one attempt.
 struct EngineRunLimits {
   Duration ConnectTimeout{};
-  std::size_t WholeAnswerBytes = 0; ///< Larger plain answers are failures.
-  std::size_t EventBytes = 0;       ///< A larger event is a failure.
+  /// The attempt fails when an answer that is not streamed is larger.
+  std::size_t WholeAnswerBytes = 0;
+  std::size_t EventBytes = 0; ///< The attempt fails when an event is larger.
 };
 
-/// Told what happens in a run, on its thread.
+/// Callbacks of a run, called on its thread.
 struct EngineRunListener {
-  /// The header of the upstream's answer came.
+  /// Called when the header of the upstream's answer was received.
   std::function<void(const AnswerSignals &)> OnSignals;
-  /// The first event went to the caller.
+  /// Called when the first events were sent to the caller.
   std::function<void()> OnFirstEvent;
-  /// Whether the upstream may still get the request, now that a connection
-  /// stands.
+  /// Returns whether the request may still be sent to the upstream. Called when
+  /// the connection is established.
   std::function<bool()> MaySend;
 };
 
-/// Runs once. Used on the thread of its executor.
+/// Sends the request of a caller to one upstream and forwards the answer. An
+/// object runs one attempt. Used on the thread of its executor.
 class EngineRun : public std::enable_shared_from_this<EngineRun> {
 public:
   EngineRun(const net::any_io_executor &Executor, DispatchRelay Order,
             std::shared_ptr<CallerSide> Caller, EngineLinkPool &Pool,
             const EngineProtocol &Protocol, const EngineRunLimits &Limits);
 
-  /// Gives how it ended. \p Left is how long the upstream may take.
+  /// Runs the attempt and returns its outcome. \p Remaining is the time that
+  /// the upstream has for the answer.
   Task<RelayOutcome> run(Duration Remaining, EngineRunListener Listener);
 
-  /// Closes the connection; run() ends.
+  /// Closes the connection, which ends run().
   void cancel();
   bool isCancelled() const { return this->Cancelled; }
-  /// Headers of the answer that the protocol does not know.
+  /// Returns the headers of the answer that the protocol does not know.
   const std::vector<std::string> &unknownHeaders() const {
     return this->UnknownNames;
   }
@@ -52,10 +55,11 @@
   using Parser = http::response_parser<http::buffer_body>;
 
   Task<bool> connect();
-  /// False: the connection failed; the answer may be there all the same.
+  /// Returns false if the connection failed. An answer may have arrived
+  /// nevertheless.
   Task<bool> sendRequest(Duration Remaining);
   Task<ErrorCode> readHead(Parser &HeadParser);
-  /// Reads body bytes; a view of what came.
+  /// Reads part of the body and returns a view of the bytes. Sets ReadFailure.
   Task<std::string_view> readBodyPart(Parser &AnswerParser);
   Task<RelayOutcome> exchange(Duration Remaining,
                               const EngineRunListener &Listener);
@@ -84,7 +88,7 @@
   std::vector<std::string> UnknownNames;
   std::chrono::steady_clock::time_point LastEventsAt{};
   Duration MaxEventGap{};
-  bool Sent = false; ///< The whole request was written.
+  bool Sent = false; ///< The complete request was written.
   bool AnyByteSent = false;
   bool Cancelled = false;
   bool TimedOut = false;
--- a/src/libs/relay/EventSplitter.cpp
+++ b/src/libs/relay/EventSplitter.cpp
@@ -22,7 +22,7 @@
   return Id;
 }
 
-/// Behind the last empty line of \p Text, or 0.
+/// Returns the position after the last empty line of \p Text, or 0.
 std::size_t lastBoundary(std::string_view Text) {
   const std::size_t AfterLineFeed = Text.rfind("\n\n");
   const std::size_t AfterCarriageReturn = Text.rfind("\n\r\n");
--- a/src/libs/relay/EventSplitter.h
+++ b/src/libs/relay/EventSplitter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Cuts a stream of server-sent events at the borders of events.
+/// Splits a stream of server-sent events at event boundaries.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,21 @@
 
 namespace banyanpick {
 
-/// Bytes are passed on unchanged, but only whole events: half of one may be
-/// the last thing that an upstream sends.
+/// Forwards bytes unchanged, but only complete events: an upstream may fail in
+/// the middle of an event.
 class EventSplitter {
 public:
-  /// Adds bytes; gives the whole events that are there now.
+  /// Adds bytes and returns the events that are complete now.
   std::string feed(std::string_view Bytes);
 
-  /// The id of the last whole event.
+  /// Returns the id of the last complete event.
   std::optional<std::uint64_t> lastId() const { return this->LastId; }
-  /// False once an id did not rise: events are missing, doubled or of another
-  /// stream.
+  /// Returns false once an event id was not higher than the one before it:
+  /// events are missing, repeated or from another stream.
   bool isInOrder() const { return this->InOrder; }
-  /// Bytes of an event that is not whole.
+  /// Returns the number of bytes held of an incomplete event.
   std::size_t pendingBytes() const { return this->Pending.size(); }
-  /// Ids must be higher than this from now on.
+  /// Requires the ids of the following events to be higher than \p Id.
   void resumeAfter(std::optional<std::uint64_t> Id) { this->LastId = Id; }
 
 private:
--- a/src/libs/relay/GatewayProtocol.cpp
+++ b/src/libs/relay/GatewayProtocol.cpp
@@ -25,8 +25,8 @@
   const auto Found = makers().find(Name);
   if (Found == makers().end())
     throw Error(ErrorKind::BadInput,
-                "no gateway protocol is called " + std::string(Name),
-                "set [gateway] protocol to one that the program has");
+                "there is no gateway protocol named " + std::string(Name),
+                "set [gateway] protocol to a protocol of this program");
   return Found->second();
 }
 
--- a/src/libs/relay/GatewayProtocol.h
+++ b/src/libs/relay/GatewayProtocol.h
@@ -1,6 +1,6 @@
 /// \file
-/// The ports of a gateway: what an outside protocol must translate so that
-/// callers, upstreams and a store that speak it can be served.
+/// Interfaces that an external protocol implements so that the gateway can
+/// serve callers, upstreams and a store that use it.
 #pragma once
 
 #include "gateway/GatewayEvent.h"
@@ -16,64 +16,68 @@
 
 namespace banyanpick {
 
-/// Translates between callers and the gateway.
+/// Translates the requests of callers and the answers to them.
 class CallerProtocol {
 public:
   virtual ~CallerProtocol() = default;
 
-  /// What decides on the request. Throws Error(BadInput) when a header that
-  /// matters is malformed. \p Asked may be changed no more afterwards.
+  /// Returns the properties of the request that control needs. Throws
+  /// Error(BadInput) if one of the headers for them is malformed. \p Req must
+  /// not be changed afterwards.
   virtual RelayHead readHead(const HttpExchange::Request &Req) const = 0;
-  /// The final answer of this host.
+  /// Returns this host's final answer to a refused request.
   virtual HttpAnswer answerTo(const RefuseRelay &Refusal) const = 0;
 
-  /// A question for hosts to connect to. Throws Error(BadInput) when it is
-  /// none.
+  /// Reads a request for the addresses of hosts. Throws Error(BadInput) if it
+  /// is not such a request.
   virtual ResolveRequest
   readResolveRequest(const HttpExchange &Exchange) const = 0;
   virtual HttpAnswer answerTo(const AnswerResolve &Answer) const = 0;
-  /// Whether the target asks if this host takes requests.
+  /// Returns whether the target is that of the readiness check of this host.
   virtual bool isReadinessCheck(const HttpTarget &Target) const = 0;
 };
 
-/// What an upstream's answer is, by its header.
-struct SuccessAnswer {}; ///< A success; its body follows.
-struct FailureAnswer {}; ///< It ran the request and failed.
+/// The classes of an upstream's answer, as determined from its header.
+struct SuccessAnswer {}; ///< The request succeeded; the body follows.
+struct FailureAnswer {}; ///< The upstream ran the request and failed.
+/// The upstream did not run the request.
 struct NotRunAnswer {
   RelayNotRun Details;
 };
+/// The answer is not a valid answer to this request.
 struct InvalidAnswer {
   RelayBroken::Why Reason = RelayBroken::Why::Malformed;
 };
 using AnswerClass =
     std::variant<SuccessAnswer, FailureAnswer, NotRunAnswer, InvalidAnswer>;
 
-/// Translates between the gateway and upstreams.
+/// Translates the requests to upstreams and their answers.
 class EngineProtocol {
 public:
   virtual ~EngineProtocol() = default;
 
-  /// Turns the caller's headers into those that the upstream gets. \p Left is
-  /// how long its answer is waited for.
+  /// Replaces the caller's headers by those for the upstream. \p Remaining is
+  /// the time that the upstream has for the answer.
   virtual void writeHeaders(http::fields &Headers, const DispatchRelay &Order,
                             Duration Remaining) const = 0;
   virtual AnswerClass
   classifyAnswer(const http::response_header<> &Head,
                  const HttpExchange::Request &Req) const = 0;
 
-  /// What the answer to a try says of the upstream itself.
+  /// Returns what the answer to a relayed request says about the state of the
+  /// upstream.
   virtual AnswerSignals signalsOf(const http::response_header<> &Head,
                                   const HttpExchange::Request &Req) const = 0;
-  /// The same of the answer to a question or an order.
+  /// The same for the answer to a report request or to an order.
   virtual AnswerSignals
   signalsOf(const http::response_header<> &Head) const = 0;
-  /// Headers of an upstream's answer that this protocol does not know: it may
-  /// say something that nothing here heeds.
+  /// Returns the headers of an upstream's answer that this protocol does not
+  /// know. They may carry signals that the gateway ignores.
   virtual std::vector<std::string>
   unknownHeaders(const http::response_header<> &Head) const = 0;
 
   virtual ClientRequest reportRequest() const = 0;
-  /// Throws Error(BadInput) when the body is malformed.
+  /// Throws Error(BadInput) if the body is malformed.
   virtual EngineReport readReport(const UpstreamId &Engine,
                                   std::string_view Body) const = 0;
   virtual ClientRequest requestFor(const ReserveMemory &Order) const = 0;
@@ -82,41 +86,44 @@
   readReservation(const ClientAnswer &Answer) const = 0;
 };
 
-/// Translates documents of the store.
+/// Parses the documents of the store.
 class StoreDocuments {
 public:
   virtual ~StoreDocuments() = default;
 
-  /// Whether a record of the topic of declarations is the configuration.
+  /// Returns whether the record with this key, of the topic of declarations,
+  /// holds the configuration.
   virtual bool isConfiguration(std::string_view Key) const = 0;
-  /// Throws Error(BadInput) when the document is malformed.
+  /// Throws Error(BadInput) if the document is malformed.
   virtual std::shared_ptr<const GatewayConfiguration>
   readConfiguration(std::string_view Document) const = 0;
-  /// Throws Error(BadInput) when the record is malformed.
+  /// Throws Error(BadInput) if the record is malformed.
   virtual EngineRecord readEngine(std::string_view Key,
                                   std::string_view Value) const = 0;
 };
 
-/// One outside protocol, whole.
+/// All translations of one external protocol.
 class GatewayProtocol {
 public:
   virtual ~GatewayProtocol() = default;
   virtual const CallerProtocol &callers() const = 0;
   virtual const EngineProtocol &engines() const = 0;
   virtual const StoreDocuments &documents() const = 0;
-  /// A client of the store at the address, for use on the executor's thread.
+  /// Creates a client of the store at the address. The client is used on the
+  /// executor's thread.
   virtual std::unique_ptr<OrderedStore>
   openStore(const net::any_io_executor &Executor, const Address &At) const = 0;
 };
 
-/// A file-scope object of this type makes a protocol known under a name.
+/// Registers a protocol under a name. Define objects of this type at file
+/// scope.
 class GatewayProtocolRegistration {
 public:
   using Maker = std::unique_ptr<GatewayProtocol> (*)();
   GatewayProtocolRegistration(std::string_view Name, Maker Make);
 };
 
-/// Throws Error(BadInput) when no protocol of that name is linked.
+/// Throws Error(BadInput) if no protocol with this name is linked.
 std::unique_ptr<GatewayProtocol> makeGatewayProtocol(std::string_view Name);
 
 } // namespace banyanpick
--- a/src/libs/relay/KeyedFollower.cpp
+++ b/src/libs/relay/KeyedFollower.cpp
@@ -71,8 +71,8 @@
       co_return false;
     }
     NewestPage &Page = std::get<NewestPage>(Result);
-    // Pages are no snapshot: what is written meanwhile is read from the end
-    // that the first page saw.
+    // The pages are not one snapshot. Reading continues at the end offset of
+    // the first page, so that records written during the listing are included.
     if (!UpTo)
       UpTo = Page.EndOffset;
     More = Page.More && !Page.Records.empty();
--- a/src/libs/relay/KeyedFollower.h
+++ b/src/libs/relay/KeyedFollower.h
@@ -1,5 +1,5 @@
 /// \file
-/// Follows one topic of the store.
+/// Reads one topic of the store continuously.
 #pragma once
 
 #include "relay/OrderedStore.h"
@@ -10,21 +10,24 @@
 
 namespace banyanpick {
 
-/// How a topic is followed.
+/// Intervals and timeouts of a KeyedFollower.
 struct FollowOptions {
-  Duration MinInterval{};       ///< Between the starts of two reads.
-  Duration Wait{};              ///< How long a read waits for a record.
-  Duration InitialRetryDelay{}; ///< After a failure; doubles with each.
+  Duration MinInterval{}; ///< Minimum time between the starts of two reads.
+  Duration Wait{};        ///< How long a read waits for new records.
+  /// Delay after the first failure; doubles with each further one.
+  Duration InitialRetryDelay{};
   Duration MaxRetryDelay{};
 };
 
-/// Lists all keys, then reads what is written from there on. Starts over when
-/// records were lost before they were read. Tries again for ever.
+/// Lists the newest records of all keys and then reads the records written
+/// after them. Lists them again when the store has discarded records before
+/// they were read. Retries failed operations without limit.
 class KeyedFollower : public std::enable_shared_from_this<KeyedFollower> {
 public:
-  /// What it tells; called on the executor's thread.
+  /// Callbacks, called on the executor's thread.
   struct Listener {
-    /// \p Complete: these are all keys that there are, as of \p UpTo.
+    /// If \p Complete is set, \p Records holds the newest record of every key
+    /// as of \p UpTo.
     std::function<void(std::span<const KeyedRecord> Records, bool Complete,
                        LogOffset UpTo)>
         OnRecords;
@@ -35,13 +38,14 @@
                 StoreTopic Topic, FollowOptions Options, Listener Callbacks);
 
   void start();
-  /// Goes on reading from where it was, or ends after the read under way.
+  /// Resumes reading at the last offset, or stops after the read in progress.
   void setFollowing(bool Enabled);
 
 private:
   Task<void> run();
-  /// False: it failed.
+  /// Returns false if the listing failed.
   Task<bool> list();
+  /// Returns false if the read failed.
   Task<bool> readNext();
   Task<void> sleep(Duration Length);
   void reportFailure(const StoreFailure &Failure);
--- a/src/libs/relay/OrderedStore.h
+++ b/src/libs/relay/OrderedStore.h
@@ -1,6 +1,6 @@
 /// \file
-/// The port to the store that keeps what must last: topics of records with a
-/// key, whose newest record for each key stays.
+/// Interface of the durable store. The store holds topics of keyed records and
+/// retains at least the newest record of each key.
 #pragma once
 
 #include "base/StrongId.h"
@@ -14,45 +14,46 @@
 
 namespace banyanpick {
 
-/// What is kept in the store.
+/// The topics of the store.
 enum class StoreTopic {
   Declarations, ///< Written by operators.
   Engines,      ///< Written by upstreams.
-  Hosts,        ///< Written by the entry hosts themselves.
+  Hosts,        ///< Written by the entry hosts.
 };
 
-/// The topic's name in logs and metrics.
+/// Returns the topic's name in logs and metrics.
 std::string_view name(StoreTopic Topic);
 
-/// One record; without a value the key is gone.
+/// One record. A record without a value removes its key.
 struct KeyedRecord {
-  std::string Key; ///< Empty for a record that could not be read.
+  std::string Key; ///< Empty if the record could not be decoded.
   std::optional<std::string> Value;
   LogOffset Offset = 0;
 };
 
-/// A part of the newest records of all keys.
+/// One page of the newest records of all keys.
 struct NewestPage {
   std::vector<KeyedRecord> Records;
-  bool More = false;       ///< Continue after the last key.
-  LogOffset EndOffset = 0; ///< Records before it were seen.
+  bool More = false;       ///< There are further pages after the last key.
+  LogOffset EndOffset = 0; ///< The page covers all records before it.
 };
 
 /// Records in the order in which they were written.
 struct RecordsRead {
   std::vector<KeyedRecord> Records;
-  LogOffset NextOffset = 0; ///< Where the next read goes on.
+  LogOffset NextOffset = 0; ///< Where the next read starts.
 };
 
-/// Records that were asked for are not kept any more.
+/// The store no longer retains the requested records.
 struct RecordsExpired {};
 
-/// The store did not do it, or may have: there is no answer.
+/// The operation failed, or it is unknown whether it took effect because there
+/// was no valid answer.
 struct StoreFailure {
   enum class Why {
-    Busy,      ///< It refused for now.
+    Busy,      ///< The store refused the operation for now.
     Silent,    ///< No answer in time, or no connection.
-    Malformed, ///< Its answer is not as agreed.
+    Malformed, ///< The answer does not follow the protocol.
   } Reason = Why::Silent;
   std::string Message;
 };
@@ -63,14 +64,15 @@
 using ReadResult = std::variant<RecordsRead, RecordsExpired, StoreFailure>;
 using StoreAppendResult = std::variant<AppendAccepted, StoreFailure>;
 
-/// Used on the thread of its executor.
+/// Asynchronous client of the store. Used on the thread of its executor.
 class OrderedStore {
 public:
   virtual ~OrderedStore() = default;
 
-  /// The newest records of the keys after \p AfterKey.
+  /// Returns a page of the newest records of the keys after \p AfterKey.
   virtual Task<NewestResult> newest(StoreTopic Topic, std::string AfterKey) = 0;
-  /// Records from the offset on; waits for one no longer than \p Wait.
+  /// Returns the records from the offset on. If there are none, waits up to
+  /// \p Wait for a record.
   virtual Task<ReadResult> read(StoreTopic Topic, LogOffset From,
                                 Duration Wait) = 0;
   virtual Task<StoreAppendResult> append(StoreTopic Topic,
--- a/tests/auto/gateway/EngineLinkPoolTest.cpp
+++ b/tests/auto/gateway/EngineLinkPoolTest.cpp
@@ -1,5 +1,9 @@
 /// \file
-/// Connections to upstreams are left in time.
+/// Tests that the pool stops reusing a connection before its upstream closes
+/// it.
+///
+/// They guard against requests that are lost because they reach an upstream
+/// while it closes an idle connection.
 #include "relay/EngineLinkPool.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +14,7 @@
 
 const UpstreamId Engine("e1");
 
-/// A connection to a listener on loopback that says nothing.
+/// A listener on loopback that never sends data.
 struct SilentServer {
   SilentServer() : Listener(this->Io, {net::ip::address_v4::loopback(), 0}) {}
 
@@ -28,7 +32,8 @@
   SilentServer Server;
   EngineLinkPool Pool(Server.Io.get_executor(), seconds(10), 4);
   Pool.keep(Engine, Server.link(Pool), Duration(0));
-  EXPECT_NE(Pool.takeIdle(Engine), nullptr) << "the upstream names no time";
+  EXPECT_NE(Pool.takeIdle(Engine), nullptr)
+      << "the upstream announces no keep-alive timeout";
   Pool.keep(Engine, Server.link(Pool), milliseconds(50));
   std::this_thread::sleep_for(milliseconds(40));
   EXPECT_EQ(Pool.takeIdle(Engine), nullptr);
--- a/tests/auto/gateway/EventSplitterTest.cpp
+++ b/tests/auto/gateway/EventSplitterTest.cpp
@@ -1,5 +1,8 @@
 /// \file
-/// Streams are passed on at the borders of events only.
+/// Tests that event streams are forwarded at event boundaries only.
+///
+/// They guard against incomplete, repeated or missing events in a stream that
+/// continues on another upstream.
 #include "relay/EventSplitter.h"
 
 #include <gtest/gtest.h>
