--- a/src/libs/native/EngineAttempt.cpp
+++ b/src/libs/native/EngineAttempt.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t LargestChunk = 1024ULL * 1024;
-constexpr std::size_t LargestRefusal = 64ULL * 1024;
+constexpr std::size_t MaxChunkBytes = 1024ULL * 1024;
+constexpr std::size_t MaxRefusalBytes = 64ULL * 1024;
 constexpr unsigned Ok = 200;
 constexpr unsigned Unavailable = 503;
 /// How long past the deadline a connection is kept: the kernel cancels first.
@@ -32,7 +32,7 @@
 }
 
 /// Whether nothing listens there any more.
-Task<bool> isGone(net::any_io_executor Executor, Address At) {
+Task<bool> hasNoListener(net::any_io_executor Executor, Address At) {
   beast::tcp_stream Probe(Executor);
   Probe.expires_after(ProbeTimeout);
   ErrorCode Failure;
@@ -43,16 +43,16 @@
 } // namespace
 
 std::vector<std::pair<std::string, std::string>>
-attemptHeaders(const DispatchAttempt &Wanted, const HostId &Self) {
+attemptHeaders(const DispatchAttempt &Dispatch, const HostId &Self) {
   std::vector<std::pair<std::string, std::string>> Result{
       {"Content-Type", "application/json"},
-      {"X-Attempt", idText(Wanted.Attempt)},
+      {"X-Attempt", idText(Dispatch.Attempt)},
       {"X-Owner", Self.Value},
-      {"X-Deadline", std::to_string(toMilliseconds(Wanted.Deadline))},
-      {"X-Priority", std::to_string(Wanted.Priority)}};
+      {"X-Deadline", std::to_string(toMilliseconds(Dispatch.Deadline))},
+      {"X-Priority", std::to_string(Dispatch.Priority)}};
   std::string Holds;
-  for (const HoldId &Each : Wanted.Holds)
-    Holds += (Holds.empty() ? "" : ",") + idText(Each);
+  for (const HoldId &Hold : Dispatch.Holds)
+    Holds += (Holds.empty() ? "" : ",") + idText(Hold);
   if (!Holds.empty())
     Result.emplace_back("X-Holds", Holds);
   return Result;
@@ -63,7 +63,7 @@
   if (Status != Unavailable)
     return AttemptFailed{fmt::format("status {}", Status)};
   try {
-    const std::string Reason = readingJson([&] {
+    const std::string Reason = convertJsonErrors([&] {
       return parseBoundedJson(Body).at("refused").get<std::string>();
     });
     return AttemptRefused{refusalFrom(Reason)};
@@ -74,13 +74,13 @@
 }
 
 EngineAttempt::EngineAttempt(const net::any_io_executor &Executor,
-                             DispatchAttempt WantedGiven,
+                             DispatchAttempt DispatchGiven,
                              const HostId &SelfGiven,
                              const PlatformSettings &Values)
-    : Wanted(std::move(WantedGiven)), Self(SelfGiven), Values(Values),
-      Stream(this->Wanted.AttachTo.value_or(this->Wanted.Attempt)),
-      Assembler(idText(this->Stream), this->Wanted.NextIndex),
-      Link(Executor, LargestChunk) {}
+    : Dispatch(std::move(DispatchGiven)), Self(SelfGiven), Values(Values),
+      Stream(this->Dispatch.AttachTo.value_or(this->Dispatch.Attempt)),
+      Assembler(idText(this->Stream), this->Dispatch.NextIndex),
+      Link(Executor, MaxChunkBytes) {}
 
 void EngineAttempt::cancel() {
   this->Cancelled = true;
@@ -89,45 +89,46 @@
 
 ClientRequest EngineAttempt::requestFor(std::string_view Prompt) const {
   ClientRequest Result;
-  Result.Headers = attemptHeaders(this->Wanted, this->Self);
-  if (this->Wanted.AttachTo) {
+  Result.Headers = attemptHeaders(this->Dispatch, this->Self);
+  if (this->Dispatch.AttachTo) {
     Result.Target = fmt::format("/v1/streams/{}?from={}", idText(this->Stream),
-                                this->Wanted.NextIndex);
+                                this->Dispatch.NextIndex);
     return Result;
   }
   Result.Method = http::verb::post;
   Result.Target = "/v1/completions";
-  Result.Body = dumpJson({{"model", this->Wanted.TargetName},
+  Result.Body = dumpJson({{"model", this->Dispatch.TargetName},
                           {"prompt", Prompt},
-                          {"max_tokens", this->Wanted.MaxOutputTokens},
-                          {"start_index", this->Wanted.NextIndex}});
+                          {"max_tokens", this->Dispatch.MaxOutputTokens},
+                          {"start_index", this->Dispatch.NextIndex}});
   return Result;
 }
 
 Task<AttemptOutcome> EngineAttempt::run(std::string_view Prompt,
-                                        ChunkSink &Into, Time Now) {
-  const Duration Left = std::max<Duration>(this->Wanted.Deadline - Now, {});
+                                        ChunkSink &Sink, Time Now) {
+  const Duration Remaining =
+      std::max<Duration>(this->Dispatch.Deadline - Now, {});
   const auto Failure = co_await this->Link.open(
-      this->Wanted.At, this->requestFor(Prompt), this->Values.ConnectTimeout,
-      Left + DeadlineGrace);
+      this->Dispatch.At, this->requestFor(Prompt), this->Values.ConnectTimeout,
+      Remaining + DeadlineGrace);
   if (Failure && surelyNotSent(*Failure))
     co_return AttemptNeverSent{};
   if (Failure)
     co_return co_await this->broken(*Failure);
   if (this->Link.status() != Ok)
     co_return co_await this->readRefusal();
-  co_return co_await this->readStream(Into);
+  co_return co_await this->readStream(Sink);
 }
 
 Task<AttemptOutcome> EngineAttempt::readRefusal() {
-  const auto [Body, Whole] = co_await this->Link.readRest(LargestRefusal);
-  if (!Whole)
+  const auto [Body, Complete] = co_await this->Link.readRest(MaxRefusalBytes);
+  if (!Complete)
     co_return AttemptBroken{this->Assembler.nextIndex(), false};
   co_return outcomeOfStatus(this->Link.status(), Body,
                             this->Assembler.nextIndex());
 }
 
-Task<AttemptOutcome> EngineAttempt::readStream(ChunkSink &Into) {
+Task<AttemptOutcome> EngineAttempt::readStream(ChunkSink &Sink) {
   std::vector<ServerEvent> Events;
   auto State = ClientStream::ReadState::GoesOn;
   while (State == ClientStream::ReadState::GoesOn) {
@@ -140,8 +141,8 @@
     }
     if (Malformed)
       co_return AttemptBroken{this->Assembler.nextIndex(), false};
-    for (const ServerEvent &Each : Events) {
-      auto Decided = co_await this->takeEvent(Each, Into);
+    for (const ServerEvent &Incoming : Events) {
+      auto Decided = co_await this->handleEvent(Incoming, Sink);
       if (Decided)
         co_return std::move(*Decided);
     }
@@ -152,52 +153,52 @@
 }
 
 Task<std::optional<AttemptOutcome>>
-EngineAttempt::takeEvent(const ServerEvent &Each, ChunkSink &Into) {
+EngineAttempt::handleEvent(const ServerEvent &Incoming, ChunkSink &Sink) {
   using Verdict = StreamAssembler::Verdict;
-  const json Data = json::parse(Each.Data, nullptr, false);
+  const json Data = json::parse(Incoming.Data, nullptr, false);
   const AttemptBroken Broken{this->Assembler.nextIndex(), false};
   if (!Data.is_object())
     co_return Broken;
   auto Result = Verdict::Broken;
   std::string Text;
-  std::string Failed;
+  std::string FailureMessage;
   bool Malformed = false;
   std::uint64_t Index = 0;
   try {
     const std::string Attempt = textMember(Data, "attempt");
-    if (Each.Type == "error" && Attempt == idText(this->Stream)) {
-      Failed = Data.value("message", std::string());
-      if (Failed.empty())
-        Failed = "no reason given";
-    } else if (Each.Type == "end") {
+    if (Incoming.Type == "error" && Attempt == idText(this->Stream)) {
+      FailureMessage = Data.value("message", std::string());
+      if (FailureMessage.empty())
+        FailureMessage = "no reason given";
+    } else if (Incoming.Type == "end") {
       Index = Data.at("count").get<std::uint64_t>();
-      Result = this->Assembler.takeEnd(Attempt, Index);
-    } else if (Each.Type.empty()) {
+      Result = this->Assembler.acceptEnd(Attempt, Index);
+    } else if (Incoming.Type.empty()) {
       Index = Data.at("index").get<std::uint64_t>();
       Text = textMember(Data, "text");
-      Result = this->Assembler.takeChunk(Attempt, Index);
+      Result = this->Assembler.acceptChunk(Attempt, Index);
     } else {
       Result = Verdict::Drop;
     }
   } catch (const json::exception &) {
     Malformed = true;
   }
-  if (!Failed.empty())
-    co_return AttemptFailed{Failed};
+  if (!FailureMessage.empty())
+    co_return AttemptFailed{FailureMessage};
   if (Malformed || Result == Verdict::Broken)
     co_return Broken;
-  if (Result == Verdict::Whole)
+  if (Result == Verdict::Complete)
     co_return AttemptComplete{Index, ""};
   if (Result == Verdict::Deliver)
-    co_await Into.take(Index, std::move(Text));
+    co_await Sink.take(Index, std::move(Text));
   co_return std::nullopt;
 }
 
-Task<AttemptOutcome> EngineAttempt::broken(ClientFailure How) {
-  bool Died = How == ClientFailure::Reset;
+Task<AttemptOutcome> EngineAttempt::broken(ClientFailure Failure) {
+  bool Died = Failure == ClientFailure::Reset;
   if (!Died && !this->Cancelled) {
     const net::any_io_executor Executor = co_await net::this_coro::executor;
-    Died = co_await isGone(Executor, this->Wanted.At);
+    Died = co_await hasNoListener(Executor, this->Dispatch.At);
   }
   co_return AttemptBroken{this->Assembler.nextIndex(), Died};
 }
--- a/src/libs/native/EngineAttempt.h
+++ b/src/libs/native/EngineAttempt.h
@@ -20,11 +20,11 @@
 /// Used on one thread.
 class EngineAttempt {
 public:
-  EngineAttempt(const net::any_io_executor &Executor, DispatchAttempt Wanted,
+  EngineAttempt(const net::any_io_executor &Executor, DispatchAttempt Dispatch,
                 const HostId &Self, const PlatformSettings &Values);
 
   /// Runs the try or attaches to a running one. \p Prompt must outlive it.
-  Task<AttemptOutcome> run(std::string_view Prompt, ChunkSink &Into, Time Now);
+  Task<AttemptOutcome> run(std::string_view Prompt, ChunkSink &Sink, Time Now);
 
   /// Ends the connection; run() ends soon, its outcome means nothing then.
   void cancel();
@@ -38,13 +38,13 @@
 private:
   ClientRequest requestFor(std::string_view Prompt) const;
   Task<AttemptOutcome> readRefusal();
-  Task<AttemptOutcome> readStream(ChunkSink &Into);
+  Task<AttemptOutcome> readStream(ChunkSink &Sink);
   /// The outcome when the event decides it.
-  Task<std::optional<AttemptOutcome>> takeEvent(const ServerEvent &Each,
-                                                ChunkSink &Into);
-  Task<AttemptOutcome> broken(ClientFailure How);
+  Task<std::optional<AttemptOutcome>> handleEvent(const ServerEvent &Incoming,
+                                                  ChunkSink &Sink);
+  Task<AttemptOutcome> broken(ClientFailure Failure);
 
-  DispatchAttempt Wanted;
+  DispatchAttempt Dispatch;
   HostId Self;
   const PlatformSettings &Values;
   AttemptId Stream;
@@ -55,7 +55,7 @@
 
 /// The headers that every try carries.
 std::vector<std::pair<std::string, std::string>>
-attemptHeaders(const DispatchAttempt &Wanted, const HostId &Self);
+attemptHeaders(const DispatchAttempt &Dispatch, const HostId &Self);
 
 /// What an answer of an upstream other than 200 means: it refused before it
 /// started, it failed, or nobody knows.
--- a/src/libs/native/HostListJson.cpp
+++ b/src/libs/native/HostListJson.cpp
@@ -10,41 +10,41 @@
 
 using nlohmann::json;
 
-HostListing hostFrom(const json &Given) {
+HostListing hostFrom(const json &Object) {
   HostListing Result;
-  Result.Id.Value = textMember(Given, "id");
-  Result.Zone.Value = textMember(Given, "zone");
-  Result.Callers = addressFromText(textMember(Given, "callers"));
-  Result.Peers = addressFromText(textMember(Given, "peers"));
-  Result.Leaving = Given.value("leaving", false);
+  Result.Id.Value = textMember(Object, "id");
+  Result.Zone.Value = textMember(Object, "zone");
+  Result.Callers = addressFromText(textMember(Object, "callers"));
+  Result.Peers = addressFromText(textMember(Object, "peers"));
+  Result.Leaving = Object.value("leaving", false);
   return Result;
 }
 
-UpstreamListing upstreamFrom(const json &Given) {
+UpstreamListing upstreamFrom(const json &Object) {
   UpstreamListing Result;
-  Result.Id.Value = textMember(Given, "id");
-  Result.Life.Value = hexMember(Given, "life");
-  Result.Kind = textMember(Given, "kind") == "application"
+  Result.Id.Value = textMember(Object, "id");
+  Result.Life.Value = hexMember(Object, "life");
+  Result.Kind = textMember(Object, "kind") == "application"
                     ? UpstreamKind::Application
                     : UpstreamKind::Engine;
-  Result.At = addressFromText(textMember(Given, "at"));
-  Result.Zone.Value = textMember(Given, "zone");
-  Result.Application = Given.value("application", "");
-  Result.ChecksFencing = Given.value("checks_fencing", false);
-  Result.Leaving = Given.value("leaving", false);
+  Result.At = addressFromText(textMember(Object, "at"));
+  Result.Zone.Value = textMember(Object, "zone");
+  Result.Application = Object.value("application", "");
+  Result.ChecksFencing = Object.value("checks_fencing", false);
+  Result.Leaving = Object.value("leaving", false);
   return Result;
 }
 
 } // namespace
 
 HostListRead hostListFromJson(std::string_view Body) {
-  return readingJson([&] {
-    const json Given = parseBoundedJson(Body);
+  return convertJsonErrors([&] {
+    const json Object = parseBoundedJson(Body);
     HostListRead Result;
-    for (const json &Each : Given.at("hosts"))
-      Result.Hosts.push_back(hostFrom(Each));
-    for (const json &Each : Given.at("upstreams"))
-      Result.Upstreams.push_back(upstreamFrom(Each));
+    for (const json &Entry : Object.at("hosts"))
+      Result.Hosts.push_back(hostFrom(Entry));
+    for (const json &Entry : Object.at("upstreams"))
+      Result.Upstreams.push_back(upstreamFrom(Entry));
     return Result;
   });
 }
--- a/src/libs/native/JsonField.h
+++ b/src/libs/native/JsonField.h
@@ -11,9 +11,9 @@
 
 /// Runs \p Read and turns the errors of the JSON library into
 /// Error(BadInput): a member is missing or has another type.
-template <class Function> auto readingJson(Function Read) {
+template <class Function> auto convertJsonErrors(Function Parse) {
   try {
-    return Read();
+    return Parse();
   } catch (const nlohmann::json::exception &Failure) {
     throw Error(ErrorKind::BadInput,
                 std::string("a JSON member is not as agreed: ") +
@@ -23,8 +23,8 @@
 }
 
 /// A number written in hexadecimal.
-inline std::uint64_t hexMember(const nlohmann::json &Of, const char *Name) {
-  const auto Value = fromHex(Of.at(Name).get_ref<const std::string &>());
+inline std::uint64_t hexMember(const nlohmann::json &Object, const char *Name) {
+  const auto Value = fromHex(Object.at(Name).get_ref<const std::string &>());
   if (!Value)
     throw Error(ErrorKind::BadInput,
                 std::string(Name) + " is not a hexadecimal number",
@@ -32,8 +32,8 @@
   return *Value;
 }
 
-inline std::string textMember(const nlohmann::json &Of, const char *Name) {
-  return Of.at(Name).get<std::string>();
+inline std::string textMember(const nlohmann::json &Object, const char *Name) {
+  return Object.at(Name).get<std::string>();
 }
 
 } // namespace banyanpick
--- a/src/libs/native/LoadReportJson.cpp
+++ b/src/libs/native/LoadReportJson.cpp
@@ -20,64 +20,66 @@
               "see docs/PROTOCOLS.md");
 }
 
-HoldReport holdFrom(const json &Given) {
+HoldReport holdFrom(const json &Object) {
   HoldReport Result;
-  Result.Kind = holdKindFrom(textMember(Given, "kind"));
-  Result.OwnerLife = hexMember(Given, "owner_life");
-  Result.Sequence = Given.at("sequence").get<std::uint64_t>();
-  Result.OwnerHost = textMember(Given, "owner");
-  Result.Tokens = Given.at("tokens").get<std::uint64_t>();
-  Result.Deadline = fromMilliseconds(Given.at("deadline").get<std::int64_t>());
+  Result.Kind = holdKindFrom(textMember(Object, "kind"));
+  Result.OwnerLife = hexMember(Object, "owner_life");
+  Result.Sequence = Object.at("sequence").get<std::uint64_t>();
+  Result.OwnerHost = textMember(Object, "owner");
+  Result.Tokens = Object.at("tokens").get<std::uint64_t>();
+  Result.Deadline = fromMilliseconds(Object.at("deadline").get<std::int64_t>());
   return Result;
 }
 
-void readLists(const json &Given, LoadReport &Into) {
-  for (const json &Each : Given.at("models"))
-    Into.Models.emplace_back(Each.get<std::string>());
-  for (const json &Each : Given.at("holds"))
-    Into.Holds.push_back(holdFrom(Each));
-  for (const json &Each : Given.value("backlog", json::array()))
-    Into.Backlog.push_back({Each.at("priority").get<std::uint32_t>(),
-                            Each.at("prefill_tokens").get<std::uint64_t>()});
+void readLists(const json &Object, LoadReport &Report) {
+  for (const json &Entry : Object.at("models"))
+    Report.Models.emplace_back(Entry.get<std::string>());
+  for (const json &Entry : Object.at("holds"))
+    Report.Holds.push_back(holdFrom(Entry));
+  for (const json &Entry : Object.value("backlog", json::array()))
+    Report.Backlog.push_back({Entry.at("priority").get<std::uint32_t>(),
+                              Entry.at("prefill_tokens").get<std::uint64_t>()});
 }
 
-LoadReport reportFrom(const json &Given) {
+LoadReport reportFrom(const json &Object) {
   LoadReport Result;
-  Result.Id.Value = textMember(Given, "id");
-  Result.Life.Value = hexMember(Given, "life");
+  Result.Id.Value = textMember(Object, "id");
+  Result.Life.Value = hexMember(Object, "life");
   Result.MeasuredAt =
-      fromMilliseconds(Given.at("measured_at").get<std::int64_t>());
-  Result.Leaving = Given.at("leaving").get<bool>();
-  Result.Running = Given.at("running").get<std::uint32_t>();
-  Result.Queued = Given.at("queued").get<std::uint32_t>();
+      fromMilliseconds(Object.at("measured_at").get<std::int64_t>());
+  Result.Leaving = Object.at("leaving").get<bool>();
+  Result.Running = Object.at("running").get<std::uint32_t>();
+  Result.Queued = Object.at("queued").get<std::uint32_t>();
   Result.QueuedPrefillTokens =
-      Given.at("queued_prefill_tokens").get<std::uint64_t>();
-  Result.MemoryTokens = Given.at("memory_tokens").get<std::uint64_t>();
-  Result.FreeMemoryTokens = Given.at("free_memory_tokens").get<std::uint64_t>();
+      Object.at("queued_prefill_tokens").get<std::uint64_t>();
+  Result.MemoryTokens = Object.at("memory_tokens").get<std::uint64_t>();
+  Result.FreeMemoryTokens =
+      Object.at("free_memory_tokens").get<std::uint64_t>();
   Result.PrefillTokensPerSecond =
-      Given.at("prefill_tokens_per_second").get<double>();
+      Object.at("prefill_tokens_per_second").get<double>();
   Result.DecodeTokensPerSecond =
-      Given.at("decode_tokens_per_second").get<double>();
-  Result.HighestFencing = Given.at("highest_fencing").get<LogOffset>();
-  readLists(Given, Result);
+      Object.at("decode_tokens_per_second").get<double>();
+  Result.HighestFencing = Object.at("highest_fencing").get<LogOffset>();
+  readLists(Object, Result);
   return Result;
 }
 
 } // namespace
 
 LoadReport loadReportFromJson(std::string_view Body) {
-  return readingJson([&] { return reportFrom(parseBoundedJson(Body)); });
+  return convertJsonErrors([&] { return reportFrom(parseBoundedJson(Body)); });
 }
 
 CacheEventsReported cacheEventsFromJson(std::string_view Body,
                                         const UpstreamId &From) {
-  return readingJson([&] {
-    const json Given = parseBoundedJson(Body);
-    CacheEventsReported Result{From, Incarnation(hexMember(Given, "life")), {}};
-    for (const json &Each : Given.at("events"))
-      Result.Events.push_back({Each.at("sequence").get<std::uint64_t>(),
-                               Each.at("stored").get<bool>(),
-                               hexMember(Each, "block")});
+  return convertJsonErrors([&] {
+    const json Object = parseBoundedJson(Body);
+    CacheEventsReported Result{
+        From, Incarnation(hexMember(Object, "life")), {}};
+    for (const json &Entry : Object.at("events"))
+      Result.Events.push_back({Entry.at("sequence").get<std::uint64_t>(),
+                               Entry.at("stored").get<bool>(),
+                               hexMember(Entry, "block")});
     return Result;
   });
 }
--- a/src/libs/native/LogClient.cpp
+++ b/src/libs/native/LogClient.cpp
@@ -15,22 +15,22 @@
 
 using nlohmann::json;
 
-constexpr std::size_t LargestAnswer = 256ULL * 1024 * 1024;
+constexpr std::size_t MaxAnswerBytes = 256ULL * 1024 * 1024;
 constexpr unsigned Ok = 200;
 constexpr unsigned Unavailable = 503;
 
-void addRecords(const json &Given, LogRead &Into) {
-  const LogOffset Offset = Given.at("offset").get<LogOffset>();
-  Into.NextOffset = std::max(Into.NextOffset, Offset + 1);
+void addRecords(const json &Object, LogRead &Read) {
+  const LogOffset Offset = Object.at("offset").get<LogOffset>();
+  Read.NextOffset = std::max(Read.NextOffset, Offset + 1);
   std::vector<LogRecord> Records;
   try {
-    Records = decodeLogBatch(fromBase64(textMember(Given, "bytes")));
+    Records = decodeLogBatch(fromBase64(textMember(Object, "bytes")));
   } catch (const Error &) {
     return; // Not ours, or of a later release; every host passes over it.
   }
   std::uint32_t Position = 0;
-  for (LogRecord &Each : Records)
-    Into.Records.push_back({Offset, Position++, std::move(Each)});
+  for (LogRecord &Record : Records)
+    Read.Records.push_back({Offset, Position++, std::move(Record)});
 }
 
 const ClientAnswer *successOf(const ClientResult &Result) {
@@ -53,7 +53,7 @@
   if (Answer.Status != Ok)
     return Unknown;
   try {
-    return readingJson([&] {
+    return convertJsonErrors([&] {
       const auto Offset =
           parseBoundedJson(Answer.Body).at("offset").get<LogOffset>();
       return AppendAnswered{Append, AppendResult::Appended, Offset};
@@ -64,42 +64,42 @@
 }
 
 LogRead logReadFrom(std::string_view Body, LogOffset FromOffset) {
-  return readingJson([&] {
-    const json Given = parseBoundedJson(Body);
+  return convertJsonErrors([&] {
+    const json Object = parseBoundedJson(Body);
     LogRead Result;
     Result.FromOffset = FromOffset;
-    Result.StartOffset = Given.at("start").get<LogOffset>();
-    Result.EndOffset = Given.at("end").get<LogOffset>();
+    Result.StartOffset = Object.at("start").get<LogOffset>();
+    Result.EndOffset = Object.at("end").get<LogOffset>();
     Result.NextOffset = std::max(FromOffset, Result.StartOffset);
-    for (const json &Each : Given.at("records"))
-      addRecords(Each, Result);
+    for (const json &Entry : Object.at("records"))
+      addRecords(Entry, Result);
     return Result;
   });
 }
 
 LogClient::LogClient(const net::any_io_executor &Executor,
                      PlatformSettings ValuesGiven)
-    : Values(std::move(ValuesGiven)), Client(Executor, LargestAnswer) {}
+    : Values(std::move(ValuesGiven)), Client(Executor, MaxAnswerBytes) {}
 
-Task<Event> LogClient::append(AppendToLog Wanted) {
+Task<Event> LogClient::append(AppendToLog Action) {
   ClientRequest Request;
   Request.Method = http::verb::post;
   Request.Target = "/log";
   Request.Headers.emplace_back("Content-Type", "application/octet-stream");
-  Request.Body = encodeLogBatch(Wanted.Records);
+  Request.Body = encodeLogBatch(Action.Records);
   // A fresh connection: on a kept one a lost answer would be likelier.
   const ClientResult Result = co_await this->Client.call(
       this->Values.Log, std::move(Request), this->Values.LogTimeout,
       HttpClient::Reuse::No);
-  co_return appendAnswerFrom(Wanted.Append, Result);
+  co_return appendAnswerFrom(Action.Append, Result);
 }
 
-Task<Event> LogClient::read(ReadLog Wanted) {
+Task<Event> LogClient::read(ReadLog Action) {
   ClientRequest Request;
   const auto WaitMs =
       std::chrono::duration_cast<milliseconds>(this->Values.LogWait).count();
   Request.Target =
-      fmt::format("/log?from={}&wait_ms={}", Wanted.FromOffset, WaitMs);
+      fmt::format("/log?from={}&wait_ms={}", Action.FromOffset, WaitMs);
   const ClientResult Result = co_await this->Client.call(
       this->Values.Log, std::move(Request),
       this->Values.LogTimeout + this->Values.LogWait);
@@ -107,7 +107,7 @@
   if (!Answer)
     co_return LogReadFailed{};
   try {
-    co_return logReadFrom(Answer->Body, Wanted.FromOffset);
+    co_return logReadFrom(Answer->Body, Action.FromOffset);
   } catch (const Error &) {
     co_return LogReadFailed{};
   }
--- a/src/libs/native/LogClient.h
+++ b/src/libs/native/LogClient.h
@@ -14,9 +14,9 @@
   LogClient(const net::any_io_executor &Executor, PlatformSettings Values);
 
   /// Taken or Refused only when that is sure; else Unknown.
-  Task<Event> append(AppendToLog Wanted);
+  Task<Event> append(AppendToLog Action);
   /// LogRead or LogReadFailed.
-  Task<Event> read(ReadLog Wanted);
+  Task<Event> read(ReadLog Action);
   /// HostListRead or HostListReadFailed.
   Task<Event> readHostList();
 
--- a/src/libs/native/ServiceCall.h
+++ b/src/libs/native/ServiceCall.h
@@ -13,7 +13,7 @@
 /// Used on one thread.
 class ServiceCall {
 public:
-  ServiceCall(const net::any_io_executor &Executor, DispatchAttempt Wanted,
+  ServiceCall(const net::any_io_executor &Executor, DispatchAttempt Dispatch,
               const HostId &Self, const PlatformSettings &Values);
 
   /// \p Body is the caller's JSON text. Result of AttemptComplete is the JSON
@@ -27,7 +27,7 @@
 private:
   AttemptOutcome outcomeOf(std::string_view Body) const;
 
-  DispatchAttempt Wanted;
+  DispatchAttempt Dispatch;
   HostId Self;
   const PlatformSettings &Values;
   ClientStream Link;
--- a/src/libs/native/StreamAssembler.cpp
+++ b/src/libs/native/StreamAssembler.cpp
@@ -3,7 +3,8 @@
 namespace banyanpick {
 
 StreamAssembler::Verdict
-StreamAssembler::takeChunk(std::string_view ChunkAttempt, std::uint64_t Index) {
+StreamAssembler::acceptChunk(std::string_view ChunkAttempt,
+                             std::uint64_t Index) {
   if (this->Closed || ChunkAttempt != this->Attempt || Index < this->Next)
     return this->drop();
   if (Index > this->Next) {
@@ -14,12 +15,12 @@
   return Verdict::Deliver;
 }
 
-StreamAssembler::Verdict StreamAssembler::takeEnd(std::string_view EndAttempt,
-                                                  std::uint64_t Count) {
+StreamAssembler::Verdict StreamAssembler::acceptEnd(std::string_view EndAttempt,
+                                                    std::uint64_t Count) {
   if (this->Closed || EndAttempt != this->Attempt)
     return this->drop();
   this->Closed = true;
-  return Count == this->Next ? Verdict::Whole : Verdict::Broken;
+  return Count == this->Next ? Verdict::Complete : Verdict::Broken;
 }
 
 StreamAssembler::Verdict StreamAssembler::drop() {
--- a/src/libs/native/StreamAssembler.h
+++ b/src/libs/native/StreamAssembler.h
@@ -18,14 +18,14 @@
       : Attempt(Attempt), Next(NextIndex) {}
 
   enum class Verdict {
-    Deliver, ///< The chunk expected next.
-    Drop,    ///< Of another try, or repeated; nothing happens.
-    Whole,   ///< The end mark fits; the answer is whole.
-    Broken,  ///< A chunk is missing, or the count differs.
+    Deliver,  ///< The chunk expected next.
+    Drop,     ///< Of another try, or repeated; nothing happens.
+    Complete, ///< The end mark fits; the answer is whole.
+    Broken,   ///< A chunk is missing, or the count differs.
   };
 
-  Verdict takeChunk(std::string_view ChunkAttempt, std::uint64_t Index);
-  Verdict takeEnd(std::string_view EndAttempt, std::uint64_t Count);
+  Verdict acceptChunk(std::string_view ChunkAttempt, std::uint64_t Index);
+  Verdict acceptEnd(std::string_view EndAttempt, std::uint64_t Count);
 
   /// The chunk expected next.
   std::uint64_t nextIndex() const { return this->Next; }
--- a/src/libs/native/UpstreamClient.cpp
+++ b/src/libs/native/UpstreamClient.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t LargestAnswer = 16ULL * 1024 * 1024;
+constexpr std::size_t MaxAnswerBytes = 16ULL * 1024 * 1024;
 constexpr unsigned Ok = 200;
 constexpr unsigned Conflict = 409;
 constexpr unsigned PreconditionFailed = 412;
@@ -38,11 +38,11 @@
   return Result;
 }
 
-ClientRequest holdRequest(const TakeHold &Wanted, const HostId &Self) {
-  const json Body{{"tokens", Wanted.Tokens},
-                  {"deadline", toMilliseconds(Wanted.Deadline)},
+ClientRequest holdRequest(const TakeHold &Action, const HostId &Self) {
+  const json Body{{"tokens", Action.Tokens},
+                  {"deadline", toMilliseconds(Action.Deadline)},
                   {"owner", Self.Value}};
-  return requestWithJson(http::verb::put, "/holds/" + idText(Wanted.Hold),
+  return requestWithJson(http::verb::put, "/holds/" + idText(Action.Hold),
                          Body);
 }
 
@@ -68,7 +68,7 @@
 
 LogOffset highestFencing(const ClientResult &Result) {
   try {
-    return readingJson([&] {
+    return convertJsonErrors([&] {
       return parseBoundedJson(std::get<ClientAnswer>(Result).Body)
           .at("highest_fencing")
           .get<LogOffset>();
@@ -101,84 +101,84 @@
 UpstreamClient::UpstreamClient(const net::any_io_executor &Executor,
                                HostId SelfGiven, PlatformSettings ValuesGiven)
     : Self(std::move(SelfGiven)), Values(std::move(ValuesGiven)),
-      Client(Executor, LargestAnswer) {}
+      Client(Executor, MaxAnswerBytes) {}
 
-Task<Event> UpstreamClient::pollLoad(PollLoad Wanted) {
+Task<Event> UpstreamClient::pollLoad(PollLoad Action) {
   ClientRequest Request;
   Request.Target = "/load";
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, std::move(Request), this->Values.PollTimeout);
+      Action.At, std::move(Request), this->Values.PollTimeout);
   const auto *Failure = std::get_if<ClientFailure>(&Result);
   const bool Refused = Failure && *Failure == ClientFailure::NothingListens;
   if (!succeeded(Result))
-    co_return LoadPollFailed{Wanted.Upstream, Refused};
+    co_return LoadPollFailed{Action.Upstream, Refused};
   try {
     LoadReport Report = loadReportFromJson(std::get<ClientAnswer>(Result).Body);
     // Something else listens at a re-used address.
-    if (Report.Id != Wanted.Upstream)
-      co_return LoadPollFailed{Wanted.Upstream, true};
+    if (Report.Id != Action.Upstream)
+      co_return LoadPollFailed{Action.Upstream, true};
     co_return LoadReported{std::move(Report)};
   } catch (const Error &) {
-    co_return LoadPollFailed{Wanted.Upstream, false};
+    co_return LoadPollFailed{Action.Upstream, false};
   }
 }
 
 Task<std::optional<Event>>
-UpstreamClient::pollCacheEvents(PollCacheEvents Wanted) {
+UpstreamClient::pollCacheEvents(PollCacheEvents Action) {
   ClientRequest Request;
-  Request.Target = fmt::format("/cache-events?after={}", Wanted.AfterSequence);
+  Request.Target = fmt::format("/cache-events?after={}", Action.AfterSequence);
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, std::move(Request), this->Values.PollTimeout);
+      Action.At, std::move(Request), this->Values.PollTimeout);
   if (!succeeded(Result))
     co_return std::nullopt;
   try {
     co_return Event(cacheEventsFromJson(std::get<ClientAnswer>(Result).Body,
-                                        Wanted.Upstream));
+                                        Action.Upstream));
   } catch (const Error &) {
     co_return std::nullopt;
   }
 }
 
-Task<Event> UpstreamClient::cancel(CancelAttempt Wanted, AttemptId Stream) {
+Task<Event> UpstreamClient::cancel(CancelAttempt Action, AttemptId Stream) {
   ClientRequest Request;
   Request.Method = http::verb::delete_;
   Request.Target = "/v1/streams/" + idText(Stream);
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, std::move(Request), this->Values.OrderTimeout);
-  co_return CancelAnswered{Wanted.Attempt, Wanted.Upstream, succeeded(Result)};
+      Action.At, std::move(Request), this->Values.OrderTimeout);
+  co_return CancelAnswered{Action.Attempt, Action.Upstream, succeeded(Result)};
 }
 
-Task<Event> UpstreamClient::takeHold(TakeHold Wanted) {
-  ClientRequest Request = holdRequest(Wanted, this->Self);
+Task<Event> UpstreamClient::takeHold(TakeHold Action) {
+  ClientRequest Request = holdRequest(Action, this->Self);
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, std::move(Request), this->Values.OrderTimeout);
-  co_return HoldAnswered{Wanted.Hold, Wanted.Upstream, holdResult(Result)};
+      Action.At, std::move(Request), this->Values.OrderTimeout);
+  co_return HoldAnswered{Action.Hold, Action.Upstream, holdResult(Result)};
 }
 
-Task<void> UpstreamClient::releaseHold(ReleaseHold Wanted) {
+Task<void> UpstreamClient::releaseHold(ReleaseHold Action) {
   ClientRequest Request;
   Request.Method = http::verb::delete_;
-  Request.Target = "/holds/" + idText(Wanted.Hold);
+  Request.Target = "/holds/" + idText(Action.Hold);
   const ClientResult Ignored = co_await this->Client.call(
-      Wanted.At, std::move(Request), this->Values.OrderTimeout);
+      Action.At, std::move(Request), this->Values.OrderTimeout);
   static_cast<void>(Ignored);
 }
 
-Task<Event> UpstreamClient::order(OrderUpstream Wanted, Time Now) {
-  const Duration Left =
-      std::min<Duration>(this->Values.OrderTimeout, Wanted.ValidUntil - Now);
-  if (Left <= Duration(0))
-    co_return OrderAnswered{Wanted.Order, Wanted.Upstream, OrderResult::Failed,
+Task<Event> UpstreamClient::order(OrderUpstream Action, Time Now) {
+  const Duration Remaining =
+      std::min<Duration>(this->Values.OrderTimeout, Action.ValidUntil - Now);
+  if (Remaining <= Duration(0))
+    co_return OrderAnswered{Action.Order, Action.Upstream, OrderResult::Failed,
                             0};
   // A fresh connection: nothing of the order may wait in an old one.
   ClientRequest Request =
-      requestWithJson(http::verb::post, "/orders", orderJson(Wanted));
+      requestWithJson(http::verb::post, "/orders", orderJson(Action));
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, std::move(Request), Left, HttpClient::Reuse::No);
-  const OrderResult How = orderResult(Result);
+      Action.At, std::move(Request), Remaining, HttpClient::Reuse::No);
+  const OrderResult Outcome = orderResult(Result);
   const LogOffset Highest =
-      How == OrderResult::RefusedFencing ? highestFencing(Result) : 0;
-  co_return OrderAnswered{Wanted.Order, Wanted.Upstream, How, Highest};
+      Outcome == OrderResult::RefusedFencing ? highestFencing(Result) : 0;
+  co_return OrderAnswered{Action.Order, Action.Upstream, Outcome, Highest};
 }
 
 } // namespace banyanpick
--- a/src/libs/native/UpstreamClient.h
+++ b/src/libs/native/UpstreamClient.h
@@ -15,15 +15,15 @@
                  PlatformSettings Values);
 
   /// LoadReported or LoadPollFailed.
-  Task<Event> pollLoad(PollLoad Wanted);
+  Task<Event> pollLoad(PollLoad Action);
   /// Nothing when the upstream does not answer.
-  Task<std::optional<Event>> pollCacheEvents(PollCacheEvents Wanted);
+  Task<std::optional<Event>> pollCacheEvents(PollCacheEvents Action);
   /// \p Stream is the id under which the upstream knows the attempt.
-  Task<Event> cancel(CancelAttempt Wanted, AttemptId Stream);
-  Task<Event> takeHold(TakeHold Wanted);
-  Task<void> releaseHold(ReleaseHold Wanted);
+  Task<Event> cancel(CancelAttempt Action, AttemptId Stream);
+  Task<Event> takeHold(TakeHold Action);
+  Task<void> releaseHold(ReleaseHold Action);
   /// Does not send it once its validity has passed at \p Now.
-  Task<Event> order(OrderUpstream Wanted, Time Now);
+  Task<Event> order(OrderUpstream Action, Time Now);
 
 private:
   HostId Self;
--- a/tests/auto/http/TextFormsTest.cpp
+++ b/tests/auto/http/TextFormsTest.cpp
@@ -71,13 +71,13 @@
     const std::string From = *rc::gen::element<std::string>("mine", "other");
     const auto Index = Delivered + *rc::gen::inRange<std::uint64_t>(0, 3);
     if (*rc::gen::inRange(0, 8) == 0) {
-      const Verdict End = Stream.takeEnd(From, Index);
-      RC_ASSERT((End == Verdict::Whole) <= (Index == Delivered));
+      const Verdict End = Stream.acceptEnd(From, Index);
+      RC_ASSERT((End == Verdict::Complete) <= (Index == Delivered));
       RC_ASSERT(From == "mine" || End == Verdict::Drop);
       if (End != Verdict::Drop)
         break;
     }
-    const Verdict Took = Stream.takeChunk(From, Index);
+    const Verdict Took = Stream.acceptChunk(From, Index);
     RC_ASSERT((Took == Verdict::Deliver) ==
               (From == "mine" && Index == Delivered));
     if (Took == Verdict::Broken)
