--- a/tests/auto/http/AttemptTest.cpp
+++ b/tests/auto/http/AttemptTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-const AttemptId Mine{Incarnation(0xa), 7};
+const AttemptId OwnId{Incarnation(0xa), 7};
 const Time Now(seconds(1'000'000));
 
 PlatformSettings quickSettings() {
@@ -26,7 +26,7 @@
 
 DispatchAttempt dispatchTo(const Address &At, std::uint64_t NextIndex = 0) {
   DispatchAttempt Result;
-  Result.Attempt = Mine;
+  Result.Attempt = OwnId;
   Result.At = At;
   Result.NextIndex = NextIndex;
   Result.Deadline = Now + seconds(5);
@@ -34,137 +34,137 @@
 }
 
 struct TextSink : ChunkSink {
-  Task<void> take(std::uint64_t, std::string Piece) override {
-    this->Text += Piece;
+  Task<void> take(std::uint64_t, std::string Chunk) override {
+    this->Text += Chunk;
     co_return;
   }
   std::string Text;
 };
 
-struct EngineRun {
+struct EngineResult {
   AttemptOutcome Outcome;
   std::string Text;
   std::uint64_t Dropped = 0;
 };
 
-EngineRun runEngine(const DispatchAttempt &Wanted) {
+EngineResult runEngine(const DispatchAttempt &Dispatch) {
   net::io_context Io;
   const PlatformSettings Values = quickSettings();
-  EngineAttempt Try(Io.get_executor(), Wanted, HostId("h"), Values);
+  EngineAttempt Attempt(Io.get_executor(), Dispatch, HostId("h"), Values);
   TextSink Sink;
-  AttemptOutcome Outcome = runTask(Io, Try.run("prompt", Sink, Now));
-  return {std::move(Outcome), Sink.Text, Try.dropped()};
+  AttemptOutcome Outcome = runTask(Io, Attempt.run("prompt", Sink, Now));
+  return {std::move(Outcome), Sink.Text, Attempt.dropped()};
 }
 
-std::string chunk(const AttemptId &Of, std::uint64_t Index, char Text) {
+std::string chunk(const AttemptId &Id, std::uint64_t Index, char Text) {
   return fmt::format(
       "data: {{\"attempt\":\"{}\",\"index\":{},\"text\":\"{}\"}}\n\n",
-      idText(Of), Index, Text);
+      idText(Id), Index, Text);
 }
 
-std::string endMark(const AttemptId &Of, std::uint64_t Count) {
+std::string endMark(const AttemptId &Id, std::uint64_t Count) {
   return fmt::format(
-      "event: end\ndata: {{\"attempt\":\"{}\",\"count\":{}}}\n\n", idText(Of),
+      "event: end\ndata: {{\"attempt\":\"{}\",\"count\":{}}}\n\n", idText(Id),
       Count);
 }
 
 /// An engine that answers each completion with these events.
-EngineRun runAgainst(std::string Events, std::uint64_t NextIndex = 0) {
-  LocalServer Engine([&](HttpExchange &Each) -> Task<void> {
-    co_await Each.beginEvents();
-    co_await Each.sendEvents(Events);
-    co_await Each.endEvents();
+EngineResult runWithEvents(std::string Events, std::uint64_t NextIndex = 0) {
+  LocalServer Engine([&](HttpExchange &Exchange) -> Task<void> {
+    co_await Exchange.beginEvents();
+    co_await Exchange.sendEvents(Events);
+    co_await Exchange.endEvents();
   });
   return runEngine(dispatchTo(Engine.at(), NextIndex));
 }
 
 /// An engine that answers with a status and a body.
 AttemptOutcome outcomeOf(unsigned Status, std::string Body) {
-  LocalServer Engine([&](HttpExchange &Each) -> Task<void> {
+  LocalServer Engine([&](HttpExchange &Exchange) -> Task<void> {
     HttpAnswer Answer;
     Answer.Status = Status;
     Answer.Body = Body;
-    co_await Each.respond(std::move(Answer));
+    co_await Exchange.respond(std::move(Answer));
   });
   return runEngine(dispatchTo(Engine.at())).Outcome;
 }
 
-Address addressOfNobody() {
+Address unusedAddress() {
   net::io_context Io;
-  Tcp::acceptor Taken(Io, {net::ip::make_address("127.0.0.1"), 0});
-  return {"127.0.0.1", Taken.local_endpoint().port()};
+  Tcp::acceptor Acceptor(Io, {net::ip::make_address("127.0.0.1"), 0});
+  return {"127.0.0.1", Acceptor.local_endpoint().port()};
 }
 
-TEST(EngineAttempt, WholeOnlyWithTheEndMark) {
-  const EngineRun Run =
-      runAgainst(chunk(Mine, 0, 'a') + chunk(Mine, 1, 'b') + endMark(Mine, 2));
-  EXPECT_EQ(Run.Outcome, AttemptOutcome(AttemptComplete{2, ""}));
-  EXPECT_EQ(Run.Text, "ab");
-  EXPECT_EQ(runAgainst(chunk(Mine, 0, 'a')).Outcome,
+TEST(EngineAttempt, CompleteOnlyWithTheEndMark) {
+  const EngineResult Result = runWithEvents(
+      chunk(OwnId, 0, 'a') + chunk(OwnId, 1, 'b') + endMark(OwnId, 2));
+  EXPECT_EQ(Result.Outcome, AttemptOutcome(AttemptComplete{2, ""}));
+  EXPECT_EQ(Result.Text, "ab");
+  EXPECT_EQ(runWithEvents(chunk(OwnId, 0, 'a')).Outcome,
             AttemptOutcome(AttemptBroken{1, false}));
-  EXPECT_EQ(runAgainst(chunk(Mine, 0, 'a') + endMark(Mine, 2)).Outcome,
+  EXPECT_EQ(runWithEvents(chunk(OwnId, 0, 'a') + endMark(OwnId, 2)).Outcome,
             AttemptOutcome(AttemptBroken{1, false}));
 }
 
-TEST(EngineAttempt, CrossedAndRepeatedChunksAreDropped) {
-  const AttemptId Other{Incarnation(0xb), 7};
-  const EngineRun Run = runAgainst(chunk(Mine, 2, 'c') + chunk(Other, 3, 'x') +
-                                       chunk(Mine, 2, 'y') + endMark(Other, 3) +
-                                       chunk(Mine, 3, 'd') + endMark(Mine, 4),
-                                   2);
-  EXPECT_EQ(Run.Outcome, AttemptOutcome(AttemptComplete{4, ""}));
-  EXPECT_EQ(Run.Text, "cd");
-  EXPECT_EQ(Run.Dropped, 3U);
+TEST(EngineAttempt, ForeignAndRepeatedChunksAreDropped) {
+  const AttemptId ForeignId{Incarnation(0xb), 7};
+  const EngineResult Result = runWithEvents(
+      chunk(OwnId, 2, 'c') + chunk(ForeignId, 3, 'x') + chunk(OwnId, 2, 'y') +
+          endMark(ForeignId, 3) + chunk(OwnId, 3, 'd') + endMark(OwnId, 4),
+      2);
+  EXPECT_EQ(Result.Outcome, AttemptOutcome(AttemptComplete{4, ""}));
+  EXPECT_EQ(Result.Text, "cd");
+  EXPECT_EQ(Result.Dropped, 3U);
 }
 
 TEST(EngineAttempt, AGapBreaksTheStream) {
-  const EngineRun Run =
-      runAgainst(chunk(Mine, 0, 'a') + chunk(Mine, 2, 'c') + endMark(Mine, 3));
-  EXPECT_EQ(Run.Outcome, AttemptOutcome(AttemptBroken{1, false}));
-  EXPECT_EQ(Run.Text, "a");
+  const EngineResult Result = runWithEvents(
+      chunk(OwnId, 0, 'a') + chunk(OwnId, 2, 'c') + endMark(OwnId, 3));
+  EXPECT_EQ(Result.Outcome, AttemptOutcome(AttemptBroken{1, false}));
+  EXPECT_EQ(Result.Text, "a");
 }
 
-TEST(EngineAttempt, ErrorsOfTheEngineAreToldApart) {
+TEST(EngineAttempt, DistinguishesErrorsOfTheEngine) {
   const std::string Failure = fmt::format(
       "event: error\ndata: {{\"attempt\":\"{}\",\"message\":\"m\"}}\n\n",
-      idText(Mine));
-  EXPECT_EQ(runAgainst(Failure).Outcome, AttemptOutcome(AttemptFailed{"m"}));
+      idText(OwnId));
+  EXPECT_EQ(runWithEvents(Failure).Outcome, AttemptOutcome(AttemptFailed{"m"}));
   EXPECT_EQ(outcomeOf(503, R"({"refused":"no-memory"})"),
             AttemptOutcome(AttemptRefused{AttemptRefused::Why::NoMemory}));
   EXPECT_EQ(outcomeOf(503, "busy"), AttemptOutcome(AttemptBroken{0, false}));
   EXPECT_EQ(outcomeOf(500, "{}"), AttemptOutcome(AttemptFailed{"status 500"}));
 }
 
-TEST(EngineAttempt, NothingListensMeansNeverSent) {
-  EXPECT_EQ(runEngine(dispatchTo(addressOfNobody())).Outcome,
+TEST(EngineAttempt, RefusedConnectionMeansNeverSent) {
+  EXPECT_EQ(runEngine(dispatchTo(unusedAddress())).Outcome,
             AttemptOutcome(AttemptNeverSent{}));
 }
 
 /// A peer that reads what comes and closes, so that bytes were handed over.
-TEST(EngineAttempt, AnEngineThatDiesAfterBytesWentOutIsBroken) {
+TEST(EngineAttempt, EngineThatDiesAfterSendingIsBroken) {
   net::io_context Io;
   Tcp::acceptor Listener(Io, {net::ip::make_address("127.0.0.1"), 0});
   const Address At{"127.0.0.1", Listener.local_endpoint().port()};
   std::thread Engine([&] {
     Tcp::socket Peer = Listener.accept();
     Listener.close();
-    std::array<char, 16> Some{};
-    Peer.read_some(net::buffer(Some));
+    std::array<char, 16> Bytes{};
+    Peer.read_some(net::buffer(Bytes));
   });
-  const EngineRun Run = runEngine(dispatchTo(At));
+  const EngineResult Result = runEngine(dispatchTo(At));
   Engine.join();
-  EXPECT_EQ(Run.Outcome, AttemptOutcome(AttemptBroken{0, true}));
+  EXPECT_EQ(Result.Outcome, AttemptOutcome(AttemptBroken{0, true}));
 }
 
-RC_GTEST_PROP(EngineAttempt, AnyBytesEndInAnOutcome,
+RC_GTEST_PROP(EngineAttempt, AnyBytesGiveAnOutcome,
               (const std::string &Bytes)) {
-  LocalServer Engine([&](HttpExchange &Each) -> Task<void> {
-    co_await Each.beginEvents();
-    co_await Each.sendEvents("data: " + Bytes + "\n\n");
-    co_await Each.endEvents();
+  LocalServer Engine([&](HttpExchange &Exchange) -> Task<void> {
+    co_await Exchange.beginEvents();
+    co_await Exchange.sendEvents("data: " + Bytes + "\n\n");
+    co_await Exchange.endEvents();
   });
-  const EngineRun Run = runEngine(dispatchTo(Engine.at()));
-  RC_ASSERT(std::holds_alternative<AttemptBroken>(Run.Outcome));
+  const EngineResult Result = runEngine(dispatchTo(Engine.at()));
+  RC_ASSERT(std::holds_alternative<AttemptBroken>(Result.Outcome));
 }
 
 AttemptOutcome runService(const Address &At) {
@@ -174,12 +174,12 @@
   return runTask(Io, Call.run("key", "{}", Now));
 }
 
-TEST(ServiceCall, ResultOfItsOwnAttemptOnly) {
-  std::string Name = idText(Mine);
-  LocalServer Service([&](HttpExchange &Each) -> Task<void> {
+TEST(ServiceCall, AcceptsOnlyTheResultOfItsOwnAttempt) {
+  std::string Name = idText(OwnId);
+  LocalServer Service([&](HttpExchange &Exchange) -> Task<void> {
     HttpAnswer Answer;
     Answer.Body = R"({"attempt":")" + Name + R"(","result":{"a":1}})";
-    co_await Each.respond(std::move(Answer));
+    co_await Exchange.respond(std::move(Answer));
   });
   EXPECT_EQ(runService(Service.at()),
             AttemptOutcome(AttemptComplete{0, R"({"a":1})"}));
@@ -187,7 +187,7 @@
   EXPECT_EQ(runService(Service.at()), AttemptOutcome(AttemptBroken{0, false}));
 }
 
-TEST(LogClient, AnAppendIsTakenOrRefusedOnlyWhenThatIsSure) {
+TEST(LogClient, AppendIsAppendedOrRefusedOnlyIfCertain) {
   const AppendId Id(3);
   using enum AppendResult;
   const auto Meaning = [&](const ClientResult &Result) {
