--- a/src/libs/native/EngineAttempt.cpp
+++ b/src/libs/native/EngineAttempt.cpp
@@ -16,7 +16,8 @@
 constexpr std::size_t MaxRefusalBytes = 64ULL * 1024;
 constexpr unsigned Ok = 200;
 constexpr unsigned Unavailable = 503;
-/// How long past the deadline a connection is kept: the kernel cancels first.
+/// How long a connection stays open past the deadline, so that the kernel
+/// cancels the attempt first.
 constexpr seconds DeadlineGrace(2);
 constexpr milliseconds ProbeTimeout(250);
 
@@ -31,7 +32,7 @@
   return Text == "no-memory" ? Why::NoMemory : Why::Other;
 }
 
-/// Whether nothing listens there any more.
+/// Returns whether the address refuses connections.
 Task<bool> hasNoListener(net::any_io_executor Executor, Address At) {
   beast::tcp_stream Probe(Executor);
   Probe.expires_after(ProbeTimeout);
@@ -68,7 +69,8 @@
     });
     return AttemptRefused{refusalFrom(Reason)};
   } catch (const Error &) {
-    // Something between may have said it after the upstream began.
+    // An intermediary may have sent this answer after the upstream started the
+    // attempt.
     return AttemptBroken{NextIndex, false};
   }
 }
--- a/src/libs/native/EngineAttempt.h
+++ b/src/libs/native/EngineAttempt.h
@@ -1,5 +1,5 @@
 /// \file
-/// One try of a completion on a model engine, from dispatch to its outcome.
+/// One attempt of a completion on a model engine.
 #pragma once
 
 #include "http/ClientStream.h"
@@ -9,39 +9,44 @@
 
 namespace banyanpick {
 
-/// Where the chunks of a try go, in order and without gaps.
+/// Receives the chunks of an attempt, in order and without gaps.
 class ChunkSink {
 public:
   virtual ~ChunkSink() = default;
-  /// Takes the next chunk; waits while the caller lags too far behind.
+  /// Takes the next chunk. Waits while the caller lags too far behind.
   virtual Task<void> take(std::uint64_t Index, std::string Text) = 0;
 };
 
-/// Used on one thread.
+/// Sends a completion to an engine, or attaches to a running one, and reads its
+/// stream until the outcome is known. Used on one thread.
 class EngineAttempt {
 public:
   EngineAttempt(const net::any_io_executor &Executor, DispatchAttempt Dispatch,
                 const HostId &Self, const PlatformSettings &Values);
 
-  /// Runs the try or attaches to a running one. \p Prompt must outlive it.
+  /// Runs the attempt or attaches to a running one. \p Prompt must outlive the
+  /// attempt.
   Task<AttemptOutcome> run(std::string_view Prompt, ChunkSink &Sink, Time Now);
 
-  /// Ends the connection; run() ends soon, its outcome means nothing then.
+  /// Closes the connection, which ends run(). The outcome of run() is
+  /// meaningless then.
   void cancel();
   bool isCancelled() const { return this->Cancelled; }
 
-  /// The id under which the engine knows the try.
+  /// Returns the id under which the engine knows the attempt.
   const AttemptId &streamId() const { return this->Stream; }
-  /// Chunks dropped as late, crossed or repeated.
+  /// Returns the number of chunks dropped because they were late, repeated or
+  /// of another attempt.
   std::uint64_t dropped() const { return this->Assembler.dropped(); }
 
 private:
   ClientRequest requestFor(std::string_view Prompt) const;
   Task<AttemptOutcome> readRefusal();
   Task<AttemptOutcome> readStream(ChunkSink &Sink);
-  /// The outcome when the event decides it.
+  /// Returns the outcome if the event ends the attempt.
   Task<std::optional<AttemptOutcome>> handleEvent(const ServerEvent &Incoming,
                                                   ChunkSink &Sink);
+  /// Returns the outcome of a broken connection, and whether the engine died.
   Task<AttemptOutcome> broken(ClientFailure Failure);
 
   DispatchAttempt Dispatch;
@@ -53,12 +58,13 @@
   bool Cancelled = false;
 };
 
-/// The headers that every try carries.
+/// Returns the headers that every attempt carries.
 std::vector<std::pair<std::string, std::string>>
 attemptHeaders(const DispatchAttempt &Dispatch, const HostId &Self);
 
-/// What an answer of an upstream other than 200 means: it refused before it
-/// started, it failed, or nobody knows.
+/// Returns the outcome for an answer with a status other than 200: the upstream
+/// refused the attempt before starting it, the attempt failed, or its outcome
+/// is unknown.
 AttemptOutcome outcomeOfStatus(unsigned Status, std::string_view Body,
                                std::uint64_t NextIndex);
 
--- a/src/libs/native/HostListJson.h
+++ b/src/libs/native/HostListJson.h
@@ -1,5 +1,5 @@
 /// \file
-/// The host list out of JSON.
+/// Parses the host list from JSON.
 #pragma once
 
 #include "kernel/Event.h"
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// Throws Error(BadInput) when the body of `GET /hosts` is malformed.
+/// Parses the body of `GET /hosts`. Throws Error(BadInput) if it is malformed.
 HostListRead hostListFromJson(std::string_view Body);
 
 } // namespace banyanpick
--- a/src/libs/native/IdText.h
+++ b/src/libs/native/IdText.h
@@ -1,5 +1,5 @@
 /// \file
-/// Ids as they stand in HTTP headers and paths.
+/// Formats ids and times for HTTP headers, paths and JSON.
 #pragma once
 
 #include "base/StrongId.h"
@@ -13,15 +13,16 @@
 
 std::string toHex(std::uint64_t Value);
 
-/// Nothing when \p Text is no hexadecimal number of 64 bits.
+/// Returns nothing if \p Text is not a hexadecimal number of up to 64 bits.
 std::optional<std::uint64_t> fromHex(std::string_view Text);
 
-/// `LIFE-SEQUENCE`, two hexadecimal numbers.
+/// Returns `LIFE-SEQUENCE`: the incarnation of the host that made the id, and
+/// the sequence number, both in hexadecimal.
 template <class Tag> std::string idText(const SequencedId<Tag> &Id) {
   return toHex(Id.Maker.Value) + "-" + toHex(Id.Sequence);
 }
 
-/// Milliseconds since the Unix epoch, as times stand on the wire.
+/// Returns milliseconds since the Unix epoch, the format of times on the wire.
 inline std::int64_t toMilliseconds(Time Moment) {
   return std::chrono::duration_cast<milliseconds>(Moment.time_since_epoch())
       .count();
--- a/src/libs/native/JsonField.h
+++ b/src/libs/native/JsonField.h
@@ -1,5 +1,5 @@
 /// \file
-/// Members of JSON documents from other services, read with their types.
+/// Reads typed members of JSON documents from other services.
 #pragma once
 
 #include "base/Error.h"
@@ -9,20 +9,21 @@
 
 namespace banyanpick {
 
-/// Runs \p Read and turns the errors of the JSON library into
-/// Error(BadInput): a member is missing or has another type.
+/// Runs \p Parse and converts exceptions of the JSON library into
+/// Error(BadInput). They mean that a member is missing or has another type.
 template <class Function> auto convertJsonErrors(Function Parse) {
   try {
     return Parse();
   } catch (const nlohmann::json::exception &Failure) {
     throw Error(ErrorKind::BadInput,
-                std::string("a JSON member is not as agreed: ") +
+                std::string("a JSON member is missing or has a wrong type: ") +
                     Failure.what(),
                 "see docs/PROTOCOLS.md");
   }
 }
 
-/// A number written in hexadecimal.
+/// Returns a member that holds a hexadecimal number. Throws Error(BadInput) if
+/// it does not.
 inline std::uint64_t hexMember(const nlohmann::json &Object, const char *Name) {
   const auto Value = fromHex(Object.at(Name).get_ref<const std::string &>());
   if (!Value)
--- a/src/libs/native/LoadReportJson.h
+++ b/src/libs/native/LoadReportJson.h
@@ -1,5 +1,5 @@
 /// \file
-/// What upstreams say of themselves, out of JSON.
+/// Parses the load reports and cache events of upstreams from JSON.
 #pragma once
 
 #include "kernel/Event.h"
@@ -8,10 +8,11 @@
 
 namespace banyanpick {
 
-/// Throws Error(BadInput) when the body of `GET /load` is malformed.
+/// Parses the body of `GET /load`. Throws Error(BadInput) if it is malformed.
 LoadReport loadReportFromJson(std::string_view Body);
 
-/// The events of `GET /cache-events`; the same.
+/// Parses the body of `GET /cache-events`. Throws Error(BadInput) if it is
+/// malformed.
 CacheEventsReported cacheEventsFromJson(std::string_view Body,
                                         const UpstreamId &From);
 
--- a/src/libs/native/LogClient.cpp
+++ b/src/libs/native/LogClient.cpp
@@ -26,7 +26,8 @@
   try {
     Records = decodeLogBatch(fromBase64(textMember(Object, "bytes")));
   } catch (const Error &) {
-    return; // Not ours, or of a later release; every host passes over it.
+    // Written by another program or a later release. Every host skips it.
+    return;
   }
   std::uint32_t Position = 0;
   for (LogRecord &Record : Records)
@@ -87,7 +88,8 @@
   Request.Target = "/log";
   Request.Headers.emplace_back("Content-Type", "application/octet-stream");
   Request.Body = encodeLogBatch(Action.Records);
-  // A fresh connection: on a kept one a lost answer would be likelier.
+  // Uses a new connection: on a reused one the answer is more likely to be
+  // lost.
   const ClientResult Result = co_await this->Client.call(
       this->Values.Log, std::move(Request), this->Values.LogTimeout,
       HttpClient::Reuse::No);
--- a/src/libs/native/LogClient.h
+++ b/src/libs/native/LogClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's log and host list over HTTP.
+/// HTTP client of the platform's log and host list.
 #pragma once
 
 #include "http/HttpClient.h"
@@ -8,16 +8,18 @@
 
 namespace banyanpick {
 
-/// Used on one thread. Each call gives the event that answers the action.
+/// Performs actions on the log and the host list. Each call returns the event
+/// that answers the action. Used on one thread.
 class LogClient {
 public:
   LogClient(const net::any_io_executor &Executor, PlatformSettings Values);
 
-  /// Taken or Refused only when that is sure; else Unknown.
+  /// Returns AppendAnswered. The result is Appended or Refused only if that is
+  /// certain, and Unknown otherwise.
   Task<Event> append(AppendToLog Action);
-  /// LogRead or LogReadFailed.
+  /// Returns LogRead or LogReadFailed.
   Task<Event> read(ReadLog Action);
-  /// HostListRead or HostListReadFailed.
+  /// Returns HostListRead or HostListReadFailed.
   Task<Event> readHostList();
 
 private:
@@ -25,13 +27,13 @@
   HttpClient Client;
 };
 
-/// What an append's answer means.
+/// Converts the HTTP result of an append.
 AppendAnswered appendAnswerFrom(const AppendId &Append,
                                 const ClientResult &Result);
 
-/// The body of `GET /log`. Records whose bytes are no batch are passed over,
-/// as every host does alike. Throws Error(BadInput) when the body itself is
-/// malformed.
+/// Parses the body of `GET /log`. Records whose bytes are not a valid batch are
+/// skipped, which every host does in the same way. Throws Error(BadInput) if
+/// the body itself is malformed.
 LogRead logReadFrom(std::string_view Body, LogOffset FromOffset);
 
 } // namespace banyanpick
--- a/src/libs/native/PlatformSettings.h
+++ b/src/libs/native/PlatformSettings.h
@@ -1,5 +1,6 @@
 /// \file
-/// Where the platform's services are and how long they are waited for.
+/// Addresses of the platform's services and timeouts of calls to them and to
+/// upstreams.
 #pragma once
 
 #include "kernel/Upstream.h"
@@ -23,7 +24,7 @@
 /// The settings of sections [platform] and [upstreams].
 std::vector<SettingDeclaration> platformSettingDeclarations();
 
-/// Throws Error(BadInput) when an address is malformed.
+/// Throws Error(BadInput) if an address is malformed.
 PlatformSettings platformSettings(const Settings &Values);
 
 } // namespace banyanpick
--- a/src/libs/native/ServiceCall.cpp
+++ b/src/libs/native/ServiceCall.cpp
@@ -12,6 +12,7 @@
 
 constexpr std::size_t MaxResultBytes = 4ULL * 1024 * 1024;
 constexpr unsigned Ok = 200;
+/// How long a connection stays open past the deadline.
 constexpr seconds DeadlineGrace(2);
 
 } // namespace
@@ -35,7 +36,7 @@
   Request.Method = http::verb::post;
   Request.Target = "/run";
   Request.Headers = attemptHeaders(this->Dispatch, this->Self);
-  // The body is JSON already; it was parsed when it came in.
+  // The body is valid JSON: it was parsed when the request was received.
   Request.Body = "{\"operation_key\":" + dumpJson(OperationKey) +
                  ",\"body\":" + std::string(Body) + "}";
   const auto Failure = co_await this->Link.open(
@@ -58,7 +59,7 @@
     return convertJsonErrors([&]() -> AttemptOutcome {
       const json Object = parseBoundedJson(Body);
       if (textMember(Object, "attempt") != idText(this->Dispatch.Attempt))
-        return AttemptBroken{0, false}; // Another call's answer.
+        return AttemptBroken{0, false}; // The answer of another call.
       return AttemptComplete{0, dumpJson(Object.at("result"))};
     });
   } catch (const Error &) {
--- a/src/libs/native/ServiceCall.h
+++ b/src/libs/native/ServiceCall.h
@@ -1,5 +1,5 @@
 /// \file
-/// One try of a call on an application engine.
+/// One attempt of a call on an application engine.
 #pragma once
 
 #include "http/ClientStream.h"
@@ -10,14 +10,15 @@
 
 namespace banyanpick {
 
-/// Used on one thread.
+/// Sends a call to an application engine and reads the result. Used on one
+/// thread.
 class ServiceCall {
 public:
   ServiceCall(const net::any_io_executor &Executor, DispatchAttempt Dispatch,
               const HostId &Self, const PlatformSettings &Values);
 
-  /// \p Body is the caller's JSON text. Result of AttemptComplete is the JSON
-  /// text of the service's result.
+  /// \p Body is the caller's JSON text. The Result of AttemptComplete is the
+  /// JSON text of the service's result.
   Task<AttemptOutcome> run(std::string_view OperationKey, std::string_view Body,
                            Time Now);
 
--- a/src/libs/native/StreamAssembler.h
+++ b/src/libs/native/StreamAssembler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides which chunks of an upstream's stream belong to the answer.
+/// Checks the sequence of chunks in an upstream's stream.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,29 @@
 
 namespace banyanpick {
 
-/// One try's stream. Chunks of other tries and repeated ones are dropped; the
-/// stream is whole only when the end mark names as many chunks as came.
+/// Decides which chunks of one attempt's stream belong to the answer. Chunks of
+/// other attempts and repeated chunks are dropped. The stream is complete only
+/// if the chunk count in the end mark matches the received chunks.
 class StreamAssembler {
 public:
-  /// \p Attempt is the id that each chunk must echo; chunks before
-  /// \p NextIndex are delivered already.
+  /// \p Attempt is the id that each chunk must carry. Chunks before
+  /// \p NextIndex were delivered already.
   StreamAssembler(std::string_view Attempt, std::uint64_t NextIndex)
       : Attempt(Attempt), Next(NextIndex) {}
 
   enum class Verdict {
-    Deliver,  ///< The chunk expected next.
-    Drop,     ///< Of another try, or repeated; nothing happens.
-    Complete, ///< The end mark fits; the answer is whole.
+    Deliver,  ///< It is the next chunk of the answer.
+    Drop,     ///< It is repeated, of another attempt or after the end; ignored.
+    Complete, ///< The end mark matches; the answer is complete.
     Broken,   ///< A chunk is missing, or the count differs.
   };
 
   Verdict acceptChunk(std::string_view ChunkAttempt, std::uint64_t Index);
   Verdict acceptEnd(std::string_view EndAttempt, std::uint64_t Count);
 
-  /// The chunk expected next.
+  /// Returns the index of the next expected chunk.
   std::uint64_t nextIndex() const { return this->Next; }
-  /// Chunks and marks dropped so far.
+  /// Returns the number of chunks and end marks dropped so far.
   std::uint64_t dropped() const { return this->Dropped; }
 
 private:
@@ -38,7 +39,7 @@
   std::string Attempt;
   std::uint64_t Next;
   std::uint64_t Dropped = 0;
-  bool Closed = false; ///< Whole or broken; nothing more counts.
+  bool Closed = false; ///< Complete or broken; everything later is dropped.
 };
 
 } // namespace banyanpick
--- a/src/libs/native/UpstreamClient.cpp
+++ b/src/libs/native/UpstreamClient.cpp
@@ -114,7 +114,7 @@
     co_return LoadPollFailed{Action.Upstream, Refused};
   try {
     LoadReport Report = loadReportFromJson(std::get<ClientAnswer>(Result).Body);
-    // Something else listens at a re-used address.
+    // Another upstream listens at the address now.
     if (Report.Id != Action.Upstream)
       co_return LoadPollFailed{Action.Upstream, true};
     co_return LoadReported{std::move(Report)};
@@ -170,7 +170,8 @@
   if (Remaining <= Duration(0))
     co_return OrderAnswered{Action.Order, Action.Upstream, OrderResult::Failed,
                             0};
-  // A fresh connection: nothing of the order may wait in an old one.
+  // Uses a new connection: no part of the order may be delayed in the buffers
+  // of an old one.
   ClientRequest Request =
       requestWithJson(http::verb::post, "/orders", orderJson(Action));
   const ClientResult Result = co_await this->Client.call(
