--- a/src/app/CallerRequest.cpp
+++ b/src/app/CallerRequest.cpp
@@ -49,7 +49,7 @@
 }
 
 json parseObject(const HttpExchange &Each) {
-  json Given = parseBoundedJson(Each.body(), MostCallerJsonValues);
+  json Given = parseBoundedJson(Each.body(), MaxCallerJsonValues);
   if (!Given.is_object())
     throw Error(ErrorKind::BadInput, "the body is not a JSON object",
                 "send an object as docs/PROTOCOLS.md shows");
--- a/src/app/CallerService.cpp
+++ b/src/app/CallerService.cpp
@@ -113,7 +113,7 @@
 }
 
 Task<void> CallerService::serveWhole(HttpExchange &Each, Entry Asked) {
-  Each.onHangUp(
+  Each.onDisconnect(
       [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
   const FinalAnswer Answer = co_await Asked->finalAnswer();
   const bool IsCompletion =
@@ -124,7 +124,7 @@
 }
 
 Task<void> CallerService::serveStreamed(HttpExchange &Each, Entry Asked) {
-  Each.onHangUp(
+  Each.onDisconnect(
       [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
   const RelayEntry::Opening Begins = co_await Asked->opening();
   if (Begins.Answer && !Begins.Accepted) {
@@ -173,7 +173,7 @@
       co_await onExecutor(Home, attach(*Stream, Writer, Index));
   if (!Attached)
     co_return false;
-  Each.onHangUp([this, Stream, Writer] { this->detach(Stream, Writer); });
+  Each.onDisconnect([this, Stream, Writer] { this->detach(Stream, Writer); });
   RelayEntry::Delivery Piece;
   Piece.NextIndex = Index;
   while (!Piece.Last) {
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -87,7 +87,7 @@
       },
       [&](const BreakRelay &Is) {
         if (const auto Side = this->caller(Is.Request))
-          Side->breakOff();
+          Side->abort();
       },
       [&](const DecodeConfiguration &Is) {
         this->decode(Is.Document, ConfigurationSource::Peer);
@@ -123,7 +123,7 @@
   const RequestId Id = Head.Id;
   const auto Side = std::make_shared<CallerSide>(Each, Id);
   this->Callers[Id] = Side;
-  Each.onHangUp([this, Id] {
+  Each.onDisconnect([this, Id] {
     this->Uses.Events.send(CallerDisconnected{Id});
     if (const auto Gone = this->caller(Id))
       Gone->disconnected();
@@ -336,7 +336,7 @@
                                ReservationResult::Unknown};
   if (const auto *Answer = std::get_if<ClientAnswer>(&Result))
     Answered.Result = Protocol.readReservation(*Answer);
-  else if (surelyNotSent(std::get<ClientFailure>(Result)))
+  else if (wasNotSent(std::get<ClientFailure>(Result)))
     Answered.Result = ReservationResult::Refused;
   this->Uses.Events.send(GatewayEvent(std::move(Answered)));
 }
--- a/src/app/OperatorService.cpp
+++ b/src/app/OperatorService.cpp
@@ -29,7 +29,7 @@
 
 OperatorQuestion operatorQuestionFrom(const HttpExchange &Each) {
   const HttpTarget &Target = Each.target();
-  const std::string Name = Target.behind(Root).value_or("");
+  const std::string Name = Target.afterPrefix(Root).value_or("");
   const bool IsGet = Each.method() == http::verb::get;
   if (Name == "changes" && Each.method() == http::verb::post)
     return ApplyChanges{changeSetFromJson(parseBoundedJson(Each.body()))};
--- a/src/app/RelayEntry.h
+++ b/src/app/RelayEntry.h
@@ -5,7 +5,7 @@
 
 #include "app/CallerRequest.h"
 #include "app/ChunkBuffer.h"
-#include "http/Signal.h"
+#include "http/ChangeNotifier.h"
 #include "kernel/Action.h"
 
 #include <memory>
@@ -102,7 +102,7 @@
   RequestContent Content;
   RelayLimits Limits;
   ChunkBuffer Chunks;
-  Signal News;
+  ChangeNotifier News;
   bool Accepted = false;
   std::string ResumeToken;
   std::optional<FinalAnswer> Answer;
--- a/src/libs/http/BoundedJson.cpp
+++ b/src/libs/http/BoundedJson.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr int DeepestJson = 64;
+constexpr int MaxJsonDepth = 64;
 
 [[noreturn]] void throwTooLarge() {
   throw Error(ErrorKind::BadInput,
@@ -18,10 +18,10 @@
 
 } // namespace
 
-json parseBoundedJson(std::string_view Text, std::size_t MostValues) {
+json parseBoundedJson(std::string_view Text, std::size_t MaxValues) {
   std::size_t Values = 0;
   const auto Check = [&](int Depth, json::parse_event_t, json &) {
-    if (Depth > DeepestJson || ++Values > MostValues)
+    if (Depth > MaxJsonDepth || ++Values > MaxValues)
       throwTooLarge();
     return true;
   };
--- a/src/libs/http/Signal.h
+++ b/src/libs/http/ChangeNotifier.h
@@ -8,9 +8,9 @@
 
 /// All members are used on the executor's thread only. Waiters look again at
 /// what they wait for whenever wait() returns.
-class Signal {
+class ChangeNotifier {
 public:
-  explicit Signal(const net::any_io_executor &Executor)
+  explicit ChangeNotifier(const net::any_io_executor &Executor)
       : Timer(Executor, net::steady_timer::time_point::max()) {}
 
   /// Wakes everybody who waits now.
--- a/src/libs/http/ClientRequest.h
+++ b/src/libs/http/ClientRequest.h
@@ -25,15 +25,15 @@
 
 /// Why there is no answer.
 enum class ClientFailure {
-  NothingListens, ///< The connection was refused; no byte was sent.
-  NotConnected,   ///< No connection in time; no byte was sent.
-  Reset,          ///< The peer reset the connection after bytes were sent.
-  Lost,           ///< Ended, malformed or too late after bytes were sent.
+  ConnectionRefused, ///< The connection was refused; no byte was sent.
+  NotConnected,      ///< No connection in time; no byte was sent.
+  Reset,             ///< The peer reset the connection after bytes were sent.
+  Lost,              ///< Ended, malformed or too late after bytes were sent.
 };
 
 /// Whether no byte was handed to a transport.
-inline bool surelyNotSent(ClientFailure Failure) {
-  return Failure == ClientFailure::NothingListens ||
+inline bool wasNotSent(ClientFailure Failure) {
+  return Failure == ClientFailure::ConnectionRefused ||
          Failure == ClientFailure::NotConnected;
 }
 
@@ -46,8 +46,9 @@
 
 /// The failure of a connect that an error code stands for.
 inline ClientFailure failureOfConnect(const ErrorCode &Code) {
-  return Code == net::error::connection_refused ? ClientFailure::NothingListens
-                                                : ClientFailure::NotConnected;
+  return Code == net::error::connection_refused
+             ? ClientFailure::ConnectionRefused
+             : ClientFailure::NotConnected;
 }
 
 /// The request as Beast sends it.
--- a/src/libs/http/ClientStream.cpp
+++ b/src/libs/http/ClientStream.cpp
@@ -56,8 +56,8 @@
     this->Events.feed(Bytes, Out);
   }
   if (Out.size() != Before)
-    co_return ReadState::GoesOn;
-  co_return this->WasCut ? ReadState::Cut : ReadState::Ended;
+    co_return ReadState::Open;
+  co_return this->WasCut ? ReadState::Aborted : ReadState::Ended;
 }
 
 void ClientStream::cancel() {
--- a/src/libs/http/ClientStream.h
+++ b/src/libs/http/ClientStream.h
@@ -30,7 +30,7 @@
   /// \p MaxBytes; the flag tells whether it is whole.
   Task<std::pair<std::string, bool>> readRest(std::size_t MaxBytes);
 
-  enum class ReadState { GoesOn, Ended, Cut };
+  enum class ReadState { Open, Ended, Aborted };
   /// Adds the events that came to \p Out. Throws Error(BadInput) when an
   /// event is too long.
   Task<ReadState> readEvents(std::vector<ServerEvent> &Out);
--- a/src/libs/http/Connection.cpp
+++ b/src/libs/http/Connection.cpp
@@ -92,7 +92,7 @@
     co_return Failure;
   }
 
-  Task<bool> watchForHangUp() override {
+  Task<bool> waitForDisconnect() override {
     ErrorCode Failure;
     auto &Socket = this->socket();
     co_await Socket.async_wait(Tcp::socket::wait_read, into(Failure));
@@ -120,7 +120,7 @@
     co_return;
   }
 
-  void breakOff() override {
+  void abort() override {
     ErrorCode Ignored;
     this->socket().set_option(net::socket_base::linger(true, 0), Ignored);
     this->socket().close(Ignored);
--- a/src/libs/http/Connection.h
+++ b/src/libs/http/Connection.h
@@ -34,12 +34,12 @@
   virtual Task<ErrorCode> writeChunk(std::string_view Text,
                                      Duration Timeout) = 0;
   /// Whether the peer hung up; waits until it does or stopWatching().
-  virtual Task<bool> watchForHangUp() = 0;
+  virtual Task<bool> waitForDisconnect() = 0;
   /// Only while no other operation is running.
   virtual void stopWatching() = 0;
   virtual Task<void> close(Duration Timeout) = 0;
   /// Resets the connection at once; running operations fail.
-  virtual void breakOff() = 0;
+  virtual void abort() = 0;
   virtual net::any_io_executor executor() = 0;
 };
 
--- a/src/libs/http/HttpExchange.cpp
+++ b/src/libs/http/HttpExchange.cpp
@@ -66,7 +66,7 @@
   Answer.set(http::field::content_type, Given.ContentType);
   if (Given.RetryAfter > Duration(0))
     Answer.set(http::field::retry_after,
-               retryAfterText(Given.RetryAfter, Given.FractionalRetry));
+               retryAfterText(Given.RetryAfter, Given.FractionalRetryAfter));
   Answer.body() = std::move(Given.Body);
   co_return co_await this->writeAnswer(std::move(Answer));
 }
@@ -119,11 +119,11 @@
   co_return this->note(Failure);
 }
 
-void HttpExchange::breakOff() {
+void HttpExchange::abort() {
   this->stopWatching();
   this->Answered = true;
   this->KeepsAlive = false;
-  this->Peer->breakOff();
+  this->Peer->abort();
 }
 
 Task<bool> HttpExchange::sendEvents(std::string_view Formatted) {
@@ -140,17 +140,18 @@
   co_return this->note(Failure);
 }
 
-void HttpExchange::onHangUp(std::function<void()> Then) {
-  this->Watch = std::make_shared<HangUpWatch>(HangUpWatch{std::move(Then)});
+void HttpExchange::onDisconnect(std::function<void()> Callback) {
+  this->Watch =
+      std::make_shared<DisconnectWatch>(DisconnectWatch{std::move(Callback)});
   net::co_spawn(this->Peer->executor(), watch(this->Peer, this->Watch),
                 net::detached);
 }
 
 Task<void> HttpExchange::watch(std::shared_ptr<Connection> Peer,
-                               std::shared_ptr<HangUpWatch> Watch) {
-  const bool HungUp = co_await Peer->watchForHangUp();
-  if (HungUp && Watch->Then)
-    Watch->Then();
+                               std::shared_ptr<DisconnectWatch> Watch) {
+  const bool Disconnected = co_await Peer->waitForDisconnect();
+  if (Disconnected && Watch->Callback)
+    Watch->Callback();
 }
 
 bool HttpExchange::note(const ErrorCode &Failure) {
@@ -162,7 +163,7 @@
 void HttpExchange::stopWatching() {
   if (!this->Watch)
     return;
-  this->Watch->Then = nullptr;
+  this->Watch->Callback = nullptr;
   this->Watch.reset();
   this->Peer->stopWatching();
 }
--- a/src/libs/http/HttpExchange.h
+++ b/src/libs/http/HttpExchange.h
@@ -21,7 +21,7 @@
   std::string ContentType = "application/json";
   Duration RetryAfter{}; ///< Zero: no such header.
   /// Callers of this protocol read fractions of a second in Retry-After.
-  bool FractionalRetry = false;
+  bool FractionalRetryAfter = false;
 };
 
 /// An answer of another server that is passed on: its status, its headers but
@@ -79,10 +79,10 @@
   Task<bool> endEvents();
 
   /// Ends the connection, so that an answer that has begun does not look whole.
-  void breakOff();
+  void abort();
 
   /// Calls \p Then when the peer hangs up before this exchange ends.
-  void onHangUp(std::function<void()> Then);
+  void onDisconnect(std::function<void()> Callback);
 
   bool isAnswered() const { return this->Answered; }
   /// Whether the connection can take another request; not after events
@@ -90,12 +90,12 @@
   bool keepsAlive() const { return this->KeepsAlive && !this->EventsOpen; }
 
 private:
-  struct HangUpWatch {
-    std::function<void()> Then;
+  struct DisconnectWatch {
+    std::function<void()> Callback;
   };
 
   static Task<void> watch(std::shared_ptr<Connection> Peer,
-                          std::shared_ptr<HangUpWatch> Watch);
+                          std::shared_ptr<DisconnectWatch> Watch);
   bool note(const ErrorCode &Failure);
   void stopWatching();
   /// What all whole answers have in common.
@@ -112,7 +112,7 @@
   HttpTarget Asks;
   const HttpSettings &Values;
   std::vector<std::pair<std::string, std::string>> Headers;
-  std::shared_ptr<HangUpWatch> Watch;
+  std::shared_ptr<DisconnectWatch> Watch;
   bool Answered = false;
   bool KeepsAlive = true;
   bool EventsOpen = false;
--- a/src/libs/http/HttpTarget.cpp
+++ b/src/libs/http/HttpTarget.cpp
@@ -57,7 +57,8 @@
   return Value;
 }
 
-std::optional<std::string> HttpTarget::behind(std::string_view Prefix) const {
+std::optional<std::string>
+HttpTarget::afterPrefix(std::string_view Prefix) const {
   if (!this->Path.starts_with(Prefix))
     return std::nullopt;
   return this->Path.substr(Prefix.size());
--- a/src/libs/http/HttpTarget.h
+++ b/src/libs/http/HttpTarget.h
@@ -23,7 +23,7 @@
   std::uint64_t number(std::string_view Name, std::uint64_t Otherwise) const;
 
   /// What stands behind \p Prefix in the path, or nothing.
-  std::optional<std::string> behind(std::string_view Prefix) const;
+  std::optional<std::string> afterPrefix(std::string_view Prefix) const;
 };
 
 /// Throws Error(BadInput) when a percent sign is not followed by two digits.
--- a/src/libs/native/EngineAttempt.cpp
+++ b/src/libs/native/EngineAttempt.cpp
@@ -113,7 +113,7 @@
   const auto Failure = co_await this->Link.open(
       this->Dispatch.At, this->requestFor(Prompt), this->Values.ConnectTimeout,
       Remaining + DeadlineGrace);
-  if (Failure && surelyNotSent(*Failure))
+  if (Failure && wasNotSent(*Failure))
     co_return AttemptNeverSent{};
   if (Failure)
     co_return co_await this->broken(*Failure);
@@ -132,8 +132,8 @@
 
 Task<AttemptOutcome> EngineAttempt::readStream(ChunkSink &Sink) {
   std::vector<ServerEvent> Events;
-  auto State = ClientStream::ReadState::GoesOn;
-  while (State == ClientStream::ReadState::GoesOn) {
+  auto State = ClientStream::ReadState::Open;
+  while (State == ClientStream::ReadState::Open) {
     Events.clear();
     bool Malformed = false;
     try {
@@ -149,9 +149,9 @@
         co_return std::move(*Decided);
     }
   }
-  const bool Cut = State == ClientStream::ReadState::Cut;
-  co_return co_await this->broken(Cut ? this->Link.failure()
-                                      : ClientFailure::Lost);
+  const bool Aborted = State == ClientStream::ReadState::Aborted;
+  co_return co_await this->broken(Aborted ? this->Link.failure()
+                                          : ClientFailure::Lost);
 }
 
 Task<std::optional<AttemptOutcome>>
--- a/src/libs/native/LogClient.cpp
+++ b/src/libs/native/LogClient.cpp
@@ -45,7 +45,7 @@
                                 const ClientResult &Result) {
   const AppendAnswered Unknown{Append, AppendResult::Unknown, 0};
   if (const auto *Failure = std::get_if<ClientFailure>(&Result))
-    return surelyNotSent(*Failure)
+    return wasNotSent(*Failure)
                ? AppendAnswered{Append, AppendResult::Refused, 0}
                : Unknown;
   const auto &Answer = std::get<ClientAnswer>(Result);
--- a/src/libs/native/ServiceCall.cpp
+++ b/src/libs/native/ServiceCall.cpp
@@ -42,7 +42,7 @@
   const auto Failure = co_await this->Link.open(
       this->Dispatch.At, std::move(Request), this->Values.ConnectTimeout,
       Remaining + DeadlineGrace);
-  if (Failure && surelyNotSent(*Failure))
+  if (Failure && wasNotSent(*Failure))
     co_return AttemptNeverSent{};
   if (Failure)
     co_return AttemptBroken{0, *Failure == ClientFailure::Reset};
--- a/src/libs/native/UpstreamClient.cpp
+++ b/src/libs/native/UpstreamClient.cpp
@@ -80,7 +80,7 @@
 
 OrderResult orderResult(const ClientResult &Result) {
   if (const auto *Failure = std::get_if<ClientFailure>(&Result))
-    return surelyNotSent(*Failure) ? OrderResult::Failed : OrderResult::Unknown;
+    return wasNotSent(*Failure) ? OrderResult::Failed : OrderResult::Unknown;
   if (succeeded(Result))
     return OrderResult::Accepted;
   return hasStatus(Result, PreconditionFailed) ? OrderResult::RefusedFencing
@@ -92,7 +92,7 @@
     return HoldResult::Granted;
   const auto *Failure = std::get_if<ClientFailure>(&Result);
   const bool Refused =
-      hasStatus(Result, Conflict) || (Failure && surelyNotSent(*Failure));
+      hasStatus(Result, Conflict) || (Failure && wasNotSent(*Failure));
   return Refused ? HoldResult::Refused : HoldResult::Unknown;
 }
 
@@ -109,7 +109,7 @@
   const ClientResult Result = co_await this->Client.call(
       Action.At, std::move(Request), this->Values.PollTimeout);
   const auto *Failure = std::get_if<ClientFailure>(&Result);
-  const bool Refused = Failure && *Failure == ClientFailure::NothingListens;
+  const bool Refused = Failure && *Failure == ClientFailure::ConnectionRefused;
   if (!succeeded(Result))
     co_return LoadPollFailed{Action.Upstream, Refused};
   try {
--- a/src/libs/relay/CallerSide.cpp
+++ b/src/libs/relay/CallerSide.cpp
@@ -55,9 +55,9 @@
   this->finish();
 }
 
-void CallerSide::breakOff() {
+void CallerSide::abort() {
   if (this->isOpen())
-    this->Exchange->breakOff();
+    this->Exchange->abort();
   this->finish();
 }
 
--- a/src/libs/relay/CallerSide.h
+++ b/src/libs/relay/CallerSide.h
@@ -2,8 +2,8 @@
 /// The caller's side of one relayed request: the request and its answer.
 #pragma once
 
+#include "http/ChangeNotifier.h"
 #include "http/HttpExchange.h"
-#include "http/Signal.h"
 #include "kernel/Action.h"
 
 #include <map>
@@ -31,7 +31,7 @@
   /// Returns whether data may still be sent to the caller.
   bool isOpen() const { return !this->Done; }
   /// Called when the caller has closed its connection.
-  void disconnected() { this->breakOff(); }
+  void disconnected() { this->abort(); }
 
   // --- An upstream's answer. These return false if the caller has
   // disconnected.
@@ -60,7 +60,7 @@
   void keepFailure(const AttemptId &Attempt, RelayedAnswer Answer);
   /// Ends the request with the stored failure answer of the attempt.
   void deliverFailure(const AttemptId &Attempt);
-  void breakOff();
+  void abort();
 
   /// Waits until the request has ended and no operation uses the caller's
   /// connection any more.
@@ -90,7 +90,7 @@
 
   HttpExchange *Exchange;
   RequestId Id;
-  Signal Changes;
+  ChangeNotifier Changes;
   std::size_t Operations = 0;
   std::optional<std::uint64_t> LastEvent;
   bool Answering = false;
--- a/tests/auto/http/AttemptTest.cpp
+++ b/tests/auto/http/AttemptTest.cpp
@@ -197,7 +197,7 @@
   EXPECT_EQ(Meaning(ClientAnswer{200, "{}"}), Unknown);
   EXPECT_EQ(Meaning(ClientAnswer{503, ""}), Refused);
   EXPECT_EQ(Meaning(ClientAnswer{500, ""}), Unknown);
-  EXPECT_EQ(Meaning(ClientFailure::NothingListens), Refused);
+  EXPECT_EQ(Meaning(ClientFailure::ConnectionRefused), Refused);
   EXPECT_EQ(Meaning(ClientFailure::Reset), Unknown);
   EXPECT_EQ(Meaning(ClientFailure::Lost), Unknown);
 }
--- a/tests/auto/http/HttpServerTest.cpp
+++ b/tests/auto/http/HttpServerTest.cpp
@@ -109,7 +109,7 @@
   std::string Many = "[0";
   for (int I = 0; I < 60'000; ++I)
     Many += ",0";
-  EXPECT_THROW(parseBoundedJson(Many + "]", MostCallerJsonValues), Error);
+  EXPECT_THROW(parseBoundedJson(Many + "]", MaxCallerJsonValues), Error);
   EXPECT_EQ(parseBoundedJson("[1]").dump(), "[1]");
 }
 
--- a/tests/bench/relay/RelayBench.cpp
+++ b/tests/bench/relay/RelayBench.cpp
@@ -76,8 +76,8 @@
   }
   bool First = true;
   std::vector<ServerEvent> Events;
-  auto State = ClientStream::ReadState::GoesOn;
-  while (State == ClientStream::ReadState::GoesOn) {
+  auto State = ClientStream::ReadState::Open;
+  while (State == ClientStream::ReadState::Open) {
     Events.clear();
     State = co_await Stream.readEvents(Events);
     for (const ServerEvent &Each : Events)
