--- a/src/libs/http/Asio.h
+++ b/src/libs/http/Asio.h
@@ -33,8 +33,8 @@
 template <class Value> using Task = net::awaitable<Value>;
 
 /// The completion token of every operation: it puts its error into \p Into.
-inline auto into(ErrorCode &Into) {
-  return net::redirect_error(net::use_awaitable, Into);
+inline auto into(ErrorCode &Failure) {
+  return net::redirect_error(net::use_awaitable, Failure);
 }
 
 /// Boost's own view of a text.
--- a/src/libs/http/BodyBudget.cpp
+++ b/src/libs/http/BodyBudget.cpp
@@ -4,25 +4,26 @@
 
 namespace banyanpick {
 
-BodyBudget::Share::Share(Share &&Other) noexcept
+BodyBudget::Reservation::Reservation(Reservation &&Other) noexcept
     : Owner(std::exchange(Other.Owner, nullptr)), Bytes(Other.Bytes) {}
 
-BodyBudget::Share &BodyBudget::Share::operator=(Share &&Other) noexcept {
+BodyBudget::Reservation &
+BodyBudget::Reservation::operator=(Reservation &&Other) noexcept {
   std::swap(this->Owner, Other.Owner);
   std::swap(this->Bytes, Other.Bytes);
   return *this;
 }
 
-BodyBudget::Share::~Share() {
+BodyBudget::Reservation::~Reservation() {
   if (this->Owner)
-    this->Owner->Taken -= this->Bytes;
+    this->Owner->Reserved -= this->Bytes;
 }
 
-BodyBudget::Share BodyBudget::take(std::uint64_t Bytes) {
-  const std::uint64_t Before = this->Taken.fetch_add(Bytes);
+BodyBudget::Reservation BodyBudget::reserve(std::uint64_t Bytes) {
+  const std::uint64_t Before = this->Reserved.fetch_add(Bytes);
   if (Before + Bytes <= this->Limit)
     return {*this, Bytes};
-  this->Taken -= Bytes;
+  this->Reserved -= Bytes;
   return {};
 }
 
--- a/src/libs/http/BodyBudget.h
+++ b/src/libs/http/BodyBudget.h
@@ -13,18 +13,18 @@
   explicit BodyBudget(std::uint64_t Limit) : Limit(Limit) {}
 
   /// A part of the budget, given back when it is destroyed.
-  class Share {
+  class Reservation {
   public:
-    Share() = default;
-    Share(Share &&Other) noexcept;
-    Share &operator=(Share &&Other) noexcept;
-    ~Share();
+    Reservation() = default;
+    Reservation(Reservation &&Other) noexcept;
+    Reservation &operator=(Reservation &&Other) noexcept;
+    ~Reservation();
 
     explicit operator bool() const { return this->Owner != nullptr; }
 
   private:
     friend class BodyBudget;
-    Share(BodyBudget &Owner, std::uint64_t Bytes)
+    Reservation(BodyBudget &Owner, std::uint64_t Bytes)
         : Owner(&Owner), Bytes(Bytes) {}
 
     BodyBudget *Owner = nullptr;
@@ -32,13 +32,13 @@
   };
 
   /// An empty share when so many bytes are not left.
-  Share take(std::uint64_t Bytes);
+  Reservation reserve(std::uint64_t Bytes);
 
-  std::uint64_t taken() const { return this->Taken.load(); }
+  std::uint64_t reservedBytes() const { return this->Reserved.load(); }
 
 private:
   const std::uint64_t Limit;
-  std::atomic<std::uint64_t> Taken = 0;
+  std::atomic<std::uint64_t> Reserved = 0;
 };
 
 } // namespace banyanpick
--- a/src/libs/http/ClientRequest.h
+++ b/src/libs/http/ClientRequest.h
@@ -52,7 +52,7 @@
 }
 
 /// The request as Beast sends it.
-http::request<http::string_body> beastRequest(ClientRequest Given,
+http::request<http::string_body> beastRequest(ClientRequest ClientReq,
                                               const std::string &Host);
 
 } // namespace banyanpick
--- a/src/libs/http/ClientStream.cpp
+++ b/src/libs/http/ClientStream.cpp
@@ -8,7 +8,7 @@
 namespace banyanpick {
 
 Task<std::optional<ClientFailure>> ClientStream::open(Address At,
-                                                      ClientRequest Given,
+                                                      ClientRequest ClientReq,
                                                       Duration ConnectTimeout,
                                                       Duration Timeout) {
   if (this->Cancelled)
@@ -23,7 +23,7 @@
   tuneConnection(this->Link.socket());
   this->Link.expires_after(Timeout);
   {
-    const auto Request = beastRequest(std::move(Given), text(At));
+    const auto Request = beastRequest(std::move(ClientReq), text(At));
     co_await http::async_write(this->Link, Request, into(Failure));
   }
   if (Failure)
@@ -40,24 +40,24 @@
 Task<std::pair<std::string, bool>>
 ClientStream::readRest(std::size_t MaxBytes) {
   std::string Result;
-  while (!this->Parser.is_done() && !this->WasCut) {
+  while (!this->Parser.is_done() && !this->WasAborted) {
     Result += co_await this->readBodyPart();
     if (Result.size() > MaxBytes)
       co_return std::pair(std::move(Result), false);
   }
-  co_return std::pair(std::move(Result), !this->WasCut);
+  co_return std::pair(std::move(Result), !this->WasAborted);
 }
 
 Task<ClientStream::ReadState>
 ClientStream::readEvents(std::vector<ServerEvent> &Out) {
   const std::size_t Before = Out.size();
-  while (!this->Parser.is_done() && !this->WasCut && Out.size() == Before) {
+  while (!this->Parser.is_done() && !this->WasAborted && Out.size() == Before) {
     const std::string_view Bytes = co_await this->readBodyPart();
     this->Events.feed(Bytes, Out);
   }
   if (Out.size() != Before)
     co_return ReadState::Open;
-  co_return this->WasCut ? ReadState::Aborted : ReadState::Ended;
+  co_return this->WasAborted ? ReadState::Aborted : ReadState::Ended;
 }
 
 void ClientStream::cancel() {
@@ -67,19 +67,19 @@
 
 Task<std::string_view> ClientStream::readBodyPart() {
   auto &Body = this->Parser.get().body();
-  Body.data = this->Piece.data();
-  Body.size = this->Piece.size();
+  Body.data = this->ReadBuffer.data();
+  Body.size = this->ReadBuffer.size();
   ErrorCode Failure;
   co_await http::async_read_some(this->Link, this->Buffer, this->Parser,
                                  into(Failure));
   if (Failure == http::error::need_buffer)
     Failure = {};
   if (Failure) {
-    this->WasCut = true;
-    this->HowCut = failureAfterSending(Failure);
+    this->WasAborted = true;
+    this->AbortReason = failureAfterSending(Failure);
   }
-  co_return std::string_view(this->Piece.data(),
-                             this->Piece.size() - Body.size);
+  co_return std::string_view(this->ReadBuffer.data(),
+                             this->ReadBuffer.size() - Body.size);
 }
 
 } // namespace banyanpick
--- a/src/libs/http/ClientStream.h
+++ b/src/libs/http/ClientStream.h
@@ -20,7 +20,7 @@
 
   /// Connects within \p ConnectTimeout; sends, reads the answer's header and
   /// everything after within \p Timeout from then on.
-  Task<std::optional<ClientFailure>> open(Address At, ClientRequest Given,
+  Task<std::optional<ClientFailure>> open(Address At, ClientRequest ClientReq,
                                           Duration ConnectTimeout,
                                           Duration Timeout);
 
@@ -36,7 +36,7 @@
   Task<ReadState> readEvents(std::vector<ServerEvent> &Out);
 
   /// With Cut: how the connection ended.
-  ClientFailure failure() const { return this->HowCut; }
+  ClientFailure failure() const { return this->AbortReason; }
 
   /// Ends the connection; a running operation fails.
   void cancel();
@@ -51,9 +51,9 @@
   beast::flat_buffer Buffer;
   http::response_parser<http::buffer_body> Parser;
   EventParser Events;
-  std::array<char, ReadBytes> Piece{};
-  ClientFailure HowCut = ClientFailure::Lost;
-  bool WasCut = false;
+  std::array<char, ReadBytes> ReadBuffer{};
+  ClientFailure AbortReason = ClientFailure::Lost;
+  bool WasAborted = false;
   bool Cancelled = false;
 };
 
--- a/src/libs/http/Connection.cpp
+++ b/src/libs/http/Connection.cpp
@@ -21,15 +21,16 @@
 
 template <class Stream> class BasicConnection final : public Connection {
 public:
-  BasicConnection(Stream Given, std::uint64_t MaxHeaderBytes)
-      : Under(std::move(Given)), Buffer(MaxHeaderBytes + BodyReadBytes) {}
+  BasicConnection(Stream TransportGiven, std::uint64_t MaxHeaderBytes)
+      : Transport(std::move(TransportGiven)),
+        Buffer(MaxHeaderBytes + BodyReadBytes) {}
 
   Task<ErrorCode> handshake(Duration Timeout) override {
     ErrorCode Failure;
     if constexpr (std::is_same_v<Stream, TlsStream>) {
       this->expireAfter(Timeout);
-      co_await this->Under.async_handshake(net::ssl::stream_base::server,
-                                           into(Failure));
+      co_await this->Transport.async_handshake(net::ssl::stream_base::server,
+                                               into(Failure));
     }
     co_return Failure;
   }
@@ -40,41 +41,43 @@
       co_return Failure;
     this->Buffer.shrink_to_fit();
     this->expireAfter(Timeout);
-    const std::size_t Count = co_await this->Under.async_read_some(
+    const std::size_t Count = co_await this->Transport.async_read_some(
         this->Buffer.prepare(FirstReadBytes), into(Failure));
     this->Buffer.commit(Count);
     co_return Failure;
   }
 
-  Task<ErrorCode> readHeader(Parser &Into, Duration Timeout) override {
+  Task<ErrorCode> readHeader(Parser &RequestParser, Duration Timeout) override {
     this->expireAfter(Timeout);
     ErrorCode Failure;
-    co_await http::async_read_header(this->Under, this->Buffer, Into,
-                                     into(Failure));
+    co_await http::async_read_header(this->Transport, this->Buffer,
+                                     RequestParser, into(Failure));
     co_return Failure;
   }
 
-  Task<ErrorCode> readBody(Parser &Into, Duration Timeout) override {
+  Task<ErrorCode> readBody(Parser &RequestParser, Duration Timeout) override {
     this->expireAfter(Timeout);
     ErrorCode Failure;
-    co_await http::async_read(this->Under, this->Buffer, Into, into(Failure));
+    co_await http::async_read(this->Transport, this->Buffer, RequestParser,
+                              into(Failure));
     if (this->Buffer.size() == 0)
       this->Buffer.shrink_to_fit();
     co_return Failure;
   }
 
-  Task<ErrorCode> writeAnswer(Answer &Given, Duration Timeout) override {
+  Task<ErrorCode> writeAnswer(Answer &Message, Duration Timeout) override {
     this->expireAfter(Timeout);
     ErrorCode Failure;
-    co_await http::async_write(this->Under, Given, into(Failure));
+    co_await http::async_write(this->Transport, Message, into(Failure));
     co_return Failure;
   }
 
-  Task<ErrorCode> writeHeader(Header &Given, Duration Timeout) override {
+  Task<ErrorCode> writeHeader(Header &Message, Duration Timeout) override {
     this->expireAfter(Timeout);
     ErrorCode Failure;
-    http::response_serializer<http::empty_body> Serializer(Given);
-    co_await http::async_write_header(this->Under, Serializer, into(Failure));
+    http::response_serializer<http::empty_body> Serializer(Message);
+    co_await http::async_write_header(this->Transport, Serializer,
+                                      into(Failure));
     co_return Failure;
   }
 
@@ -82,12 +85,12 @@
     this->expireAfter(Timeout);
     ErrorCode Failure;
     if (Text.empty()) {
-      co_await net::async_write(this->Under, http::make_chunk_last(),
+      co_await net::async_write(this->Transport, http::make_chunk_last(),
                                 into(Failure));
       co_return Failure;
     }
     const net::const_buffer Bytes(Text.data(), Text.size());
-    co_await net::async_write(this->Under, http::make_chunk(Bytes),
+    co_await net::async_write(this->Transport, http::make_chunk(Bytes),
                               into(Failure));
     co_return Failure;
   }
@@ -113,7 +116,7 @@
     ErrorCode Ignored;
     if constexpr (std::is_same_v<Stream, TlsStream>) {
       this->expireAfter(Timeout);
-      co_await this->Under.async_shutdown(into(Ignored));
+      co_await this->Transport.async_shutdown(into(Ignored));
     }
     this->socket().shutdown(Tcp::socket::shutdown_both, Ignored);
     this->socket().close(Ignored);
@@ -127,18 +130,18 @@
   }
 
   net::any_io_executor executor() override {
-    return this->Under.get_executor();
+    return this->Transport.get_executor();
   }
 
 private:
   void expireAfter(Duration Timeout) {
-    beast::get_lowest_layer(this->Under).expires_after(Timeout);
+    beast::get_lowest_layer(this->Transport).expires_after(Timeout);
   }
   Tcp::socket &socket() {
-    return beast::get_lowest_layer(this->Under).socket();
+    return beast::get_lowest_layer(this->Transport).socket();
   }
 
-  Stream Under;
+  Stream Transport;
   beast::flat_buffer Buffer;
 };
 
--- a/src/libs/http/Connection.h
+++ b/src/libs/http/Connection.h
@@ -25,11 +25,12 @@
   virtual Task<ErrorCode> handshake(Duration Timeout) = 0;
   /// Waits for the first byte of a request.
   virtual Task<ErrorCode> waitForRequest(Duration Timeout) = 0;
-  virtual Task<ErrorCode> readHeader(Parser &Into, Duration Timeout) = 0;
-  virtual Task<ErrorCode> readBody(Parser &Into, Duration Timeout) = 0;
-  virtual Task<ErrorCode> writeAnswer(Answer &Given, Duration Timeout) = 0;
+  virtual Task<ErrorCode> readHeader(Parser &RequestParser,
+                                     Duration Timeout) = 0;
+  virtual Task<ErrorCode> readBody(Parser &RequestParser, Duration Timeout) = 0;
+  virtual Task<ErrorCode> writeAnswer(Answer &Message, Duration Timeout) = 0;
   /// Writes the header of an answer in chunks.
-  virtual Task<ErrorCode> writeHeader(Header &Given, Duration Timeout) = 0;
+  virtual Task<ErrorCode> writeHeader(Header &Message, Duration Timeout) = 0;
   /// Writes one chunk; an empty one ends the answer.
   virtual Task<ErrorCode> writeChunk(std::string_view Text,
                                      Duration Timeout) = 0;
--- a/src/libs/http/EventParser.cpp
+++ b/src/libs/http/EventParser.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// What stands after `NAME:` and one blank, or nothing if it is another field.
-bool takeField(std::string_view &Line, std::string_view Name) {
+bool consumeField(std::string_view &Line, std::string_view Name) {
   if (!Line.starts_with(Name))
     return false;
   Line.remove_prefix(Name.size());
@@ -21,44 +21,44 @@
 void EventParser::feed(std::string_view Bytes, std::vector<ServerEvent> &Out) {
   for (;;) {
     const std::size_t End = Bytes.find('\n');
-    const std::string_view Piece = Bytes.substr(0, End);
-    if (this->pendingBytes() + Piece.size() > this->MaxEventBytes)
+    const std::string_view Part = Bytes.substr(0, End);
+    if (this->pendingBytes() + Part.size() > this->MaxEventBytes)
       throw Error(ErrorKind::BadInput, "an event is too long",
                   "send events of at most " +
                       std::to_string(this->MaxEventBytes) + " bytes");
     if (End == std::string_view::npos) {
-      this->Line += Piece;
+      this->Line += Part;
       return;
     }
     Bytes.remove_prefix(End + 1);
     if (this->Line.empty()) {
-      this->takeLine(Piece, Out);
+      this->handleLine(Part, Out);
       continue;
     }
-    this->Line += Piece;
-    const std::string Whole = std::move(this->Line);
+    this->Line += Part;
+    const std::string Complete = std::move(this->Line);
     this->Line.clear();
-    this->takeLine(Whole, Out);
+    this->handleLine(Complete, Out);
   }
 }
 
-void EventParser::takeLine(std::string_view Text,
-                           std::vector<ServerEvent> &Out) {
+void EventParser::handleLine(std::string_view Text,
+                             std::vector<ServerEvent> &Out) {
   if (Text.ends_with('\r'))
     Text.remove_suffix(1);
   if (Text.empty()) {
     if (this->HasData)
-      Out.push_back(std::move(this->Open));
-    this->Open = {};
+      Out.push_back(std::move(this->Current));
+    this->Current = {};
     this->HasData = false;
     return;
   }
-  if (takeField(Text, "event:")) {
-    this->Open.Type = Text;
-  } else if (takeField(Text, "data:")) {
+  if (consumeField(Text, "event:")) {
+    this->Current.Type = Text;
+  } else if (consumeField(Text, "data:")) {
     if (this->HasData)
-      this->Open.Data += '\n';
-    this->Open.Data += Text;
+      this->Current.Data += '\n';
+    this->Current.Data += Text;
     this->HasData = true;
   }
 }
--- a/src/libs/http/EventParser.h
+++ b/src/libs/http/EventParser.h
@@ -30,15 +30,15 @@
 
   /// Bytes held of an event that is not complete.
   std::size_t pendingBytes() const {
-    return this->Line.size() + this->Open.Data.size();
+    return this->Line.size() + this->Current.Data.size();
   }
 
 private:
-  void takeLine(std::string_view Text, std::vector<ServerEvent> &Out);
+  void handleLine(std::string_view Text, std::vector<ServerEvent> &Out);
 
   std::size_t MaxEventBytes;
   std::string Line;
-  ServerEvent Open;
+  ServerEvent Current;
   bool HasData = false;
 };
 
--- a/src/libs/http/HttpClient.cpp
+++ b/src/libs/http/HttpClient.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Connections kept to one address.
-constexpr std::size_t KeptPerAddress = 4;
+constexpr std::size_t MaxIdlePerAddress = 4;
 
 /// Whether the peer has neither closed the connection nor sent anything.
-bool isQuiet(Tcp::socket &Socket) {
+bool isIdle(Tcp::socket &Socket) {
   ErrorCode Failure;
   std::array<char, 1> Byte{};
   Socket.non_blocking(true, Failure);
@@ -23,37 +23,37 @@
 
 } // namespace
 
-http::request<http::string_body> beastRequest(ClientRequest Given,
+http::request<http::string_body> beastRequest(ClientRequest ClientReq,
                                               const std::string &Host) {
   constexpr unsigned Http11 = 11;
-  http::request<http::string_body> Result(Given.Method, beastText(Given.Target),
-                                          Http11);
+  http::request<http::string_body> Result(ClientReq.Method,
+                                          beastText(ClientReq.Target), Http11);
   Result.set(http::field::host, Host);
-  for (const auto &[Name, Value] : Given.Headers)
+  for (const auto &[Name, Value] : ClientReq.Headers)
     Result.set(beastText(Name), beastText(Value));
-  Result.body() = std::move(Given.Body);
+  Result.body() = std::move(ClientReq.Body);
   Result.prepare_payload();
   return Result;
 }
 
-Task<ClientResult> HttpClient::call(Address At, ClientRequest Given,
+Task<ClientResult> HttpClient::call(Address At, ClientRequest ClientReq,
                                     Duration Timeout, Reuse Connections) {
-  Stream Kept =
+  Stream Reused =
       Connections == Reuse::Yes ? this->takeIdle(At) : Stream(nullptr);
-  const bool MayRepeat = Kept && Given.Method == http::verb::get;
+  const bool MayRetry = Reused && ClientReq.Method == http::verb::get;
   ClientResult Result =
-      co_await this->callOnce(At, Given, Timeout, std::move(Kept));
-  if (MayRepeat && std::holds_alternative<ClientFailure>(Result))
-    Result = co_await this->callOnce(At, Given, Timeout, nullptr);
+      co_await this->callOnce(At, ClientReq, Timeout, std::move(Reused));
+  if (MayRetry && std::holds_alternative<ClientFailure>(Result))
+    Result = co_await this->callOnce(At, ClientReq, Timeout, nullptr);
   co_return Result;
 }
 
 Task<ClientResult> HttpClient::callOnce(const Address &At,
-                                        const ClientRequest &Given,
-                                        Duration Timeout, Stream Kept) {
-  if (Kept) {
-    Kept->expires_after(Timeout);
-    co_return co_await this->exchange(At, Given, std::move(Kept));
+                                        const ClientRequest &ClientReq,
+                                        Duration Timeout, Stream Reused) {
+  if (Reused) {
+    Reused->expires_after(Timeout);
+    co_return co_await this->exchange(At, ClientReq, std::move(Reused));
   }
   auto Link = std::make_unique<beast::tcp_stream>(this->Executor);
   Link->expires_after(Timeout);
@@ -62,14 +62,14 @@
   if (Failure)
     co_return failureOfConnect(Failure);
   tuneConnection(Link->socket());
-  co_return co_await this->exchange(At, Given, std::move(Link));
+  co_return co_await this->exchange(At, ClientReq, std::move(Link));
 }
 
 Task<ClientResult> HttpClient::exchange(const Address &At,
-                                        const ClientRequest &Given,
+                                        const ClientRequest &ClientReq,
                                         Stream Link) {
   ErrorCode Failure;
-  const auto Request = beastRequest(Given, text(At));
+  const auto Request = beastRequest(ClientReq, text(At));
   co_await http::async_write(*Link, Request, into(Failure));
   if (Failure)
     co_return failureAfterSending(Failure);
@@ -94,7 +94,7 @@
     return nullptr;
   Stream Result;
   while (!Result && !Found->second.empty()) {
-    if (isQuiet(Found->second.back()->socket()))
+    if (isIdle(Found->second.back()->socket()))
       Result = std::move(Found->second.back());
     Found->second.pop_back();
   }
@@ -104,9 +104,9 @@
 }
 
 void HttpClient::keep(const Address &At, Stream Link) {
-  auto &Kept = this->Idle[At];
-  if (Kept.size() < KeptPerAddress)
-    Kept.push_back(std::move(Link));
+  auto &IdleStreams = this->Idle[At];
+  if (IdleStreams.size() < MaxIdlePerAddress)
+    IdleStreams.push_back(std::move(Link));
 }
 
 } // namespace banyanpick
--- a/src/libs/http/HttpClient.h
+++ b/src/libs/http/HttpClient.h
@@ -27,15 +27,15 @@
   enum class Reuse { No, Yes };
 
   /// Connects, sends and reads within \p Timeout.
-  Task<ClientResult> call(Address At, ClientRequest Given, Duration Timeout,
+  Task<ClientResult> call(Address At, ClientRequest ClientReq, Duration Timeout,
                           Reuse Connections = Reuse::Yes);
 
 private:
   using Stream = std::unique_ptr<beast::tcp_stream>;
 
-  Task<ClientResult> callOnce(const Address &At, const ClientRequest &Given,
-                              Duration Timeout, Stream Kept);
-  Task<ClientResult> exchange(const Address &At, const ClientRequest &Given,
+  Task<ClientResult> callOnce(const Address &At, const ClientRequest &ClientReq,
+                              Duration Timeout, Stream Reused);
+  Task<ClientResult> exchange(const Address &At, const ClientRequest &ClientReq,
                               Stream Link);
   Stream takeIdle(const Address &At);
   void keep(const Address &At, Stream Link);
--- a/src/libs/http/HttpExchange.cpp
+++ b/src/libs/http/HttpExchange.cpp
@@ -50,8 +50,8 @@
 HttpExchange::~HttpExchange() { this->stopWatching(); }
 
 std::string_view HttpExchange::header(std::string_view Name) const {
-  const auto Found = this->Asked.find(beastText(Name));
-  if (Found == this->Asked.end())
+  const auto Found = this->Req.find(beastText(Name));
+  if (Found == this->Req.end())
     return {};
   return {Found->value().data(), Found->value().size()};
 }
@@ -60,38 +60,39 @@
   this->Headers.emplace_back(Name, Value);
 }
 
-Task<bool> HttpExchange::respond(HttpAnswer Given) {
-  Connection::Answer Answer(static_cast<http::status>(Given.Status),
-                            this->Asked.version());
-  Answer.set(http::field::content_type, Given.ContentType);
-  if (Given.RetryAfter > Duration(0))
-    Answer.set(http::field::retry_after,
-               retryAfterText(Given.RetryAfter, Given.FractionalRetryAfter));
-  Answer.body() = std::move(Given.Body);
+Task<bool> HttpExchange::respond(HttpAnswer Content) {
+  Connection::Answer Answer(static_cast<http::status>(Content.Status),
+                            this->Req.version());
+  Answer.set(http::field::content_type, Content.ContentType);
+  if (Content.RetryAfter > Duration(0))
+    Answer.set(
+        http::field::retry_after,
+        retryAfterText(Content.RetryAfter, Content.FractionalRetryAfter));
+  Answer.body() = std::move(Content.Body);
   co_return co_await this->writeAnswer(std::move(Answer));
 }
 
 Task<bool> HttpExchange::beginEvents() {
-  Connection::Header Answer(http::status::ok, this->Asked.version());
+  Connection::Header Answer(http::status::ok, this->Req.version());
   Answer.set(http::field::content_type, "text/event-stream");
   Answer.set(http::field::cache_control, "no-store");
   co_return co_await this->writeEventsHead(std::move(Answer));
 }
 
 bool HttpExchange::wantsKeepAlive() const {
-  return this->Asked.keep_alive() && !this->Values.CloseAfterAnswer;
+  return this->Req.keep_alive() && !this->Values.CloseAfterAnswer;
 }
 
-Task<bool> HttpExchange::respond(RelayedAnswer Given) {
-  Connection::Answer Answer(std::move(Given.Head));
-  Answer.version(this->Asked.version());
-  Answer.body() = std::move(Given.Body);
+Task<bool> HttpExchange::respond(RelayedAnswer Content) {
+  Connection::Answer Answer(std::move(Content.Head));
+  Answer.version(this->Req.version());
+  Answer.body() = std::move(Content.Body);
   co_return co_await this->writeAnswer(std::move(Answer));
 }
 
 Task<bool> HttpExchange::beginEvents(http::response_header<> Head) {
   Connection::Header Answer(std::move(Head));
-  Answer.version(this->Asked.version());
+  Answer.version(this->Req.version());
   co_return co_await this->writeEventsHead(std::move(Answer));
 }
 
@@ -104,7 +105,7 @@
   this->KeepsAlive = this->KeepsAlive && Answer.keep_alive();
   const ErrorCode Failure =
       co_await this->Peer->writeAnswer(Answer, this->Values.WriteTimeout);
-  co_return this->note(Failure);
+  co_return this->updateKeepAlive(Failure);
 }
 
 Task<bool> HttpExchange::writeEventsHead(Connection::Header Head) {
@@ -116,7 +117,7 @@
   this->KeepsAlive = this->KeepsAlive && Head.keep_alive();
   const ErrorCode Failure =
       co_await this->Peer->writeHeader(Head, this->Values.WriteTimeout);
-  co_return this->note(Failure);
+  co_return this->updateKeepAlive(Failure);
 }
 
 void HttpExchange::abort() {
@@ -129,7 +130,7 @@
 Task<bool> HttpExchange::sendEvents(std::string_view Formatted) {
   const ErrorCode Failure =
       co_await this->Peer->writeChunk(Formatted, this->Values.WriteTimeout);
-  co_return this->note(Failure);
+  co_return this->updateKeepAlive(Failure);
 }
 
 Task<bool> HttpExchange::endEvents() {
@@ -137,7 +138,7 @@
   const ErrorCode Failure =
       co_await this->Peer->writeChunk({}, this->Values.WriteTimeout);
   this->EventsOpen = false;
-  co_return this->note(Failure);
+  co_return this->updateKeepAlive(Failure);
 }
 
 void HttpExchange::onDisconnect(std::function<void()> Callback) {
@@ -154,7 +155,7 @@
     Watch->Callback();
 }
 
-bool HttpExchange::note(const ErrorCode &Failure) {
+bool HttpExchange::updateKeepAlive(const ErrorCode &Failure) {
   if (Failure)
     this->KeepsAlive = false;
   return !Failure;
@@ -168,9 +169,9 @@
   this->Peer->stopWatching();
 }
 
-template <class Answer> void HttpExchange::addHeaders(Answer &To) const {
+template <class Answer> void HttpExchange::addHeaders(Answer &Message) const {
   for (const auto &[Name, Value] : this->Headers)
-    To.set(beastText(Name), beastText(Value));
+    Message.set(beastText(Name), beastText(Value));
 }
 
 } // namespace banyanpick
--- a/src/libs/http/HttpExchange.h
+++ b/src/libs/http/HttpExchange.h
@@ -43,32 +43,32 @@
 public:
   using Request = http::request<http::string_body>;
 
-  HttpExchange(std::shared_ptr<Connection> Peer, Request Asked,
-               HttpTarget Target, const HttpSettings &Values)
-      : Peer(std::move(Peer)), Asked(std::move(Asked)), Asks(std::move(Target)),
-        Values(Values) {}
+  HttpExchange(std::shared_ptr<Connection> Peer, Request Req, HttpTarget Target,
+               const HttpSettings &Values)
+      : Peer(std::move(Peer)), Req(std::move(Req)),
+        ParsedTarget(std::move(Target)), Values(Values) {}
   ~HttpExchange();
   HttpExchange(const HttpExchange &) = delete;
   HttpExchange &operator=(const HttpExchange &) = delete;
 
   /// Everything that the caller sent.
-  const Request &request() const { return this->Asked; }
-  http::verb method() const { return this->Asked.method(); }
-  const HttpTarget &target() const { return this->Asks; }
+  const Request &request() const { return this->Req; }
+  http::verb method() const { return this->Req.method(); }
+  const HttpTarget &target() const { return this->ParsedTarget; }
   std::string_view header(std::string_view Name) const;
-  const std::string &body() const { return this->Asked.body(); }
+  const std::string &body() const { return this->Req.body(); }
   /// Frees the body once it is understood.
-  void dropBody() { this->Asked.body() = std::string(); }
+  void dropBody() { this->Req.body() = std::string(); }
   net::any_io_executor executor() const { return this->Peer->executor(); }
 
   /// Adds a header to the answer to come.
   void addHeader(std::string_view Name, std::string_view Value);
 
   /// Sends a whole answer. False: the peer is gone.
-  Task<bool> respond(HttpAnswer Given);
+  Task<bool> respond(HttpAnswer Content);
 
   /// Sends a whole answer of another server.
-  Task<bool> respond(RelayedAnswer Given);
+  Task<bool> respond(RelayedAnswer Content);
 
   /// Starts an answer of server-sent events.
   Task<bool> beginEvents();
@@ -96,20 +96,20 @@
 
   static Task<void> watch(std::shared_ptr<Connection> Peer,
                           std::shared_ptr<DisconnectWatch> Watch);
-  bool note(const ErrorCode &Failure);
+  bool updateKeepAlive(const ErrorCode &Failure);
   void stopWatching();
   /// What all whole answers have in common.
   Task<bool> writeAnswer(Connection::Answer Answer);
   /// What the beginnings of all streams of events have in common.
   Task<bool> writeEventsHead(Connection::Header Head);
-  template <class Answer> void addHeaders(Answer &To) const;
+  template <class Answer> void addHeaders(Answer &Message) const;
   /// Whether the connection is kept after this answer, by the caller's word and
   /// the server's settings.
   bool wantsKeepAlive() const;
 
   std::shared_ptr<Connection> Peer;
-  Request Asked;
-  HttpTarget Asks;
+  Request Req;
+  HttpTarget ParsedTarget;
   const HttpSettings &Values;
   std::vector<std::pair<std::string, std::string>> Headers;
   std::shared_ptr<DisconnectWatch> Watch;
--- a/src/libs/http/HttpServer.cpp
+++ b/src/libs/http/HttpServer.cpp
@@ -9,23 +9,23 @@
 namespace {
 
 /// How long nothing is accepted after a failure, such as too many open files.
-constexpr milliseconds AcceptPause(50);
+constexpr milliseconds AcceptRetryDelay(50);
 
 /// Counts a connection while it lives.
-class Counted {
+class ConnectionCounter {
 public:
-  explicit Counted(std::atomic<std::uint64_t> &Count) : Count(Count) {
+  explicit ConnectionCounter(std::atomic<std::uint64_t> &Count) : Count(Count) {
     ++this->Count;
   }
-  ~Counted() { --this->Count; }
-  Counted(const Counted &) = delete;
-  Counted &operator=(const Counted &) = delete;
+  ~ConnectionCounter() { --this->Count; }
+  ConnectionCounter(const ConnectionCounter &) = delete;
+  ConnectionCounter &operator=(const ConnectionCounter &) = delete;
 
 private:
   std::atomic<std::uint64_t> &Count;
 };
 
-HttpAnswer answerToReadFailure(const ErrorCode &Failure) {
+HttpAnswer readFailureAnswer(const ErrorCode &Failure) {
   if (Failure == http::error::header_limit)
     return errorAnswer(431, ErrorKind::BadInput,
                        "the header is too large; send less in headers");
@@ -41,7 +41,7 @@
 }
 
 /// Whether the peer can still be told what was wrong.
-bool canBeTold(const ErrorCode &Failure) {
+bool canAnswer(const ErrorCode &Failure) {
   return Failure.category() ==
              http::make_error_code(http::error::bad_method).category() &&
          Failure != http::error::end_of_stream &&
@@ -72,8 +72,8 @@
     : Threads(ThreadsGiven.begin(), ThreadsGiven.end()),
       Values(std::move(ValuesGiven)), Handler(Handler), Tls(Tls),
       Acceptor(listenAt(*this->Threads.front(), Listen)),
-      Bodies(this->Values.TotalBodyBytes) {
-  net::co_spawn(this->Acceptor.get_executor(), this->acceptAll(),
+      Budget(this->Values.TotalBodyBytes) {
+  net::co_spawn(this->Acceptor.get_executor(), this->acceptConnections(),
                 net::detached);
 }
 
@@ -84,19 +84,19 @@
   });
 }
 
-void HttpServer::setLimits(const CallerLimits &Given) {
-  if (Given.HeaderBytes > 0)
-    this->Values.MaxHeaderBytes = Given.HeaderBytes;
-  if (Given.BodyBytes > 0)
-    this->Values.MaxBodyBytes = Given.BodyBytes;
-  if (Given.HeaderTimeout > Duration(0))
-    this->Values.HeaderTimeout = Given.HeaderTimeout;
-  if (Given.IdleTimeout > Duration(0))
-    this->Values.IdleTimeout = Given.IdleTimeout;
+void HttpServer::setLimits(const CallerLimits &NewLimits) {
+  if (NewLimits.HeaderBytes > 0)
+    this->Values.MaxHeaderBytes = NewLimits.HeaderBytes;
+  if (NewLimits.BodyBytes > 0)
+    this->Values.MaxBodyBytes = NewLimits.BodyBytes;
+  if (NewLimits.HeaderTimeout > Duration(0))
+    this->Values.HeaderTimeout = NewLimits.HeaderTimeout;
+  if (NewLimits.IdleTimeout > Duration(0))
+    this->Values.IdleTimeout = NewLimits.IdleTimeout;
 }
 
-Task<void> HttpServer::acceptAll() {
-  net::steady_timer Pause(this->Acceptor.get_executor());
+Task<void> HttpServer::acceptConnections() {
+  net::steady_timer RetryTimer(this->Acceptor.get_executor());
   std::size_t Next = 0;
   while (this->Acceptor.is_open()) {
     net::io_context &Thread = *this->Threads[Next++ % this->Threads.size()];
@@ -104,12 +104,12 @@
     Tcp::socket Socket =
         co_await this->Acceptor.async_accept(Thread, into(Failure));
     if (Failure) {
-      Pause.expires_after(AcceptPause);
+      RetryTimer.expires_after(AcceptRetryDelay);
       ErrorCode Ignored;
-      co_await Pause.async_wait(into(Ignored));
+      co_await RetryTimer.async_wait(into(Ignored));
       continue;
     }
-    if (this->Open.load() >= this->Values.MaxConnections)
+    if (this->OpenConnections.load() >= this->Values.MaxConnections)
       continue; // Closed by its destructor.
     net::co_spawn(
         Thread,
@@ -120,12 +120,12 @@
 }
 
 Task<void> HttpServer::serveConnection(std::shared_ptr<Connection> Peer) {
-  const Counted Here(this->Open);
+  const ConnectionCounter Counter(this->OpenConnections);
   const ErrorCode Failure =
       co_await Peer->handshake(this->Values.HeaderTimeout);
-  bool GoesOn = !Failure;
-  while (GoesOn)
-    GoesOn = co_await this->serveOne(Peer);
+  bool KeepServing = !Failure;
+  while (KeepServing)
+    KeepServing = co_await this->serveOne(Peer);
   co_await Peer->close(this->Values.HeaderTimeout);
 }
 
@@ -138,8 +138,8 @@
     co_return false;
   Failure = co_await Peer->readHeader(Parser, this->Values.HeaderTimeout);
   if (Failure) {
-    if (canBeTold(Failure))
-      co_await this->refuse(*Peer, answerToReadFailure(Failure));
+    if (canAnswer(Failure))
+      co_await this->refuse(*Peer, readFailureAnswer(Failure));
     co_return false;
   }
   if (Parser.chunked() && !this->Values.TakesChunkedBodies) {
@@ -158,8 +158,8 @@
   const auto Length = Parser.content_length();
   const std::uint64_t Expected =
       Parser.chunked() ? this->Values.MaxBodyBytes : (Length ? *Length : 0);
-  BodyBudget::Share Share = this->Bodies.take(Expected);
-  if (!Share) {
+  BodyBudget::Reservation Reservation = this->Budget.reserve(Expected);
+  if (!Reservation) {
     co_await this->refuse(
         *Peer, errorAnswer(503, ErrorKind::Unavailable,
                            "too many requests are being read; try again in a "
@@ -169,8 +169,8 @@
   if (!co_await this->readBody(Peer, Parser))
     co_return false;
   if (Parser.chunked()) {
-    Share = BodyBudget::Share();
-    Share = this->Bodies.take(Parser.get().body().size());
+    Reservation = BodyBudget::Reservation();
+    Reservation = this->Budget.reserve(Parser.get().body().size());
   }
   co_return co_await this->serveRequest(Peer, Parser.release());
 }
@@ -187,26 +187,27 @@
   }
   const ErrorCode Failure =
       co_await Peer->readBody(Parser, this->Values.BodyTimeout);
-  if (Failure && canBeTold(Failure))
-    co_await this->refuse(*Peer, answerToReadFailure(Failure));
+  if (Failure && canAnswer(Failure))
+    co_await this->refuse(*Peer, readFailureAnswer(Failure));
   co_return !Failure;
 }
 
 Task<bool> HttpServer::serveRequest(std::shared_ptr<Connection> Peer,
-                                    HttpExchange::Request Asked) {
+                                    HttpExchange::Request Req) {
   HttpAnswer Refusal;
   try {
-    const std::string_view Text(Asked.target().data(), Asked.target().size());
+    const std::string_view Text(Req.target().data(), Req.target().size());
     HttpTarget Target = parseTarget(Text);
-    HttpExchange Each(Peer, std::move(Asked), std::move(Target), this->Values);
+    HttpExchange Exchange(Peer, std::move(Req), std::move(Target),
+                          this->Values);
     try {
-      co_await this->Handler.serve(Each);
+      co_await this->Handler.serve(Exchange);
     } catch (const Error &Thrown) {
       Refusal = errorAnswer(Thrown);
     }
-    if (!Each.isAnswered() && !Refusal.Body.empty())
-      co_await Each.respond(std::move(Refusal));
-    co_return Each.isAnswered() && Each.keepsAlive();
+    if (!Exchange.isAnswered() && !Refusal.Body.empty())
+      co_await Exchange.respond(std::move(Refusal));
+    co_return Exchange.isAnswered() && Exchange.keepsAlive();
   } catch (const Error &Thrown) {
     Refusal = errorAnswer(Thrown);
   } catch (const std::exception &Thrown) {
@@ -217,12 +218,12 @@
   co_return false;
 }
 
-Task<void> HttpServer::refuse(Connection &Peer, HttpAnswer Given) {
+Task<void> HttpServer::refuse(Connection &Peer, HttpAnswer Content) {
   constexpr unsigned Http11 = 11;
-  Connection::Answer Answer(static_cast<http::status>(Given.Status), Http11);
-  Answer.set(http::field::content_type, Given.ContentType);
+  Connection::Answer Answer(static_cast<http::status>(Content.Status), Http11);
+  Answer.set(http::field::content_type, Content.ContentType);
   Answer.keep_alive(false);
-  Answer.body() = std::move(Given.Body);
+  Answer.body() = std::move(Content.Body);
   Answer.prepare_payload();
   const ErrorCode Ignored =
       co_await Peer.writeAnswer(Answer, this->Values.WriteTimeout);
--- a/src/libs/http/HttpServer.h
+++ b/src/libs/http/HttpServer.h
@@ -16,7 +16,7 @@
 public:
   virtual ~HttpHandler() = default;
   /// A thrown Error becomes its typed answer.
-  virtual Task<void> serve(HttpExchange &Each) = 0;
+  virtual Task<void> serve(HttpExchange &Exchange) = 0;
 };
 
 /// Accepts connections and spreads them over threads, each with its own
@@ -35,17 +35,17 @@
 
   /// Bounds for requests read from now on. On the server's thread, when it has
   /// only one.
-  void setLimits(const CallerLimits &Given);
+  void setLimits(const CallerLimits &NewLimits);
 
   /// From now on each answer tells the caller that its connection closes. On
   /// the server's thread, when it has only one.
   void closeAfterAnswers() { this->Values.CloseAfterAnswer = true; }
 
-  std::uint64_t connections() const { return this->Open.load(); }
-  std::uint64_t bodyBytes() const { return this->Bodies.taken(); }
+  std::uint64_t connections() const { return this->OpenConnections.load(); }
+  std::uint64_t bodyBytes() const { return this->Budget.reservedBytes(); }
 
 private:
-  Task<void> acceptAll();
+  Task<void> acceptConnections();
   Task<void> serveConnection(std::shared_ptr<Connection> Peer);
   /// Serves one request; false: the connection ends.
   Task<bool> serveOne(std::shared_ptr<Connection> Peer);
@@ -55,16 +55,16 @@
   Task<bool> readBody(std::shared_ptr<Connection> Peer,
                       Connection::Parser &Parser);
   Task<bool> serveRequest(std::shared_ptr<Connection> Peer,
-                          HttpExchange::Request Asked);
-  Task<void> refuse(Connection &Peer, HttpAnswer Given);
+                          HttpExchange::Request Req);
+  Task<void> refuse(Connection &Peer, HttpAnswer Content);
 
   std::vector<net::io_context *> Threads;
   HttpSettings Values;
   HttpHandler &Handler;
   net::ssl::context *Tls;
   Tcp::acceptor Acceptor;
-  BodyBudget Bodies;
-  std::atomic<std::uint64_t> Open = 0;
+  BodyBudget Budget;
+  std::atomic<std::uint64_t> OpenConnections = 0;
 };
 
 } // namespace banyanpick
--- a/src/libs/http/HttpTarget.cpp
+++ b/src/libs/http/HttpTarget.cpp
@@ -13,9 +13,10 @@
 char decodeEscape(std::string_view Escape) {
   unsigned Value = 0;
   const char *End = Escape.data() + Escape.size();
-  const auto [Rest, Failure] =
+  const auto [ParseEnd, Failure] =
       std::from_chars(Escape.data() + 1, End, Value, 16);
-  if (Escape.size() != EscapeLength || Failure != std::errc() || Rest != End)
+  if (Escape.size() != EscapeLength || Failure != std::errc() ||
+      ParseEnd != End)
     throw Error(ErrorKind::BadInput, "the target has a malformed escape",
                 "write a percent sign as %25");
   return static_cast<char>(Value);
@@ -42,15 +43,15 @@
 }
 
 std::uint64_t HttpTarget::number(std::string_view Name,
-                                 std::uint64_t Otherwise) const {
+                                 std::uint64_t Default) const {
   const auto Found = this->Query.find(Name);
   if (Found == this->Query.end())
-    return Otherwise;
+    return Default;
   std::uint64_t Value = 0;
   const char *End = Found->second.data() + Found->second.size();
-  const auto [Rest, Failure] =
+  const auto [ParseEnd, Failure] =
       std::from_chars(Found->second.data(), End, Value);
-  if (Failure != std::errc() || Rest != End)
+  if (Failure != std::errc() || ParseEnd != End)
     throw Error(ErrorKind::BadInput,
                 std::string(Name) + " is not a whole number",
                 "give a whole number from 0 on");
@@ -66,18 +67,18 @@
 
 HttpTarget parseTarget(std::string_view Text) {
   HttpTarget Result;
-  const std::size_t Mark = Text.find('?');
-  Result.Path = decode(Text.substr(0, Mark));
-  if (Mark == std::string_view::npos)
+  const std::size_t QueryStart = Text.find('?');
+  Result.Path = decode(Text.substr(0, QueryStart));
+  if (QueryStart == std::string_view::npos)
     return Result;
-  std::string_view Rest = Text.substr(Mark + 1);
-  while (!Rest.empty()) {
-    const std::size_t End = std::min(Rest.find('&'), Rest.size());
-    const std::string_view Item = Rest.substr(0, End);
-    const std::size_t Equals = std::min(Item.find('='), Item.size());
-    Result.Query[decode(Item.substr(0, Equals))] =
-        decode(Item.substr(std::min(Equals + 1, Item.size())));
-    Rest.remove_prefix(std::min(End + 1, Rest.size()));
+  std::string_view Remaining = Text.substr(QueryStart + 1);
+  while (!Remaining.empty()) {
+    const std::size_t End = std::min(Remaining.find('&'), Remaining.size());
+    const std::string_view Parameter = Remaining.substr(0, End);
+    const std::size_t Equals = std::min(Parameter.find('='), Parameter.size());
+    Result.Query[decode(Parameter.substr(0, Equals))] =
+        decode(Parameter.substr(std::min(Equals + 1, Parameter.size())));
+    Remaining.remove_prefix(std::min(End + 1, Remaining.size()));
   }
   return Result;
 }
--- a/src/libs/http/HttpTarget.h
+++ b/src/libs/http/HttpTarget.h
@@ -20,7 +20,7 @@
 
   /// A whole number of the query; \p Otherwise when absent. Throws
   /// Error(BadInput) when it is no number.
-  std::uint64_t number(std::string_view Name, std::uint64_t Otherwise) const;
+  std::uint64_t number(std::string_view Name, std::uint64_t Default) const;
 
   /// What stands behind \p Prefix in the path, or nothing.
   std::optional<std::string> afterPrefix(std::string_view Prefix) const;
--- a/src/libs/http/SocketOptions.cpp
+++ b/src/libs/http/SocketOptions.cpp
@@ -17,11 +17,11 @@
 
 /// Milliseconds that sent bytes may stay unacknowledged: twenty times the
 /// longest way there and back within a region, and two retransmissions.
-constexpr int UnacknowledgedMs = 2500;
+constexpr int MaxUnacknowledgedMs = 2500;
 
 /// A missing option makes a silent peer be noticed later, not wrongly, so that
 /// a refusal of the system is no failure.
-void set(int Descriptor, int Level, int Option, int Value) {
+void setOption(int Descriptor, int Level, int Option, int Value) {
   [[maybe_unused]] const int Ignored =
       setsockopt(Descriptor, Level, Option, &Value, sizeof(Value));
 }
@@ -30,12 +30,12 @@
 
 void tuneConnection(Tcp::socket &Socket) {
   const int Descriptor = Socket.native_handle();
-  set(Descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-  set(Descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(Descriptor, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
-  set(Descriptor, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
-  set(Descriptor, IPPROTO_TCP, TCP_KEEPCNT, KeepAliveProbes);
-  set(Descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, UnacknowledgedMs);
+  setOption(Descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
+  setOption(Descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
+  setOption(Descriptor, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
+  setOption(Descriptor, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
+  setOption(Descriptor, IPPROTO_TCP, TCP_KEEPCNT, KeepAliveProbes);
+  setOption(Descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, MaxUnacknowledgedMs);
 }
 
 } // namespace banyanpick
