--- a/tests/auto/http/HttpServerTest.cpp
+++ b/tests/auto/http/HttpServerTest.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 /// Echoes the body.
-Task<void> echo(HttpExchange &Each) {
+Task<void> echo(HttpExchange &Exchange) {
   HttpAnswer Answer;
-  Answer.Body = Each.body();
-  co_await Each.respond(std::move(Answer));
+  Answer.Body = Exchange.body();
+  co_await Exchange.respond(std::move(Answer));
 }
 
 std::string post(std::size_t Length, std::string_view Body) {
@@ -33,7 +33,7 @@
   return answerTo(At, post(2, "ok")).ends_with("\r\n\r\nok");
 }
 
-TEST(HttpServer, BoundsAreToldWithTypedErrors) {
+TEST(HttpServer, ReportsExceededLimitsWithTypedErrors) {
   LocalServer Server(echo);
   const auto Answer = [&](std::string_view Bytes) {
     return answerTo(Server.at(), Bytes);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(stillServes(Server.at()));
 }
 
-TEST(HttpServer, SlowSendersAreCutOff) {
+TEST(HttpServer, DisconnectsSlowSenders) {
   LocalServer Server(echo);
   RawPeer SlowHeader(Server.at());
   SlowHeader.send("GET / HTT");
@@ -66,35 +66,36 @@
 
 TEST(HttpServer, ManyIdleConnectionsAreBounded) {
   LocalServer Server(echo);
-  std::vector<std::unique_ptr<RawPeer>> Crowd;
-  constexpr int Peers = 64;
-  Crowd.reserve(Peers);
-  for (int I = 0; I < Peers; ++I)
-    Crowd.push_back(std::make_unique<RawPeer>(Server.at()));
-  for (const auto &Each : Crowd)
-    Each->readAll();
+  std::vector<std::unique_ptr<RawPeer>> Clients;
+  constexpr int ClientCount = 64;
+  Clients.reserve(ClientCount);
+  for (int I = 0; I < ClientCount; ++I)
+    Clients.push_back(std::make_unique<RawPeer>(Server.at()));
+  for (const auto &Client : Clients)
+    Client->readAll();
   EXPECT_LE(Server.server().connections(), smallLimits().MaxConnections);
-  Crowd.clear();
+  Clients.clear();
   EXPECT_TRUE(stillServes(Server.at()));
 }
 
 TEST(HttpServer, BodiesOfAllRequestsAreBounded) {
   LocalServer Server(echo);
-  std::vector<std::unique_ptr<RawPeer>> Crowd;
+  std::vector<std::unique_ptr<RawPeer>> Clients;
   for (int I = 0; I < 3; ++I) {
-    Crowd.push_back(std::make_unique<RawPeer>(Server.at()));
-    Crowd.back()->send(post(4096, "slow"));
+    Clients.push_back(std::make_unique<RawPeer>(Server.at()));
+    Clients.back()->send(post(4096, "slow"));
   }
   std::string Answers;
-  for (const auto &Each : Crowd)
-    Answers += Each->readAll();
+  for (const auto &Client : Clients)
+    Answers += Client->readAll();
   EXPECT_NE(Answers.find("503"), std::string::npos);
   while (Server.server().bodyBytes() != 0) // Hangs if a share is never freed.
     std::this_thread::sleep_for(milliseconds(1));
   EXPECT_TRUE(stillServes(Server.at()));
 }
 
-RC_GTEST_PROP(HttpServer, AnyBytesLeaveItServing, (const std::string &Bytes)) {
+RC_GTEST_PROP(HttpServer, KeepsServingAfterAnyBytes,
+              (const std::string &Bytes)) {
   static LocalServer Server(echo);
   const bool Framed = *rc::gen::arbitrary<bool>();
   RawPeer Peer(Server.at());
--- a/tests/auto/http/LocalServer.h
+++ b/tests/auto/http/LocalServer.h
@@ -42,7 +42,9 @@
   LocalServer(const LocalServer &) = delete;
   LocalServer &operator=(const LocalServer &) = delete;
 
-  Task<void> serve(HttpExchange &Each) override { return this->Serve(Each); }
+  Task<void> serve(HttpExchange &Exchange) override {
+    return this->Serve(Exchange);
+  }
 
   Address at() const { return {"127.0.0.1", this->Server.port()}; }
   const HttpServer &server() const { return this->Server; }
--- a/tests/auto/http/RawPeer.h
+++ b/tests/auto/http/RawPeer.h
@@ -28,19 +28,19 @@
 
   /// What came, at least one byte; nothing when the server closed.
   std::string readSome() {
-    std::array<char, 4096> Piece{};
+    std::array<char, 4096> Part{};
     ErrorCode Failure;
     const std::size_t Count =
-        this->Socket.read_some(net::buffer(Piece), Failure);
-    return std::string(Piece.data(), Count);
+        this->Socket.read_some(net::buffer(Part), Failure);
+    return std::string(Part.data(), Count);
   }
 
   /// Everything until the server closes.
   std::string readAll() {
     std::string Result;
-    for (std::string Piece = this->readSome(); !Piece.empty();
-         Piece = this->readSome())
-      Result += Piece;
+    for (std::string Part = this->readSome(); !Part.empty();
+         Part = this->readSome())
+      Result += Part;
     return Result;
   }
 
--- a/tests/auto/http/TextFormsTest.cpp
+++ b/tests/auto/http/TextFormsTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-RC_GTEST_PROP(EventParser, CutsBetweenBytesChangeNothing, ()) {
+RC_GTEST_PROP(EventParser, ParsesTheSameForAnySplit, ()) {
   const auto Line = rc::gen::container<std::string>(rc::gen::inRange('a', 'f'));
   std::vector<ServerEvent> Sent;
   std::string Text;
@@ -22,19 +22,19 @@
     Text += formatEvent(Sent.back().Type, Sent.back().Data);
   }
   EventParser Parser(10'000);
-  std::vector<ServerEvent> Got;
+  std::vector<ServerEvent> Received;
   while (!Text.empty()) {
     const auto Count = *rc::gen::inRange<std::size_t>(1, Text.size() + 1);
-    Parser.feed(Text.substr(0, Count), Got);
+    Parser.feed(Text.substr(0, Count), Received);
     Text.erase(0, Count);
   }
-  RC_ASSERT(Got == Sent);
+  RC_ASSERT(Received == Sent);
 }
 
 TEST(EventParser, AnOverlongEventIsRefused) {
   EventParser Parser(100);
-  std::vector<ServerEvent> Got;
-  EXPECT_THROW(Parser.feed("data: " + std::string(200, 'x'), Got), Error);
+  std::vector<ServerEvent> Received;
+  EXPECT_THROW(Parser.feed("data: " + std::string(200, 'x'), Received), Error);
 }
 
 RC_GTEST_PROP(HttpTarget, AnyTextIsReadOrRefused, (const std::string &Text)) {
@@ -57,8 +57,8 @@
 TEST(AddressText, RoundTrip) {
   EXPECT_EQ(text(addressFromText("127.0.0.1:80")), "127.0.0.1:80");
   EXPECT_EQ(text(addressFromText("[::1]:80")), "[::1]:80");
-  for (const char *Wrong : {"host:80", "127.0.0.1", "1.2.3.4:99999", ":1"})
-    EXPECT_THROW(addressFromText(Wrong), Error) << Wrong;
+  for (const char *Malformed : {"host:80", "127.0.0.1", "1.2.3.4:99999", ":1"})
+    EXPECT_THROW(addressFromText(Malformed), Error) << Malformed;
 }
 
 /// Whatever comes in whatever order, what is delivered is 0, 1, 2... of the
@@ -77,12 +77,12 @@
       if (End != Verdict::Drop)
         break;
     }
-    const Verdict Took = Stream.acceptChunk(From, Index);
-    RC_ASSERT((Took == Verdict::Deliver) ==
+    const Verdict Decision = Stream.acceptChunk(From, Index);
+    RC_ASSERT((Decision == Verdict::Deliver) ==
               (From == "mine" && Index == Delivered));
-    if (Took == Verdict::Broken)
+    if (Decision == Verdict::Broken)
       break;
-    Delivered += Took == Verdict::Deliver;
+    Delivered += Decision == Verdict::Deliver;
   }
   RC_ASSERT(Stream.nextIndex() == Delivered);
 }
