--- a/src/libs/http/AddressText.cpp
+++ b/src/libs/http/AddressText.cpp
@@ -9,7 +9,7 @@
   const auto Ip = net::ip::make_address(At.Ip, Failure);
   if (Failure)
     throw Error(ErrorKind::BadInput, "'" + At.Ip + "' is not an IP number",
-                "give one such as 127.0.0.1");
+                "give an address such as 127.0.0.1");
   return {Ip, At.Port};
 }
 
--- a/src/libs/http/AddressText.h
+++ b/src/libs/http/AddressText.h
@@ -1,5 +1,6 @@
 /// \file
-/// Addresses as endpoints; as text see kernel/AddressText.h.
+/// Converts addresses to endpoints. kernel/AddressText.h converts them to and
+/// from text.
 #pragma once
 
 #include "http/Asio.h"
@@ -7,7 +8,7 @@
 
 namespace banyanpick {
 
-/// Throws Error(BadInput) when the IP number is malformed.
+/// Throws Error(BadInput) if the IP address is malformed.
 Tcp::endpoint endpointOf(const Address &At);
 
 } // namespace banyanpick
--- a/src/libs/http/Asio.h
+++ b/src/libs/http/Asio.h
@@ -1,6 +1,6 @@
 /// \file
-/// The parts of Boost.Asio and Boost.Beast that all I/O here is written with:
-/// coroutines whose operations tell failure by an error code.
+/// Names from Boost.Asio and Boost.Beast that all I/O code uses. I/O is written
+/// as coroutines whose operations report failures as error codes.
 #pragma once
 
 // Boost 1.74 uses std::exchange in its coroutines without including it.
@@ -29,15 +29,16 @@
 using Tcp = boost::asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// A coroutine that gives a \p Value.
+/// A coroutine that returns a \p Value.
 template <class Value> using Task = net::awaitable<Value>;
 
-/// The completion token of every operation: it puts its error into \p Into.
+/// Returns the completion token of an operation, which stores the operation's
+/// error in \p Failure.
 inline auto into(ErrorCode &Failure) {
   return net::redirect_error(net::use_awaitable, Failure);
 }
 
-/// Boost's own view of a text.
+/// Converts to the string view type of Boost.
 inline beast::string_view beastText(std::string_view Text) {
   return {Text.data(), Text.size()};
 }
--- a/src/libs/http/BodyBudget.h
+++ b/src/libs/http/BodyBudget.h
@@ -1,5 +1,5 @@
 /// \file
-/// One bound on the bytes of all request bodies held at once.
+/// Limits the total size of the request bodies held in memory at once.
 #pragma once
 
 #include <atomic>
@@ -7,12 +7,12 @@
 
 namespace banyanpick {
 
-/// Safe from any thread.
+/// Tracks the bytes reserved for request bodies. Thread-safe.
 class BodyBudget {
 public:
   explicit BodyBudget(std::uint64_t Limit) : Limit(Limit) {}
 
-  /// A part of the budget, given back when it is destroyed.
+  /// A reserved part of the budget, which the destructor releases.
   class Reservation {
   public:
     Reservation() = default;
@@ -31,7 +31,7 @@
     std::uint64_t Bytes = 0;
   };
 
-  /// An empty share when so many bytes are not left.
+  /// Returns an empty reservation if fewer than \p Bytes are available.
   Reservation reserve(std::uint64_t Bytes);
 
   std::uint64_t reservedBytes() const { return this->Reserved.load(); }
--- a/src/libs/http/BoundedJson.h
+++ b/src/libs/http/BoundedJson.h
@@ -1,6 +1,6 @@
 /// \file
-/// JSON from strangers, bounded in depth and count so that a small body can't
-/// become a large document.
+/// Parses JSON from untrusted sources. Depth and number of values are limited,
+/// so that a small body can't become a large document in memory.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,17 +9,19 @@
 
 namespace banyanpick {
 
-/// The most values (objects, arrays, members) of one document.
+/// Maximum number of values (objects, arrays, members) in one document.
 inline constexpr std::size_t MaxJsonValues = 1'000'000;
-/// The same for what callers send, which is small but for long texts.
+/// The same limit for documents from callers, which contain few values besides
+/// long texts.
 inline constexpr std::size_t MaxCallerJsonValues = 50'000;
 
-/// Throws Error(BadInput) when \p Text is no JSON, too deep or has more than
+/// Throws Error(BadInput) if \p Text is not JSON, is too deep or has more than
 /// \p MaxValues values.
 nlohmann::json parseBoundedJson(std::string_view Text,
                                 std::size_t MaxValues = MaxJsonValues);
 
-/// Text of \p Value; bytes that are no UTF-8 are replaced.
+/// Returns the JSON text of \p Value. Bytes that are not valid UTF-8 are
+/// replaced.
 std::string dumpJson(const nlohmann::json &Value);
 
 } // namespace banyanpick
--- a/src/libs/http/ChangeNotifier.h
+++ b/src/libs/http/ChangeNotifier.h
@@ -1,19 +1,19 @@
 /// \file
-/// Wakes coroutines that wait for something to change, on one thread.
+/// Wakes up coroutines that wait for a change of state, on one thread.
 #pragma once
 
 #include "http/Asio.h"
 
 namespace banyanpick {
 
-/// All members are used on the executor's thread only. Waiters look again at
-/// what they wait for whenever wait() returns.
+/// A condition variable for coroutines. A waiter checks its condition again
+/// whenever wait() returns. Used on the executor's thread only.
 class ChangeNotifier {
 public:
   explicit ChangeNotifier(const net::any_io_executor &Executor)
       : Timer(Executor, net::steady_timer::time_point::max()) {}
 
-  /// Wakes everybody who waits now.
+  /// Wakes up all current waiters.
   void notify() { this->Timer.cancel(); }
 
   Task<void> wait() {
--- a/src/libs/http/ClientRequest.h
+++ b/src/libs/http/ClientRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the HTTP client sends and gets.
+/// Requests, answers and failures of the HTTP client.
 #pragma once
 
 #include "http/Asio.h"
@@ -23,35 +23,35 @@
   http::response_header<> Head;
 };
 
-/// Why there is no answer.
+/// The reason why a call has no answer.
 enum class ClientFailure {
   ConnectionRefused, ///< The connection was refused; no byte was sent.
-  NotConnected,      ///< No connection in time; no byte was sent.
+  NotConnected,      ///< No connection within the timeout; no byte was sent.
   Reset,             ///< The peer reset the connection after bytes were sent.
-  Lost,              ///< Ended, malformed or too late after bytes were sent.
+  Lost,              ///< Closed, malformed or timed out after bytes were sent.
 };
 
-/// Whether no byte was handed to a transport.
+/// Returns whether it is certain that no byte was passed to a transport.
 inline bool wasNotSent(ClientFailure Failure) {
   return Failure == ClientFailure::ConnectionRefused ||
          Failure == ClientFailure::NotConnected;
 }
 
-/// The failure after bytes were sent that an error code stands for.
+/// Converts the error code of an operation that failed after bytes were sent.
 inline ClientFailure failureAfterSending(const ErrorCode &Code) {
   const bool WasReset =
       Code == net::error::connection_reset || Code == net::error::broken_pipe;
   return WasReset ? ClientFailure::Reset : ClientFailure::Lost;
 }
 
-/// The failure of a connect that an error code stands for.
+/// Converts the error code of a failed connection attempt.
 inline ClientFailure failureOfConnect(const ErrorCode &Code) {
   return Code == net::error::connection_refused
              ? ClientFailure::ConnectionRefused
              : ClientFailure::NotConnected;
 }
 
-/// The request as Beast sends it.
+/// Converts the request to the type that Beast sends.
 http::request<http::string_body> beastRequest(ClientRequest ClientReq,
                                               const std::string &Host);
 
--- a/src/libs/http/ClientStream.cpp
+++ b/src/libs/http/ClientStream.cpp
@@ -28,7 +28,7 @@
   }
   if (Failure)
     co_return failureAfterSending(Failure);
-  // Not boost::none: Beast 1.74 compares it as less than any length.
+  // boost::none does not work: Beast 1.74 compares it as less than any length.
   this->Parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   co_await http::async_read_header(this->Link, this->Buffer, this->Parser,
                                    into(Failure));
--- a/src/libs/http/ClientStream.h
+++ b/src/libs/http/ClientStream.h
@@ -1,5 +1,5 @@
 /// \file
-/// One HTTP answer that is read while it comes.
+/// Reads one HTTP answer incrementally.
 #pragma once
 
 #include "base/Time.h"
@@ -12,39 +12,42 @@
 
 namespace banyanpick {
 
-/// Used on one thread, that of its executor.
+/// Sends one request on its own connection and reads the answer as a whole or
+/// as server-sent events. Used on the executor's thread only.
 class ClientStream {
 public:
   ClientStream(const net::any_io_executor &Executor, std::size_t MaxEventBytes)
       : Link(Executor), Events(MaxEventBytes) {}
 
-  /// Connects within \p ConnectTimeout; sends, reads the answer's header and
-  /// everything after within \p Timeout from then on.
+  /// Connects within \p ConnectTimeout, sends the request and reads the header
+  /// of the answer. \p Timeout starts when the connection is established and
+  /// covers everything after that, including later reads.
   Task<std::optional<ClientFailure>> open(Address At, ClientRequest ClientReq,
                                           Duration ConnectTimeout,
                                           Duration Timeout);
 
   unsigned status() const { return this->Parser.get().result_int(); }
 
-  /// The rest of the answer as a whole, or what came of it before a cut or
-  /// \p MaxBytes; the flag tells whether it is whole.
+  /// Reads the rest of the answer, up to a connection failure or slightly more
+  /// than \p MaxBytes. The flag in the result is true if the answer is complete
+  /// and not larger than \p MaxBytes.
   Task<std::pair<std::string, bool>> readRest(std::size_t MaxBytes);
 
   enum class ReadState { Open, Ended, Aborted };
-  /// Adds the events that came to \p Out. Throws Error(BadInput) when an
+  /// Waits for events and adds them to \p Out. Throws Error(BadInput) if an
   /// event is too long.
   Task<ReadState> readEvents(std::vector<ServerEvent> &Out);
 
-  /// With Cut: how the connection ended.
+  /// Returns how the connection ended if the read state is Aborted.
   ClientFailure failure() const { return this->AbortReason; }
 
-  /// Ends the connection; a running operation fails.
+  /// Closes the connection. A running operation fails.
   void cancel();
 
 private:
   static constexpr std::size_t ReadBytes = 4096;
 
-  /// Reads body bytes into Piece; a view of what came.
+  /// Reads part of the body into ReadBuffer and returns a view of the bytes.
   Task<std::string_view> readBodyPart();
 
   beast::tcp_stream Link;
--- a/src/libs/http/Connection.cpp
+++ b/src/libs/http/Connection.cpp
@@ -13,10 +13,10 @@
 using PlainStream = beast::tcp_stream;
 using TlsStream = beast::ssl_stream<beast::tcp_stream>;
 
-/// What is read at once while waiting for a request.
+/// Maximum size of the read that waits for a request.
 constexpr std::size_t FirstReadBytes = 2048;
 
-/// What the buffer may hold beyond a header: the start of a body.
+/// Size of the buffer beyond the header, for the start of a body.
 constexpr std::size_t BodyReadBytes = 64ULL * 1024;
 
 template <class Stream> class BasicConnection final : public Connection {
--- a/src/libs/http/Connection.h
+++ b/src/libs/http/Connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// One accepted connection, plain or with TLS.
+/// One accepted connection, with or without TLS.
 #pragma once
 
 #include "base/Time.h"
@@ -11,8 +11,8 @@
 
 namespace banyanpick {
 
-/// Every operation ends within the timeout given. Used on the thread of the
-/// connection's executor only.
+/// Reads requests and writes answers. Every operation with a timeout ends
+/// within it. Used on the thread of the connection's executor only.
 class Connection {
 public:
   using Parser = http::request_parser<http::string_body>;
@@ -21,7 +21,7 @@
 
   virtual ~Connection() = default;
 
-  /// The TLS handshake; nothing for a plain connection.
+  /// Performs the TLS handshake. Does nothing on a connection without TLS.
   virtual Task<ErrorCode> handshake(Duration Timeout) = 0;
   /// Waits for the first byte of a request.
   virtual Task<ErrorCode> waitForRequest(Duration Timeout) = 0;
@@ -29,17 +29,18 @@
                                      Duration Timeout) = 0;
   virtual Task<ErrorCode> readBody(Parser &RequestParser, Duration Timeout) = 0;
   virtual Task<ErrorCode> writeAnswer(Answer &Message, Duration Timeout) = 0;
-  /// Writes the header of an answer in chunks.
+  /// Writes the header of a chunked answer.
   virtual Task<ErrorCode> writeHeader(Header &Message, Duration Timeout) = 0;
-  /// Writes one chunk; an empty one ends the answer.
+  /// Writes one chunk. An empty chunk ends the answer.
   virtual Task<ErrorCode> writeChunk(std::string_view Text,
                                      Duration Timeout) = 0;
-  /// Whether the peer hung up; waits until it does or stopWatching().
+  /// Waits until the peer disconnects or stopWatching() is called. Returns
+  /// whether the peer has disconnected.
   virtual Task<bool> waitForDisconnect() = 0;
-  /// Only while no other operation is running.
+  /// May be called only while no other operation is running.
   virtual void stopWatching() = 0;
   virtual Task<void> close(Duration Timeout) = 0;
-  /// Resets the connection at once; running operations fail.
+  /// Resets the connection immediately. Running operations fail.
   virtual void abort() = 0;
   virtual net::any_io_executor executor() = 0;
 };
--- a/src/libs/http/EventParser.cpp
+++ b/src/libs/http/EventParser.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// What stands after `NAME:` and one blank, or nothing if it is another field.
+/// Removes the field name and one optional space from the line. Returns false
+/// if the line holds another field.
 bool consumeField(std::string_view &Line, std::string_view Name) {
   if (!Line.starts_with(Name))
     return false;
--- a/src/libs/http/EventParser.h
+++ b/src/libs/http/EventParser.h
@@ -1,5 +1,5 @@
 /// \file
-/// Server-sent events out of bytes, as they come.
+/// Parses and formats server-sent events.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// One event; the type is empty when none was named.
+/// One event. The type is empty if the event names none.
 struct ServerEvent {
   std::string Type;
   std::string Data;
@@ -16,19 +16,19 @@
   bool operator==(const ServerEvent &) const = default;
 };
 
-/// Reads the event stream format of the HTML standard, without ids and
-/// reconnection times.
+/// Incremental parser of the event stream format of the HTML standard. Ignores
+/// ids and reconnection times.
 class EventParser {
 public:
   /// Events longer than \p MaxEventBytes are an error.
   explicit EventParser(std::size_t MaxEventBytes)
       : MaxEventBytes(MaxEventBytes) {}
 
-  /// Adds the events that are complete now to \p Out. Throws Error(BadInput)
-  /// when an event is too long.
+  /// Parses \p Bytes and adds the events that are complete now to \p Out.
+  /// Throws Error(BadInput) if an event is too long.
   void feed(std::string_view Bytes, std::vector<ServerEvent> &Out);
 
-  /// Bytes held of an event that is not complete.
+  /// Returns the number of bytes held of an incomplete event.
   std::size_t pendingBytes() const {
     return this->Line.size() + this->Current.Data.size();
   }
@@ -42,7 +42,8 @@
   bool HasData = false;
 };
 
-/// `event: TYPE`, `data: DATA` and the empty line; DATA holds no line break.
+/// Returns `event: TYPE`, `data: DATA` and the empty line. \p Data must not
+/// contain line breaks.
 std::string formatEvent(std::string_view Type, std::string_view Data);
 
 } // namespace banyanpick
--- a/src/libs/http/HttpClient.cpp
+++ b/src/libs/http/HttpClient.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Connections kept to one address.
+/// Maximum number of idle connections kept for one address.
 constexpr std::size_t MaxIdlePerAddress = 4;
 
-/// Whether the peer has neither closed the connection nor sent anything.
+/// Returns whether the peer has neither closed the connection nor sent data.
 bool isIdle(Tcp::socket &Socket) {
   ErrorCode Failure;
   std::array<char, 1> Byte{};
--- a/src/libs/http/HttpClient.h
+++ b/src/libs/http/HttpClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP calls with whole answers, over connections that are kept.
+/// HTTP client for complete answers, with connection reuse.
 #pragma once
 
 #include "base/Time.h"
@@ -14,19 +14,21 @@
 
 using ClientResult = std::variant<ClientAnswer, ClientFailure>;
 
-/// Used on one thread, that of its executor.
+/// Sends requests and reads complete answers. Used on the executor's thread
+/// only.
 class HttpClient {
 public:
-  /// Answers larger than \p MaxAnswerBytes are failures.
+  /// A call fails if the answer is larger than \p MaxAnswerBytes.
   HttpClient(const net::any_io_executor &Executor, std::size_t MaxAnswerBytes)
       : Executor(Executor), MaxAnswerBytes(MaxAnswerBytes) {}
 
-  /// Whether a call may go over a kept connection. The peer may have closed
-  /// that meanwhile, so bytes may be handed to it in vain; a GET is then sent
-  /// once more.
+  /// Whether a call may reuse an idle connection. The peer may have closed it
+  /// already, so the request may be lost after it was sent. A GET is then sent
+  /// again on a new connection.
   enum class Reuse { No, Yes };
 
-  /// Connects, sends and reads within \p Timeout.
+  /// Sends the request and reads the answer within \p Timeout, including the
+  /// time to connect. A repeated GET has the same timeout again.
   Task<ClientResult> call(Address At, ClientRequest ClientReq, Duration Timeout,
                           Reuse Connections = Reuse::Yes);
 
--- a/src/libs/http/HttpExchange.h
+++ b/src/libs/http/HttpExchange.h
@@ -1,5 +1,5 @@
 /// \file
-/// One request of a caller or operator, and the way to answer it.
+/// One request of a caller or operator and its answer.
 #pragma once
 
 #include "base/Error.h"
@@ -14,31 +14,33 @@
 
 namespace banyanpick {
 
-/// A whole answer.
+/// A complete answer.
 struct HttpAnswer {
   unsigned Status = 200;
   std::string Body;
   std::string ContentType = "application/json";
-  Duration RetryAfter{}; ///< Zero: no such header.
-  /// Callers of this protocol read fractions of a second in Retry-After.
+  Duration RetryAfter{}; ///< Zero: no Retry-After header.
+  /// Whether callers of the protocol accept fractions of a second in
+  /// Retry-After.
   bool FractionalRetryAfter = false;
 };
 
-/// An answer of another server that is passed on: its status, its headers but
-/// those of its connection, and its body.
+/// The answer of another server, to be forwarded: its status, its headers
+/// except for the hop-by-hop headers, and its body.
 struct RelayedAnswer {
   http::response_header<> Head;
   std::string Body;
 };
 
-/// `{"error": {"kind": K, "message": M}}`.
+/// Returns an answer with the body `{"error": {"kind": K, "message": M}}`.
 HttpAnswer errorAnswer(unsigned Status, ErrorKind Kind,
                        std::string_view Message);
 
-/// The answer to a thrown error, with the status of its kind.
+/// Returns the answer for a thrown error, with the status for its kind.
 HttpAnswer errorAnswer(const Error &Thrown);
 
-/// Used on the thread of the connection only.
+/// Gives a handler access to a request and sends the answer. Used on the thread
+/// of the connection only.
 class HttpExchange {
 public:
   using Request = http::request<http::string_body>;
@@ -51,42 +53,45 @@
   HttpExchange(const HttpExchange &) = delete;
   HttpExchange &operator=(const HttpExchange &) = delete;
 
-  /// Everything that the caller sent.
+  /// Returns the complete request.
   const Request &request() const { return this->Req; }
   http::verb method() const { return this->Req.method(); }
   const HttpTarget &target() const { return this->ParsedTarget; }
   std::string_view header(std::string_view Name) const;
   const std::string &body() const { return this->Req.body(); }
-  /// Frees the body once it is understood.
+  /// Frees the memory of the body after it was parsed.
   void dropBody() { this->Req.body() = std::string(); }
   net::any_io_executor executor() const { return this->Peer->executor(); }
 
-  /// Adds a header to the answer to come.
+  /// Adds a header to the answer.
   void addHeader(std::string_view Name, std::string_view Value);
 
-  /// Sends a whole answer. False: the peer is gone.
+  /// Sends a complete answer. Returns false if the peer has disconnected, as do
+  /// the other functions that send.
   Task<bool> respond(HttpAnswer Content);
 
-  /// Sends a whole answer of another server.
+  /// Sends a complete answer of another server.
   Task<bool> respond(RelayedAnswer Content);
 
   /// Starts an answer of server-sent events.
   Task<bool> beginEvents();
-  /// Starts the answer in chunks that another server began.
+  /// Starts a chunked answer with the header of another server's answer.
   Task<bool> beginEvents(http::response_header<> Head);
-  /// Sends events already formatted; ends when the peer's window took them.
+  /// Sends formatted events. Completes when the socket has accepted them, which
+  /// depends on the peer's receive window.
   Task<bool> sendEvents(std::string_view Formatted);
   Task<bool> endEvents();
 
-  /// Ends the connection, so that an answer that has begun does not look whole.
+  /// Resets the connection, so that an answer in progress does not look
+  /// complete.
   void abort();
 
-  /// Calls \p Then when the peer hangs up before this exchange ends.
+  /// Calls \p Callback if the peer disconnects before this exchange ends.
   void onDisconnect(std::function<void()> Callback);
 
   bool isAnswered() const { return this->Answered; }
-  /// Whether the connection can take another request; not after events
-  /// without an end.
+  /// Returns whether the connection can be used for another request. It can't
+  /// while an event stream has no end.
   bool keepsAlive() const { return this->KeepsAlive && !this->EventsOpen; }
 
 private:
@@ -96,15 +101,17 @@
 
   static Task<void> watch(std::shared_ptr<Connection> Peer,
                           std::shared_ptr<DisconnectWatch> Watch);
+  /// Closes the connection after this exchange if sending failed. Returns
+  /// whether it succeeded.
   bool updateKeepAlive(const ErrorCode &Failure);
   void stopWatching();
-  /// What all whole answers have in common.
+  /// Sends any complete answer.
   Task<bool> writeAnswer(Connection::Answer Answer);
-  /// What the beginnings of all streams of events have in common.
+  /// Sends the header of any event stream.
   Task<bool> writeEventsHead(Connection::Header Head);
   template <class Answer> void addHeaders(Answer &Message) const;
-  /// Whether the connection is kept after this answer, by the caller's word and
-  /// the server's settings.
+  /// Returns whether the caller and the server's settings allow to keep the
+  /// connection open after this answer.
   bool wantsKeepAlive() const;
 
   std::shared_ptr<Connection> Peer;
--- a/src/libs/http/HttpServer.cpp
+++ b/src/libs/http/HttpServer.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// How long nothing is accepted after a failure, such as too many open files.
+/// Delay before the next accept after a failure, such as too many open files.
 constexpr milliseconds AcceptRetryDelay(50);
 
-/// Counts a connection while it lives.
+/// Counts an open connection until it is destroyed.
 class ConnectionCounter {
 public:
   explicit ConnectionCounter(std::atomic<std::uint64_t> &Count) : Count(Count) {
@@ -40,7 +40,7 @@
                          "; send an HTTP/1.1 request");
 }
 
-/// Whether the peer can still be told what was wrong.
+/// Returns whether an error answer can still be sent after the read failure.
 bool canAnswer(const ErrorCode &Failure) {
   return Failure.category() ==
              http::make_error_code(http::error::bad_method).category() &&
@@ -59,7 +59,7 @@
   } catch (const boost::system::system_error &Failure) {
     throw Error(ErrorKind::Unavailable,
                 "can't listen at " + text(At) + ": " + Failure.what(),
-                "give another address or end what listens there");
+                "choose another address or end the process that uses it");
   }
   return Result;
 }
@@ -110,7 +110,7 @@
       continue;
     }
     if (this->OpenConnections.load() >= this->Values.MaxConnections)
-      continue; // Closed by its destructor.
+      continue; // The destructor of the socket closes the connection.
     net::co_spawn(
         Thread,
         this->serveConnection(makeConnection(std::move(Socket), this->Tls,
@@ -154,7 +154,7 @@
 
 Task<bool> HttpServer::serveBody(std::shared_ptr<Connection> Peer,
                                  Connection::Parser &Parser) {
-  // A body in chunks counts as the largest one until its size is known.
+  // A chunked body counts with the maximum size until its size is known.
   const auto Length = Parser.content_length();
   const std::uint64_t Expected =
       Parser.chunked() ? this->Values.MaxBodyBytes : (Length ? *Length : 0);
--- a/src/libs/http/HttpServer.h
+++ b/src/libs/http/HttpServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The server for callers and operators.
+/// The HTTP server for callers and operators.
 #pragma once
 
 #include "gateway/Configuration.h"
@@ -11,34 +11,36 @@
 
 namespace banyanpick {
 
-/// Answers requests. Called on the thread of the request's connection.
+/// Answers requests. Called on the thread of the connection.
 class HttpHandler {
 public:
   virtual ~HttpHandler() = default;
-  /// A thrown Error becomes its typed answer.
+  /// A thrown Error is converted to an error answer of its kind.
   virtual Task<void> serve(HttpExchange &Exchange) = 0;
 };
 
-/// Accepts connections and spreads them over threads, each with its own
-/// io_context. It must outlive the threads' runs.
+/// Accepts connections and distributes them over threads, each with its own
+/// io_context. The server must exist until the io_contexts have stopped.
 class HttpServer {
 public:
-  /// \p Tls may be null. Throws Error(Unavailable) when it can't listen.
+  /// \p Tls may be null. Throws Error(Unavailable) if the server can't listen
+  /// at the address.
   HttpServer(std::span<net::io_context *const> Threads, const Address &Listen,
              HttpSettings Values, HttpHandler &Handler, net::ssl::context *Tls);
 
-  /// The port it got; for tests that listen at port 0.
+  /// Returns the port in use. For tests that listen at port 0.
   std::uint16_t port() const { return this->Acceptor.local_endpoint().port(); }
 
-  /// Accepts no more connections. On any thread.
+  /// Stops accepting connections. Thread-safe.
   void stop();
 
-  /// Bounds for requests read from now on. On the server's thread, when it has
-  /// only one.
+  /// Sets limits for requests read from now on. May be called only on the
+  /// server's thread, and only if the server has one thread.
   void setLimits(const CallerLimits &NewLimits);
 
-  /// From now on each answer tells the caller that its connection closes. On
-  /// the server's thread, when it has only one.
+  /// Closes each connection after its next answer, which announces the close.
+  /// May be called only on the server's thread, and only if the server has one
+  /// thread.
   void closeAfterAnswers() { this->Values.CloseAfterAnswer = true; }
 
   std::uint64_t connections() const { return this->OpenConnections.load(); }
@@ -47,11 +49,11 @@
 private:
   Task<void> acceptConnections();
   Task<void> serveConnection(std::shared_ptr<Connection> Peer);
-  /// Serves one request; false: the connection ends.
+  /// Serves one request. Returns false if the connection must be closed.
   Task<bool> serveOne(std::shared_ptr<Connection> Peer);
   Task<bool> serveBody(std::shared_ptr<Connection> Peer,
                        Connection::Parser &Parser);
-  /// Reads the body under the bound on all bodies; false: the connection ends.
+  /// Reads the body. Returns false if the connection must be closed.
   Task<bool> readBody(std::shared_ptr<Connection> Peer,
                       Connection::Parser &Parser);
   Task<bool> serveRequest(std::shared_ptr<Connection> Peer,
--- a/src/libs/http/SocketOptions.cpp
+++ b/src/libs/http/SocketOptions.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Seconds without traffic before the first probe, between probes, and how many
-/// stay unanswered: a silent peer is noticed within some three seconds, by two
-/// small packets a second at most.
+/// Seconds without traffic before the first probe, seconds between probes, and
+/// the number of unanswered probes. A silent peer is detected within about
+/// three seconds, with at most two small packets a second.
 constexpr int KeepAliveIdleSeconds = 1;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
 
-/// Milliseconds that sent bytes may stay unacknowledged: twenty times the
-/// longest way there and back within a region, and two retransmissions.
+/// How long sent bytes may stay unacknowledged, in milliseconds: twenty times
+/// the longest round trip within a region, plus two retransmissions.
 constexpr int MaxUnacknowledgedMs = 2500;
 
-/// A missing option makes a silent peer be noticed later, not wrongly, so that
-/// a refusal of the system is no failure.
+/// Ignores errors of the system: without an option, a silent peer is detected
+/// later, but never wrongly.
 void setOption(int Descriptor, int Level, int Option, int Value) {
   [[maybe_unused]] const int Ignored =
       setsockopt(Descriptor, Level, Option, &Value, sizeof(Value));
--- a/src/libs/http/SocketOptions.h
+++ b/src/libs/http/SocketOptions.h
@@ -1,14 +1,15 @@
 /// \file
-/// Options of all TCP connections.
+/// Socket options of all TCP connections.
 #pragma once
 
 #include "http/Asio.h"
 
 namespace banyanpick {
 
-/// Sends at once, and gives the connection up when its peer is silent though
-/// it should answer: a peer without power or behind a cut answers nothing, and
-/// a connection to it would hang for minutes.
+/// Disables the delay of small packets and sets timeouts that close the
+/// connection when the peer does not respond. A peer without power or behind a
+/// network partition sends nothing, and a connection to it would otherwise hang
+/// for minutes.
 void tuneConnection(Tcp::socket &Socket);
 
 } // namespace banyanpick
--- a/src/libs/http/TlsServer.cpp
+++ b/src/libs/http/TlsServer.cpp
@@ -19,7 +19,7 @@
   if (Failure)
     throw Error(ErrorKind::BadInput,
                 "[tls] certificate and key can't be used: " + Failure.message(),
-                "give files in PEM form, the key of that certificate");
+                "give PEM files, with the private key of that certificate");
   return Result;
 }
 
--- a/src/libs/http/TlsServer.h
+++ b/src/libs/http/TlsServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// TLS towards callers and operators, by OpenSSL.
+/// TLS for the connections of callers and operators, with OpenSSL.
 #pragma once
 
 #include "http/Asio.h"
@@ -10,8 +10,8 @@
 
 namespace banyanpick {
 
-/// The server's TLS context, or null when no certificate is set. Throws
-/// Error(BadInput) when certificate or key can't be used.
+/// Returns the server's TLS context, or null if neither certificate nor key is
+/// set. Throws Error(BadInput) if the certificate or the key can't be used.
 std::unique_ptr<net::ssl::context> makeTlsContext(const HttpSettings &Values);
 
 } // namespace banyanpick
--- a/tests/auto/http/AttemptTest.cpp
+++ b/tests/auto/http/AttemptTest.cpp
@@ -1,5 +1,9 @@
 /// \file
-/// What each end of a try on an upstream is told as, and which chunks count.
+/// Tests the outcome for each way in which an attempt on an upstream can end,
+/// and which chunks belong to the answer.
+///
+/// They guard against running a request twice or delivering a wrong answer,
+/// when the connection breaks or an upstream sends an invalid stream.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -68,7 +72,7 @@
       Count);
 }
 
-/// An engine that answers each completion with these events.
+/// Runs an attempt on an engine that answers with these events.
 EngineResult runWithEvents(std::string Events, std::uint64_t NextIndex = 0) {
   LocalServer Engine([&](HttpExchange &Exchange) -> Task<void> {
     co_await Exchange.beginEvents();
@@ -78,7 +82,7 @@
   return runEngine(dispatchTo(Engine.at(), NextIndex));
 }
 
-/// An engine that answers with a status and a body.
+/// Runs an attempt on an engine that answers with a status and a body.
 AttemptOutcome outcomeOf(unsigned Status, std::string Body) {
   LocalServer Engine([&](HttpExchange &Exchange) -> Task<void> {
     HttpAnswer Answer;
@@ -140,7 +144,8 @@
             AttemptOutcome(AttemptNeverSent{}));
 }
 
-/// A peer that reads what comes and closes, so that bytes were handed over.
+/// The peer reads some bytes and closes the connection and the listener, so
+/// that the request may have been started.
 TEST(EngineAttempt, EngineThatDiesAfterSendingIsBroken) {
   net::io_context Io;
   Tcp::acceptor Listener(Io, {net::ip::make_address("127.0.0.1"), 0});
--- a/tests/auto/http/HttpServerTest.cpp
+++ b/tests/auto/http/HttpServerTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Bad input, slow senders and crowds leave the server alive and bounded.
+/// Tests that the server keeps serving within its limits under malformed
+/// input, slow senders and many connections.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -58,7 +59,7 @@
   RawPeer SlowBody(Server.at());
   SlowBody.send(post(10, "abc"));
   RawPeer Idle(Server.at());
-  SlowHeader.readAll(); // Each returns only because the server closes.
+  SlowHeader.readAll(); // Each returns only if the server closes.
   SlowBody.readAll();
   Idle.readAll();
   EXPECT_TRUE(stillServes(Server.at()));
@@ -89,7 +90,8 @@
   for (const auto &Client : Clients)
     Answers += Client->readAll();
   EXPECT_NE(Answers.find("503"), std::string::npos);
-  while (Server.server().bodyBytes() != 0) // Hangs if a share is never freed.
+  // Hangs if a reservation is never released.
+  while (Server.server().bodyBytes() != 0)
     std::this_thread::sleep_for(milliseconds(1));
   EXPECT_TRUE(stillServes(Server.at()));
 }
--- a/tests/auto/http/LocalServer.h
+++ b/tests/auto/http/LocalServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP server on a loopback port, for tests.
+/// An HTTP server on a loopback port, for tests.
 #pragma once
 
 #include "http/HttpServer.h"
@@ -12,7 +12,7 @@
 
 namespace banyanpick {
 
-/// Bounds small enough to be reached by tests.
+/// Limits that are small enough for tests to reach.
 inline HttpSettings smallLimits() {
   HttpSettings Result;
   Result.MaxConnections = 16;
@@ -26,7 +26,7 @@
   return Result;
 }
 
-/// Serves with a function until it is destroyed.
+/// Serves requests with a function on its own thread, until it is destroyed.
 class LocalServer : public HttpHandler {
 public:
   using Function = std::function<Task<void>(HttpExchange &)>;
@@ -57,7 +57,7 @@
   std::thread Thread;
 };
 
-/// Runs the task on an executor of its own and gives its value.
+/// Runs the task on \p Io to its end and returns its value.
 template <class Value> Value runTask(net::io_context &Io, Task<Value> Work) {
   std::future<Value> Result =
       net::co_spawn(Io, std::move(Work), net::use_future);
--- a/tests/auto/http/RawPeer.h
+++ b/tests/auto/http/RawPeer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Raw bytes over a loopback connection, for tests.
+/// A TCP client that sends raw bytes, for tests.
 #pragma once
 
 #include "http/Asio.h"
@@ -10,7 +10,7 @@
 
 namespace banyanpick {
 
-/// A blocking connection that sends raw bytes.
+/// A blocking connection.
 class RawPeer {
 public:
   explicit RawPeer(const Address &At) : Socket(this->Io) {
@@ -26,7 +26,8 @@
     this->Socket.shutdown(Tcp::socket::shutdown_send, Ignored);
   }
 
-  /// What came, at least one byte; nothing when the server closed.
+  /// Waits for data and returns it. Returns an empty string if the server has
+  /// closed the connection.
   std::string readSome() {
     std::array<char, 4096> Part{};
     ErrorCode Failure;
@@ -35,7 +36,7 @@
     return std::string(Part.data(), Count);
   }
 
-  /// Everything until the server closes.
+  /// Returns all data until the server closes the connection.
   std::string readAll() {
     std::string Result;
     for (std::string Part = this->readSome(); !Part.empty();
--- a/tests/auto/http/TextFormsTest.cpp
+++ b/tests/auto/http/TextFormsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Events, targets, addresses and stream assembly from texts.
+/// Tests the parsers of events, targets and addresses, and the assembly of
+/// streams.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -61,8 +62,9 @@
     EXPECT_THROW(addressFromText(Malformed), Error) << Malformed;
 }
 
-/// Whatever comes in whatever order, what is delivered is 0, 1, 2... of the
-/// own try, and whole means that all of it was.
+/// For any sequence of chunks and end marks, the delivered chunks are those
+/// with the indices 0, 1, 2... of the own attempt, and the stream is complete
+/// only if the count of the end mark equals the number of delivered chunks.
 RC_GTEST_PROP(StreamAssembler, DeliversInOrderWithoutGapOrRepeat, ()) {
   using Verdict = StreamAssembler::Verdict;
   StreamAssembler Stream("mine", 0);
