--- a/src/libs/ini/IniText.cpp
+++ b/src/libs/ini/IniText.cpp
@@ -11,41 +11,43 @@
 namespace {
 
 /// inih cuts longer section names off without a word.
-constexpr std::size_t LongestSection = 49;
-constexpr std::string_view Blanks = " \t";
+constexpr std::size_t MaxSectionLength = 49;
+constexpr std::string_view Whitespace = " \t";
 
 /// Hands the text to inih line by line and counts the lines, which inih as
 /// Debian builds it does not tell.
 class LineSource {
 public:
-  LineSource(std::string_view Text, IniText &Into) : Rest(Text), Into(Into) {}
+  LineSource(std::string_view Text, IniText &Result)
+      : Remaining(Text), Result(Result) {}
 
   /// The contract of fgets.
   char *next(char *Buffer, int Capacity) {
-    this->complainUnlessTaken();
-    if (this->Rest.empty())
+    this->checkValueWasRead();
+    if (this->Remaining.empty())
       return nullptr;
     ++this->Line;
     const std::string_view Current = this->takeLine();
     const bool Usable =
         this->check(Current, static_cast<std::size_t>(Capacity));
-    const std::string_view Given = Usable ? Current : std::string_view("");
-    this->Continues = !Given.empty() && Blanks.find(Given[0]) != Blanks.npos;
-    this->Expected = this->expectsValue(trimmed(Given));
-    std::memcpy(Buffer, Given.data(), Given.size());
-    Buffer[Given.size()] = '\n';
-    Buffer[Given.size() + 1] = '\0';
+    const std::string_view Accepted = Usable ? Current : std::string_view("");
+    this->IsContinuation =
+        !Accepted.empty() && Whitespace.find(Accepted[0]) != Whitespace.npos;
+    this->ExpectsValue = this->requiresValue(trimmed(Accepted));
+    std::memcpy(Buffer, Accepted.data(), Accepted.size());
+    Buffer[Accepted.size()] = '\n';
+    Buffer[Accepted.size() + 1] = '\0';
     return Buffer;
   }
 
-  void take(std::string_view Section, std::string_view Key,
-            std::string_view Value) {
-    this->Expected = false;
-    auto &Values = this->Into.Values;
-    const bool Joins = this->Continues && !Values.empty() &&
-                       Values.back().Section == Section &&
-                       Values.back().Key == Key;
-    if (Joins)
+  void addValue(std::string_view Section, std::string_view Key,
+                std::string_view Value) {
+    this->ExpectsValue = false;
+    auto &Values = this->Result.Values;
+    const bool ExtendsLast = this->IsContinuation && !Values.empty() &&
+                             Values.back().Section == Section &&
+                             Values.back().Key == Key;
+    if (ExtendsLast)
       Values.back().Value += " " + std::string(Value);
     else
       Values.push_back({this->Line, std::string(Section), std::string(Key),
@@ -54,60 +56,61 @@
 
 private:
   std::string_view takeLine() {
-    const std::size_t End = std::min(this->Rest.find('\n'), this->Rest.size());
-    const std::string_view Current = this->Rest.substr(0, End);
-    this->Rest.remove_prefix(std::min(End + 1, this->Rest.size()));
+    const std::size_t End =
+        std::min(this->Remaining.find('\n'), this->Remaining.size());
+    const std::string_view Current = this->Remaining.substr(0, End);
+    this->Remaining.remove_prefix(std::min(End + 1, this->Remaining.size()));
     return Current;
   }
 
   /// Whether inih may see the line; adds what is wrong with it.
   bool check(std::string_view Current, std::size_t Capacity) {
     if (Current.size() + 2 > Capacity) {
-      this->complain("is longer than " + std::to_string(Capacity - 2) +
-                     " characters; break it into several lines, each after "
-                     "the first with a leading blank");
+      this->addProblem("is longer than " + std::to_string(Capacity - 2) +
+                       " characters; break it into several lines, each after "
+                       "the first with a leading blank");
       return false;
     }
     if (Current.find('\0') != std::string_view::npos) {
-      this->complain("holds a zero byte; remove it");
+      this->addProblem("holds a zero byte; remove it");
       return false;
     }
     return true;
   }
 
   /// Whether inih must find a value in the line; notes sections.
-  bool expectsValue(std::string_view Text) {
+  bool requiresValue(std::string_view Text) {
     if (Text.empty() || Text[0] == ';' || Text[0] == '#')
       return false;
     const std::size_t End = Text.find(']');
     if (Text[0] != '[' || End == std::string_view::npos)
       return true;
     const std::string_view Name = Text.substr(1, End - 1);
-    if (Name.size() > LongestSection)
-      this->complain("names a section longer than " +
-                     std::to_string(LongestSection) +
-                     " characters; shorten the name");
-    this->Into.Sections.push_back({this->Line, std::string(Name)});
+    if (Name.size() > MaxSectionLength)
+      this->addProblem("names a section longer than " +
+                       std::to_string(MaxSectionLength) +
+                       " characters; shorten the name");
+    this->Result.Sections.push_back({this->Line, std::string(Name)});
     return false;
   }
 
   /// inih tells only the first line that it can't read.
-  void complainUnlessTaken() {
-    if (this->Expected)
-      this->complain("is neither [section], comment nor key = value; mend or "
-                     "remove the line");
-    this->Expected = false;
+  void checkValueWasRead() {
+    if (this->ExpectsValue)
+      this->addProblem("is neither [section], comment nor key = value; mend or "
+                       "remove the line");
+    this->ExpectsValue = false;
   }
 
-  void complain(std::string Message) {
-    this->Into.Problems.push_back({this->Line, std::move(Message)});
+  void addProblem(std::string Message) {
+    this->Result.Problems.push_back({this->Line, std::move(Message)});
   }
 
-  std::string_view Rest;
-  IniText &Into;
+  std::string_view Remaining;
+  IniText &Result;
   int Line = 0;
-  bool Continues = false;
-  bool Expected = false;
+  bool IsContinuation = false;
+  bool ExpectsValue = false;
 };
 
 char *readLine(char *Buffer, int Capacity, void *Source) {
@@ -116,7 +119,7 @@
 
 int takeValue(void *Source, const char *Section, const char *Key,
               const char *Value) {
-  static_cast<LineSource *>(Source)->take(Section, Key, Value ? Value : "");
+  static_cast<LineSource *>(Source)->addValue(Section, Key, Value ? Value : "");
   return 1;
 }
 
