--- a/src/libs/catalogue/CatalogueJson.cpp
+++ b/src/libs/catalogue/CatalogueJson.cpp
@@ -108,7 +108,7 @@
   EntryBody Result = emptyBody(Kind);
   std::visit([&](auto &Each) { visitFields(Each, BodyReader{Object}); },
              Result);
-  Object.refuseOthers();
+  Object.rejectUnknownMembers();
   return Result;
 }
 
@@ -143,7 +143,7 @@
   Result.Owner = OwnerId(Object.text("owner"));
   if (const json *Body = Object.find("body"))
     Result.Body = bodyFromJson(Result.Key.Kind, *Body, Object.pathOf("body"));
-  Object.refuseOthers();
+  Object.rejectUnknownMembers();
   checkChange(Result, Object);
   return Result;
 }
@@ -181,7 +181,7 @@
   for (const json &Each : Object.list("changes"))
     Result.Changes.push_back(
         changeFromJson(Each, itemPath("changes", Result.Changes.size())));
-  Object.refuseOthers();
+  Object.rejectUnknownMembers();
   return Result;
 }
 
@@ -209,7 +209,7 @@
     Value.Version = Object.whole("version");
     Value.Body =
         bodyFromJson(Key.Kind, Object.get("body"), Object.pathOf("body"));
-    Object.refuseOthers();
+    Object.rejectUnknownMembers();
     Result[Key] = std::move(Value);
   }
   return Result;
--- a/src/libs/json/ObjectReader.cpp
+++ b/src/libs/json/ObjectReader.cpp
@@ -8,26 +8,26 @@
 
 using nlohmann::json;
 
-void throwBadMember(const std::string &Path, std::string_view What,
+void throwBadMember(const std::string &Path, std::string_view Problem,
                     std::string_view Remedy) {
-  throw Error(ErrorKind::BadInput, Path + " " + std::string(What), Remedy);
+  throw Error(ErrorKind::BadInput, Path + " " + std::string(Problem), Remedy);
 }
 
 std::string itemPath(std::string_view Array, std::size_t Index) {
   return std::string(Array) + "[" + std::to_string(Index) + "]";
 }
 
-ObjectReader::ObjectReader(const json &Given, std::string Path)
-    : Given(Given), Path(std::move(Path)) {
-  if (!Given.is_object())
+ObjectReader::ObjectReader(const json &Object, std::string Path)
+    : Object(Object), Path(std::move(Path)) {
+  if (!Object.is_object())
     throwBadMember(this->Path.empty() ? "the document" : this->Path,
                    "is not an object", "give {...}");
 }
 
 const json *ObjectReader::find(std::string_view Name) {
-  this->Known.push_back(Name);
-  const auto Found = this->Given.find(Name);
-  return Found == this->Given.end() ? nullptr : &*Found;
+  this->KnownNames.push_back(Name);
+  const auto Found = this->Object.find(Name);
+  return Found == this->Object.end() ? nullptr : &*Found;
 }
 
 const json &ObjectReader::get(std::string_view Name) {
@@ -46,10 +46,10 @@
 
 std::uint64_t ObjectReader::whole(std::string_view Name) {
   const json &Found = this->get(Name);
-  const bool Whole =
+  const bool IsWhole =
       Found.is_number_unsigned() ||
       (Found.is_number_integer() && Found.get<std::int64_t>() >= 0);
-  if (!Whole)
+  if (!IsWhole)
     throwBadMember(this->pathOf(Name), "is not a whole number",
                    "give a whole number from 0 on");
   return Found.get<std::uint64_t>();
@@ -69,11 +69,11 @@
   return Found;
 }
 
-void ObjectReader::refuseOthers() const {
-  for (const auto &Member : this->Given.items()) {
+void ObjectReader::rejectUnknownMembers() const {
+  for (const auto &Member : this->Object.items()) {
     const std::string &Name = Member.key();
-    if (std::find(this->Known.begin(), this->Known.end(), Name) ==
-        this->Known.end())
+    if (std::find(this->KnownNames.begin(), this->KnownNames.end(), Name) ==
+        this->KnownNames.end())
       throwBadMember(this->pathOf(Name), "is not a known member",
                      "remove it or see docs/PROTOCOLS.md");
   }
--- a/src/libs/json/ObjectReader.h
+++ b/src/libs/json/ObjectReader.h
@@ -11,7 +11,8 @@
 namespace banyanpick {
 
 /// Throws Error(BadInput): \p Path \p What; \p Remedy.
-[[noreturn]] void throwBadMember(const std::string &Path, std::string_view What,
+[[noreturn]] void throwBadMember(const std::string &Path,
+                                 std::string_view Problem,
                                  std::string_view Remedy);
 
 /// `hosts[3]`.
@@ -23,7 +24,7 @@
 class ObjectReader {
 public:
   /// \p Path names the object in errors; empty for the whole document.
-  ObjectReader(const nlohmann::json &Given, std::string Path);
+  ObjectReader(const nlohmann::json &Object, std::string Path);
 
   /// The member, or null when it is absent.
   const nlohmann::json *find(std::string_view Name);
@@ -35,14 +36,14 @@
   const nlohmann::json &list(std::string_view Name);
 
   /// Throws when the object has a member that was not asked for.
-  void refuseOthers() const;
+  void rejectUnknownMembers() const;
 
   std::string pathOf(std::string_view Name) const;
 
 private:
-  const nlohmann::json &Given;
+  const nlohmann::json &Object;
   std::string Path;
-  std::vector<std::string_view> Known;
+  std::vector<std::string_view> KnownNames;
 };
 
 } // namespace banyanpick
