--- a/src/libs/logging/LineLog.cpp
+++ b/src/libs/logging/LineLog.cpp
@@ -18,7 +18,7 @@
 constexpr std::string_view LevelKey = "level";
 constexpr std::array<std::string_view, 4> LevelNames{"debug", "info", "warning",
                                                      "error"};
-constexpr std::size_t LongestValue = 2000;
+constexpr std::size_t MaxValueLength = 2000;
 constexpr std::string_view Redacted = "***";
 
 /// Names of fields that never show their value.
@@ -44,27 +44,27 @@
 
 bool needsQuotes(std::string_view Value) {
   return Value.empty() ||
-         std::any_of(Value.begin(), Value.end(), [](char Each) {
-           return Each == ' ' || Each == '"' || Each == '=' || Each == '\\' ||
-                  isControl(Each);
+         std::any_of(Value.begin(), Value.end(), [](char Character) {
+           return Character == ' ' || Character == '"' || Character == '=' ||
+                  Character == '\\' || isControl(Character);
          });
 }
 
 void appendQuoted(std::string &Line, std::string_view Value) {
   Line += '"';
-  for (const char Each : Value) {
-    if (Each == '"' || Each == '\\')
+  for (const char Character : Value) {
+    if (Character == '"' || Character == '\\')
       Line += '\\';
-    if (isControl(Each))
-      Line += fmt::format("\\x{:02x}", static_cast<unsigned char>(Each));
+    if (isControl(Character))
+      Line += fmt::format("\\x{:02x}", static_cast<unsigned char>(Character));
     else
-      Line += Each;
+      Line += Character;
   }
   Line += '"';
 }
 
 void appendValue(std::string &Line, std::string_view Value) {
-  const std::string_view Shown = Value.substr(0, LongestValue);
+  const std::string_view Shown = Value.substr(0, MaxValueLength);
   if (needsQuotes(Shown))
     appendQuoted(Line, Shown);
   else
@@ -74,11 +74,12 @@
 }
 
 std::string timeText(Time Now) {
-  const Duration Since = Now.time_since_epoch();
-  const auto Whole = std::chrono::floor<seconds>(Since);
-  return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z",
-                     fmt::gmtime(static_cast<std::time_t>(Whole.count())),
-                     (Since - Whole).count());
+  const Duration SinceEpoch = Now.time_since_epoch();
+  const auto WholeSeconds = std::chrono::floor<seconds>(SinceEpoch);
+  return fmt::format(
+      "{:%Y-%m-%dT%H:%M:%S}.{:06}Z",
+      fmt::gmtime(static_cast<std::time_t>(WholeSeconds.count())),
+      (SinceEpoch - WholeSeconds).count());
 }
 
 } // namespace
@@ -110,9 +111,9 @@
   std::string Text = fmt::format("{} {} {} ", timeText(Now),
                                  levelName(Line.Level), Line.Number);
   appendQuoted(Text, Line.Message);
-  for (const LogField &Each : Line.Fields) {
-    Text += " " + Each.Key + "=";
-    appendValue(Text, isSecret(Each.Key) ? Redacted : Each.Value);
+  for (const LogField &Field : Line.Fields) {
+    Text += " " + Field.Key + "=";
+    appendValue(Text, isSecret(Field.Key) ? Redacted : Field.Value);
   }
   return Text;
 }
--- a/src/libs/logging/LineWriter.h
+++ b/src/libs/logging/LineWriter.h
@@ -27,12 +27,12 @@
   static constexpr double Burst = 2000;
 
 private:
-  bool allows(Time Now);
+  bool hasAllowance(Time Now);
   /// False: there is no room now.
-  bool put(const std::string &Text) const;
+  bool tryWrite(const std::string &Text) const;
 
   const int Descriptor;
-  std::mutex Guard;
+  std::mutex Mutex;
   double Allowance = Burst;
   Time LastAt{};
   std::uint64_t Dropped = 0; ///< In all.
--- a/tests/auto/logging/LineLogTest.cpp
+++ b/tests/auto/logging/LineLogTest.cpp
@@ -28,7 +28,7 @@
   EXPECT_TRUE(lineWith("a", "b\"\n").ends_with(" a=\"b\\\"\\x0a\""));
 }
 
-TEST(LineLog, NeverShowsAKey) {
+TEST(LineLog, NeverShowsSecrets) {
   for (const char *Name : {"key", "team_key", "authorization", "prompt"})
     EXPECT_TRUE(lineWith(Name, "secret").ends_with("=***"));
 }
@@ -40,7 +40,7 @@
   RC_ASSERT(Line.size() < 8200u);
 }
 
-TEST(LineLog, LeavesOutWhatIsBelowTheLevel) {
+TEST(LineLog, OmitsLinesBelowTheLevel) {
   Settings Values = Settings::defaults(loggingSettings());
   ASSERT_EQ(Values.set("logging", "level", "warning"), "");
   configureLog(Values);
@@ -51,36 +51,36 @@
   EXPECT_EQ(Written, "2025-12-02T12:00:00.000042Z error 2 \"loud\"\n");
 }
 
-TEST(LineWriter, NeverWaitsForAReaderAndTellsWhatItLeftOut) {
-  int Ends[2];
-  ASSERT_EQ(pipe(Ends), 0);
-  LineWriter Writer(Ends[1]);
+TEST(LineWriter, NeverBlocksAndReportsDroppedLines) {
+  int PipeEnds[2];
+  ASSERT_EQ(pipe(PipeEnds), 0);
+  LineWriter Writer(PipeEnds[1]);
   const std::string Line(1000, 'x');
   Time Now = Noon;
-  for (int Each = 0; Each < 200; ++Each)
+  for (int Index = 0; Index < 200; ++Index)
     Writer.write(Line + "\n", Now);
   EXPECT_GT(Writer.dropped(), 0U) << "nobody reads the pipe";
   std::string Read(1 << 20, '\0');
-  ASSERT_GT(read(Ends[0], Read.data(), Read.size()), 0);
+  ASSERT_GT(read(PipeEnds[0], Read.data(), Read.size()), 0);
   Now += seconds(1);
   Writer.write("next\n", Now);
-  const auto Count = read(Ends[0], Read.data(), Read.size());
+  const auto Count = read(PipeEnds[0], Read.data(), Read.size());
   Read.resize(static_cast<std::size_t>(std::max<ssize_t>(Count, 0)));
   EXPECT_NE(Read.find("\"log lines dropped\" lines="), std::string::npos);
   EXPECT_TRUE(Read.ends_with("next\n"));
-  close(Ends[0]);
-  close(Ends[1]);
+  close(PipeEnds[0]);
+  close(PipeEnds[1]);
 }
 
 TEST(LineWriter, BoundsItsRate) {
-  int Ends[2];
-  ASSERT_EQ(pipe(Ends), 0);
-  LineWriter Writer(Ends[1]);
-  for (int Each = 0; Each < 5000; ++Each)
+  int PipeEnds[2];
+  ASSERT_EQ(pipe(PipeEnds), 0);
+  LineWriter Writer(PipeEnds[1]);
+  for (int Index = 0; Index < 5000; ++Index)
     Writer.write("a\n", Noon);
   EXPECT_GE(Writer.dropped(), 5000U - 2000U);
-  close(Ends[0]);
-  close(Ends[1]);
+  close(PipeEnds[0]);
+  close(PipeEnds[1]);
 }
 
 } // namespace
