--- a/src/libs/metrics/Metrics.cpp
+++ b/src/libs/metrics/Metrics.cpp
@@ -16,33 +16,34 @@
 constexpr unsigned BucketsPerDecade = 5;
 constexpr unsigned Decades = 12;
 constexpr std::string_view Prefix = "banyanpick_";
-constexpr std::string_view Others = "other";
+constexpr std::string_view OverflowLabel = "other";
 
-std::string metricName(std::string_view Given, Kind As) {
+std::string metricName(std::string_view BaseName, Kind MetricKind) {
   std::string Name(Prefix);
-  for (const char Each : Given)
-    Name += std::isalnum(static_cast<unsigned char>(Each)) ? Each : '_';
-  if (As == Kind::Count && !Name.ends_with("_total"))
+  for (const char Character : BaseName)
+    Name +=
+        std::isalnum(static_cast<unsigned char>(Character)) ? Character : '_';
+  if (MetricKind == Kind::Count && !Name.ends_with("_total"))
     Name += "_total";
   return Name;
 }
 
 std::string escaped(std::string_view Label) {
   std::string Result;
-  for (const char Each : Label) {
-    if (Each == '\n') {
+  for (const char Character : Label) {
+    if (Character == '\n') {
       Result += "\\n";
       continue;
     }
-    if (Each == '"' || Each == '\\')
+    if (Character == '"' || Character == '\\')
       Result += '\\';
-    Result += Each;
+    Result += Character;
   }
   return Result;
 }
 
-std::string_view typeName(Kind As) {
-  switch (As) {
+std::string_view typeName(Kind MetricKind) {
+  switch (MetricKind) {
   case Kind::Count:
     return "counter";
   case Kind::Gauge:
@@ -55,21 +56,21 @@
 
 /// The label's place in the map, or that of the others when it is full.
 template <class Map>
-auto &placeOf(Map &Into, std::string_view Label, std::size_t Most) {
-  const auto Found = Into.find(Label);
-  if (Found != Into.end())
+auto &findOrAdd(Map &Entries, std::string_view Label, std::size_t MaxLabels) {
+  const auto Found = Entries.find(Label);
+  if (Found != Entries.end())
     return Found->second;
-  const bool Full = Into.size() >= Most;
-  return Into[std::string(Full ? Others : Label)];
+  const bool Full = Entries.size() >= MaxLabels;
+  return Entries[std::string(Full ? OverflowLabel : Label)];
 }
 
-std::string braces(std::string_view Label, std::string_view Bound = {}) {
-  std::string Inside;
+std::string labelText(std::string_view Label, std::string_view Bound = {}) {
+  std::string Labels;
   if (!Label.empty())
-    Inside = fmt::format("label=\"{}\"", escaped(Label));
+    Labels = fmt::format("label=\"{}\"", escaped(Label));
   if (!Bound.empty())
-    Inside += fmt::format("{}le=\"{}\"", Inside.empty() ? "" : ",", Bound);
-  return Inside.empty() ? "" : "{" + Inside + "}";
+    Labels += fmt::format("{}le=\"{}\"", Labels.empty() ? "" : ",", Bound);
+  return Labels.empty() ? "" : "{" + Labels + "}";
 }
 
 } // namespace
@@ -77,71 +78,71 @@
 void Metrics::record(const RecordMeasurement &Measured) {
   if (std::isnan(Measured.Value))
     return;
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   auto Found = this->Families.find(Measured.Name);
   if (Found == this->Families.end()) {
     Found = this->Families.emplace(Measured.Name, Family()).first;
     Found->second.Kind = Measured.As;
   }
-  Family &Into = Found->second;
-  switch (Into.Kind) {
+  Family &Target = Found->second;
+  switch (Target.Kind) {
   case Kind::Count:
-    placeOf(Into.Numbers, Measured.Label, LabelsPerName) += Measured.Value;
+    findOrAdd(Target.Numbers, Measured.Label, LabelsPerName) += Measured.Value;
     return;
   case Kind::Gauge:
-    placeOf(Into.Numbers, Measured.Label, LabelsPerName) = Measured.Value;
+    findOrAdd(Target.Numbers, Measured.Label, LabelsPerName) = Measured.Value;
     return;
   case Kind::Histogram:
-    fill(Into, Measured.Label, Measured.Value);
+    fill(Target, Measured.Label, Measured.Value);
     return;
   }
 }
 
-void Metrics::fill(Family &Into, std::string_view Label, double Value) {
-  Distribution &Place = placeOf(Into.Distributions, Label, LabelsPerName);
-  if (Place.Count == 0)
-    Place.Buckets = Counts(std::make_tuple(
+void Metrics::fill(Family &Target, std::string_view Label, double Value) {
+  Distribution &Entry = findOrAdd(Target.Distributions, Label, LabelsPerName);
+  if (Entry.Count == 0)
+    Entry.Buckets = Counts(std::make_tuple(
         LogAxis(BucketsPerDecade * Decades, LowestBound, HighestBound)));
-  Place.Buckets(Value);
-  Place.Sum += Value;
-  ++Place.Count;
+  Entry.Buckets(Value);
+  Entry.Sum += Value;
+  ++Entry.Count;
 }
 
 std::string Metrics::prometheusText() const {
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   std::string Text;
-  for (const auto &[Given, From] : this->Families) {
-    const std::string Name = metricName(Given, From.Kind);
-    Text += fmt::format("# TYPE {} {}\n", Name, typeName(From.Kind));
-    if (From.Kind == Kind::Histogram)
-      writeDistributions(Text, Name, From);
+  for (const auto &[BaseName, Source] : this->Families) {
+    const std::string Name = metricName(BaseName, Source.Kind);
+    Text += fmt::format("# TYPE {} {}\n", Name, typeName(Source.Kind));
+    if (Source.Kind == Kind::Histogram)
+      writeDistributions(Text, Name, Source);
     else
-      writeNumbers(Text, Name, From);
+      writeNumbers(Text, Name, Source);
   }
   return Text;
 }
 
 void Metrics::writeNumbers(std::string &Text, const std::string &Name,
-                           const Family &From) {
-  for (const auto &[Label, Value] : From.Numbers)
-    Text += fmt::format("{}{} {}\n", Name, braces(Label), Value);
+                           const Family &Source) {
+  for (const auto &[Label, Value] : Source.Numbers)
+    Text += fmt::format("{}{} {}\n", Name, labelText(Label), Value);
 }
 
 void Metrics::writeDistributions(std::string &Text, const std::string &Name,
-                                 const Family &From) {
-  for (const auto &[Label, Each] : From.Distributions) {
-    const auto &Axis = Each.Buckets.axis();
-    double Below = Each.Buckets.at(-1);
+                                 const Family &Source) {
+  for (const auto &[Label, Entry] : Source.Distributions) {
+    const auto &Axis = Entry.Buckets.axis();
+    double Cumulative = Entry.Buckets.at(-1);
     for (int Index = 0; Index < Axis.size(); ++Index) {
-      Below += Each.Buckets.at(Index);
+      Cumulative += Entry.Buckets.at(Index);
       const std::string Bound = fmt::format("{:.3g}", Axis.bin(Index).upper());
-      Text +=
-          fmt::format("{}_bucket{} {}\n", Name, braces(Label, Bound), Below);
+      Text += fmt::format("{}_bucket{} {}\n", Name, labelText(Label, Bound),
+                          Cumulative);
     }
-    Text += fmt::format("{}_bucket{} {}\n", Name, braces(Label, "+Inf"),
-                        Each.Count);
-    Text += fmt::format("{}_sum{} {}\n", Name, braces(Label), Each.Sum);
-    Text += fmt::format("{}_count{} {}\n", Name, braces(Label), Each.Count);
+    Text += fmt::format("{}_bucket{} {}\n", Name, labelText(Label, "+Inf"),
+                        Entry.Count);
+    Text += fmt::format("{}_sum{} {}\n", Name, labelText(Label), Entry.Sum);
+    Text += fmt::format("{}_count{} {}\n", Name, labelText(Label), Entry.Count);
   }
 }
 
--- a/src/libs/metrics/Metrics.h
+++ b/src/libs/metrics/Metrics.h
@@ -47,13 +47,13 @@
     std::map<std::string, Distribution, std::less<>> Distributions;
   };
 
-  static void fill(Family &Into, std::string_view Label, double Value);
+  static void fill(Family &Target, std::string_view Label, double Value);
   static void writeNumbers(std::string &Text, const std::string &Name,
-                           const Family &From);
+                           const Family &Source);
   static void writeDistributions(std::string &Text, const std::string &Name,
-                                 const Family &From);
+                                 const Family &Source);
 
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::map<std::string, Family, std::less<>> Families;
 };
 
