--- a/src/libs/operators/OperatorJson.cpp
+++ b/src/libs/operators/OperatorJson.cpp
@@ -24,56 +24,59 @@
   return milliseconds(static_cast<std::int64_t>(Object.whole(Name)));
 }
 
-json toJson(const HostStatus &Of) {
-  return {
-      {"host", Of.Host.Value},   {"zone", Of.Zone.Value},
-      {"state", name(Of.State)}, {"ready", Of.Ready},
-      {"in_force", Of.InForce},  {"heard_ago_ms", inMilliseconds(Of.HeardAgo)}};
+json toJson(const HostStatus &Status) {
+  return {{"host", Status.Host.Value},
+          {"zone", Status.Zone.Value},
+          {"state", name(Status.State)},
+          {"ready", Status.Ready},
+          {"in_force", Status.InForce},
+          {"heard_ago_ms", inMilliseconds(Status.HeardAgo)}};
 }
 
-json toJson(const UpstreamStatus &Of) {
-  return {{"id", Of.Id.Value},
-          {"kind", Of.Kind == UpstreamKind::Engine ? "engine" : "application"},
-          {"zone", Of.Zone.Value},
-          {"state", Of.State},
-          {"queued_prefill_tokens", Of.QueuedPrefillTokens},
-          {"free_memory_tokens", Of.FreeMemoryTokens},
-          {"memory_tokens", Of.MemoryTokens},
-          {"running", Of.Running},
-          {"report_age_ms", inMilliseconds(Of.ReportAge)}};
+json toJson(const UpstreamStatus &Status) {
+  return {
+      {"id", Status.Id.Value},
+      {"kind", Status.Kind == UpstreamKind::Engine ? "engine" : "application"},
+      {"zone", Status.Zone.Value},
+      {"state", Status.State},
+      {"queued_prefill_tokens", Status.QueuedPrefillTokens},
+      {"free_memory_tokens", Status.FreeMemoryTokens},
+      {"memory_tokens", Status.MemoryTokens},
+      {"running", Status.Running},
+      {"report_age_ms", inMilliseconds(Status.ReportAge)}};
 }
 
-json toJson(const QuarantineStatus &Of) {
-  return {{"fingerprint", fingerprintText(Of.Content)},
-          {"crashes", Of.Crashes},
-          {"until", inMilliseconds(Of.Until.time_since_epoch())}};
+json toJson(const QuarantineStatus &Status) {
+  return {{"fingerprint", fingerprintText(Status.Content)},
+          {"crashes", Status.Crashes},
+          {"until", inMilliseconds(Status.Until.time_since_epoch())}};
 }
 
 template <class Item> json arrayOf(const std::vector<Item> &Items) {
   json Result = json::array();
-  for (const Item &Each : Items)
-    Result.push_back(toJson(Each));
+  for (const Item &Element : Items)
+    Result.push_back(toJson(Element));
   return Result;
 }
 
-json toJson(const StatusReport &Of) {
-  return {{"host", Of.Host.Value},
-          {"ready", Of.Ready},
-          {"current", Of.Current},
-          {"leaving", Of.Leaving},
-          {"in_force", Of.InForce},
-          {"invariants_broken", Of.InvariantsBroken},
-          {"hosts", arrayOf(Of.Hosts)},
-          {"upstreams", arrayOf(Of.Upstreams)},
-          {"quarantine", arrayOf(Of.Quarantined)}};
+json toJson(const StatusReport &Status) {
+  return {{"host", Status.Host.Value},
+          {"ready", Status.Ready},
+          {"current", Status.Current},
+          {"leaving", Status.Leaving},
+          {"in_force", Status.InForce},
+          {"invariants_broken", Status.InvariantsBroken},
+          {"hosts", arrayOf(Status.Hosts)},
+          {"upstreams", arrayOf(Status.Upstreams)},
+          {"quarantine", arrayOf(Status.Quarantined)}};
 }
 
-json toJson(const HistoryShown &Of) {
+json toJson(const HistoryShown &History) {
   json Items = json::array();
-  for (const HistoryItem &Each : Of.Items)
-    Items.push_back({{"offset", Each.Offset},
-                     {"set", banyanpick::toJson(Each.Set)},
-                     {"verdict", banyanpick::toJson(Each.Verdict)}});
+  for (const HistoryItem &Element : History.Items)
+    Items.push_back({{"offset", Element.Offset},
+                     {"set", banyanpick::toJson(Element.Set)},
+                     {"verdict", banyanpick::toJson(Element.Verdict)}});
   return {{"items", std::move(Items)}};
 }
 
@@ -82,9 +85,9 @@
   Result.Host = HostId(Object.text("host"));
   Result.Zone = ZoneId(Object.text("zone"));
   const std::string State = Object.text("state");
-  for (const MemberState Each : MemberStates) {
-    if (name(Each) == State)
-      Result.State = Each;
+  for (const MemberState Candidate : MemberStates) {
+    if (name(Candidate) == State)
+      Result.State = Candidate;
   }
   Result.Ready = Object.flag("ready");
   Result.InForce = Object.whole("in_force");
@@ -119,8 +122,8 @@
 std::vector<Item> listOf(ObjectReader &Object, std::string_view Name,
                          Item (*Read)(ObjectReader &)) {
   std::vector<Item> Result;
-  for (const json &Each : Object.list(Name)) {
-    ObjectReader Inner(Each, itemPath(Name, Result.size()));
+  for (const json &Element : Object.list(Name)) {
+    ObjectReader Inner(Element, itemPath(Name, Result.size()));
     Result.push_back(Read(Inner));
   }
   return Result;
@@ -131,23 +134,24 @@
 json toJson(const OperatorAnswer &Answer) {
   return match(
       Answer,
-      [](const CatalogueShown &Of) {
-        return json{{"offset", Of.AtOffset}, {"entries", toJson(Of.Entries)}};
+      [](const CatalogueShown &Value) {
+        return json{{"offset", Value.AtOffset},
+                    {"entries", toJson(Value.Entries)}};
       },
-      [](const HistoryShown &Of) { return toJson(Of); },
-      [](const ChangesAccepted &Of) {
-        return json{{"verdict", "accepted"}, {"offset", Of.Offset}};
+      [](const HistoryShown &Value) { return toJson(Value); },
+      [](const ChangesAccepted &Value) {
+        return json{{"verdict", "accepted"}, {"offset", Value.Offset}};
       },
-      [](const ChangesRejected &Of) {
-        return json{{"verdict", "rejected"}, {"message", Of.Message}};
+      [](const ChangesRejected &Value) {
+        return json{{"verdict", "rejected"}, {"message", Value.Message}};
       },
-      [](const VerdictPending &Of) {
-        return json{{"verdict", "pending"}, {"message", Of.Message}};
+      [](const VerdictPending &Value) {
+        return json{{"verdict", "pending"}, {"message", Value.Message}};
       },
-      [](const OperatorRefused &Of) {
-        return errorJson(name(ErrorKind::NotAllowed), Of.Message);
+      [](const OperatorRefused &Value) {
+        return errorJson(name(ErrorKind::NotAllowed), Value.Message);
       },
-      [](const StatusReport &Of) { return toJson(Of); },
+      [](const StatusReport &Value) { return toJson(Value); },
       [](const Done &) {
         return json{{"done", true}};
       });
@@ -157,19 +161,19 @@
   return {{"error", {{"kind", Kind}, {"message", Message}}}};
 }
 
-CatalogueShown catalogueShownFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+CatalogueShown catalogueShownFromJson(const json &Document) {
+  ObjectReader Object(Document, "");
   CatalogueShown Result;
   Result.AtOffset = Object.whole("offset");
   Result.Entries = entryMapFromJson(Object.list("entries"));
   return Result;
 }
 
-HistoryShown historyFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+HistoryShown historyFromJson(const json &Document) {
+  ObjectReader Object(Document, "");
   HistoryShown Result;
-  for (const json &Each : Object.list("items")) {
-    ObjectReader Item(Each, itemPath("items", Result.Items.size()));
+  for (const json &Element : Object.list("items")) {
+    ObjectReader Item(Element, itemPath("items", Result.Items.size()));
     Result.Items.push_back({Item.whole("offset"),
                             changeSetFromJson(Item.get("set")),
                             changeVerdictFromJson(Item.get("verdict"))});
@@ -177,8 +181,8 @@
   return Result;
 }
 
-StatusReport statusFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+StatusReport statusFromJson(const json &Document) {
+  ObjectReader Object(Document, "");
   StatusReport Result;
   Result.Host = HostId(Object.text("host"));
   Result.Ready = Object.flag("ready");
@@ -192,8 +196,8 @@
   return Result;
 }
 
-ChangeAnswer changeAnswerFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+ChangeAnswer changeAnswerFromJson(const json &Document) {
+  ObjectReader Object(Document, "");
   const std::string Verdict = Object.text("verdict");
   if (Verdict == "accepted")
     return ChangesAccepted{Object.whole("offset")};
@@ -226,9 +230,9 @@
 Fingerprint parseFingerprint(std::string_view Text) {
   Fingerprint Result;
   const char *End = Text.data() + Text.size();
-  const auto [Rest, Failure] =
+  const auto [ParseEnd, Failure] =
       std::from_chars(Text.data(), End, Result.Value, 16);
-  if (Text.empty() || Failure != std::errc() || Rest != End)
+  if (Text.empty() || Failure != std::errc() || ParseEnd != End)
     throw Error(ErrorKind::BadInput, "the fingerprint is malformed",
                 "give the hexadecimal digits that 'banyanpick status' shows");
   return Result;
--- a/src/libs/operators/OperatorJson.h
+++ b/src/libs/operators/OperatorJson.h
@@ -17,14 +17,14 @@
 nlohmann::json errorJson(std::string_view Kind, std::string_view Message);
 
 // The inverses; they throw Error(BadInput).
-CatalogueShown catalogueShownFromJson(const nlohmann::json &Given);
-HistoryShown historyFromJson(const nlohmann::json &Given);
-StatusReport statusFromJson(const nlohmann::json &Given);
+CatalogueShown catalogueShownFromJson(const nlohmann::json &Document);
+HistoryShown historyFromJson(const nlohmann::json &Document);
+StatusReport statusFromJson(const nlohmann::json &Document);
 
 /// What became of a change set.
 using ChangeAnswer =
     std::variant<ChangesAccepted, ChangesRejected, VerdictPending>;
-ChangeAnswer changeAnswerFromJson(const nlohmann::json &Given);
+ChangeAnswer changeAnswerFromJson(const nlohmann::json &Document);
 
 /// `alive`, `suspect`, `dead`, `leaving`.
 std::string_view name(MemberState State);
