--- a/src/libs/ini/IniText.cpp
+++ b/src/libs/ini/IniText.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// inih cuts longer section names off without a word.
+/// inih truncates longer section names silently.
 constexpr std::size_t MaxSectionLength = 49;
 constexpr std::string_view Whitespace = " \t";
 
-/// Hands the text to inih line by line and counts the lines, which inih as
-/// Debian builds it does not tell.
+/// Passes the text to inih line by line and counts the lines, because inih as
+/// built by Debian does not report line numbers.
 class LineSource {
 public:
   LineSource(std::string_view Text, IniText &Result)
       : Remaining(Text), Result(Result) {}
 
-  /// The contract of fgets.
+  /// Has the contract of fgets().
   char *next(char *Buffer, int Capacity) {
     this->checkValueWasRead();
     if (this->Remaining.empty())
@@ -63,7 +63,7 @@
     return Current;
   }
 
-  /// Whether inih may see the line; adds what is wrong with it.
+  /// Returns whether the line can be passed to inih. Adds a problem if not.
   bool check(std::string_view Current, std::size_t Capacity) {
     if (Current.size() + 2 > Capacity) {
       this->addProblem("is longer than " + std::to_string(Capacity - 2) +
@@ -72,13 +72,13 @@
       return false;
     }
     if (Current.find('\0') != std::string_view::npos) {
-      this->addProblem("holds a zero byte; remove it");
+      this->addProblem("contains a zero byte; remove it");
       return false;
     }
     return true;
   }
 
-  /// Whether inih must find a value in the line; notes sections.
+  /// Returns whether inih must find a value in the line. Records sections.
   bool requiresValue(std::string_view Text) {
     if (Text.empty() || Text[0] == ';' || Text[0] == '#')
       return false;
@@ -94,11 +94,12 @@
     return false;
   }
 
-  /// inih tells only the first line that it can't read.
+  /// Adds a problem if inih found no value in the last line. inih itself
+  /// reports only the first line that it can't read.
   void checkValueWasRead() {
     if (this->ExpectsValue)
-      this->addProblem("is neither [section], comment nor key = value; mend or "
-                       "remove the line");
+      this->addProblem("is neither [section], comment nor key = value; correct "
+                       "or remove the line");
     this->ExpectsValue = false;
   }
 
--- a/src/libs/ini/IniText.h
+++ b/src/libs/ini/IniText.h
@@ -1,5 +1,5 @@
 /// \file
-/// INI text read by inih, with the line of each value.
+/// Reads INI text with inih and records the line number of each value.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace banyanpick {
 
-/// One `key = value` with the section it stands in.
+/// One `key = value` and its section.
 struct IniValue {
   int Line = 0;
   std::string Section;
@@ -20,25 +20,25 @@
 /// A line that could not be read.
 struct IniProblem {
   int Line = 0;
-  std::string Message; ///< What is wrong, and the remedy.
+  std::string Message; ///< The problem and its remedy.
 };
 
-/// A section's header. A section without values has nothing but this.
+/// The header of a section. Sections without values are listed, too.
 struct IniSection {
   int Line = 0;
   std::string Name;
 };
 
-/// Everything read from one text.
+/// The contents of one text.
 struct IniText {
   std::vector<IniSection> Sections;
   std::vector<IniValue> Values;
   std::vector<IniProblem> Problems;
 };
 
-/// Reads all values; malformed or overlong lines become problems. A line that
-/// begins with a blank goes on with the value of the line before it, joined by
-/// one blank.
+/// Reads all values. Malformed and overlong lines are reported as problems. A
+/// line that begins with a space or tab continues the value of the line before
+/// it; the parts are joined by one space.
 IniText readIni(std::string_view Text);
 
 } // namespace banyanpick
