--- a/src/libs/logging/LineLog.cpp
+++ b/src/libs/logging/LineLog.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t MaxValueLength = 2000;
 constexpr std::string_view Redacted = "***";
 
-/// Names of fields that never show their value.
+/// Names of fields whose values are never written.
 constexpr std::array<std::string_view, 8> SecretFields{
     "key",    "team_key", "owner_key",    "authorization",
     "secret", "prompt",   "resume_token", "body"};
--- a/src/libs/logging/LineLog.h
+++ b/src/libs/logging/LineLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// Log events as lines on standard output.
+/// Writes log events as lines to standard output.
 #pragma once
 
 #include "base/LogEvent.h"
@@ -14,19 +14,19 @@
 /// The settings of section [logging].
 std::vector<SettingDeclaration> loggingSettings();
 
-/// Lines below the level set in \p Values are left out from now on, in the
-/// whole process. Call it before other threads write.
+/// Omits lines below the level set in \p Values from now on, in the whole
+/// process. Must be called before other threads write.
 void configureLog(const Settings &Values);
 
-/// Writes the line to standard output; may be called from any thread. Never
-/// waits for a reader: lines that find no room are counted and left out.
+/// Writes the line to standard output. Thread-safe. Never blocks on a slow
+/// reader: lines that do not fit into the pipe are dropped and counted.
 void writeLogLine(const LogEvent &Line, Time Now);
 
-/// The line without its end:
+/// Returns the line without the line break:
 /// `2026-12-02T18:44:37.123456Z info 202 "request routed" upstream=e1`.
-/// Values with blanks, quotes or control characters are quoted and escaped;
-/// overlong ones are cut. A field that by its name holds a secret is
-/// written as `***`.
+/// Values with spaces, quotes, backslashes, equals signs or control characters
+/// are quoted and escaped, and long values are truncated. The value of a field
+/// whose name indicates a secret is written as `***`.
 std::string formatLogLine(const LogEvent &Line, Time Now);
 
 } // namespace banyanpick
--- a/src/libs/logging/LineWriter.cpp
+++ b/src/libs/logging/LineWriter.cpp
@@ -12,7 +12,7 @@
 
 void LineWriter::write(std::string Line, Time Now) {
   const std::lock_guard Lock(this->Mutex);
-  // A pipe that is ready takes so much without waiting; see pipe(7).
+  // A writable pipe accepts this many bytes without blocking; see pipe(7).
   if (Line.size() > PIPE_BUF) {
     Line.resize(PIPE_BUF - 1);
     Line += '\n';
--- a/src/libs/logging/LineWriter.h
+++ b/src/libs/logging/LineWriter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Lines to a descriptor, without ever waiting for its reader.
+/// Writes lines to a file descriptor without blocking on its reader.
 #pragma once
 
 #include "base/Time.h"
@@ -10,8 +10,9 @@
 
 namespace banyanpick {
 
-/// Lines beyond a rate, and lines that a pipe has no room for, are left out;
-/// the next line that is written tells how many. Safe from any thread.
+/// Drops lines beyond a maximum rate and lines that do not fit into the pipe.
+/// The next line that can be written reports how many were dropped.
+/// Thread-safe.
 class LineWriter {
 public:
   explicit LineWriter(int Descriptor) : Descriptor(Descriptor) {}
@@ -20,23 +21,24 @@
 
   std::uint64_t dropped() const { return this->Dropped; }
 
-  /// Lines a second in the long run: some ten for each of 60 requests a
-  /// second, far more than a host of a quarter of a core serves.
+  /// Sustained rate, in lines a second: about ten lines for each of 60 requests
+  /// a second, far more requests than a host with a quarter of a core serves.
   static constexpr double LinesPerSecond = 600;
-  /// Lines at once, as when many engines change together.
+  /// Maximum number of lines in a burst, for example when many engines change
+  /// state together.
   static constexpr double Burst = 2000;
 
 private:
   bool hasAllowance(Time Now);
-  /// False: there is no room now.
+  /// Returns false if the descriptor does not accept the text now.
   bool tryWrite(const std::string &Text) const;
 
   const int Descriptor;
   std::mutex Mutex;
   double Allowance = Burst;
   Time LastAt{};
-  std::uint64_t Dropped = 0; ///< In all.
-  std::uint64_t Unreported = 0;
+  std::uint64_t Dropped = 0;    ///< Since the start.
+  std::uint64_t Unreported = 0; ///< Dropped lines not reported yet.
 };
 
 } // namespace banyanpick
--- a/tests/auto/logging/LineLogTest.cpp
+++ b/tests/auto/logging/LineLogTest.cpp
@@ -1,3 +1,9 @@
+/// \file
+/// Tests the format and the level of log lines, and that the writer never
+/// blocks.
+///
+/// They guard against secrets and line breaks in log lines, and against a host
+/// that stops because nobody reads its log.
 #include "logging/LineLog.h"
 #include "logging/LineWriter.h"
 
