--- a/src/libs/metrics/Metrics.cpp
+++ b/src/libs/metrics/Metrics.cpp
@@ -9,8 +9,8 @@
 
 using Kind = RecordMeasurement::Kind;
 
-/// Histograms cover seconds and tokens alike: five buckets a decade from ten
-/// microseconds to ten million tokens.
+/// All histograms have the same buckets, for values in seconds and in tokens:
+/// five buckets a decade, from ten microseconds to ten million tokens.
 constexpr double LowestBound = 1e-5;
 constexpr double HighestBound = 1e7;
 constexpr unsigned BucketsPerDecade = 5;
@@ -54,7 +54,8 @@
   return "untyped";
 }
 
-/// The label's place in the map, or that of the others when it is full.
+/// Returns the entry of the label, or that of OverflowLabel for a new label
+/// when the map is full.
 template <class Map>
 auto &findOrAdd(Map &Entries, std::string_view Label, std::size_t MaxLabels) {
   const auto Found = Entries.find(Label);
--- a/src/libs/metrics/Metrics.h
+++ b/src/libs/metrics/Metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Counters, gauges and histograms of one process.
+/// Counters, gauges and histograms of the process.
 #pragma once
 
 #include "kernel/Action.h"
@@ -13,17 +13,17 @@
 
 namespace banyanpick {
 
-/// Collects measurements by name and label. Safe from any thread.
+/// Collects measurements by name and label. Thread-safe.
 class Metrics {
 public:
-  /// Adds to a counter, replaces a gauge or fills a histogram. A name keeps
-  /// the kind that it was first used with. Labels past the first
-  /// LabelsPerName of a name are counted together as `other`, so that memory
-  /// stays bounded whatever callers send.
+  /// Adds to a counter, sets a gauge or adds to a histogram. A name keeps the
+  /// kind of its first measurement. Labels beyond the first LabelsPerName of a
+  /// name are combined under the label `other`, so that memory stays bounded
+  /// regardless of what callers send. NaN values are ignored.
   void record(const RecordMeasurement &Measured);
 
-  /// Everything in the Prometheus text format. Names get the prefix
-  /// `banyanpick_`, counters the suffix `_total`.
+  /// Returns all metrics in the Prometheus text format. Names get the prefix
+  /// `banyanpick_`, and counters get the suffix `_total`.
   std::string prometheusText() const;
 
   static constexpr std::size_t LabelsPerName = 256;
@@ -34,13 +34,14 @@
                                       boost::histogram::axis::transform::log>;
   using Counts = boost::histogram::histogram<std::tuple<LogAxis>>;
 
-  /// One histogram with the sum that Prometheus wants beside it.
+  /// A histogram with the sum and the count that the Prometheus format
+  /// requires.
   struct Distribution {
     Counts Buckets;
     double Sum = 0;
     std::uint64_t Count = 0;
   };
-  /// Everything under one name, by label.
+  /// All measurements with one name, by label.
   struct Family {
     RecordMeasurement::Kind Kind = RecordMeasurement::Kind::Count;
     std::map<std::string, double, std::less<>> Numbers;
--- a/tests/auto/metrics/MetricsTest.cpp
+++ b/tests/auto/metrics/MetricsTest.cpp
@@ -1,3 +1,8 @@
+/// \file
+/// Tests the Prometheus text of counters, gauges and histograms.
+///
+/// They guard against memory that grows with the labels that callers send, and
+/// against counts lost between threads.
 #include "metrics/Metrics.h"
 
 #include <gtest/gtest.h>
