--- a/src/libs/operators/OperatorJson.h
+++ b/src/libs/operators/OperatorJson.h
@@ -1,6 +1,6 @@
 /// \file
-/// Answers to operators as JSON, read and written by both binaries. The forms
-/// stand in docs/PROTOCOLS.md.
+/// Converts answers to operators to and from JSON, for both binaries. The
+/// format is described in docs/PROTOCOLS.md.
 #pragma once
 
 #include "kernel/Operator.h"
@@ -10,28 +10,30 @@
 
 namespace banyanpick {
 
-/// The body of the answer.
+/// Returns the body of the answer.
 nlohmann::json toJson(const OperatorAnswer &Answer);
 
-/// An error of any port: `{"error": {"kind": K, "message": M}}`.
+/// Returns the body of an error answer, which is the same on all ports:
+/// `{"error": {"kind": K, "message": M}}`.
 nlohmann::json errorJson(std::string_view Kind, std::string_view Message);
 
-// The inverses; they throw Error(BadInput).
+// Parse the bodies of answers. They throw Error(BadInput) if the body is
+// malformed.
 CatalogueShown catalogueShownFromJson(const nlohmann::json &Document);
 HistoryShown historyFromJson(const nlohmann::json &Document);
 StatusReport statusFromJson(const nlohmann::json &Document);
 
-/// What became of a change set.
+/// The outcome of a change set.
 using ChangeAnswer =
     std::variant<ChangesAccepted, ChangesRejected, VerdictPending>;
 ChangeAnswer changeAnswerFromJson(const nlohmann::json &Document);
 
-/// `alive`, `suspect`, `dead`, `leaving`.
+/// Returns `alive`, `suspect`, `dead` or `leaving`.
 std::string_view name(MemberState State);
 
-/// Sixteen hexadecimal digits.
+/// Returns the fingerprint as sixteen hexadecimal digits.
 std::string fingerprintText(Fingerprint Content);
-/// Throws Error(BadInput) when \p Text is not 1 to 16 hexadecimal digits.
+/// Throws Error(BadInput) if \p Text is not 1 to 16 hexadecimal digits.
 Fingerprint parseFingerprint(std::string_view Text);
 
 } // namespace banyanpick
