--- a/src/libs/ini/IniText.cpp
+++ b/src/libs/ini/IniText.cpp
@@ -72,7 +72,7 @@
       return false;
     }
     if (Current.find('\0') != std::string_view::npos) {
-      this->addProblem("contains a zero byte; remove it");
+      this->addProblem("holds a zero byte; remove it");
       return false;
     }
     return true;
