--- a/tests/auto/gateway/EngineLinkPoolTest.cpp
+++ b/tests/auto/gateway/EngineLinkPoolTest.cpp
@@ -28,7 +28,7 @@
   Tcp::acceptor Listener;
 };
 
-TEST(EngineLinkPool, DropsAConnectionBeforeTheUpstreamClosesIt) {
+TEST(EngineLinkPool, LeavesAConnectionBeforeTheUpstreamClosesIt) {
   SilentServer Server;
   EngineLinkPool Pool(Server.Io.get_executor(), seconds(10), 4);
   Pool.keep(Engine, Server.link(Pool), Duration(0));
