--- a/src/plugins/enginelimits/QuotaAllocator.cpp
+++ b/src/plugins/enginelimits/QuotaAllocator.cpp
@@ -46,8 +46,8 @@
 void QuotaAllocator::returnUnused(const HostId &From, std::uint64_t Number,
                                   std::uint32_t Count, Time Now) {
   const auto Found =
-      std::ranges::find_if(this->Granted, [&](const Outstanding &Lease) {
-        return Lease.Lease.To == From && Lease.Lease.Number == Number;
+      std::ranges::find_if(this->Granted, [&](const Outstanding &Grant) {
+        return Grant.Lease.To == From && Grant.Lease.Number == Number;
       });
   if (Found == this->Granted.end() || Now > Found->GrantedAt + ReturnWindow)
     return;
@@ -62,8 +62,8 @@
   std::erase_if(this->Waiting, [&](const Requester &Waiter) {
     return Now > Waiter.LastRequestAt + RequestTtl;
   });
-  std::erase_if(this->Granted, [&](const Outstanding &Lease) {
-    return Now > Lease.GrantedAt + ReturnWindow;
+  std::erase_if(this->Granted, [&](const Outstanding &Grant) {
+    return Now > Grant.GrantedAt + ReturnWindow;
   });
   std::vector<QuotaLease> Result;
   while (Now >= this->CountedTo && !this->Waiting.empty() && this->Quota >= 1) {
