--- a/src/plugins/engineload/PromptQueue.cpp
+++ b/src/plugins/engineload/PromptQueue.cpp
@@ -50,18 +50,18 @@
 
 std::size_t PromptQueue::rank(const Waiting &Prompt, const HostId &Self,
                               Time Now) const {
-  const auto keyOf = [&](const Entry &Item, const HostId &Host) {
+  const auto KeyOf = [&](const Entry &Item, const HostId &Host) {
     return std::tuple(
         -queueWeight(Item.Prompt, Now - Item.NotedAt, this->LateShare),
         Host.Value, Item.Prompt.Request);
   };
-  const auto OwnKey = keyOf({Prompt, Now}, Self);
+  const auto OwnKey = KeyOf({Prompt, Now}, Self);
   std::size_t Before = 0;
   for (const Entry &Item : this->current(this->Own, Now))
-    Before += keyOf(Item, Self) < OwnKey ? 1 : 0;
+    Before += KeyOf(Item, Self) < OwnKey ? 1 : 0;
   for (const auto &[Host, All] : this->Peers)
     for (const Entry &Item : this->current(All, Now))
-      Before += keyOf(Item, Host) < OwnKey ? 1 : 0;
+      Before += KeyOf(Item, Host) < OwnKey ? 1 : 0;
   return Before;
 }
 
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Returns the indices of the matching engines.
-template <class Wanted>
+template <class Predicate>
 std::vector<std::size_t> indicesOf(std::span<const EngineState> States,
-                                   Wanted IsWanted) {
+                                   Predicate IsWanted) {
   std::vector<std::size_t> Result;
   for (std::size_t Index = 0; Index < States.size(); ++Index)
     if (IsWanted(States[Index]))
