--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -127,12 +127,12 @@
                                 Time Now, Actions &Out) {
   if (Reserved.Decided)
     return;
-  const auto countOf = [&](Stage Wanted) {
+  const auto CountOf = [&](Stage Wanted) {
     return std::ranges::count(Reserved.Shares, Wanted, &Share::Status);
   };
-  const bool All = countOf(Stage::Held) ==
+  const bool All = CountOf(Stage::Held) ==
                    static_cast<std::ptrdiff_t>(Reserved.Shares.size());
-  const bool Failed = countOf(Stage::Refused) > 0 ||
+  const bool Failed = CountOf(Stage::Refused) > 0 ||
                       Now >= Reserved.RequestedAt + this->AcquireFor;
   if (!All && !Failed)
     return;
