--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -427,11 +427,11 @@
     return;
   for (const QuotaLease &Lease : Entry.OwnAllocator->allocate(Now)) {
     Out.count("engine_room_lent", Engine.Value);
-    const EngineLimits::Lease Lease{Engine, Lease.Number, Lease.Count, 0};
+    const EngineLimits::Lease Granted{Engine, Lease.Number, Lease.Count, 0};
     if (Lease.To == this->Self)
-      this->takeLease(this->Self, Lease, Now);
+      this->takeLease(this->Self, Granted, Now);
     else
-      this->Outbox[Lease.To].Leases.push_back(Lease);
+      this->Outbox[Granted.To].Leases.push_back(Granted);
   }
 }
 
