--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -431,7 +431,7 @@
     if (Lease.To == this->Self)
       this->takeLease(this->Self, Granted, Now);
     else
-      this->Outbox[Granted.To].Leases.push_back(Granted);
+      this->Outbox[Lease.To].Leases.push_back(Granted);
   }
 }
 
