--- a/src/libs/catalogue/Fold.cpp
+++ b/src/libs/catalogue/Catalogue.cpp
@@ -1,4 +1,4 @@
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 
 #include <algorithm>
 
@@ -44,7 +44,7 @@
 } // namespace
 
 ChangeVerdict Catalogue::fold(const ChangeSet &Set, LogOffset Offset) {
-  this->passOver(Offset);
+  this->advanceTo(Offset);
   const auto Known = this->Verdicts.find(Set.Id);
   if (Known != this->Verdicts.end())
     return Known->second;
@@ -91,13 +91,13 @@
   if (!this->Verdicts.emplace(Id, std::move(Verdict)).second)
     return;
   this->VerdictOrder.push_back(Id);
-  if (this->VerdictOrder.size() <= MostVerdicts)
+  if (this->VerdictOrder.size() <= MaxVerdicts)
     return;
   this->Verdicts.erase(this->VerdictOrder.front());
   this->VerdictOrder.pop_front();
 }
 
-void Catalogue::passOver(LogOffset AtOffset) {
+void Catalogue::advanceTo(LogOffset AtOffset) {
   this->Offset = std::max(this->Offset, AtOffset);
 }
 
--- a/src/libs/catalogue/Fold.h
+++ b/src/libs/catalogue/Catalogue.h
@@ -56,10 +56,10 @@
                std::vector<KnownVerdict> Verdicts = {});
 
   /// Notes that a record of another kind was read at \p Offset.
-  void passOver(LogOffset Offset);
+  void advanceTo(LogOffset Offset);
 
   /// The verdict on a change set, or null when it was not folded or was
-  /// followed by more than MostVerdicts others.
+  /// followed by more than MaxVerdicts others.
   const ChangeVerdict *verdict(const ChangeId &Id) const;
 
   /// The verdicts remembered, in the order of their folding.
@@ -67,7 +67,7 @@
 
   /// How many verdicts are remembered. Part of the fold: a second copy of a
   /// change set must be recognised by all hosts or by none.
-  static constexpr std::size_t MostVerdicts = 4096;
+  static constexpr std::size_t MaxVerdicts = 4096;
 
   const TeamEntry *team(const TeamId &Team) const;
   const ClassEntry *classOf(const ClassId &Class) const;
--- a/src/libs/catalogue/CatalogueDiff.cpp
+++ b/src/libs/catalogue/CatalogueDiff.cpp
@@ -42,7 +42,7 @@
   CatalogueDiff Result;
   for (const auto &[Key, Wanted] : Declared) {
     if (Wanted.Owner != Author) {
-      Result.OfOthers.push_back(Key);
+      Result.OwnedByOthers.push_back(Key);
       continue;
     }
     const Entry *Before = find(InForce, Key);
--- a/src/libs/catalogue/CatalogueDiff.h
+++ b/src/libs/catalogue/CatalogueDiff.h
@@ -15,7 +15,7 @@
   /// Entries of the author in force that the file does not declare.
   std::vector<EntryKey> Undeclared;
   /// Entries of the file that belong to other owners, left to them.
-  std::vector<EntryKey> OfOthers;
+  std::vector<EntryKey> OwnedByOthers;
 };
 
 /// Compares the entries of \p Author only. With \p Prune the undeclared ones
--- a/src/libs/catalogue/CatalogueIni.cpp
+++ b/src/libs/catalogue/CatalogueIni.cpp
@@ -133,12 +133,12 @@
   }
 
   /// At the line of the field, or of the section when it has none.
-  void report(const EntryKey &Key, const EntryProblem &What) {
-    const auto Place = this->Places.find({Key, What.Field});
+  void report(const EntryKey &Key, const EntryProblem &Message) {
+    const auto Place = this->Places.find({Key, Message.Field});
     const int Line =
         Place == this->Places.end() ? this->File.Lines.at(Key) : Place->second;
-    this->File.Problems.push_back(
-        {Line, text(Key), What.Field, What.What + "; " + What.Remedy});
+    this->File.Problems.push_back({Line, text(Key), Message.Field,
+                                   Message.Message + "; " + Message.Remedy});
   }
 
   void complain(const IniValue &At, std::string Message) {
--- a/src/libs/catalogue/CatalogueJson.cpp
+++ b/src/libs/catalogue/CatalogueJson.cpp
@@ -132,7 +132,8 @@
   if (!Read.Body)
     return;
   for (const EntryProblem &Each : problemsOf(Read.Key, *Read.Body))
-    throwBadMember(Object.pathOf("body." + Each.Field), Each.What, Each.Remedy);
+    throwBadMember(Object.pathOf("body." + Each.Field), Each.Message,
+                   Each.Remedy);
 }
 
 Change changeFromJson(const json &Given, const std::string &Path) {
--- a/src/libs/catalogue/CatalogueJson.h
+++ b/src/libs/catalogue/CatalogueJson.h
@@ -3,7 +3,7 @@
 /// of the INI form.
 #pragma once
 
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/libs/catalogue/EntryCheck.cpp
+++ b/src/libs/catalogue/EntryCheck.cpp
@@ -17,9 +17,9 @@
 struct FieldCheck {
   std::vector<EntryProblem> &Problems;
 
-  void add(const EntryField &Field, std::string What, std::string Remedy) {
+  void add(const EntryField &Field, std::string Message, std::string Remedy) {
     this->Problems.push_back(
-        {std::string(Field.Name), std::move(What), std::move(Remedy)});
+        {std::string(Field.Name), std::move(Message), std::move(Remedy)});
   }
 
   void checkName(const EntryField &Field, EntryKind Kind,
--- a/src/libs/catalogue/EntryCheck.h
+++ b/src/libs/catalogue/EntryCheck.h
@@ -11,9 +11,9 @@
 
 /// One thing wrong with an entry.
 struct EntryProblem {
-  std::string Field;  ///< Empty: the entry as a whole.
-  std::string What;   ///< Such as `is no duration`.
-  std::string Remedy; ///< Names what is allowed.
+  std::string Field;   ///< Empty: the entry as a whole.
+  std::string Message; ///< Such as `is no duration`.
+  std::string Remedy;  ///< Names what is allowed.
 
   bool operator==(const EntryProblem &) const = default;
 };
--- a/src/libs/kernel/Operator.h
+++ b/src/libs/kernel/Operator.h
@@ -4,7 +4,7 @@
 
 #include "base/StrongId.h"
 #include "base/Time.h"
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 #include "kernel/PeerMessage.h"
 
 #include <string>
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -115,7 +115,7 @@
   if (Configuration)
     this->foldChangeSet(Stored, Configuration->Set, Out);
   else
-    this->InForce.passOver(Stored.Offset);
+    this->InForce.advanceTo(Stored.Offset);
 }
 
 void CataloguePlugin::caughtUp(LogOffset EndOffset, Time Now, Actions &Out) {
@@ -127,7 +127,7 @@
     this->IsComplete = this->InForce.offset() >= EndOffset;
     return;
   }
-  this->InForce.passOver(EndOffset - 1);
+  this->InForce.advanceTo(EndOffset - 1);
   this->Freshness->confirm(this->Tail->endReadAt());
   this->IsComplete = true;
   this->Writer->scheduleFirst(Now);
--- a/src/plugins/catalogue/SnapshotText.h
+++ b/src/plugins/catalogue/SnapshotText.h
@@ -3,7 +3,7 @@
 /// equal bytes.
 #pragma once
 
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 
 #include <string>
 #include <string_view>
--- a/src/plugins/operators/ChangeValidation.cpp
+++ b/src/plugins/operators/ChangeValidation.cpp
@@ -122,7 +122,7 @@
     return {};
   const EntryProblem &First = Problems.front();
   const std::string Field = First.Field.empty() ? "" : " " + First.Field;
-  return text(Proposed.Key) + Field + " " + First.What + "; " + First.Remedy;
+  return text(Proposed.Key) + Field + " " + First.Message + "; " + First.Remedy;
 }
 
 std::string checkIdAndSize(const ChangeSet &Set) {
--- a/src/plugins/operators/ChangeValidation.h
+++ b/src/plugins/operators/ChangeValidation.h
@@ -2,7 +2,7 @@
 /// Validates change sets before they are appended to the log.
 #pragma once
 
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 
 #include <string>
 
--- a/src/plugins/operators/OperatorAuthentication.h
+++ b/src/plugins/operators/OperatorAuthentication.h
@@ -2,7 +2,7 @@
 /// Authenticates operators by their keys.
 #pragma once
 
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 
 #include <optional>
 #include <string_view>
--- a/src/plugins/orders/Placement.h
+++ b/src/plugins/orders/Placement.h
@@ -2,7 +2,7 @@
 /// Computes which models engines have to load or unload.
 #pragma once
 
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 #include "kernel/Services.h"
 
 namespace banyanpick {
--- a/src/tools/ApplyCommand.cpp
+++ b/src/tools/ApplyCommand.cpp
@@ -45,7 +45,7 @@
 
 std::string notesOn(const CatalogueDiff &Of, bool Prune) {
   std::string Result;
-  for (const EntryKey &Each : Of.OfOthers)
+  for (const EntryKey &Each : Of.OwnedByOthers)
     Result += "left to its owner: " + text(Each) + "\n";
   if (Prune)
     return Result;
--- a/tests/auto/catalogue/FoldTest.cpp
+++ b/tests/auto/catalogue/CatalogueTest.cpp
@@ -1,4 +1,4 @@
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 #include "auto/catalogue/Samples.h"
 
 #include <gtest/gtest.h>
@@ -74,9 +74,9 @@
 
 TEST(Fold, BoundsTheVerdictsItRemembers) {
   Catalogue Of;
-  for (LogOffset Offset = 1; Offset <= Catalogue::MostVerdicts + 10; ++Offset)
+  for (LogOffset Offset = 1; Offset <= Catalogue::MaxVerdicts + 10; ++Offset)
     Of.fold(oneChange(std::to_string(Offset), 99, 1), Offset);
-  EXPECT_EQ(Of.verdicts().size(), Catalogue::MostVerdicts);
+  EXPECT_EQ(Of.verdicts().size(), Catalogue::MaxVerdicts);
   EXPECT_EQ(Of.verdict(ChangeId("10")), nullptr);
   EXPECT_NE(Of.verdict(ChangeId("11")), nullptr);
 }
--- a/tests/auto/catalogueplugin/CataloguePluginTest.cpp
+++ b/tests/auto/catalogueplugin/CataloguePluginTest.cpp
@@ -173,9 +173,9 @@
 
 TEST_F(CatalogueTest, AllHostsDropTheSameVerdicts) {
   Catalogue Complete;
-  for (std::size_t Count = 0; Count < Catalogue::MostVerdicts + 10; ++Count)
+  for (std::size_t Count = 0; Count < Catalogue::MaxVerdicts + 10; ++Count)
     Complete.fold(declareOwner("c" + std::to_string(Count), "ring"), Count + 1);
-  EXPECT_EQ(Complete.verdicts().size(), Catalogue::MostVerdicts);
+  EXPECT_EQ(Complete.verdicts().size(), Catalogue::MaxVerdicts);
   EXPECT_EQ(Complete.verdict(ChangeId("c0")), nullptr);
   const SnapshotState State = parseSnapshot(serializeSnapshot(Complete));
   Catalogue Restored;
--- a/tests/bench/slopes/StateSlopes.cpp
+++ b/tests/bench/slopes/StateSlopes.cpp
@@ -2,7 +2,7 @@
 
 #include "BenchWorld.h"
 #include "SlopeTable.h"
-#include "catalogue/Fold.h"
+#include "catalogue/Catalogue.h"
 #include "harness/TestCatalogue.h"
 #include "wire/LogCodec.h"
 
