--- a/src/libs/catalogue/Catalogue.cpp
+++ b/src/libs/catalogue/Catalogue.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The body of type \p Body under \p Key, or null.
+/// Returns the body of the named entry, or null when there is none of this
+/// type.
 template <class Body>
 const Body *find(const EntryMap &Entries, EntryKind Kind,
                  const std::string &Name) {
@@ -45,9 +46,9 @@
 
 ChangeVerdict Catalogue::fold(const ChangeSet &Set, LogOffset Offset) {
   this->advanceTo(Offset);
-  const auto Known = this->Verdicts.find(Set.Id);
-  if (Known != this->Verdicts.end())
-    return Known->second;
+  const auto Recorded = this->Verdicts.find(Set.Id);
+  if (Recorded != this->Verdicts.end())
+    return Recorded->second;
   for (const Change &Wanted : Set.Changes) {
     const auto Conflict = conflictOf(this->Entries, Wanted, Set.Author);
     if (!Conflict)
@@ -65,14 +66,14 @@
   return ChangeAccepted{Offset};
 }
 
-void Catalogue::restore(EntryMap Restored, LogOffset AtOffset,
-                        std::vector<KnownVerdict> Known) {
-  this->Entries = std::move(Restored);
-  this->Offset = AtOffset;
+void Catalogue::restore(EntryMap NewEntries, LogOffset NewOffset,
+                        std::vector<KnownVerdict> NewVerdicts) {
+  this->Entries = std::move(NewEntries);
+  this->Offset = NewOffset;
   this->Verdicts.clear();
   this->VerdictOrder.clear();
-  for (KnownVerdict &Each : Known)
-    this->remember(Each.Id, std::move(Each.Verdict));
+  for (KnownVerdict &Recorded : NewVerdicts)
+    this->remember(Recorded.Id, std::move(Recorded.Verdict));
 }
 
 const ChangeVerdict *Catalogue::verdict(const ChangeId &Id) const {
@@ -82,8 +83,8 @@
 
 std::vector<KnownVerdict> Catalogue::verdicts() const {
   std::vector<KnownVerdict> Result;
-  for (const ChangeId &Each : this->VerdictOrder)
-    Result.push_back({Each, this->Verdicts.at(Each)});
+  for (const ChangeId &Id : this->VerdictOrder)
+    Result.push_back({Id, this->Verdicts.at(Id)});
   return Result;
 }
 
--- a/src/libs/catalogue/Catalogue.h
+++ b/src/libs/catalogue/Catalogue.h
@@ -1,6 +1,6 @@
 /// \file
-/// The fold of change sets into the catalogue: a pure function of the log, so
-/// that every host comes to the same result.
+/// The catalogue as the fold of all change sets in the log. The fold is a pure
+/// function of the log, so all hosts compute the same state.
 #pragma once
 
 #include "catalogue/Entry.h"
@@ -12,15 +12,15 @@
 
 namespace banyanpick {
 
-/// The change set took effect at this offset.
+/// The change set was applied at this offset.
 struct ChangeAccepted {
   LogOffset Offset = 0;
 
   bool operator==(const ChangeAccepted &) const = default;
 };
 
-/// The change set took no effect. The message names entry, who changed it,
-/// and the remedy.
+/// The change set was rejected and nothing was changed. The message names the
+/// entry, the owner that changed it and the remedy.
 struct ChangeRefused {
   std::string Message;
 
@@ -29,7 +29,7 @@
 
 using ChangeVerdict = std::variant<ChangeAccepted, ChangeRefused>;
 
-/// The verdict on one change set.
+/// A change set's id with its verdict.
 struct KnownVerdict {
   ChangeId Id;
   ChangeVerdict Verdict;
@@ -37,36 +37,37 @@
   bool operator==(const KnownVerdict &) const = default;
 };
 
-/// The catalogue at one offset of the log.
+/// The state of the catalogue at one offset of the log.
 class Catalogue {
 public:
-  /// Everything in force.
+  /// Returns all entries in force.
   const EntryMap &entries() const { return this->Entries; }
 
-  /// The offset of the last record folded, accepted or not.
+  /// Returns the offset of the last record processed, accepted or not.
   LogOffset offset() const { return this->Offset; }
 
-  /// Folds the change set read at \p Offset. The same set (by its id) folded
-  /// again gives its first verdict and changes nothing.
+  /// Folds the change set read at \p Offset and returns the verdict. A set with
+  /// an id that was folded before changes nothing and gets the first verdict
+  /// again.
   ChangeVerdict fold(const ChangeSet &Set, LogOffset Offset);
 
-  /// Replaces everything by a snapshot taken at \p Offset, with the verdicts
-  /// known there in the order of their folding.
+  /// Replaces the state by a snapshot taken at \p Offset. \p Verdicts are those
+  /// of the snapshot, oldest first.
   void restore(EntryMap Entries, LogOffset Offset,
                std::vector<KnownVerdict> Verdicts = {});
 
-  /// Notes that a record of another kind was read at \p Offset.
+  /// Advances the offset past a record of another kind, read at \p Offset.
   void advanceTo(LogOffset Offset);
 
-  /// The verdict on a change set, or null when it was not folded or was
-  /// followed by more than MaxVerdicts others.
+  /// Returns the verdict on a change set, or null when the set was not folded
+  /// or its verdict was evicted by MaxVerdicts newer ones.
   const ChangeVerdict *verdict(const ChangeId &Id) const;
 
-  /// The verdicts remembered, in the order of their folding.
+  /// Returns the stored verdicts, oldest first.
   std::vector<KnownVerdict> verdicts() const;
 
-  /// How many verdicts are remembered. Part of the fold: a second copy of a
-  /// change set must be recognised by all hosts or by none.
+  /// The number of stored verdicts. The bound is part of the fold: all hosts
+  /// must agree on whether a change set is a duplicate.
   static constexpr std::size_t MaxVerdicts = 4096;
 
   const TeamEntry *team(const TeamId &Team) const;
--- a/src/libs/catalogue/CatalogueDiff.cpp
+++ b/src/libs/catalogue/CatalogueDiff.cpp
@@ -23,14 +23,14 @@
   std::vector<FieldText> Old;
   if (Before)
     Old = fieldTexts(*Before);
-  std::size_t Index = 0;
-  for (const FieldText &Each : fieldTexts(Body)) {
-    const std::size_t Place = Index++;
+  std::size_t NextIndex = 0;
+  for (const FieldText &New : fieldTexts(Body)) {
+    const std::size_t Index = NextIndex++;
     if (!Before)
-      Result += fmt::format("    {} = {}\n", Each.Field.Name, Each.Text);
-    else if (Old[Place].Text != Each.Text)
-      Result += fmt::format("    {}: {} -> {}\n", Each.Field.Name,
-                            Old[Place].Text, Each.Text);
+      Result += fmt::format("    {} = {}\n", New.Field.Name, New.Text);
+    else if (Old[Index].Text != New.Text)
+      Result += fmt::format("    {}: {} -> {}\n", New.Field.Name,
+                            Old[Index].Text, New.Text);
   }
   return Result;
 }
@@ -61,16 +61,18 @@
   return Result;
 }
 
-std::string describe(const Change &Of, const EntryMap &InForce) {
-  if (!Of.Body)
-    return "- " + text(Of.Key) + "\n";
-  const Entry *Before = find(InForce, Of.Key);
-  std::string Result = (Before ? "~ " : "+ ") + text(Of.Key) + "\n";
-  if (Before && Before->Owner != Of.Owner)
+std::string describe(const Change &Proposed, const EntryMap &InForce) {
+  if (!Proposed.Body)
+    return "- " + text(Proposed.Key) + "\n";
+  const Entry *Before = find(InForce, Proposed.Key);
+  std::string Result = (Before ? "~ " : "+ ") + text(Proposed.Key) + "\n";
+  if (Before && Before->Owner != Proposed.Owner)
     Result += fmt::format("    owner: {} -> {}\n", Before->Owner.Value,
-                          Of.Owner.Value);
-  const bool SameKind = Before && Before->Body.index() == Of.Body->index();
-  return Result + describeFields(*Of.Body, SameKind ? &Before->Body : nullptr);
+                          Proposed.Owner.Value);
+  const bool SameKind =
+      Before && Before->Body.index() == Proposed.Body->index();
+  return Result +
+         describeFields(*Proposed.Body, SameKind ? &Before->Body : nullptr);
 }
 
 } // namespace banyanpick
--- a/src/libs/catalogue/CatalogueIni.cpp
+++ b/src/libs/catalogue/CatalogueIni.cpp
@@ -15,40 +15,40 @@
 
 constexpr std::string_view OwnerField = "owner";
 
-/// Where a value of an entry was read.
-struct FieldPlace {
+/// Identifies a value in the file by its entry and field.
+struct FieldLocation {
   EntryKey Entry;
   std::string Field;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): clang 14 misreads defaults.
-  auto operator<=>(const FieldPlace &) const = default;
+  auto operator<=>(const FieldLocation &) const = default;
 };
 
-/// The entry that a section's name stands for: `team house-1`.
+/// Parses a section name such as `team house-1` into an entry key.
 std::optional<EntryKey> parseSection(std::string_view Section) {
-  const std::size_t Blank = Section.find(' ');
-  if (Blank == std::string_view::npos)
+  const std::size_t Space = Section.find(' ');
+  if (Space == std::string_view::npos)
     return std::nullopt;
-  const auto Kind = parseEntryKind(Section.substr(0, Blank));
-  const std::string_view Name = Section.substr(Blank + 1);
+  const auto Kind = parseEntryKind(Section.substr(0, Space));
+  const std::string_view Name = Section.substr(Space + 1);
   if (!Kind || Name.empty())
     return std::nullopt;
   return EntryKey{*Kind, std::string(Name)};
 }
 
-/// Builds the file's entries, collecting what is wrong.
+/// Builds the entries of a file and collects all problems.
 class FileReader {
 public:
   CatalogueFile read(std::string_view Text, const EntryMap *InForce) {
     const IniText Ini = readIni(Text);
-    for (const IniProblem &Each : Ini.Problems)
-      this->File.Problems.push_back({Each.Line, "", "", Each.Message});
-    for (const IniSection &Each : Ini.Sections)
-      this->begin(Each);
-    for (const IniValue &Each : Ini.Values)
-      this->take(Each);
+    for (const IniProblem &Problem : Ini.Problems)
+      this->File.Problems.push_back({Problem.Line, "", "", Problem.Message});
+    for (const IniSection &Section : Ini.Sections)
+      this->addSection(Section);
+    for (const IniValue &Value : Ini.Values)
+      this->addValue(Value);
     for (const auto &[Key, Value] : this->File.Entries)
-      this->check(Key, Value, InForce);
+      this->checkEntry(Key, Value, InForce);
     std::stable_sort(
         this->File.Problems.begin(), this->File.Problems.end(),
         [](const auto &A, const auto &B) { return A.Line < B.Line; });
@@ -56,7 +56,7 @@
   }
 
 private:
-  void begin(const IniSection &Section) {
+  void addSection(const IniSection &Section) {
     const auto Key = parseSection(Section.Name);
     if (!Key) {
       this->File.Problems.push_back(
@@ -68,93 +68,97 @@
     if (!this->File.Lines.emplace(*Key, Section.Line).second) {
       this->File.Problems.push_back(
           {Section.Line, Section.Name, "",
-           "is declared twice; join the two sections"});
+           "is declared twice; merge the two sections"});
       return;
     }
-    Entry &Made = this->File.Entries[*Key];
-    Made.Body = emptyBody(Key->Kind);
+    Entry &Added = this->File.Entries[*Key];
+    Added.Body = emptyBody(Key->Kind);
     if (Key->Kind == EntryKind::Owner)
-      Made.Owner = OwnerId(std::string(RootOwner));
+      Added.Owner = OwnerId(std::string(RootOwner));
   }
 
-  void take(const IniValue &Given) {
-    const auto Key = parseSection(Given.Section);
+  void addValue(const IniValue &Value) {
+    const auto Key = parseSection(Value.Section);
     if (!Key) {
-      if (Given.Section.empty())
-        this->complain(Given, "stands in no section; give it below a section "
-                              "such as [team NAME]");
+      if (Value.Section.empty())
+        this->addProblem(Value, "is in no section; put it below a section "
+                                "such as [team NAME]");
       return;
     }
-    const auto Known = this->File.Entries.find(*Key);
-    if (Known == this->File.Entries.end())
-      return; // The section's name was cut off and is reported.
-    if (!this->Places.emplace(FieldPlace{*Key, Given.Key}, Given.Line).second) {
-      this->complain(Given, "is given twice; remove one of the two lines");
+    const auto Found = this->File.Entries.find(*Key);
+    if (Found == this->File.Entries.end())
+      return; // inih truncated the section name; this is reported.
+    if (!this->FieldLines.emplace(FieldLocation{*Key, Value.Key}, Value.Line)
+             .second) {
+      this->addProblem(Value, "is given twice; remove one of the two lines");
       return;
     }
-    this->set(Known->second, Given);
+    this->set(Found->second, Value);
   }
 
-  void set(Entry &Into, const IniValue &Given) {
-    if (Given.Key == OwnerField) {
-      Into.Owner = OwnerId(Given.Value);
+  void set(Entry &Into, const IniValue &Value) {
+    if (Value.Key == OwnerField) {
+      Into.Owner = OwnerId(Value.Value);
       return;
     }
-    const auto Outcome = setField(Into.Body, Given.Key, Given.Value);
+    const auto Outcome = setField(Into.Body, Value.Key, Value.Value);
     if (!Outcome)
-      this->complain(Given, "is not a key of this section; give one of " +
-                                this->keysOf(Into.Body));
+      this->addProblem(Value, "is not a key of this section; give one of " +
+                                  this->fieldNames(Into.Body));
     else if (!Outcome->empty())
-      this->complain(Given, *Outcome);
+      this->addProblem(Value, *Outcome);
   }
 
-  void check(const EntryKey &Key, const Entry &Value, const EntryMap *InForce) {
-    for (const FieldText &Each : fieldTexts(Value.Body)) {
-      if (Each.Field.Required && !this->isGiven(Key, Each.Field.Name))
-        this->report(Key, {std::string(Each.Field.Name), "is missing",
-                           "add the line; " + std::string(Each.Field.Help)});
+  void checkEntry(const EntryKey &Key, const Entry &Value,
+                  const EntryMap *InForce) {
+    for (const FieldText &Item : fieldTexts(Value.Body)) {
+      if (Item.Field.Required && !this->isGiven(Key, Item.Field.Name))
+        this->addEntryProblem(
+            Key, {std::string(Item.Field.Name), "is missing",
+                  "add the line; " + std::string(Item.Field.Help)});
     }
     if (Value.Owner.Value.empty())
-      this->report(Key, {std::string(OwnerField), "is missing",
-                         "add the name of the owner of this entry"});
-    for (const EntryProblem &Each : problemsOf(Key, Value.Body)) {
-      if (Each.Field.empty() || this->isGiven(Key, Each.Field))
-        this->report(Key, Each);
+      this->addEntryProblem(Key, {std::string(OwnerField), "is missing",
+                                  "add the name of the owner of this entry"});
+    for (const EntryProblem &Problem : problemsOf(Key, Value.Body)) {
+      if (Problem.Field.empty() || this->isGiven(Key, Problem.Field))
+        this->addEntryProblem(Key, Problem);
     }
     if (Value.Owner.Value.empty())
       return;
-    for (const EntryProblem &Each :
+    for (const EntryProblem &Problem :
          missingReferences(Value, this->File.Entries, InForce))
-      this->report(Key, Each);
+      this->addEntryProblem(Key, Problem);
   }
 
   bool isGiven(const EntryKey &Key, std::string_view Field) const {
-    return this->Places.contains({Key, std::string(Field)});
+    return this->FieldLines.contains({Key, std::string(Field)});
   }
 
-  /// At the line of the field, or of the section when it has none.
-  void report(const EntryKey &Key, const EntryProblem &Message) {
-    const auto Place = this->Places.find({Key, Message.Field});
-    const int Line =
-        Place == this->Places.end() ? this->File.Lines.at(Key) : Place->second;
-    this->File.Problems.push_back({Line, text(Key), Message.Field,
-                                   Message.Message + "; " + Message.Remedy});
+  /// Reports the problem at the line of the field, or at the section's line
+  /// when the file doesn't contain the field.
+  void addEntryProblem(const EntryKey &Key, const EntryProblem &Problem) {
+    const auto Found = this->FieldLines.find({Key, Problem.Field});
+    const int Line = Found == this->FieldLines.end() ? this->File.Lines.at(Key)
+                                                     : Found->second;
+    this->File.Problems.push_back({Line, text(Key), Problem.Field,
+                                   Problem.Message + "; " + Problem.Remedy});
   }
 
-  void complain(const IniValue &At, std::string Message) {
+  void addProblem(const IniValue &Value, std::string Message) {
     this->File.Problems.push_back(
-        {At.Line, At.Section, At.Key, std::move(Message)});
+        {Value.Line, Value.Section, Value.Key, std::move(Message)});
   }
 
-  static std::string keysOf(const EntryBody &Body) {
+  static std::string fieldNames(const EntryBody &Body) {
     std::string Result(OwnerField);
-    for (const FieldText &Each : fieldTexts(Body))
-      Result += ", " + std::string(Each.Field.Name);
+    for (const FieldText &Item : fieldTexts(Body))
+      Result += ", " + std::string(Item.Field.Name);
     return Result;
   }
 
   CatalogueFile File;
-  std::map<FieldPlace, int> Places;
+  std::map<FieldLocation, int> FieldLines;
 };
 
 } // namespace
@@ -168,9 +172,9 @@
   for (const auto &[Key, Value] : Entries) {
     Result += fmt::format("{}[{}]\nowner = {}\n", Result.empty() ? "" : "\n",
                           text(Key), Value.Owner.Value);
-    for (const FieldText &Each : fieldTexts(Value.Body)) {
-      if (!Each.IsDefault || Each.Field.Required)
-        Result += fmt::format("{} = {}\n", Each.Field.Name, Each.Text);
+    for (const FieldText &Item : fieldTexts(Value.Body)) {
+      if (!Item.IsDefault || Item.Field.Required)
+        Result += fmt::format("{} = {}\n", Item.Field.Name, Item.Text);
     }
   }
   return Result;
--- a/src/libs/catalogue/CatalogueIni.h
+++ b/src/libs/catalogue/CatalogueIni.h
@@ -1,7 +1,7 @@
 /// \file
-/// The operators' INI form of the catalogue: `[owner NAME]`, `[team NAME]`,
-/// `[class NAME]` and `[model NAME]` with the keys of EntryFields.h and
-/// `owner`.
+/// The INI form of the catalogue that operators write. Its sections are
+/// `[owner NAME]`, `[team NAME]`, `[class NAME]` and `[model NAME]`; their keys
+/// are those of EntryFields.h and `owner`.
 #pragma once
 
 #include "catalogue/Entry.h"
@@ -13,21 +13,21 @@
 
 namespace banyanpick {
 
-/// What one file declares. The entries' versions are 0. Usable only when
-/// there are no problems.
+/// The entries that one file declares. Their versions are 0. Usable only when
+/// Problems is empty.
 struct CatalogueFile {
   EntryMap Entries;
-  std::map<EntryKey, int> Lines;         ///< Where each entry's section begins.
-  std::vector<SettingsProblem> Problems; ///< By line.
+  std::map<EntryKey, int> Lines; ///< First line of each entry's section.
+  std::vector<SettingsProblem> Problems; ///< Ordered by line.
 };
 
-/// Reads and checks a whole file; every problem is reported. References to
-/// classes and models are looked for in the file and in \p InForce, those to
-/// owners only when it is not null.
+/// Reads and checks a file and reports all problems. References to classes and
+/// models are resolved in the file and in \p InForce. References to owners are
+/// checked only when \p InForce is not null.
 CatalogueFile readCatalogueIni(std::string_view Text,
                                const EntryMap *InForce = nullptr);
 
-/// The INI form of the entries, as readCatalogueIni() reads it.
+/// Returns the entries in the INI form that readCatalogueIni() reads.
 std::string writeCatalogueIni(const EntryMap &Entries);
 
 } // namespace banyanpick
--- a/src/libs/catalogue/CatalogueJson.cpp
+++ b/src/libs/catalogue/CatalogueJson.cpp
@@ -25,8 +25,8 @@
       },
       [&](const EntryField &Field, const std::vector<ClassId> &Values) {
         json Names = json::array();
-        for (const ClassId &Each : Values)
-          Names.push_back(Each.Value);
+        for (const ClassId &Id : Values)
+          Names.push_back(Id.Value);
         Result[Field.Name] = std::move(Names);
       },
       [&](const EntryField &Field, const ConstTarget &Value) {
@@ -35,11 +35,12 @@
       [&](const EntryField &Field, const auto &Value) {
         Result[Field.Name] = Value;
       }};
-  std::visit([&](const auto &Each) { visitFields(Each, Write); }, Body);
+  std::visit([&](const auto &Alternative) { visitFields(Alternative, Write); },
+             Body);
   return Result;
 }
 
-/// Reads the fields of a body; absent ones keep their defaults.
+/// Reads the fields of a body. Absent fields keep their defaults.
 struct BodyReader {
   ObjectReader &Object;
 
@@ -86,11 +87,11 @@
   void operator()(const EntryField &Field, std::vector<ClassId> &Into) {
     if (!this->Object.find(Field.Name))
       return;
-    for (const json &Each : this->Object.list(Field.Name)) {
-      if (!Each.is_string())
+    for (const json &Item : this->Object.list(Field.Name)) {
+      if (!Item.is_string())
         throwBadMember(this->Object.pathOf(Field.Name),
                        "holds something but names", "give [\"class\", ...]");
-      Into.push_back(ClassId(Each.get<std::string>()));
+      Into.push_back(ClassId(Item.get<std::string>()));
     }
   }
   void operator()(const EntryField &Field, const MutableTarget &Into) {
@@ -102,12 +103,13 @@
   }
 };
 
-EntryBody bodyFromJson(EntryKind Kind, const json &Given,
+EntryBody bodyFromJson(EntryKind Kind, const json &Source,
                        const std::string &Path) {
-  ObjectReader Object(Given, Path);
+  ObjectReader Object(Source, Path);
   EntryBody Result = emptyBody(Kind);
-  std::visit([&](auto &Each) { visitFields(Each, BodyReader{Object}); },
-             Result);
+  std::visit(
+      [&](auto &Alternative) { visitFields(Alternative, BodyReader{Object}); },
+      Result);
   Object.rejectUnknownMembers();
   return Result;
 }
@@ -122,22 +124,22 @@
   return EntryKey{*Kind, Object.text("name")};
 }
 
-void checkChange(const Change &Read, const ObjectReader &Object) {
-  if (!isAllowedName(Read.Key.Kind, Read.Key.Name))
+void checkChange(const Change &Received, const ObjectReader &Object) {
+  if (!isAllowedName(Received.Key.Kind, Received.Key.Name))
     throwBadMember(Object.pathOf("name"), "is malformed",
-                   "give " + allowedNames(Read.Key.Kind));
-  if (!isAllowedName(EntryKind::Owner, Read.Owner.Value))
+                   "give " + allowedNames(Received.Key.Kind));
+  if (!isAllowedName(EntryKind::Owner, Received.Owner.Value))
     throwBadMember(Object.pathOf("owner"), "is malformed",
                    "give " + allowedNames(EntryKind::Owner));
-  if (!Read.Body)
+  if (!Received.Body)
     return;
-  for (const EntryProblem &Each : problemsOf(Read.Key, *Read.Body))
-    throwBadMember(Object.pathOf("body." + Each.Field), Each.Message,
-                   Each.Remedy);
+  for (const EntryProblem &Problem : problemsOf(Received.Key, *Received.Body))
+    throwBadMember(Object.pathOf("body." + Problem.Field), Problem.Message,
+                   Problem.Remedy);
 }
 
-Change changeFromJson(const json &Given, const std::string &Path) {
-  ObjectReader Object(Given, Path);
+Change changeFromJson(const json &Source, const std::string &Path) {
+  ObjectReader Object(Source, Path);
   Change Result;
   Result.Key = keyFromJson(Object);
   Result.BaseVersion = Object.whole("base_version");
@@ -149,20 +151,20 @@
   return Result;
 }
 
-/// The longest id of a change set, in characters.
+/// Maximum length of a change set's id, in characters.
 constexpr std::size_t LongestChangeId = 128;
 
 } // namespace
 
 json toJson(const ChangeSet &Set) {
   json Changes = json::array();
-  for (const Change &Each : Set.Changes) {
-    json Item{{"kind", name(Each.Key.Kind)},
-              {"name", Each.Key.Name},
-              {"base_version", Each.BaseVersion},
-              {"owner", Each.Owner.Value}};
-    if (Each.Body)
-      Item["body"] = bodyToJson(*Each.Body);
+  for (const Change &Proposed : Set.Changes) {
+    json Item{{"kind", name(Proposed.Key.Kind)},
+              {"name", Proposed.Key.Name},
+              {"base_version", Proposed.BaseVersion},
+              {"owner", Proposed.Owner.Value}};
+    if (Proposed.Body)
+      Item["body"] = bodyToJson(*Proposed.Body);
     Changes.push_back(std::move(Item));
   }
   json Result{{"id", Set.Id.Value}, {"changes", std::move(Changes)}};
@@ -171,17 +173,17 @@
   return Result;
 }
 
-ChangeSet changeSetFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+ChangeSet changeSetFromJson(const json &Source) {
+  ObjectReader Object(Source, "");
   ChangeSet Result;
   Result.Id = ChangeId(Object.text("id"));
   if (Result.Id.Value.empty() || Result.Id.Value.size() > LongestChangeId)
     throwBadMember("id", "is empty or too long", "give 1 to 128 characters");
   if (Object.find("author"))
     Result.Author = OwnerId(Object.text("author"));
-  for (const json &Each : Object.list("changes"))
+  for (const json &Item : Object.list("changes"))
     Result.Changes.push_back(
-        changeFromJson(Each, itemPath("changes", Result.Changes.size())));
+        changeFromJson(Item, itemPath("changes", Result.Changes.size())));
   Object.rejectUnknownMembers();
   return Result;
 }
@@ -197,13 +199,13 @@
   return Result;
 }
 
-EntryMap entryMapFromJson(const json &Given) {
-  if (!Given.is_array())
+EntryMap entryMapFromJson(const json &Source) {
+  if (!Source.is_array())
     throwBadMember("entries", "is not a list", "give [...]");
   EntryMap Result;
   std::size_t Index = 0;
-  for (const json &Each : Given) {
-    ObjectReader Object(Each, itemPath("entries", Index++));
+  for (const json &Item : Source) {
+    ObjectReader Object(Item, itemPath("entries", Index++));
     const EntryKey Key = keyFromJson(Object);
     Entry Value;
     Value.Owner = OwnerId(Object.text("owner"));
@@ -219,16 +221,16 @@
 json toJson(const ChangeVerdict &Verdict) {
   return match(
       Verdict,
-      [](const ChangeAccepted &Each) {
-        return json{{"verdict", "accepted"}, {"offset", Each.Offset}};
+      [](const ChangeAccepted &Accepted) {
+        return json{{"verdict", "accepted"}, {"offset", Accepted.Offset}};
       },
-      [](const ChangeRefused &Each) {
-        return json{{"verdict", "rejected"}, {"message", Each.Message}};
+      [](const ChangeRefused &Refused) {
+        return json{{"verdict", "rejected"}, {"message", Refused.Message}};
       });
 }
 
-ChangeVerdict changeVerdictFromJson(const json &Given) {
-  ObjectReader Object(Given, "");
+ChangeVerdict changeVerdictFromJson(const json &Source) {
+  ObjectReader Object(Source, "");
   const std::string Verdict = Object.text("verdict");
   if (Verdict == "accepted")
     return ChangeAccepted{Object.whole("offset")};
--- a/src/libs/catalogue/CatalogueJson.h
+++ b/src/libs/catalogue/CatalogueJson.h
@@ -1,6 +1,6 @@
 /// \file
-/// Change sets, entries and verdicts as JSON. Members of bodies are the keys
-/// of the INI form.
+/// Converts change sets, entries and verdicts to and from JSON. The members of
+/// entry bodies have the names of the INI keys.
 #pragma once
 
 #include "catalogue/Catalogue.h"
@@ -11,23 +11,25 @@
 
 nlohmann::json toJson(const ChangeSet &Set);
 
-/// Reads and checks a change set. Its author, when given, is what the writer
-/// says; whoever takes a set from an operator replaces it by the owner proved.
-/// Throws Error(BadInput) that names the path of what is wrong and the remedy.
-ChangeSet changeSetFromJson(const nlohmann::json &Given);
+/// Reads and checks a change set. The author, when given, is unverified: code
+/// that accepts a set from an operator must replace it with the authenticated
+/// owner. Throws Error(BadInput) with the path of the invalid member and the
+/// remedy.
+ChangeSet changeSetFromJson(const nlohmann::json &Source);
 
-/// An array of entries in the order of their keys.
+/// Returns an array of entries ordered by key.
 nlohmann::json toJson(const EntryMap &Entries);
 
-/// The inverse of toJson(). Checks types but not values: what is in force was
-/// checked when it was taken in. Throws Error(BadInput).
-EntryMap entryMapFromJson(const nlohmann::json &Given);
+/// The inverse of toJson(). Checks types but not values, since the values of
+/// entries in force were checked when they were accepted. Throws
+/// Error(BadInput).
+EntryMap entryMapFromJson(const nlohmann::json &Source);
 
-/// `{"verdict": "accepted", "offset": N}` or `{"verdict": "rejected",
-/// "message": M}`.
+/// Returns `{"verdict": "accepted", "offset": N}` or
+/// `{"verdict": "rejected", "message": M}`.
 nlohmann::json toJson(const ChangeVerdict &Verdict);
 
-/// The inverse. Throws Error(BadInput).
-ChangeVerdict changeVerdictFromJson(const nlohmann::json &Given);
+/// The inverse of toJson(const ChangeVerdict &). Throws Error(BadInput).
+ChangeVerdict changeVerdictFromJson(const nlohmann::json &Source);
 
 } // namespace banyanpick
--- a/src/libs/catalogue/CataloguePage.cpp
+++ b/src/libs/catalogue/CataloguePage.cpp
@@ -14,11 +14,11 @@
       "\n## [{} NAME]\n\n| key | default | meaning |\n| --- | --- | --- |\n"
       "| `owner` | {} | The owner, who alone may change the entry. |\n",
       name(Kind), Kind == EntryKind::Owner ? "`root`" : "required");
-  for (const FieldText &Each : fieldTexts(emptyBody(Kind))) {
-    const std::string Default = "`" + tableCell(Each.Text) + "`";
-    Result += fmt::format("| `{}` | {} | {} |\n", Each.Field.Name,
-                          Each.Field.Required ? "required" : Default,
-                          tableCell(Each.Field.Help));
+  for (const FieldText &Item : fieldTexts(emptyBody(Kind))) {
+    const std::string Default = "`" + tableCell(Item.Text) + "`";
+    Result += fmt::format("| `{}` | {} | {} |\n", Item.Field.Name,
+                          Item.Field.Required ? "required" : Default,
+                          tableCell(Item.Field.Help));
   }
   return Result;
 }
--- a/src/libs/catalogue/CataloguePage.h
+++ b/src/libs/catalogue/CataloguePage.h
@@ -1,12 +1,12 @@
 /// \file
-/// The keys of the catalogue's INI form as a page in Markdown.
+/// Generates the Markdown reference of the catalogue's INI keys.
 #pragma once
 
 #include <string>
 
 namespace banyanpick {
 
-/// The whole of docs/CATALOGUE.md.
+/// Returns the complete content of docs/CATALOGUE.md.
 std::string cataloguePage();
 
 } // namespace banyanpick
--- a/src/libs/catalogue/Entry.h
+++ b/src/libs/catalogue/Entry.h
@@ -1,5 +1,6 @@
 /// \file
-/// What operators declare: entries, each with an owner, a kind and limits.
+/// The types of the catalogue that operators declare: entries with an owner, a
+/// kind and limits, and changes of them.
 #pragma once
 
 #include "base/StrongId.h"
@@ -15,8 +16,8 @@
 
 namespace banyanpick {
 
-/// A salted hash of a key, `salt:hash` in hexadecimal. Keys themselves never
-/// stand in the catalogue, in logs or in the platform's log.
+/// A salted hash of a key, `salt:hash` in hexadecimal. The keys themselves are
+/// never stored in the catalogue, in log files or in the platform's log.
 struct KeyDigest {
   std::string Text;
 
@@ -24,14 +25,14 @@
   auto operator<=>(const KeyDigest &) const = default;
 };
 
-/// Somebody who owns entries and may change them.
+/// An owner of entries, who may change them.
 struct OwnerEntry {
   KeyDigest Key;
 
   bool operator==(const OwnerEntry &) const = default;
 };
 
-/// A customer: who may send, which classes, and how much.
+/// A customer that may send requests: its key, allowed classes and limits.
 struct TeamEntry {
   KeyDigest Key;
   double Weight = 1.0;                 ///< Share under contention.
@@ -43,24 +44,25 @@
   bool operator==(const TeamEntry &) const = default;
 };
 
-/// Which back end a class runs on.
+/// The kind of back end that a class runs on.
 enum class TargetKind { Model, Application };
 
-/// A kind of request with its promise.
+/// A class of requests with its latency targets.
 struct ClassEntry {
   TargetKind Target = TargetKind::Model;
   std::string TargetName;            ///< Model or application service name.
-  std::uint64_t MaxPromptTokens = 0; ///< Longer prompts are refused.
+  std::uint64_t MaxPromptTokens = 0; ///< Longer prompts are rejected.
   std::uint64_t MaxOutputTokens = 0; ///< Upper bound of an answer.
-  /// Promise: the first token within Base + PerThousandTokens * prompt / 1000.
+  /// Target: the first token arrives within FirstTokenBase +
+  /// FirstTokenPerThousandTokens * prompt tokens / 1000.
   Duration FirstTokenBase{};
   Duration FirstTokenPerThousandTokens{};
-  /// Promise: the whole answer within the first token's time plus this for
-  /// each output token allowed, plus AnswerBase.
+  /// Target: the complete answer arrives within the first token's time +
+  /// AnswerBase + AnswerPerToken * output tokens allowed.
   Duration AnswerBase{};
   Duration AnswerPerToken{};
-  std::uint32_t Urgency = 5; ///< 0 is the least, 9 the most urgent.
-  bool Idempotent = true;    ///< false: runs at most once, claimed.
+  std::uint32_t Urgency = 5; ///< 0 is the least urgent, 9 the most.
+  bool Idempotent = true;    ///< false: runs at most once, by a claim.
 
   bool operator==(const ClassEntry &) const = default;
 };
@@ -80,11 +82,11 @@
 /// The kinds of entry, in the order of EntryBody's alternatives.
 enum class EntryKind { Owner, Team, Class, Model };
 
-/// The owner of the entries that declare owners, and the only one that may
-/// change them. Its key stands in the hosts' settings.
+/// The owner of all OwnerEntry entries and the only one that may change them.
+/// Its key is part of the hosts' settings.
 inline constexpr std::string_view RootOwner = "root";
 
-/// What names an entry: its kind and name, `team member-house-1`.
+/// Identifies an entry by its kind and name, as in `team member-house-1`.
 struct EntryKey {
   EntryKind Kind = EntryKind::Owner;
   std::string Name;
@@ -93,7 +95,7 @@
   auto operator<=>(const EntryKey &) const = default;
 };
 
-/// One declaration in force. Version is the log offset of its last change.
+/// An entry in force. Version is the log offset of its last change.
 struct Entry {
   OwnerId Owner;
   EntryBody Body;
@@ -105,29 +107,29 @@
 /// All entries in force, by key.
 using EntryMap = std::map<EntryKey, Entry>;
 
-/// A change of one entry, written against a version of it.
+/// A change of one entry, based on a version of that entry.
 struct Change {
   EntryKey Key;
   LogOffset BaseVersion = 0;     ///< 0: the entry did not exist.
-  OwnerId Owner;                 ///< The owner the entry shall have.
+  OwnerId Owner;                 ///< The owner of the entry after the change.
   std::optional<EntryBody> Body; ///< Absent: the entry is removed.
 
   bool operator==(const Change &) const = default;
 };
 
-/// Changes that take effect together or not at all.
+/// Changes that are applied atomically.
 struct ChangeSet {
   ChangeId Id;
-  OwnerId Author; ///< Proved by the entry host that took it from the operator.
+  OwnerId Author; ///< Authenticated by the entry host that received the set.
   std::vector<Change> Changes;
 
   bool operator==(const ChangeSet &) const = default;
 };
 
-/// The keyword of a kind: `owner`, `team`, `class`, `model`.
+/// Returns the keyword of a kind: `owner`, `team`, `class` or `model`.
 std::string_view name(EntryKind Kind);
 
-/// `team member-house-1`.
+/// Returns kind and name, such as `team member-house-1`.
 std::string text(const EntryKey &Key);
 
 } // namespace banyanpick
--- a/src/libs/catalogue/EntryCheck.cpp
+++ b/src/libs/catalogue/EntryCheck.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Checks one field after the other.
+/// Field visitor that collects the problems of each value.
 struct FieldCheck {
   std::vector<EntryProblem> &Problems;
 
@@ -54,11 +54,11 @@
   }
 
   void operator()(const EntryField &Field, const std::vector<ClassId> &Values) {
-    std::set<ClassId> Seen;
-    for (const ClassId &Each : Values) {
-      this->checkName(Field, EntryKind::Class, Each.Value);
-      if (!Seen.insert(Each).second)
-        this->add(Field, "names class '" + Each.Value + "' twice",
+    std::set<ClassId> Names;
+    for (const ClassId &Class : Values) {
+      this->checkName(Field, EntryKind::Class, Class.Value);
+      if (!Names.insert(Class).second)
+        this->add(Field, "names class '" + Class.Value + "' twice",
                   "remove one of the two");
     }
   }
@@ -90,8 +90,11 @@
   if (!isAllowedName(Key.Kind, Key.Name))
     Problems.push_back({"", "has the malformed name '" + Key.Name + "'",
                         "give " + allowedNames(Key.Kind)});
-  std::visit([&](const auto &Each) { visitFields(Each, FieldCheck{Problems}); },
-             Body);
+  std::visit(
+      [&](const auto &Alternative) {
+        visitFields(Alternative, FieldCheck{Problems});
+      },
+      Body);
   checkMembersTogether(Body, Problems);
   return Problems;
 }
--- a/src/libs/catalogue/EntryCheck.h
+++ b/src/libs/catalogue/EntryCheck.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether the values of an entry are allowed.
+/// Checks the values of catalogue entries.
 #pragma once
 
 #include "catalogue/Entry.h"
@@ -9,16 +9,17 @@
 
 namespace banyanpick {
 
-/// One thing wrong with an entry.
+/// One problem of an entry.
 struct EntryProblem {
-  std::string Field;   ///< Empty: the entry as a whole.
-  std::string Message; ///< Such as `is no duration`.
-  std::string Remedy;  ///< Names what is allowed.
+  std::string Field;   ///< Empty when the problem concerns the whole entry.
+  std::string Message; ///< The problem, such as `is not a duration`.
+  std::string Remedy;  ///< States the allowed values.
 
   bool operator==(const EntryProblem &) const = default;
 };
 
-/// Everything wrong with one entry by itself; empty when it may be applied.
+/// Returns all problems of one entry, without its references to other entries.
+/// Empty when the entry is valid.
 std::vector<EntryProblem> problemsOf(const EntryKey &Key,
                                      const EntryBody &Body);
 
--- a/src/libs/catalogue/EntryReferences.h
+++ b/src/libs/catalogue/EntryReferences.h
@@ -1,16 +1,17 @@
 /// \file
-/// Whether everything that entries name is declared.
+/// Checks that the entries to which an entry refers are declared.
 #pragma once
 
 #include "catalogue/EntryCheck.h"
 
 namespace banyanpick {
 
-/// What \p Of names that is neither in \p File nor in \p InForce: its owner,
-/// a team's classes, a class's model. Owners are looked for only when it is
-/// known what is in force, for they are declared in a file of root's.
-/// Application services are known to the host list only and not looked for.
-std::vector<EntryProblem> missingReferences(const Entry &Of,
+/// Returns a problem for each entry that \p Value refers to and that is neither
+/// in \p File nor in \p InForce: its owner, the classes of a team and the model
+/// of a class. Owners are checked only when \p InForce is not null, because
+/// they are declared in a separate file that belongs to root. Application
+/// services are not checked, because only the host list contains them.
+std::vector<EntryProblem> missingReferences(const Entry &Value,
                                             const EntryMap &File,
                                             const EntryMap *InForce);
 
--- a/src/libs/catalogue/EntryValue.cpp
+++ b/src/libs/catalogue/EntryValue.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view ApplicationPrefix = "application:";
 constexpr std::string_view NameCharacters =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-";
-/// inih keeps 49 characters of a section's name, the kind included.
+/// inih keeps 49 characters of a section's name, including the kind.
 constexpr std::size_t LongestName = 40;
 
 struct DurationUnit {
@@ -34,8 +34,8 @@
   if (Value == Duration::zero())
     return "0s";
   const auto Unit = std::find_if(DurationUnits.begin(), DurationUnits.end(),
-                                 [&](const DurationUnit &Each) {
-                                   return Value.count() % Each.Length == 0;
+                                 [&](const DurationUnit &Unit) {
+                                   return Value.count() % Unit.Length == 0;
                                  });
   return std::to_string(Value.count() / Unit->Length) +
          std::string(Unit->Suffix);
@@ -86,11 +86,11 @@
 }
 
 bool isAllowedName(EntryKind Kind, std::string_view Name) {
-  const bool Known = std::all_of(Name.begin(), Name.end(), [&](char Character) {
+  const bool Valid = std::all_of(Name.begin(), Name.end(), [&](char Character) {
     return NameCharacters.find(Character) != std::string_view::npos ||
            (Character == '.' && mayHaveDot(Kind));
   });
-  return Known && !Name.empty() && Name.size() <= LongestName;
+  return Valid && !Name.empty() && Name.size() <= LongestName;
 }
 
 std::string allowedNames(EntryKind Kind) {
--- a/src/libs/catalogue/EntryValue.h
+++ b/src/libs/catalogue/EntryValue.h
@@ -1,5 +1,5 @@
 /// \file
-/// The written forms of single values of entries, and what is wrong with one.
+/// Parses and formats single values of catalogue entries, and checks names.
 #pragma once
 
 #include "catalogue/EntryFields.h"
@@ -13,27 +13,29 @@
 using MutableTarget = TargetReference<TargetKind, std::string>;
 using ConstTarget = TargetReference<const TargetKind, const std::string>;
 
-/// The duration in the largest unit that divides it: `1500us`, `20ms`, `3s`.
+/// Formats the duration in the largest unit that divides it without a
+/// remainder: `1500us`, `20ms`, `3s`.
 std::string durationText(Duration Value);
-/// Nothing when \p Text is no duration with a unit.
+/// Returns nothing when \p Text is not a duration with a unit.
 std::optional<Duration> parseDuration(std::string_view Text);
 
-/// `model:NAME` or `application:NAME`.
+/// Returns `model:NAME` or `application:NAME`.
 std::string targetText(const ConstTarget &Value);
-/// False when \p Text is neither form; then nothing is written.
+/// Parses the text form into \p Into. Returns false and leaves \p Into
+/// unchanged when \p Text is malformed.
 bool parseTarget(std::string_view Text, const MutableTarget &Into);
 
-/// The kind with this keyword, or nothing.
+/// Returns the kind with this keyword, or nothing.
 std::optional<EntryKind> parseEntryKind(std::string_view Keyword);
 
-/// An empty body of this kind.
+/// Returns a body of this kind with default values.
 EntryBody emptyBody(EntryKind Kind);
 
-/// Whether an entry of this kind may have this name.
+/// Returns whether an entry of this kind may have this name.
 bool isAllowedName(EntryKind Kind, std::string_view Name);
 
-/// The names allowed for this kind, in words. Owners and teams have no dot in
-/// theirs, for a dot ends the name in `TEAM.SECRET`.
+/// Describes the names allowed for this kind. Names of owners and teams have no
+/// dot, because a dot ends the name in a presented key, `NAME.SECRET`.
 std::string allowedNames(EntryKind Kind);
 
 } // namespace banyanpick
--- a/src/libs/catalogue/FieldText.cpp
+++ b/src/libs/catalogue/FieldText.cpp
@@ -21,7 +21,7 @@
   return Result;
 }
 
-/// Sets the one field whose name matches.
+/// Field visitor that sets the field with a matching name.
 struct FieldSetter {
   std::string_view Name;
   std::string_view Text;
@@ -49,22 +49,22 @@
   std::string set(const EntryField &, Duration &Into) {
     const auto Value = parseDuration(this->Text);
     Into = Value.value_or(Duration());
-    return Value ? "" : this->complaint("a duration such as 20ms, 3s or 5min");
+    return Value ? "" : this->errorText("a duration such as 20ms, 3s or 5min");
   }
   std::string set(const EntryField &, const MutableTarget &Into) {
     if (parseTarget(this->Text, Into))
       return "";
-    return this->complaint("model:NAME or application:NAME");
+    return this->errorText("model:NAME or application:NAME");
   }
   std::string set(const EntryField &, bool &Into) {
     const auto Value = parseNumber(SettingKind::Flag, this->Text);
     Into = Value.value_or(0) != 0;
-    return Value ? "" : this->complaint("true or false");
+    return Value ? "" : this->errorText("true or false");
   }
   std::string set(const EntryField &Field, double &Into) {
     const auto Value = parseNumber(SettingKind::Fraction, this->Text);
     Into = Value.value_or(Field.Minimum);
-    return Value ? "" : this->complaint(this->range(Field, "a number"));
+    return Value ? "" : this->errorText(this->range(Field, "a number"));
   }
   template <std::unsigned_integral Number>
   std::string set(const EntryField &Field, Number &Into) {
@@ -75,15 +75,15 @@
     Into = Fits ? static_cast<Number>(*Value) : Number{};
     if (Fits)
       return "";
-    return this->complaint(this->range(
+    return this->errorText(this->range(
         Field, Field.IsSize ? "bytes such as 14GB" : "a whole number"));
   }
 
-  std::string complaint(const std::string &Allowed) const {
+  std::string errorText(const std::string &Allowed) const {
     return fmt::format("'{}' is not allowed; give {}", this->Text, Allowed);
   }
-  static std::string range(const EntryField &Field, std::string_view What) {
-    return fmt::format("{}, {} to {}", What, numberText(Field.Minimum),
+  static std::string range(const EntryField &Field, std::string_view Allowed) {
+    return fmt::format("{}, {} to {}", Allowed, numberText(Field.Minimum),
                        numberText(Field.Maximum));
   }
 };
@@ -99,14 +99,14 @@
 std::string valueText(const ConstTarget &Value) { return targetText(Value); }
 std::string valueText(const std::vector<ClassId> &Values) {
   std::string Result;
-  for (const ClassId &Each : Values)
-    Result += (Result.empty() ? "" : ", ") + Each.Value;
+  for (const ClassId &Class : Values)
+    Result += (Result.empty() ? "" : ", ") + Class.Value;
   return Result;
 }
 
-template <class Body> std::vector<FieldText> textsOf(const Body &Of) {
+template <class Body> std::vector<FieldText> textsOf(const Body &Source) {
   std::vector<FieldText> Result;
-  visitFields(Of, [&](const EntryField &Field, const auto &Value) {
+  visitFields(Source, [&](const EntryField &Field, const auto &Value) {
     Result.push_back({Field, valueText(Value), false});
   });
   const Body Defaults;
@@ -123,12 +123,14 @@
 std::optional<std::string> setField(EntryBody &Body, std::string_view Name,
                                     std::string_view Text) {
   FieldSetter Setter{Name, Text};
-  std::visit([&](auto &Each) { visitFields(Each, Setter); }, Body);
+  std::visit([&](auto &Alternative) { visitFields(Alternative, Setter); },
+             Body);
   return Setter.Outcome;
 }
 
 std::vector<FieldText> fieldTexts(const EntryBody &Body) {
-  return std::visit([](const auto &Each) { return textsOf(Each); }, Body);
+  return std::visit(
+      [](const auto &Alternative) { return textsOf(Alternative); }, Body);
 }
 
 } // namespace banyanpick
--- a/src/libs/catalogue/FieldText.h
+++ b/src/libs/catalogue/FieldText.h
@@ -1,5 +1,5 @@
 /// \file
-/// Fields of entries as the text of INI values.
+/// Converts fields of entries to and from the text of INI values.
 #pragma once
 
 #include "catalogue/EntryFields.h"
@@ -11,19 +11,20 @@
 
 namespace banyanpick {
 
-/// Sets the field \p Name of \p Body from \p Text. Gives what is wrong, with
-/// the remedy, or an empty string; nothing when there is no such field.
+/// Sets the field \p Name of \p Body from \p Text. Returns an empty string on
+/// success, the problem and its remedy when the value is invalid, or nothing
+/// when there is no such field.
 std::optional<std::string> setField(EntryBody &Body, std::string_view Name,
                                     std::string_view Text);
 
-/// One field in its written form.
+/// A field with its value as text.
 struct FieldText {
   EntryField Field;
   std::string Text;
   bool IsDefault = false;
 };
 
-/// All fields of the body, in written order.
+/// Returns all fields of the body, in the order in which they are written.
 std::vector<FieldText> fieldTexts(const EntryBody &Body);
 
 } // namespace banyanpick
--- a/src/libs/catalogue/KeyDigest.h
+++ b/src/libs/catalogue/KeyDigest.h
@@ -1,6 +1,6 @@
 /// \file
-/// Keys as they are presented, `NAME.SECRET`, and salted digests of their
-/// secrets, by libsodium's BLAKE2b.
+/// Parses presented keys, `NAME.SECRET`, and computes salted digests of their
+/// secrets with libsodium's BLAKE2b.
 #pragma once
 
 #include "catalogue/Entry.h"
@@ -10,25 +10,27 @@
 
 namespace banyanpick {
 
-/// A presented key in its two parts.
+/// The two parts of a presented key.
 struct PresentedKey {
-  std::string_view Name;   ///< The team's or owner's, before the first dot.
-  std::string_view Secret; ///< The rest; its digest stands in the catalogue.
+  std::string_view Name;   ///< Name of the team or owner, before the first dot.
+  std::string_view Secret; ///< The rest. The catalogue holds its digest.
 };
 
-/// Splits `NAME.SECRET`; nothing when there is no dot or a part is empty.
+/// Splits `NAME.SECRET`. Returns nothing when there is no dot or a part is
+/// empty.
 std::optional<PresentedKey> splitKey(std::string_view Presented);
 
-/// The digest of the secret \p Key under \p SaltHex, `salt:hash` in
-/// hexadecimal. Throws Error(BadInput) when the salt is not 32 hexadecimal
-/// digits.
+/// Returns the digest of the secret \p Key with the salt \p SaltHex,
+/// `salt:hash` in hexadecimal. Throws Error(BadInput) when the salt is not 32
+/// hexadecimal digits.
 KeyDigest digestOfKey(std::string_view Key, std::string_view SaltHex);
 
-/// Whether \p Key is the secret of \p Digest; compares in constant time. A
-/// malformed digest matches nothing.
+/// Returns whether \p Key is the secret of \p Digest. Compares in constant
+/// time. A malformed digest matches no key.
 bool matchesDigest(std::string_view Key, const KeyDigest &Digest);
 
-/// Whether \p Digest is well formed.
+/// Returns whether \p Digest has the form `salt:hash` with the expected number
+/// of hexadecimal digits.
 bool isWellFormed(const KeyDigest &Digest);
 
 } // namespace banyanpick
--- a/tests/auto/catalogue/CatalogueIniTest.cpp
+++ b/tests/auto/catalogue/CatalogueIniTest.cpp
@@ -7,14 +7,15 @@
 namespace banyanpick {
 namespace {
 
-/// The one problem of the text, as `LINE [section] key: message`.
-std::string problemIn(std::string_view Text) {
+/// Returns the problems of the text, one per line, in the form
+/// `LINE [section] key: message`.
+std::string problemsIn(std::string_view Text) {
   const EntryMap InForce = sampleEntries();
   const CatalogueFile File = readCatalogueIni(Text, &InForce);
   std::string Result;
-  for (const SettingsProblem &Each : File.Problems)
-    Result += std::to_string(Each.Line) + " [" + Each.Section + "] " +
-              Each.Key + ": " + Each.Message + "\n";
+  for (const SettingsProblem &Problem : File.Problems)
+    Result += std::to_string(Problem.Line) + " [" + Problem.Section + "] " +
+              Problem.Key + ": " + Problem.Message + "\n";
   return Result;
 }
 
@@ -27,24 +28,24 @@
   EXPECT_EQ(File.Entries, Expected);
 }
 
-TEST(CatalogueIni, LooksForOwnersOnlyWhenItKnowsWhatIsInForce) {
+TEST(CatalogueIni, ChecksOwnersOnlyAgainstCatalogueInForce) {
   const std::string Text = "[model m]\nowner = nobody\nweights = w\n";
   EXPECT_TRUE(readCatalogueIni(Text).Problems.empty());
-  EXPECT_NE(problemIn(Text), "");
+  EXPECT_NE(problemsIn(Text), "");
 }
 
-TEST(CatalogueIni, JoinsContinuedLines) {
+TEST(CatalogueIni, JoinsContinuationLines) {
   const std::string Text =
       "[team a]\nowner = ring\nkey = " + sampleDigest("k").Text +
       "\nclasses = short,\n  confirm\n";
-  EXPECT_EQ(problemIn(Text), "");
+  EXPECT_EQ(problemsIn(Text), "");
   const CatalogueFile File = readCatalogueIni(Text);
   const auto &Team =
       std::get<TeamEntry>(File.Entries.at({EntryKind::Team, "a"}).Body);
   EXPECT_EQ(Team.Classes, (std::vector{ClassId("short"), ClassId("confirm")}));
 }
 
-TEST(CatalogueIni, ReportsEveryProblemWithLineKeyAllowedValuesAndRemedy) {
+TEST(CatalogueIni, ReportsProblemsWithLineKeyAllowedValuesAndRemedy) {
   const std::string Class = "[class c]\nowner = ring\ntarget = model:lot.7b\n"
                             "max_prompt_tokens = 1\nfirst_token = 1s\n";
   struct Case {
@@ -60,7 +61,7 @@
       {Class + "answer = 1s\nanswer = 2s\n", "7 [class c] answer: is given"},
       {Class + "answer = 1s\nanswr = 2s\n",
        "7 [class c] answr: is not a key of this section; give one of owner"},
-      {"x = 1\n", "1 [] x: stands in no section"},
+      {"x = 1\n", "1 [] x: is in no section"},
       {"[tram a]\nx = 1\n", "1 [tram a] : is not a section of a catalogue"},
       {"[team a]\n", "1 [team a] key: is missing"},
       {"[owner a.b]\n", "1 [owner a.b] : has the malformed name"},
@@ -77,12 +78,14 @@
        "first_token = 1s\nanswer = 1s\n",
        "3 [class c] target: names model other, which is not declared"},
   };
-  for (const Case &Each : Cases)
-    EXPECT_NE(problemIn(Each.Text).find(Each.Expected), std::string::npos)
-        << "wanted " << Each.Expected << "\ngot " << problemIn(Each.Text);
+  for (const Case &Sample : Cases)
+    EXPECT_NE(problemsIn(Sample.Text).find(Sample.Expected), std::string::npos)
+        << "expected: " << Sample.Expected
+        << "\nactual: " << problemsIn(Sample.Text);
 }
 
-RC_GTEST_PROP(CatalogueIni, SurvivesAnyBytes, (const std::string &Bytes)) {
+RC_GTEST_PROP(CatalogueIni, ArbitraryBytesDontCrash,
+              (const std::string &Bytes)) {
   readCatalogueIni(Bytes);
   readCatalogueIni("[team a]\nclasses = " + Bytes);
 }
--- a/tests/auto/catalogue/CatalogueJsonTest.cpp
+++ b/tests/auto/catalogue/CatalogueJsonTest.cpp
@@ -19,9 +19,9 @@
   return Set;
 }
 
-std::string complaintAbout(const json &Given) {
+std::string errorFor(const json &Source) {
   try {
-    changeSetFromJson(Given);
+    changeSetFromJson(Source);
   } catch (const Error &Caught) {
     EXPECT_EQ(Caught.kind(), ErrorKind::BadInput);
     EXPECT_FALSE(Caught.remedy().empty());
@@ -30,20 +30,20 @@
   return "";
 }
 
-TEST(CatalogueJson, KeepsChangeSetsEntriesAndVerdicts) {
+TEST(CatalogueJson, RoundTripsChangeSetsEntriesAndVerdicts) {
   EXPECT_EQ(changeSetFromJson(json::parse(toJson(sampleSet()).dump())),
             sampleSet());
   EXPECT_EQ(entryMapFromJson(toJson(sampleEntries())), sampleEntries());
-  for (const ChangeVerdict &Each :
+  for (const ChangeVerdict &Verdict :
        {ChangeVerdict(ChangeAccepted{9}), ChangeVerdict(ChangeRefused{"no"})})
-    EXPECT_EQ(changeVerdictFromJson(toJson(Each)), Each);
+    EXPECT_EQ(changeVerdictFromJson(toJson(Verdict)), Verdict);
 }
 
-TEST(CatalogueJson, NamesThePathOfWhatIsWrong) {
-  const auto With = [](std::string_view Pointer, const json &Value) {
-    json Given = toJson(sampleSet());
-    Given[json::json_pointer(std::string(Pointer))] = Value;
-    return complaintAbout(Given);
+TEST(CatalogueJson, ErrorsNamePathOfInvalidMember) {
+  const auto errorWith = [](std::string_view Pointer, const json &Value) {
+    json Source = toJson(sampleSet());
+    Source[json::json_pointer(std::string(Pointer))] = Value;
+    return errorFor(Source);
   };
   const std::vector<std::array<std::string, 2>> Cases{
       {"/changes/0/body/key", "changes[0].body.key is not a salted hash"},
@@ -57,12 +57,11 @@
       {"/changes", "changes is not a list"},
   };
   for (const auto &[Pointer, Expected] : Cases)
-    EXPECT_NE(With(Pointer, "a b").find(Expected), std::string::npos)
-        << With(Pointer, "a b");
-  EXPECT_NE(With("/changes/2/body/urgency", 10).find("0 to 9"),
-            std::string::npos);
-  EXPECT_NE(complaintAbout(json::array()).find("not an object"),
+    EXPECT_NE(errorWith(Pointer, "a b").find(Expected), std::string::npos)
+        << errorWith(Pointer, "a b");
+  EXPECT_NE(errorWith("/changes/2/body/urgency", 10).find("0 to 9"),
             std::string::npos);
+  EXPECT_NE(errorFor(json::array()).find("not an object"), std::string::npos);
 }
 
 } // namespace
--- a/tests/auto/catalogue/KeyDigestTest.cpp
+++ b/tests/auto/catalogue/KeyDigestTest.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view Salt = "000102030405060708090a0b0c0d0e0f";
 
-RC_GTEST_PROP(KeyDigest, MatchesItsSecretOnly,
+RC_GTEST_PROP(KeyDigest, MatchesOnlyItsSecret,
               (const std::string &Secret, const std::string &Other)) {
   const KeyDigest Digest = digestOfKey(Secret, Salt);
   RC_ASSERT(isWellFormed(Digest));
--- a/tests/auto/catalogue/Samples.h
+++ b/tests/auto/catalogue/Samples.h
@@ -1,5 +1,5 @@
 /// \file
-/// Entries for tests.
+/// Sample catalogue entries for tests.
 #pragma once
 
 #include "catalogue/Entry.h"
