--- a/src/libs/wire/DocumentPack.cpp
+++ b/src/libs/wire/DocumentCompression.cpp
@@ -1,4 +1,4 @@
-#include "wire/DocumentPack.h"
+#include "wire/DocumentCompression.h"
 
 #include <boost/beast/zlib/deflate_stream.hpp>
 #include <boost/beast/zlib/inflate_stream.hpp>
@@ -29,7 +29,7 @@
 
 } // namespace
 
-std::string packDocument(std::string_view Document) {
+std::string compressDocument(std::string_view Document) {
   zlib::deflate_stream Stream;
   Stream.reset(Level, WindowBits, MemoryLevel, zlib::Strategy::normal);
   std::string Result(Stream.upper_bound(Document.size()), '\0');
@@ -42,15 +42,15 @@
   return Result;
 }
 
-std::optional<std::string> unpackDocument(std::string_view Packed,
-                                          std::size_t MostBytes) {
+std::optional<std::string> decompressDocument(std::string_view Packed,
+                                              std::size_t MaxBytes) {
   zlib::inflate_stream Stream;
   Stream.reset(WindowBits);
   std::string Result;
   zlib::z_params Params = paramsFor(Packed);
   for (error_code Ended; Ended != zlib::error::end_of_stream;) {
     const std::size_t Before = Result.size();
-    const std::size_t Room = std::min(Step, MostBytes - Before);
+    const std::size_t Room = std::min(Step, MaxBytes - Before);
     Result.resize(Before + Room);
     Params.next_out = Result.data() + Before;
     Params.avail_out = Room;
--- a/src/libs/wire/DocumentPack.h
+++ b/src/libs/wire/DocumentCompression.h
@@ -10,11 +10,11 @@
 namespace banyanpick {
 
 /// The document in the deflate format. Equal documents give equal bytes.
-std::string packDocument(std::string_view Document);
+std::string compressDocument(std::string_view Document);
 
 /// The document again; nothing when the bytes are none, or when it would be
-/// larger than \p MostBytes.
-std::optional<std::string> unpackDocument(std::string_view Packed,
-                                          std::size_t MostBytes);
+/// larger than \p MaxBytes.
+std::optional<std::string> decompressDocument(std::string_view Packed,
+                                              std::size_t MaxBytes);
 
 } // namespace banyanpick
--- a/src/libs/wire/PeerCodec.cpp
+++ b/src/libs/wire/PeerCodec.cpp
@@ -330,15 +330,16 @@
         Each.has_per_second()
             ? std::optional(std::max(checkedNumber(Each.per_second()), 0.0))
             : std::nullopt;
-    Result.LimitReports.push_back(
-        {UpstreamId(Each.engine()), PerSecond, checkedSpan(Each.age_ms())});
+    Result.LimitReports.push_back({UpstreamId(Each.engine()), PerSecond,
+                                   checkedMilliseconds(Each.age_ms())});
   }
   for (const EngineLimits::Ask &Each : In.asks())
     Result.LeaseRequests.push_back(
         {UpstreamId(Each.engine()), Each.number(), Each.count()});
   for (const EngineLimits::Loan &Each : In.loans())
     Result.Leases.push_back({UpstreamId(Each.engine()), Each.number(),
-                             Each.count(), checkedSpan(Each.later_ms())});
+                             Each.count(),
+                             checkedMilliseconds(Each.later_ms())});
   for (const EngineLimits::Return &Each : In.returns())
     Result.Returns.push_back(
         {UpstreamId(Each.engine()), Each.number(), Each.count()});
@@ -349,7 +350,7 @@
   banyanpick::EngineSignals Result;
   for (const EngineSignals::Rest &Each : In.rests())
     Result.Backoffs.push_back(
-        {UpstreamId(Each.engine()), checkedSpan(Each.left_ms())});
+        {UpstreamId(Each.engine()), checkedMilliseconds(Each.left_ms())});
   for (const std::string &Each : In.leaving())
     Result.Leaving.emplace_back(Each);
   return Result;
--- a/src/libs/wire/WireChecks.h
+++ b/src/libs/wire/WireChecks.h
@@ -33,7 +33,7 @@
 
 /// Milliseconds of an age or a wait; more than a day is as good as that, and
 /// can't overflow a time.
-inline double checkedSpan(double Milliseconds) {
+inline double checkedMilliseconds(double Milliseconds) {
   constexpr double LongestMs = 86'400'000;
   return std::clamp(checkedNumber(Milliseconds), 0.0, LongestMs);
 }
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -3,7 +3,7 @@
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
 #include "kernel/PluginRegistry.h"
-#include "wire/DocumentPack.h"
+#include "wire/DocumentCompression.h"
 
 #include <algorithm>
 
@@ -145,7 +145,7 @@
     Out.add(SendToPeer{From, this->Fetch.makeRequest(this->version(), Now)});
   if (!Progress.Document)
     return;
-  auto Document = unpackDocument(*Progress.Document, MaxDocumentBytes);
+  auto Document = decompressDocument(*Progress.Document, MaxDocumentBytes);
   if (!Document) {
     Out.count("configurations_malformed", From.Value);
     return;
@@ -174,7 +174,7 @@
 
 const std::string &RoutesPlugin::packed() {
   if (this->PackedVersion != this->version()) {
-    this->Packed = packDocument(this->Table->configuration().Document);
+    this->Packed = compressDocument(this->Table->configuration().Document);
     this->PackedVersion = this->version();
   }
   return this->Packed;
--- a/tests/auto/gateway/PeerPropagationTest.cpp
+++ b/tests/auto/gateway/PeerPropagationTest.cpp
@@ -3,7 +3,7 @@
 /// the store does not answer.
 #include "auto/gateway/GatewayBench.h"
 
-#include "wire/DocumentPack.h"
+#include "wire/DocumentCompression.h"
 
 #include <gtest/gtest.h>
 
@@ -47,8 +47,9 @@
   Bench.receive("h2", Beat);
   ASSERT_EQ(Bench.sent<ConfigurationRequest>().size(), 1U);
   EXPECT_EQ(Bench.sent<ConfigurationRequest>().front().NewerThan, 5U);
-  Bench.receive("h2", ConfigurationRelayed{6, packDocument("version 6"), 0,
-                                           packDocument("version 6").size()});
+  Bench.receive("h2",
+                ConfigurationRelayed{6, compressDocument("version 6"), 0,
+                                     compressDocument("version 6").size()});
   EXPECT_EQ(Bench.last<DecodeConfiguration>().Document, "version 6");
 }
 
@@ -59,7 +60,7 @@
   Bench.receive("h2", ConfigurationRequest{4});
   ASSERT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
   EXPECT_EQ(
-      unpackDocument(Bench.sent<ConfigurationRelayed>().front().Chunk, 100),
+      decompressDocument(Bench.sent<ConfigurationRelayed>().front().Chunk, 100),
       "version 5");
   Bench.receive("h2", ConfigurationRequest{5});
   EXPECT_EQ(Bench.sent<ConfigurationRelayed>().size(), 1U);
