--- a/src/libs/wire/CatalogueCodec.cpp
+++ b/src/libs/wire/CatalogueCodec.cpp
@@ -14,8 +14,8 @@
   Out.set_requests_per_minute(Entry.RequestsPerMinute);
   Out.set_tokens_per_minute(Entry.TokensPerMinute);
   Out.set_concurrent(Entry.Concurrent);
-  for (const ClassId &Each : Entry.Classes)
-    Out.add_classes(Each.Value);
+  for (const ClassId &Class : Entry.Classes)
+    Out.add_classes(Class.Value);
 }
 
 void write(const banyanpick::ClassEntry &Entry, ClassEntry &Out) {
@@ -63,8 +63,8 @@
   Result.RequestsPerMinute = In.requests_per_minute();
   Result.TokensPerMinute = In.tokens_per_minute();
   Result.Concurrent = In.concurrent();
-  for (const std::string &Each : In.classes())
-    Result.Classes.emplace_back(Each);
+  for (const std::string &Class : In.classes())
+    Result.Classes.emplace_back(Class);
   return Result;
 }
 
@@ -125,14 +125,14 @@
 void toWire(const banyanpick::ChangeSet &Set, ChangeSet &Out) {
   Out.set_id(Set.Id.Value);
   Out.set_author(Set.Author.Value);
-  for (const banyanpick::Change &Each : Set.Changes) {
+  for (const banyanpick::Change &Update : Set.Changes) {
     Change &Written = *Out.add_changes();
-    Written.set_kind(static_cast<std::uint32_t>(Each.Key.Kind));
-    Written.set_name(Each.Key.Name);
-    Written.set_base_version(Each.BaseVersion);
-    Written.set_owner(Each.Owner.Value);
-    if (Each.Body)
-      write(*Each.Body, *Written.mutable_body());
+    Written.set_kind(static_cast<std::uint32_t>(Update.Key.Kind));
+    Written.set_name(Update.Key.Name);
+    Written.set_base_version(Update.BaseVersion);
+    Written.set_owner(Update.Owner.Value);
+    if (Update.Body)
+      write(*Update.Body, *Written.mutable_body());
   }
 }
 
@@ -140,8 +140,8 @@
   banyanpick::ChangeSet Result;
   Result.Id.Value = In.id();
   Result.Author.Value = In.author();
-  for (const Change &Each : In.changes())
-    Result.Changes.push_back(read(Each));
+  for (const Change &Update : In.changes())
+    Result.Changes.push_back(read(Update));
   return Result;
 }
 
--- a/src/libs/wire/CatalogueCodec.h
+++ b/src/libs/wire/CatalogueCodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Change sets as protobuf messages.
+/// Converts change sets to and from protobuf messages.
 #pragma once
 
 #include "catalogue/Entry.h"
--- a/src/libs/wire/DocumentCompression.h
+++ b/src/libs/wire/DocumentCompression.h
@@ -1,5 +1,5 @@
 /// \file
-/// Documents made smaller for the way between hosts.
+/// Compresses documents that are sent between hosts.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,13 @@
 
 namespace banyanpick {
 
-/// The document in the deflate format. Equal documents give equal bytes.
+/// Returns the document in the deflate format. Equal documents give equal
+/// bytes.
 std::string compressDocument(std::string_view Document);
 
-/// The document again; nothing when the bytes are none, or when it would be
-/// larger than \p MaxBytes.
-std::optional<std::string> decompressDocument(std::string_view Packed,
+/// Returns the decompressed document, or nothing when the bytes are malformed
+/// or the document would be larger than \p MaxBytes.
+std::optional<std::string> decompressDocument(std::string_view Compressed,
                                               std::size_t MaxBytes);
 
 } // namespace banyanpick
--- a/src/libs/wire/LogCodec.cpp
+++ b/src/libs/wire/LogCodec.cpp
@@ -137,8 +137,8 @@
 
 std::string encodeLogBatch(std::span<const LogRecord> Records) {
   wire::LogBatch Batch;
-  for (const LogRecord &Each : Records)
-    wire::write(Each, *Batch.add_records());
+  for (const LogRecord &Record : Records)
+    wire::write(Record, *Batch.add_records());
   return Batch.SerializeAsString();
 }
 
@@ -147,8 +147,8 @@
   if (!Batch.ParseFromArray(Bytes.data(), static_cast<int>(Bytes.size())))
     wire::throwMalformed("no log batch");
   std::vector<LogRecord> Result;
-  for (const wire::LogRecord &Each : Batch.records())
-    Result.push_back(wire::read(Each));
+  for (const wire::LogRecord &Record : Batch.records())
+    Result.push_back(wire::read(Record));
   return Result;
 }
 
--- a/src/libs/wire/LogCodec.h
+++ b/src/libs/wire/LogCodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Records of the platform's log as protobuf bytes.
+/// Converts records of the platform's log to and from protobuf bytes.
 #pragma once
 
 #include "kernel/LogRecord.h"
@@ -11,10 +11,11 @@
 
 namespace banyanpick {
 
-/// The bytes of one append.
+/// Returns the bytes of one append.
 std::string encodeLogBatch(std::span<const LogRecord> Records);
 
-/// The records of one append. Throws Error(BadInput) when the bytes are none.
+/// Returns the records of one append. Throws Error(BadInput) when the bytes are
+/// malformed.
 std::vector<LogRecord> decodeLogBatch(std::string_view Bytes);
 
 namespace wire {
--- a/src/libs/wire/PeerCodec.cpp
+++ b/src/libs/wire/PeerCodec.cpp
@@ -11,12 +11,12 @@
 namespace wire {
 namespace {
 
-/// Ports are sixteen bits; a larger number is no port.
+/// Largest port number; ports have 16 bits.
 constexpr std::uint32_t HighestPort = 65535;
 
-void write(const Address &From, SocketAddress &Out) {
-  Out.set_ip(From.Ip);
-  Out.set_port(From.Port);
+void write(const Address &Source, SocketAddress &Out) {
+  Out.set_ip(Source.Ip);
+  Out.set_port(Source.Port);
 }
 
 Address read(const SocketAddress &In) {
@@ -25,12 +25,12 @@
   return {In.ip(), static_cast<std::uint16_t>(In.port())};
 }
 
-void write(const HostListing &From, Listing &Out) {
-  Out.set_host(From.Id.Value);
-  Out.set_zone(From.Zone.Value);
-  write(From.Callers, *Out.mutable_callers());
-  write(From.Peers, *Out.mutable_peers());
-  Out.set_processor(From.Processor.Thousandths);
+void write(const HostListing &Source, Listing &Out) {
+  Out.set_host(Source.Id.Value);
+  Out.set_zone(Source.Zone.Value);
+  write(Source.Callers, *Out.mutable_callers());
+  write(Source.Peers, *Out.mutable_peers());
+  Out.set_processor(Source.Processor.Thousandths);
 }
 
 HostListing read(const Listing &In) {
@@ -54,16 +54,16 @@
   Out.set_ready(Body.Ready);
   Out.set_in_force(Body.InForce);
   Out.set_log_confirmed_at_us(toWire(Body.LogConfirmedAt));
-  for (const MemberUpdate &Each : Body.Updates) {
+  for (const MemberUpdate &Update : Body.Updates) {
     Rumour &Item = *Out.add_rumours();
-    Item.set_host(Each.Host.Value);
-    Item.set_life(Each.Life.Value);
-    Item.set_version(Each.Version);
-    Item.set_state(static_cast<std::uint32_t>(Each.State));
-    Item.set_ready(Each.Ready);
+    Item.set_host(Update.Host.Value);
+    Item.set_life(Update.Life.Value);
+    Item.set_version(Update.Version);
+    Item.set_state(static_cast<std::uint32_t>(Update.State));
+    Item.set_ready(Update.Ready);
   }
-  for (const HostListing &Each : Body.KnownHosts)
-    write(Each, *Out.add_known());
+  for (const HostListing &Host : Body.KnownHosts)
+    write(Host, *Out.add_known());
   Out.set_engines_known_to(Body.EnginesKnownTo);
   Out.set_engines_digest(Body.EnginesDigest);
   if (Body.StoreAge != Duration::max())
@@ -73,25 +73,25 @@
 
 void write(const banyanpick::WorkSent &Body, Envelope &Envelope) {
   WorkSent &Out = *Envelope.mutable_work_sent();
-  for (const auto &Each : Body.Items) {
+  for (const auto &Work : Body.Items) {
     WorkSent::Item &Item = *Out.add_items();
-    Item.set_engine(Each.Engine.Value);
-    Item.set_prefill_tokens(Each.PrefillTokens);
-    Item.set_requests(Each.Requests);
+    Item.set_engine(Work.Engine.Value);
+    Item.set_prefill_tokens(Work.PrefillTokens);
+    Item.set_requests(Work.Requests);
   }
 }
 
 void write(const banyanpick::TeamUsage &Body, Envelope &Envelope) {
   TeamUsage &Out = *Envelope.mutable_team_usage();
   Out.set_epoch(Body.Epoch);
-  for (const auto &Each : Body.Items) {
+  for (const auto &Usage : Body.Items) {
     TeamUsage::Item &Item = *Out.add_items();
-    Item.set_team(Each.Team.Value);
-    Item.set_service_tokens(Each.ServiceTokens);
-    Item.set_demand_requests(Each.DemandRequests);
-    Item.set_demand_tokens(Each.DemandTokens);
-    Item.set_concurrent(Each.Concurrent);
-    Item.set_lane(Each.Lane);
+    Item.set_team(Usage.Team.Value);
+    Item.set_service_tokens(Usage.ServiceTokens);
+    Item.set_demand_requests(Usage.DemandRequests);
+    Item.set_demand_tokens(Usage.DemandTokens);
+    Item.set_concurrent(Usage.Concurrent);
+    Item.set_lane(Usage.Lane);
   }
 }
 
@@ -106,8 +106,8 @@
 
 void write(const banyanpick::RecordsRelayed &Body, Envelope &Envelope) {
   RecordsRelayed &Out = *Envelope.mutable_records_relayed();
-  for (const banyanpick::StoredRecord &Each : Body.Records)
-    toWire(Each, *Out.add_records());
+  for (const banyanpick::StoredRecord &Record : Body.Records)
+    toWire(Record, *Out.add_records());
   Out.set_first_offset(Body.FirstOffset);
   Out.set_next_offset(Body.NextOffset);
 }
@@ -185,111 +185,111 @@
   EnginesRelayed &Out = *Envelope.mutable_engines_relayed();
   Out.set_up_to(Body.UpTo);
   Out.set_complete(Body.Complete);
-  for (const EngineChange &Each : Body.Changes) {
+  for (const EngineChange &Update : Body.Changes) {
     EnginesRelayed::Change &Item = *Out.add_changes();
-    Item.set_id(Each.Engine.Id.Value);
-    Item.set_service(Each.Engine.Service.Value);
-    write(Each.Engine.At, *Item.mutable_at());
-    Item.set_zone(Each.Engine.Zone.Value);
-    Item.set_slots(Each.Engine.Slots);
-    Item.set_draining(Each.Engine.Draining);
-    Item.set_removed(Each.Removed);
-    Item.set_offset(Each.Offset);
+    Item.set_id(Update.Engine.Id.Value);
+    Item.set_service(Update.Engine.Service.Value);
+    write(Update.Engine.At, *Item.mutable_at());
+    Item.set_zone(Update.Engine.Zone.Value);
+    Item.set_slots(Update.Engine.Slots);
+    Item.set_draining(Update.Engine.Draining);
+    Item.set_removed(Update.Removed);
+    Item.set_offset(Update.Offset);
   }
 }
 
 void write(const banyanpick::EngineWork &Body, Envelope &Envelope) {
   EngineWork &Out = *Envelope.mutable_engine_work();
-  for (const auto &Each : Body.Items) {
+  for (const auto &Work : Body.Items) {
     EngineWork::Item &Item = *Out.add_items();
-    Item.set_engine(Each.Engine.Value);
-    Item.set_read_ms(static_cast<float>(Each.PrefillMs));
-    Item.set_reading(Each.Prefilling);
-    Item.set_writing(Each.Decoding);
-    Item.set_memory_tokens(Each.MemoryTokens);
-    Item.set_short_running(Each.ShortRunning);
-    for (const auto &One : Each.ActiveAnswers) {
-      EngineWork::Answers &Held = *Item.add_held();
-      Held.set_pause_ms(static_cast<float>(One.PauseMs));
-      Held.set_value_ms(static_cast<float>(One.ValueMs));
+    Item.set_engine(Work.Engine.Value);
+    Item.set_read_ms(static_cast<float>(Work.PrefillMs));
+    Item.set_reading(Work.Prefilling);
+    Item.set_writing(Work.Decoding);
+    Item.set_memory_tokens(Work.MemoryTokens);
+    Item.set_short_running(Work.ShortRunning);
+    for (const auto &Answer : Work.ActiveAnswers) {
+      EngineWork::Answers &AnswerItem = *Item.add_held();
+      AnswerItem.set_pause_ms(static_cast<float>(Answer.PauseMs));
+      AnswerItem.set_value_ms(static_cast<float>(Answer.ValueMs));
     }
   }
-  for (const auto &Each : Body.QueuedPrompts) {
-    EngineWork::Waiting &Waiting = *Out.add_in_lane();
-    Waiting.set_request(Each.Request);
-    Waiting.set_tokens(Each.Tokens);
-    Waiting.set_read_ms(static_cast<float>(Each.PrefillMs));
-    Waiting.set_needed_ms(static_cast<float>(Each.NeededMs));
-    Waiting.set_left_ms(static_cast<float>(Each.LeftMs));
+  for (const auto &Prompt : Body.QueuedPrompts) {
+    EngineWork::Waiting &Item = *Out.add_in_lane();
+    Item.set_request(Prompt.Request);
+    Item.set_tokens(Prompt.Tokens);
+    Item.set_read_ms(static_cast<float>(Prompt.PrefillMs));
+    Item.set_needed_ms(static_cast<float>(Prompt.NeededMs));
+    Item.set_left_ms(static_cast<float>(Prompt.LeftMs));
   }
-  for (const auto &Each : Body.Slowdowns) {
-    EngineWork::Pace &Pace = *Out.add_paces();
-    Pace.set_engine(Each.Engine.Value);
-    Pace.set_factor(static_cast<float>(Each.Factor));
+  for (const auto &Slowdown : Body.Slowdowns) {
+    EngineWork::Pace &Item = *Out.add_paces();
+    Item.set_engine(Slowdown.Engine.Value);
+    Item.set_factor(static_cast<float>(Slowdown.Factor));
   }
-  for (const auto &Each : Body.Distrusted) {
-    EngineWork::Distrust &Distrust = *Out.add_distrusted();
-    Distrust.set_engine(Each.Engine.Value);
-    Distrust.set_since_ms(static_cast<float>(Each.SinceMs));
-    Distrust.set_left_ms(static_cast<float>(Each.LeftMs));
+  for (const auto &Distrusted : Body.Distrusted) {
+    EngineWork::Distrust &Item = *Out.add_distrusted();
+    Item.set_engine(Distrusted.Engine.Value);
+    Item.set_since_ms(static_cast<float>(Distrusted.SinceMs));
+    Item.set_left_ms(static_cast<float>(Distrusted.LeftMs));
   }
 }
 
 void write(const banyanpick::EngineLimits &Body, Envelope &Envelope) {
   EngineLimits &Out = *Envelope.mutable_engine_limits();
-  for (const auto &Each : Body.LimitReports) {
-    EngineLimits::Word &Word = *Out.add_words();
-    Word.set_engine(Each.Engine.Value);
-    if (Each.PerSecond)
-      Word.set_per_second(*Each.PerSecond);
-    Word.set_age_ms(Each.AgeMs);
+  for (const auto &Report : Body.LimitReports) {
+    EngineLimits::Word &Item = *Out.add_words();
+    Item.set_engine(Report.Engine.Value);
+    if (Report.PerSecond)
+      Item.set_per_second(*Report.PerSecond);
+    Item.set_age_ms(Report.AgeMs);
   }
-  for (const auto &Each : Body.LeaseRequests) {
-    EngineLimits::Ask &Ask = *Out.add_asks();
-    Ask.set_engine(Each.Engine.Value);
-    Ask.set_number(Each.Number);
-    Ask.set_count(Each.Count);
+  for (const auto &LeaseRequest : Body.LeaseRequests) {
+    EngineLimits::Ask &Item = *Out.add_asks();
+    Item.set_engine(LeaseRequest.Engine.Value);
+    Item.set_number(LeaseRequest.Number);
+    Item.set_count(LeaseRequest.Count);
   }
-  for (const auto &Each : Body.Leases) {
-    EngineLimits::Loan &Loan = *Out.add_loans();
-    Loan.set_engine(Each.Engine.Value);
-    Loan.set_number(Each.Number);
-    Loan.set_count(Each.Count);
-    Loan.set_later_ms(Each.RetryAfterMs);
+  for (const auto &Lease : Body.Leases) {
+    EngineLimits::Loan &Item = *Out.add_loans();
+    Item.set_engine(Lease.Engine.Value);
+    Item.set_number(Lease.Number);
+    Item.set_count(Lease.Count);
+    Item.set_later_ms(Lease.RetryAfterMs);
   }
-  for (const auto &Each : Body.Returns) {
-    EngineLimits::Return &Return = *Out.add_returns();
-    Return.set_engine(Each.Engine.Value);
-    Return.set_number(Each.Number);
-    Return.set_count(Each.Count);
+  for (const auto &Returned : Body.Returns) {
+    EngineLimits::Return &Item = *Out.add_returns();
+    Item.set_engine(Returned.Engine.Value);
+    Item.set_number(Returned.Number);
+    Item.set_count(Returned.Count);
   }
 }
 
 void write(const banyanpick::EngineSignals &Body, Envelope &Envelope) {
   EngineSignals &Out = *Envelope.mutable_engine_signals();
-  for (const auto &Each : Body.Backoffs) {
-    EngineSignals::Rest &Rest = *Out.add_rests();
-    Rest.set_engine(Each.Engine.Value);
-    Rest.set_left_ms(Each.LeftMs);
+  for (const auto &Backoff : Body.Backoffs) {
+    EngineSignals::Rest &Item = *Out.add_rests();
+    Item.set_engine(Backoff.Engine.Value);
+    Item.set_left_ms(Backoff.LeftMs);
   }
-  for (const UpstreamId &Each : Body.Leaving)
-    Out.add_leaving(Each.Value);
+  for (const UpstreamId &Engine : Body.Leaving)
+    Out.add_leaving(Engine.Value);
 }
 
 banyanpick::EnginesRelayed read(const EnginesRelayed &In) {
   banyanpick::EnginesRelayed Result;
   Result.UpTo = In.up_to();
   Result.Complete = In.complete();
-  for (const EnginesRelayed::Change &Each : In.changes()) {
+  for (const EnginesRelayed::Change &Update : In.changes()) {
     EngineChange Item;
-    Item.Engine.Id.Value = Each.id();
-    Item.Engine.Service.Value = Each.service();
-    Item.Engine.At = read(Each.at());
-    Item.Engine.Zone.Value = Each.zone();
-    Item.Engine.Slots = Each.slots();
-    Item.Engine.Draining = Each.draining();
-    Item.Removed = Each.removed();
-    Item.Offset = Each.offset();
+    Item.Engine.Id.Value = Update.id();
+    Item.Engine.Service.Value = Update.service();
+    Item.Engine.At = read(Update.at());
+    Item.Engine.Zone.Value = Update.zone();
+    Item.Engine.Slots = Update.slots();
+    Item.Engine.Draining = Update.draining();
+    Item.Removed = Update.removed();
+    Item.Offset = Update.offset();
     Result.Changes.push_back(std::move(Item));
   }
   return Result;
@@ -297,62 +297,63 @@
 
 banyanpick::EngineWork read(const EngineWork &In) {
   banyanpick::EngineWork Result;
-  for (const EngineWork::Item &Each : In.items()) {
-    Result.Items.push_back({UpstreamId(Each.engine()),
-                            checkedNumber(Each.read_ms()),
-                            Each.reading(),
-                            Each.writing(),
-                            Each.memory_tokens(),
-                            Each.short_running(),
+  for (const EngineWork::Item &Work : In.items()) {
+    Result.Items.push_back({UpstreamId(Work.engine()),
+                            checkedNumber(Work.read_ms()),
+                            Work.reading(),
+                            Work.writing(),
+                            Work.memory_tokens(),
+                            Work.short_running(),
                             {}});
-    for (const EngineWork::Answers &One : Each.held())
+    for (const EngineWork::Answers &Answer : Work.held())
       Result.Items.back().ActiveAnswers.push_back(
-          {checkedNumber(One.pause_ms()), checkedNumber(One.value_ms())});
+          {checkedNumber(Answer.pause_ms()), checkedNumber(Answer.value_ms())});
   }
-  for (const EngineWork::Waiting &Each : In.in_lane())
+  for (const EngineWork::Waiting &Prompt : In.in_lane())
     Result.QueuedPrompts.push_back(
-        {Each.request(), Each.tokens(), checkedNumber(Each.read_ms()),
-         checkedNumber(Each.needed_ms()), checkedNumber(Each.left_ms())});
-  for (const EngineWork::Pace &Each : In.paces())
+        {Prompt.request(), Prompt.tokens(), checkedNumber(Prompt.read_ms()),
+         checkedNumber(Prompt.needed_ms()), checkedNumber(Prompt.left_ms())});
+  for (const EngineWork::Pace &Slowdown : In.paces())
     Result.Slowdowns.push_back(
-        {UpstreamId(Each.engine()), checkedNumber(Each.factor())});
-  for (const EngineWork::Distrust &Each : In.distrusted())
-    Result.Distrusted.push_back({UpstreamId(Each.engine()),
-                                 checkedNumber(Each.since_ms()),
-                                 checkedNumber(Each.left_ms())});
+        {UpstreamId(Slowdown.engine()), checkedNumber(Slowdown.factor())});
+  for (const EngineWork::Distrust &Distrusted : In.distrusted())
+    Result.Distrusted.push_back({UpstreamId(Distrusted.engine()),
+                                 checkedNumber(Distrusted.since_ms()),
+                                 checkedNumber(Distrusted.left_ms())});
   return Result;
 }
 
 banyanpick::EngineLimits read(const EngineLimits &In) {
   banyanpick::EngineLimits Result;
-  for (const EngineLimits::Word &Each : In.words()) {
+  for (const EngineLimits::Word &Report : In.words()) {
     const auto PerSecond =
-        Each.has_per_second()
-            ? std::optional(std::max(checkedNumber(Each.per_second()), 0.0))
+        Report.has_per_second()
+            ? std::optional(std::max(checkedNumber(Report.per_second()), 0.0))
             : std::nullopt;
-    Result.LimitReports.push_back({UpstreamId(Each.engine()), PerSecond,
-                                   checkedMilliseconds(Each.age_ms())});
+    Result.LimitReports.push_back({UpstreamId(Report.engine()), PerSecond,
+                                   checkedMilliseconds(Report.age_ms())});
   }
-  for (const EngineLimits::Ask &Each : In.asks())
-    Result.LeaseRequests.push_back(
-        {UpstreamId(Each.engine()), Each.number(), Each.count()});
-  for (const EngineLimits::Loan &Each : In.loans())
-    Result.Leases.push_back({UpstreamId(Each.engine()), Each.number(),
-                             Each.count(),
-                             checkedMilliseconds(Each.later_ms())});
-  for (const EngineLimits::Return &Each : In.returns())
+  for (const EngineLimits::Ask &LeaseRequest : In.asks())
+    Result.LeaseRequests.push_back({UpstreamId(LeaseRequest.engine()),
+                                    LeaseRequest.number(),
+                                    LeaseRequest.count()});
+  for (const EngineLimits::Loan &Lease : In.loans())
+    Result.Leases.push_back({UpstreamId(Lease.engine()), Lease.number(),
+                             Lease.count(),
+                             checkedMilliseconds(Lease.later_ms())});
+  for (const EngineLimits::Return &Returned : In.returns())
     Result.Returns.push_back(
-        {UpstreamId(Each.engine()), Each.number(), Each.count()});
+        {UpstreamId(Returned.engine()), Returned.number(), Returned.count()});
   return Result;
 }
 
 banyanpick::EngineSignals read(const EngineSignals &In) {
   banyanpick::EngineSignals Result;
-  for (const EngineSignals::Rest &Each : In.rests())
+  for (const EngineSignals::Rest &Backoff : In.rests())
     Result.Backoffs.push_back(
-        {UpstreamId(Each.engine()), checkedMilliseconds(Each.left_ms())});
-  for (const std::string &Each : In.leaving())
-    Result.Leaving.emplace_back(Each);
+        {UpstreamId(Backoff.engine()), checkedMilliseconds(Backoff.left_ms())});
+  for (const std::string &Engine : In.leaving())
+    Result.Leaving.emplace_back(Engine);
   return Result;
 }
 
@@ -366,15 +367,16 @@
   Result.Ready = In.ready();
   Result.InForce = In.in_force();
   Result.LogConfirmedAt = timeFromWire(In.log_confirmed_at_us());
-  for (const Rumour &Each : In.rumours())
+  for (const Rumour &Update : In.rumours())
     Result.Updates.push_back(
-        {HostId(Each.host()), Incarnation(Each.life()), Each.version(),
-         checkedEnum(Each.state(), MemberState::Leaving), Each.ready()});
-  for (const Listing &Each : In.known())
-    Result.KnownHosts.push_back(read(Each));
+        {HostId(Update.host()), Incarnation(Update.life()), Update.version(),
+         checkedEnum(Update.state(), MemberState::Leaving), Update.ready()});
+  for (const Listing &Host : In.known())
+    Result.KnownHosts.push_back(read(Host));
   Result.EnginesKnownTo = In.engines_known_to();
   Result.EnginesDigest = In.engines_digest();
-  // Older than a day is as good as that, and can't overflow a time.
+  // Larger values are clamped to one day so that time arithmetic can't
+  // overflow.
   constexpr std::uint64_t OldestUs = 86'400'000'000;
   if (In.has_store_age_us())
     Result.StoreAge = Duration(std::min(In.store_age_us(), OldestUs));
@@ -384,20 +386,21 @@
 
 banyanpick::WorkSent read(const WorkSent &In) {
   banyanpick::WorkSent Result;
-  for (const WorkSent::Item &Each : In.items())
+  for (const WorkSent::Item &Work : In.items())
     Result.Items.push_back(
-        {UpstreamId(Each.engine()), Each.prefill_tokens(), Each.requests()});
+        {UpstreamId(Work.engine()), Work.prefill_tokens(), Work.requests()});
   return Result;
 }
 
 banyanpick::TeamUsage read(const TeamUsage &In) {
   banyanpick::TeamUsage Result;
   Result.Epoch = In.epoch();
-  for (const TeamUsage::Item &Each : In.items())
-    Result.Items.push_back(
-        {TeamId(Each.team()), checkedNumber(Each.service_tokens()),
-         checkedNumber(Each.demand_requests()),
-         checkedNumber(Each.demand_tokens()), Each.concurrent(), Each.lane()});
+  for (const TeamUsage::Item &Usage : In.items())
+    Result.Items.push_back({TeamId(Usage.team()),
+                            checkedNumber(Usage.service_tokens()),
+                            checkedNumber(Usage.demand_requests()),
+                            checkedNumber(Usage.demand_tokens()),
+                            Usage.concurrent(), Usage.lane()});
   return Result;
 }
 
@@ -408,8 +411,8 @@
 
 banyanpick::RecordsRelayed read(const RecordsRelayed &In) {
   banyanpick::RecordsRelayed Result;
-  for (const StoredRecord &Each : In.records())
-    Result.Records.push_back(fromWire(Each));
+  for (const StoredRecord &Record : In.records())
+    Result.Records.push_back(fromWire(Record));
   Result.FirstOffset = In.first_offset();
   Result.NextOffset = In.next_offset();
   return Result;
--- a/src/libs/wire/PeerCodec.h
+++ b/src/libs/wire/PeerCodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages between entry hosts as protobuf bytes.
+/// Converts messages between entry hosts to and from protobuf bytes.
 #pragma once
 
 #include "kernel/PeerMessage.h"
@@ -11,7 +11,7 @@
 
 std::string encodePeerMessage(const PeerMessage &Message);
 
-/// Throws Error(BadInput) when the bytes are no message.
+/// Throws Error(BadInput) when the bytes are not a valid message.
 PeerMessage decodePeerMessage(std::string_view Bytes);
 
 } // namespace banyanpick
--- a/src/libs/wire/UpstreamCodec.cpp
+++ b/src/libs/wire/UpstreamCodec.cpp
@@ -40,14 +40,14 @@
   Out.set_prefill_tokens_per_second(Report.PrefillTokensPerSecond);
   Out.set_decode_tokens_per_second(Report.DecodeTokensPerSecond);
   Out.set_highest_fencing(Report.HighestFencing);
-  for (const ModelId &Each : Report.Models)
-    Out.add_models(Each.Value);
-  for (const banyanpick::HoldReport &Each : Report.Holds)
-    write(Each, *Out.add_holds());
-  for (const PriorityBacklog &Each : Report.Backlog) {
+  for (const ModelId &Model : Report.Models)
+    Out.add_models(Model.Value);
+  for (const banyanpick::HoldReport &Hold : Report.Holds)
+    write(Hold, *Out.add_holds());
+  for (const PriorityBacklog &Queued : Report.Backlog) {
     Backlog &Item = *Out.add_backlog();
-    Item.set_priority(Each.Priority);
-    Item.set_prefill_tokens(Each.PrefillTokens);
+    Item.set_priority(Queued.Priority);
+    Item.set_prefill_tokens(Queued.PrefillTokens);
   }
 }
 
@@ -65,12 +65,12 @@
   Result.PrefillTokensPerSecond = checkedNumber(In.prefill_tokens_per_second());
   Result.DecodeTokensPerSecond = checkedNumber(In.decode_tokens_per_second());
   Result.HighestFencing = In.highest_fencing();
-  for (const std::string &Each : In.models())
-    Result.Models.emplace_back(Each);
-  for (const HoldReport &Each : In.holds())
-    Result.Holds.push_back(read(Each));
-  for (const Backlog &Each : In.backlog())
-    Result.Backlog.push_back({Each.priority(), Each.prefill_tokens()});
+  for (const std::string &Model : In.models())
+    Result.Models.emplace_back(Model);
+  for (const HoldReport &Hold : In.holds())
+    Result.Holds.push_back(read(Hold));
+  for (const Backlog &Queued : In.backlog())
+    Result.Backlog.push_back({Queued.priority(), Queued.prefill_tokens()});
   return Result;
 }
 
--- a/src/libs/wire/UpstreamCodec.h
+++ b/src/libs/wire/UpstreamCodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Load reports as protobuf messages.
+/// Converts load reports to and from protobuf messages.
 #pragma once
 
 #include "kernel/Upstream.h"
--- a/src/libs/wire/WireChecks.h
+++ b/src/libs/wire/WireChecks.h
@@ -1,5 +1,5 @@
 /// \file
-/// What every decoder checks before a value becomes a typed one.
+/// Checks that decoders apply to values from the wire.
 #pragma once
 
 #include "base/Error.h"
@@ -12,27 +12,30 @@
 
 namespace banyanpick::wire {
 
-/// Throws the error of a malformed message.
+/// Throws Error(BadInput) for a malformed message.
 [[noreturn]] inline void throwMalformed(std::string_view What) {
   throw Error(ErrorKind::BadInput, "malformed message: " + std::string(What),
               "run the same release on all entry hosts");
 }
 
-/// The enumerator of that number; \p Last is the enum's last one.
+/// Returns the enumerator with this number. Throws when it is larger than
+/// \p Last, the last enumerator.
 template <class Enum> Enum checkedEnum(std::uint32_t Number, Enum Last) {
   if (Number > static_cast<std::uint32_t>(Last))
     throwMalformed("unknown enumerator " + std::to_string(Number));
   return static_cast<Enum>(Number);
 }
 
+/// Returns the number. Throws when it is not finite.
 inline double checkedNumber(double Number) {
   if (!std::isfinite(Number))
     throwMalformed("a number is not finite");
   return Number;
 }
 
-/// Milliseconds of an age or a wait; more than a day is as good as that, and
-/// can't overflow a time.
+/// Returns an age or a wait in milliseconds, clamped to the range from zero to
+/// one day so that time arithmetic can't overflow. Throws when it is not
+/// finite.
 inline double checkedMilliseconds(double Milliseconds) {
   constexpr double LongestMs = 86'400'000;
   return std::clamp(checkedNumber(Milliseconds), 0.0, LongestMs);
--- a/tests/auto/wire/WireTest.cpp
+++ b/tests/auto/wire/WireTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Every message comes back as it was written, and no bytes crash a decoder.
+/// Tests that encoded messages decode to equal values and that decoders reject
+/// malformed bytes with Error(BadInput) instead of crashing.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,214 +12,234 @@
 
 namespace {
 
-// Values drawn inside a property.
-std::string text() { return *rc::gen::arbitrary<std::string>(); }
-std::uint64_t number() { return *rc::gen::arbitrary<std::uint64_t>(); }
-std::uint32_t small() { return *rc::gen::arbitrary<std::uint32_t>(); }
-bool flag() { return *rc::gen::arbitrary<bool>(); }
-double real() { return *rc::gen::inRange(-1000000, 1000000) / 64.0; }
-Duration span() { return Duration(*rc::gen::arbitrary<std::int64_t>()); }
-Time moment() { return Time(span()); }
-template <class Id> Id id() { return Id(text()); }
-Incarnation life() { return Incarnation(number()); }
-template <class Enum> Enum oneOf(Enum Last) {
+// Generators of random values, to be called inside a property.
+std::string anyText() { return *rc::gen::arbitrary<std::string>(); }
+std::uint64_t anyUint64() { return *rc::gen::arbitrary<std::uint64_t>(); }
+std::uint32_t anyUint32() { return *rc::gen::arbitrary<std::uint32_t>(); }
+bool anyBool() { return *rc::gen::arbitrary<bool>(); }
+double anyDouble() { return *rc::gen::inRange(-1000000, 1000000) / 64.0; }
+Duration anyDuration() { return Duration(*rc::gen::arbitrary<std::int64_t>()); }
+Time anyTime() { return Time(anyDuration()); }
+template <class Id> Id anyId() { return Id(anyText()); }
+Incarnation anyIncarnation() { return Incarnation(anyUint64()); }
+template <class Enum> Enum anyEnumerator(Enum Last) {
   return static_cast<Enum>(*rc::gen::inRange(0, static_cast<int>(Last) + 1));
 }
-template <class Make> auto several(Make Item) {
-  std::vector<decltype(Item())> Result(*rc::gen::inRange<std::size_t>(0, 4));
-  for (auto &Each : Result)
-    Each = Item();
+template <class MakeElement> auto anyVector(MakeElement Make) {
+  std::vector<decltype(Make())> Result(*rc::gen::inRange<std::size_t>(0, 4));
+  for (auto &Element : Result)
+    Element = Make();
   return Result;
 }
 
-EntryBody entryBody() {
+EntryBody anyEntryBody() {
   switch (*rc::gen::inRange(0, 4)) {
   case 0:
-    return OwnerEntry{KeyDigest{text()}};
+    return OwnerEntry{KeyDigest{anyText()}};
   case 1:
-    return TeamEntry{KeyDigest{text()}, real(),  small(),
-                     number(),          small(), several(id<ClassId>)};
+    return TeamEntry{KeyDigest{anyText()}, anyDouble(),
+                     anyUint32(),          anyUint64(),
+                     anyUint32(),          anyVector(anyId<ClassId>)};
   case 2:
-    return ClassEntry{oneOf(TargetKind::Application),
-                      text(),
-                      number(),
-                      number(),
-                      span(),
-                      span(),
-                      span(),
-                      span(),
-                      small(),
-                      flag()};
+    return ClassEntry{anyEnumerator(TargetKind::Application),
+                      anyText(),
+                      anyUint64(),
+                      anyUint64(),
+                      anyDuration(),
+                      anyDuration(),
+                      anyDuration(),
+                      anyDuration(),
+                      anyUint32(),
+                      anyBool()};
   default:
-    return ModelEntry{text(), number(), small(), small()};
+    return ModelEntry{anyText(), anyUint64(), anyUint32(), anyUint32()};
   }
 }
 
-Change change() {
-  Change Result{{oneOf(EntryKind::Model), text()}, number(), id<OwnerId>(), {}};
-  if (flag())
-    Result.Body = entryBody();
+Change anyChange() {
+  Change Result{{anyEnumerator(EntryKind::Model), anyText()},
+                anyUint64(),
+                anyId<OwnerId>(),
+                {}};
+  if (anyBool())
+    Result.Body = anyEntryBody();
   return Result;
 }
 
-LogRecord logRecord() {
-  const RecordId Id{life(), number()};
+LogRecord anyLogRecord() {
+  const RecordId Id{anyIncarnation(), anyUint64()};
   switch (*rc::gen::inRange(0, 6)) {
   case 0:
-    return {Id, ConfigurationRecord{
-                    {id<ChangeId>(), id<OwnerId>(), several(change)}}};
+    return {Id, ConfigurationRecord{{anyId<ChangeId>(), anyId<OwnerId>(),
+                                     anyVector(anyChange)}}};
   case 1:
-    return {Id, ClaimRecord{id<OperationKey>(), id<TeamId>(), id<HostId>(),
-                            life(), Fingerprint(number())}};
+    return {Id,
+            ClaimRecord{anyId<OperationKey>(), anyId<TeamId>(), anyId<HostId>(),
+                        anyIncarnation(), Fingerprint(anyUint64())}};
   case 2:
-    return {Id, OutcomeRecord{id<OperationKey>(), id<TeamId>(), life(),
-                              oneOf(OutcomeRecord::Kind::Released), text(),
-                              number()}};
+    return {Id, OutcomeRecord{anyId<OperationKey>(), anyId<TeamId>(),
+                              anyIncarnation(),
+                              anyEnumerator(OutcomeRecord::Kind::Released),
+                              anyText(), anyUint64()}};
   case 3:
-    return {Id, SnapshotChunk{number(), small(), small(), number(), text()}};
+    return {Id, SnapshotChunk{anyUint64(), anyUint32(), anyUint32(),
+                              anyUint64(), anyText()}};
   case 4:
-    return {Id, StewardLease{id<UpstreamId>(), id<HostId>(), life(), span()}};
+    return {Id, StewardLease{anyId<UpstreamId>(), anyId<HostId>(),
+                             anyIncarnation(), anyDuration()}};
   default:
-    return {Id, QuarantineRecord{Fingerprint(number()), small(), moment()}};
+    return {Id,
+            QuarantineRecord{Fingerprint(anyUint64()), anyUint32(), anyTime()}};
   }
 }
 
-LoadReport loadReport() {
-  return {id<UpstreamId>(),
-          life(),
-          moment(),
-          flag(),
-          small(),
-          small(),
-          number(),
-          number(),
-          number(),
-          real(),
-          real(),
-          number(),
-          several(id<ModelId>),
-          several([] {
-            return HoldReport{oneOf(HoldKind::Export),
-                              number(),
-                              number(),
-                              text(),
-                              number(),
-                              moment()};
+LoadReport anyLoadReport() {
+  return {anyId<UpstreamId>(),
+          anyIncarnation(),
+          anyTime(),
+          anyBool(),
+          anyUint32(),
+          anyUint32(),
+          anyUint64(),
+          anyUint64(),
+          anyUint64(),
+          anyDouble(),
+          anyDouble(),
+          anyUint64(),
+          anyVector(anyId<ModelId>),
+          anyVector([] {
+            return HoldReport{anyEnumerator(HoldKind::Export),
+                              anyUint64(),
+                              anyUint64(),
+                              anyText(),
+                              anyUint64(),
+                              anyTime()};
           }),
-          several([] {
-            return PriorityBacklog{small(), number()};
+          anyVector([] {
+            return PriorityBacklog{anyUint32(), anyUint64()};
           })};
 }
 
-Heartbeat heartbeat() {
-  Heartbeat Result{number(),
-                   flag(),
-                   id<ZoneId>(),
-                   number(),
-                   flag(),
-                   flag(),
-                   number(),
-                   moment(),
-                   several([] {
-                     return MemberUpdate{id<HostId>(), life(), number(),
-                                         oneOf(MemberState::Leaving), flag()};
+Heartbeat anyHeartbeat() {
+  Heartbeat Result{anyUint64(),
+                   anyBool(),
+                   anyId<ZoneId>(),
+                   anyUint64(),
+                   anyBool(),
+                   anyBool(),
+                   anyUint64(),
+                   anyTime(),
+                   anyVector([] {
+                     return MemberUpdate{
+                         anyId<HostId>(), anyIncarnation(), anyUint64(),
+                         anyEnumerator(MemberState::Leaving), anyBool()};
                    })};
-  Result.KnownHosts = several([] {
-    HostListing Each;
-    Each.Id = id<HostId>();
-    Each.Zone = id<ZoneId>();
-    Each.Processor.Thousandths = small() + 1;
-    return Each;
+  Result.KnownHosts = anyVector([] {
+    HostListing Host;
+    Host.Id = anyId<HostId>();
+    Host.Zone = anyId<ZoneId>();
+    Host.Processor.Thousandths = anyUint32() + 1;
+    return Host;
   });
-  Result.EnginesKnownTo = number();
-  Result.EnginesDigest = number();
+  Result.EnginesKnownTo = anyUint64();
+  Result.EnginesDigest = anyUint64();
   return Result;
 }
 
-/// Positive, and short enough not to be cut.
-double millisecondsUpToADay() { return *rc::gen::inRange(0, 86'400'000) / 7.0; }
+/// Not negative, and short enough not to be clamped by the decoder.
+double anyMilliseconds() { return *rc::gen::inRange(0, 86'400'000) / 7.0; }
 
-EngineLimits engineLimits() {
+EngineLimits anyEngineLimits() {
   EngineLimits Result;
-  Result.LimitReports = several([] {
+  Result.LimitReports = anyVector([] {
     const std::optional<double> PerSecond =
-        flag() ? std::optional(millisecondsUpToADay()) : std::nullopt;
-    return EngineLimits::LimitReport{id<UpstreamId>(), PerSecond,
-                                     millisecondsUpToADay()};
+        anyBool() ? std::optional(anyMilliseconds()) : std::nullopt;
+    return EngineLimits::LimitReport{anyId<UpstreamId>(), PerSecond,
+                                     anyMilliseconds()};
   });
-  Result.LeaseRequests = several([] {
-    return EngineLimits::LeaseRequest{id<UpstreamId>(), number(), small()};
+  Result.LeaseRequests = anyVector([] {
+    return EngineLimits::LeaseRequest{anyId<UpstreamId>(), anyUint64(),
+                                      anyUint32()};
   });
-  Result.Leases = several([] {
-    return EngineLimits::Lease{id<UpstreamId>(), number(), small(),
-                               millisecondsUpToADay()};
+  Result.Leases = anyVector([] {
+    return EngineLimits::Lease{anyId<UpstreamId>(), anyUint64(), anyUint32(),
+                               anyMilliseconds()};
   });
-  Result.Returns = several([] {
-    return EngineLimits::Return{id<UpstreamId>(), number(), small()};
+  Result.Returns = anyVector([] {
+    return EngineLimits::Return{anyId<UpstreamId>(), anyUint64(), anyUint32()};
   });
   return Result;
 }
 
-EngineSignals engineSignals() {
+EngineSignals anyEngineSignals() {
   EngineSignals Result;
-  Result.Backoffs = several([] {
-    return EngineSignals::Backoff{id<UpstreamId>(), millisecondsUpToADay()};
+  Result.Backoffs = anyVector([] {
+    return EngineSignals::Backoff{anyId<UpstreamId>(), anyMilliseconds()};
   });
-  Result.Leaving = several([] { return id<UpstreamId>(); });
+  Result.Leaving = anyVector([] { return anyId<UpstreamId>(); });
   return Result;
 }
 
-PeerMessageBody peerBody() {
+PeerMessageBody anyPeerBody() {
   switch (*rc::gen::inRange(0, 15)) {
   case 0:
-    return heartbeat();
+    return anyHeartbeat();
   case 1:
-    return WorkSent{several([] {
-      return WorkSent::Item{id<UpstreamId>(), number(), small()};
+    return WorkSent{anyVector([] {
+      return WorkSent::Item{anyId<UpstreamId>(), anyUint64(), anyUint32()};
     })};
   case 2:
-    return TeamUsage{number(), several([] {
-                       return TeamUsage::Item{id<TeamId>(), real(),  real(),
-                                              real(),       small(), small()};
+    return TeamUsage{anyUint64(), anyVector([] {
+                       return TeamUsage::Item{anyId<TeamId>(), anyDouble(),
+                                              anyDouble(),     anyDouble(),
+                                              anyUint32(),     anyUint32()};
                      })};
   case 3:
-    return LimitShare{id<TeamId>(), number(), real(), moment(), number()};
+    return LimitShare{anyId<TeamId>(), anyUint64(), anyDouble(), anyTime(),
+                      anyUint64()};
   case 4:
-    return RecordsRelayed{several([] {
-                            return StoredRecord{number(), small(), logRecord()};
-                          }),
-                          number(), number()};
+    return RecordsRelayed{
+        anyVector([] {
+          return StoredRecord{anyUint64(), anyUint32(), anyLogRecord()};
+        }),
+        anyUint64(), anyUint64()};
   case 5:
-    return RecordsRequest{number()};
+    return RecordsRequest{anyUint64()};
   case 6:
-    return CatalogueRelayed{number(), text()};
+    return CatalogueRelayed{anyUint64(), anyText()};
   case 7:
-    return QuarantineNotice{Fingerprint(number()), small(), moment(),
-                            id<UpstreamId>(), life()};
+    return QuarantineNotice{Fingerprint(anyUint64()), anyUint32(), anyTime(),
+                            anyId<UpstreamId>(), anyIncarnation()};
   case 8:
-    return UpstreamNotice{id<UpstreamId>(), life(), flag(), flag()};
+    return UpstreamNotice{anyId<UpstreamId>(), anyIncarnation(), anyBool(),
+                          anyBool()};
   case 9:
-    return LoadRelayed{loadReport()};
+    return LoadRelayed{anyLoadReport()};
   case 10:
-    return StreamHandover{text(),           id<TeamId>(),
-                          id<ClassId>(),    AttemptId{life(), number()},
-                          id<UpstreamId>(), number(),
-                          moment()};
+    return StreamHandover{anyText(),
+                          anyId<TeamId>(),
+                          anyId<ClassId>(),
+                          AttemptId{anyIncarnation(), anyUint64()},
+                          anyId<UpstreamId>(),
+                          anyUint64(),
+                          anyTime()};
   case 11:
-    return HandoverTaken{text()};
+    return HandoverTaken{anyText()};
   case 12:
-    return engineLimits();
+    return anyEngineLimits();
   case 13:
-    return engineSignals();
+    return anyEngineSignals();
   default:
-    return RecordsToAppend{several([] { return logRecord(); })};
+    return RecordsToAppend{anyVector([] { return anyLogRecord(); })};
   }
 }
 
-PeerMessage peerMessage() { return {id<HostId>(), life(), peerBody()}; }
+PeerMessage anyPeerMessage() {
+  return {anyId<HostId>(), anyIncarnation(), anyPeerBody()};
+}
 
-/// Decodes and ignores the one error that is allowed.
-template <class Decode> void decodeAnything(Decode Function) {
+/// Decodes and allows no error other than BadInput.
+template <class Decode> void decodeUntrusted(Decode Function) {
   try {
     Function();
   } catch (const Error &Problem) {
@@ -227,34 +248,36 @@
 }
 
 RC_GTEST_PROP(Wire, LogBatchRoundTrip, ()) {
-  const auto Records = several(logRecord);
+  const auto Records = anyVector(anyLogRecord);
   RC_ASSERT(decodeLogBatch(encodeLogBatch(Records)) == Records);
 }
 
 RC_GTEST_PROP(Wire, PeerMessageRoundTrip, ()) {
-  const PeerMessage Message = peerMessage();
+  const PeerMessage Message = anyPeerMessage();
   RC_ASSERT(decodePeerMessage(encodePeerMessage(Message)) == Message);
 }
 
-RC_GTEST_PROP(Wire, RandomBytesAreRefusedOrRead, (const std::string &Bytes)) {
-  decodeAnything([&] { decodeLogBatch(Bytes); });
-  decodeAnything([&] { decodePeerMessage(Bytes); });
+RC_GTEST_PROP(Wire, RandomBytesAreRejectedOrDecoded,
+              (const std::string &Bytes)) {
+  decodeUntrusted([&] { decodeLogBatch(Bytes); });
+  decodeUntrusted([&] { decodePeerMessage(Bytes); });
 }
 
-RC_GTEST_PROP(Wire, DamagedMessagesAreRefusedOrRead, ()) {
-  std::string Bytes = flag() ? encodePeerMessage(peerMessage())
-                             : encodeLogBatch(several(logRecord));
+RC_GTEST_PROP(Wire, CorruptMessagesAreRejectedOrDecoded, ()) {
+  std::string Bytes = anyBool() ? encodePeerMessage(anyPeerMessage())
+                                : encodeLogBatch(anyVector(anyLogRecord));
   Bytes.resize(*rc::gen::inRange<std::size_t>(0, Bytes.size() + 1));
   if (!Bytes.empty())
     Bytes[*rc::gen::inRange<std::size_t>(0, Bytes.size())] =
         *rc::gen::arbitrary<char>();
-  decodeAnything([&] { decodeLogBatch(Bytes); });
-  decodeAnything([&] { decodePeerMessage(Bytes); });
+  decodeUntrusted([&] { decodeLogBatch(Bytes); });
+  decodeUntrusted([&] { decodePeerMessage(Bytes); });
 }
 
-TEST(Wire, MissingBodiesAndUnknownEnumeratorsAreRefused) {
+TEST(Wire, MissingBodiesAndUnknownEnumeratorsAreRejected) {
   EXPECT_THROW(decodePeerMessage(""), Error);
-  // Field 3 (heartbeat) with a rumour (9) in state (4) number 9.
+  // Field 3 (heartbeat) holds field 9 (rumours), whose field 4 (state) has the
+  // unknown value 9.
   EXPECT_THROW(decodePeerMessage("\x1a\x04\x4a\x02\x20\x09"), Error);
 }
 
