--- a/src/libs/peers/CurveKeys.cpp
+++ b/src/libs/peers/CurveKeys.cpp
@@ -14,11 +14,11 @@
 constexpr std::size_t KeyBytes = 32;
 
 std::string_view trimmed(std::string_view Text) {
-  constexpr std::string_view Blanks = " \t\r\n";
-  const std::size_t First = Text.find_first_not_of(Blanks);
+  constexpr std::string_view Whitespace = " \t\r\n";
+  const std::size_t First = Text.find_first_not_of(Whitespace);
   if (First == std::string_view::npos)
     return {};
-  return Text.substr(First, Text.find_last_not_of(Blanks) - First + 1);
+  return Text.substr(First, Text.find_last_not_of(Whitespace) - First + 1);
 }
 
 } // namespace
@@ -43,21 +43,23 @@
   AllowedKeys Result;
   while (!Text.empty()) {
     const std::size_t End = std::min(Text.find(','), Text.size());
-    const std::string_view Given = trimmed(Text.substr(0, End));
+    const std::string_view ItemText = trimmed(Text.substr(0, End));
     Text.remove_prefix(std::min(End + 1, Text.size()));
-    if (Given.empty())
+    if (ItemText.empty())
       continue;
-    const std::size_t Blank = Given.find_last_of(" \t");
-    const bool Named = Blank != std::string_view::npos;
-    const std::string_view Key = Named ? Given.substr(Blank + 1) : Given;
+    const std::size_t Separator = ItemText.find_last_of(" \t");
+    const bool HasHost = Separator != std::string_view::npos;
+    const std::string_view Key =
+        HasHost ? ItemText.substr(Separator + 1) : ItemText;
     if (!isCurveKey(Key))
       throw Error(ErrorKind::BadInput, "an allowed key is not a CURVE key",
                   "give 40 characters of Z85, as `banyanpick "
                   "keys` prints them, after the host's name or "
                   "alone");
     Item Allowed{std::string(Key), std::nullopt};
-    if (Named)
-      Allowed.Host = HostId(std::string(trimmed(Given.substr(0, Blank))));
+    if (HasHost)
+      Allowed.Host =
+          HostId(std::string(trimmed(ItemText.substr(0, Separator))));
     Result.Items.push_back(std::move(Allowed));
   }
   return Result;
--- a/src/libs/peers/PeerLinks.cpp
+++ b/src/libs/peers/PeerLinks.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// How soon a lost connection is tried again, at first and at most.
-constexpr milliseconds ReconnectFirst(100);
-constexpr milliseconds ReconnectMost(1000);
+constexpr milliseconds MinReconnectInterval(100);
+constexpr milliseconds MaxReconnectInterval(1000);
 constexpr milliseconds HandshakeTimeout(2000);
 
 /// Data that the peer's host does not acknowledge for so long ends the
@@ -22,11 +22,11 @@
 
 /// How long a message is kept for a connection that does not stand yet: a few
 /// round trips, and shorter than any news between hosts counts.
-constexpr milliseconds KeptFor(500);
+constexpr milliseconds QueueTimeout(500);
 
 /// Messages kept for one connection; what hosts tell each other replaces what
 /// they told before, so the newest matter.
-constexpr std::size_t MostKept = 16;
+constexpr std::size_t MaxQueuedMessages = 16;
 
 int inMilliseconds(milliseconds Value) {
   return static_cast<int>(Value.count());
@@ -38,72 +38,73 @@
 
 } // namespace
 
-std::string endpointText(const Address &At) {
-  const bool IsIpv6 = At.Ip.find(':') != std::string::npos;
-  const std::string Ip = IsIpv6 ? "[" + At.Ip + "]" : At.Ip;
-  return "tcp://" + Ip + ":" + std::to_string(At.Port);
+std::string endpointText(const Address &Destination) {
+  const bool IsIpv6 = Destination.Ip.find(':') != std::string::npos;
+  const std::string Ip = IsIpv6 ? "[" + Destination.Ip + "]" : Destination.Ip;
+  return "tcp://" + Ip + ":" + std::to_string(Destination.Port);
 }
 
 PeerLinks::PeerLinks(zmq::context_t &Context, const PeerSettings &Values,
-                     HostId SelfGiven, FailureListener OnFailureGiven)
-    : Context(Context), Values(Values), Self(std::move(SelfGiven)),
-      OnFailure(std::move(OnFailureGiven)) {}
+                     HostId SelfId, FailureListener FailureCallback)
+    : Context(Context), Values(Values), Self(std::move(SelfId)),
+      OnFailure(std::move(FailureCallback)) {}
 
 void PeerLinks::setPeers(std::span<const HostListing> Peers) {
-  this->Places.clear();
+  this->Addresses.clear();
   for (const HostListing &Each : Peers)
     if (Each.Id != this->Self)
-      this->Places[Each.Id] = Each.Peers;
+      this->Addresses[Each.Id] = Each.Peers;
   std::erase_if(this->Links, [&](const auto &Each) {
-    const auto Found = this->Places.find(Each.first);
-    return Found == this->Places.end() || Found->second != Each.second.At;
+    const auto Found = this->Addresses.find(Each.first);
+    return Found == this->Addresses.end() ||
+           Found->second != Each.second.Destination;
   });
 }
 
 void PeerLinks::send(const HostId &To, std::string Bytes, Time Now) {
-  Link *Over = this->linkTo(To, Now);
-  if (!Over)
+  Link *Connection = this->linkTo(To, Now);
+  if (!Connection)
     return;
-  Over->UsedAt = Now;
-  sendWaiting(*Over, Now);
-  if (Over->Waiting.empty() && trySend(Over->Socket, Bytes))
+  Connection->LastUsed = Now;
+  sendQueued(*Connection, Now);
+  if (Connection->Queue.empty() && trySend(Connection->Socket, Bytes))
     return;
-  if (Over->Waiting.size() == MostKept)
-    Over->Waiting.pop_front();
-  Over->Waiting.push_back({std::move(Bytes), Now});
-  this->Waits = true;
-  this->NextMaintenance = std::min(this->NextMaintenance, Now + KeptFor);
+  if (Connection->Queue.size() == MaxQueuedMessages)
+    Connection->Queue.pop_front();
+  Connection->Queue.push_back({std::move(Bytes), Now});
+  this->HasQueuedMessages = true;
+  this->NextMaintenance = std::min(this->NextMaintenance, Now + QueueTimeout);
 }
 
 void PeerLinks::maintain(Time Now) {
-  if (!this->Waits && Now < this->NextMaintenance)
+  if (!this->HasQueuedMessages && Now < this->NextMaintenance)
     return;
   for (auto &[Host, Each] : this->Links)
-    sendWaiting(Each, Now);
+    sendQueued(Each, Now);
   std::erase_if(this->Links, [&](const auto &Each) {
-    return Now >= Each.second.UsedAt + IdleTimeout;
+    return Now >= Each.second.LastUsed + IdleTimeout;
   });
-  this->planMaintenance();
+  this->scheduleMaintenance();
 }
 
-void PeerLinks::planMaintenance() {
-  this->Waits = false;
+void PeerLinks::scheduleMaintenance() {
+  this->HasQueuedMessages = false;
   this->NextMaintenance = Never;
   for (const auto &[Host, Each] : this->Links) {
-    Time Due = Each.UsedAt + IdleTimeout;
-    if (!Each.Waiting.empty()) {
-      this->Waits = true;
-      Due = std::min(Due, Each.Waiting.front().At + KeptFor);
+    Time Due = Each.LastUsed + IdleTimeout;
+    if (!Each.Queue.empty()) {
+      this->HasQueuedMessages = true;
+      Due = std::min(Due, Each.Queue.front().QueuedAt + QueueTimeout);
     }
     this->NextMaintenance = std::min(this->NextMaintenance, Due);
   }
 }
 
 void PeerLinks::addPollItems(std::vector<zmq::pollitem_t> &Items) {
-  if (!this->Waits)
+  if (!this->HasQueuedMessages)
     return;
   for (auto &[Host, Each] : this->Links)
-    if (!Each.Waiting.empty())
+    if (!Each.Queue.empty())
       Items.push_back({Each.Socket.handle(), 0, ZMQ_POLLOUT, 0});
 }
 
@@ -111,52 +112,58 @@
   const auto Found = this->Links.find(To);
   if (Found != this->Links.end())
     return &Found->second;
-  const auto Place = this->Places.find(To);
-  if (Place == this->Places.end())
+  const auto FoundAddress = this->Addresses.find(To);
+  if (FoundAddress == this->Addresses.end())
     return nullptr;
   try {
-    Link Made{Place->second, this->makeSocket(To, Place->second), {}, Now};
+    Link NewLink{FoundAddress->second,
+                 this->makeSocket(To, FoundAddress->second),
+                 {},
+                 Now};
     this->NextMaintenance = std::min(this->NextMaintenance, Now + IdleTimeout);
-    return &this->Links.emplace(To, std::move(Made)).first->second;
+    return &this->Links.emplace(To, std::move(NewLink)).first->second;
   } catch (const zmq::error_t &Failure) {
     // The host list may name an address that can't be connected to.
     this->OnFailure("peer " + To.Value + ": " + Failure.what());
-    this->Places.erase(Place);
+    this->Addresses.erase(FoundAddress);
     return nullptr;
   }
 }
 
-void PeerLinks::sendWaiting(Link &Over, Time Now) {
-  while (!Over.Waiting.empty()) {
-    const Kept &Next = Over.Waiting.front();
-    if (Now < Next.At + KeptFor && !trySend(Over.Socket, Next.Bytes))
+void PeerLinks::sendQueued(Link &Connection, Time Now) {
+  while (!Connection.Queue.empty()) {
+    const QueuedMessage &Next = Connection.Queue.front();
+    if (Now < Next.QueuedAt + QueueTimeout &&
+        !trySend(Connection.Socket, Next.Bytes))
       return;
-    Over.Waiting.pop_front();
+    Connection.Queue.pop_front();
   }
 }
 
-void PeerLinks::proveTo(const HostId &To, zmq::socket_t &Socket) const {
+void PeerLinks::setCurveKeys(const HostId &To, zmq::socket_t &Socket) const {
   const std::string ServerKey =
-      this->Values.Allowed.keyOf(To).value_or(this->Values.Own.PublicKey);
+      this->Values.Allowed.keyOf(To).value_or(this->Values.OwnKeys.PublicKey);
   Socket.set(zmq::sockopt::curve_serverkey, ServerKey);
-  Socket.set(zmq::sockopt::curve_publickey, this->Values.Own.PublicKey);
-  Socket.set(zmq::sockopt::curve_secretkey, this->Values.Own.SecretKey);
+  Socket.set(zmq::sockopt::curve_publickey, this->Values.OwnKeys.PublicKey);
+  Socket.set(zmq::sockopt::curve_secretkey, this->Values.OwnKeys.SecretKey);
 }
 
-zmq::socket_t PeerLinks::makeSocket(const HostId &To, const Address &At) {
+zmq::socket_t PeerLinks::makeSocket(const HostId &To,
+                                    const Address &Destination) {
   zmq::socket_t Socket(this->Context, zmq::socket_type::dealer);
   if (this->Values.Encrypted)
-    this->proveTo(To, Socket);
+    this->setCurveKeys(To, Socket);
   Socket.set(zmq::sockopt::linger, 0);
   Socket.set(zmq::sockopt::immediate, true);
   Socket.set(zmq::sockopt::sndhwm,
              static_cast<int>(this->Values.QueueMessages));
-  Socket.set(zmq::sockopt::reconnect_ivl, inMilliseconds(ReconnectFirst));
-  Socket.set(zmq::sockopt::reconnect_ivl_max, inMilliseconds(ReconnectMost));
+  Socket.set(zmq::sockopt::reconnect_ivl, inMilliseconds(MinReconnectInterval));
+  Socket.set(zmq::sockopt::reconnect_ivl_max,
+             inMilliseconds(MaxReconnectInterval));
   Socket.set(zmq::sockopt::handshake_ivl, inMilliseconds(HandshakeTimeout));
   Socket.set(zmq::sockopt::tcp_maxrt, inMilliseconds(SilenceTimeout));
-  Socket.set(zmq::sockopt::ipv6, At.Ip.find(':') != std::string::npos);
-  Socket.connect(endpointText(At));
+  Socket.set(zmq::sockopt::ipv6, Destination.Ip.find(':') != std::string::npos);
+  Socket.connect(endpointText(Destination));
   return Socket;
 }
 
--- a/src/libs/peers/PeerLinks.h
+++ b/src/libs/peers/PeerLinks.h
@@ -44,34 +44,34 @@
   std::size_t openLinks() const { return this->Links.size(); }
 
 private:
-  struct Kept {
+  struct QueuedMessage {
     std::string Bytes;
-    Time At{};
+    Time QueuedAt{};
   };
   struct Link {
-    Address At;
+    Address Destination;
     zmq::socket_t Socket;
-    std::deque<Kept> Waiting; ///< For the connection; the oldest first.
-    Time UsedAt{};
+    std::deque<QueuedMessage> Queue; ///< For the connection; the oldest first.
+    Time LastUsed{};
   };
 
   Link *linkTo(const HostId &To, Time Now);
-  static void sendWaiting(Link &Over, Time Now);
-  void planMaintenance();
-  zmq::socket_t makeSocket(const HostId &To, const Address &At);
-  void proveTo(const HostId &To, zmq::socket_t &Socket) const;
+  static void sendQueued(Link &Connection, Time Now);
+  void scheduleMaintenance();
+  zmq::socket_t makeSocket(const HostId &To, const Address &Destination);
+  void setCurveKeys(const HostId &To, zmq::socket_t &Socket) const;
 
   zmq::context_t &Context;
   const PeerSettings &Values;
   HostId Self;
   FailureListener OnFailure;
-  std::map<HostId, Address> Places; ///< Of all peers.
+  std::map<HostId, Address> Addresses; ///< Of all peers.
   std::map<HostId, Link> Links;
-  bool Waits = false; ///< Some link has messages that wait.
+  bool HasQueuedMessages = false; ///< Some link has messages that wait.
   Time NextMaintenance = Never;
 };
 
 /// The address as ZeroMQ writes it.
-std::string endpointText(const Address &At);
+std::string endpointText(const Address &Destination);
 
 } // namespace banyanpick
--- a/src/libs/peers/PeerNetwork.cpp
+++ b/src/libs/peers/PeerNetwork.cpp
@@ -24,8 +24,8 @@
 constexpr int MessagesPerTurn = 256;
 
 /// Messages that other threads may leave before more are dropped.
-constexpr std::size_t MostWaiting = 65536;
-constexpr std::size_t MostWaitingBytes = 8'000'000;
+constexpr std::size_t MaxOutgoingMessages = 65536;
+constexpr std::size_t MaxOutgoingBytes = 8'000'000;
 
 int inMilliseconds(milliseconds Value) {
   return static_cast<int>(Value.count());
@@ -37,9 +37,9 @@
 }
 
 /// Throws unless the key that the sender proved is its own or everybody's.
-void requireProof(zmq::message_t &Payload, const HostId &From) {
-  const char *Proved = Payload.gets("User-Id");
-  const std::string_view User = Proved ? Proved : "";
+void requireSenderKey(zmq::message_t &Payload, const HostId &From) {
+  const char *UserId = Payload.gets("User-Id");
+  const std::string_view User = UserId ? UserId : "";
   if (User != AnyHost && User != From.Value)
     throw Error(ErrorKind::NotAllowed, "the sender's key is another host's",
                 "give each host its own key pair");
@@ -47,14 +47,15 @@
 
 } // namespace
 
-PeerNetwork::PeerNetwork(HostId SelfGiven, Incarnation LifeGiven,
-                         const Address &Listen, PeerSettings ValuesGiven,
-                         Listener TellGiven)
-    : Self(std::move(SelfGiven)), Life(LifeGiven),
-      Values(std::move(ValuesGiven)), Tell(std::move(TellGiven)),
-      Gate(this->Context, this->Values.Allowed),
+PeerNetwork::PeerNetwork(HostId SelfId, Incarnation OwnIncarnation,
+                         const Address &Listen, PeerSettings NewValues,
+                         Listener NewCallbacks)
+    : Self(std::move(SelfId)), Life(OwnIncarnation),
+      Values(std::move(NewValues)), Callbacks(std::move(NewCallbacks)),
+      Authenticator(this->Context, this->Values.Allowed),
       Router(this->Context, zmq::socket_type::router),
-      Links(this->Context, this->Values, this->Self, this->Tell.OnMalformed),
+      Links(this->Context, this->Values, this->Self,
+            this->Callbacks.OnMalformed),
       WakeDescriptor(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   this->bind(Listen);
   this->Thread = std::thread([this] { this->run(); });
@@ -62,7 +63,7 @@
 
 PeerNetwork::~PeerNetwork() {
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     this->Stopping = true;
   }
   this->wake();
@@ -75,7 +76,7 @@
   Socket.set(zmq::sockopt::linger, 0);
   if (this->Values.Encrypted) {
     Socket.set(zmq::sockopt::curve_server, true);
-    Socket.set(zmq::sockopt::curve_secretkey, this->Values.Own.SecretKey);
+    Socket.set(zmq::sockopt::curve_secretkey, this->Values.OwnKeys.SecretKey);
     Socket.set(zmq::sockopt::zap_domain, "banyanpick");
   }
   Socket.set(zmq::sockopt::maxmsgsize,
@@ -99,13 +100,14 @@
 }
 
 std::uint16_t PeerNetwork::port() const {
-  const std::string At = this->Router.get(zmq::sockopt::last_endpoint);
-  return static_cast<std::uint16_t>(std::stoul(At.substr(At.rfind(':') + 1)));
+  const std::string Endpoint = this->Router.get(zmq::sockopt::last_endpoint);
+  return static_cast<std::uint16_t>(
+      std::stoul(Endpoint.substr(Endpoint.rfind(':') + 1)));
 }
 
 void PeerNetwork::connect(std::vector<HostListing> Peers) {
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     this->NewPeers = std::move(Peers);
   }
   this->wake();
@@ -115,70 +117,70 @@
   std::string Bytes =
       encodePeerMessage({this->Self, this->Life, std::move(Body)});
   {
-    const std::lock_guard Lock(this->Guard);
-    if (this->Waiting.size() >= MostWaiting ||
-        this->WaitingBytes + Bytes.size() > MostWaitingBytes)
+    const std::lock_guard Lock(this->Mutex);
+    if (this->OutgoingMessages.size() >= MaxOutgoingMessages ||
+        this->OutgoingBytes + Bytes.size() > MaxOutgoingBytes)
       return;
-    this->WaitingBytes += Bytes.size();
-    this->Waiting.push_back({To, std::move(Bytes)});
+    this->OutgoingBytes += Bytes.size();
+    this->OutgoingMessages.push_back({To, std::move(Bytes)});
   }
   this->wake();
 }
 
 void PeerNetwork::wake() {
-  const std::uint64_t One = 1;
+  const std::uint64_t Increment = 1;
   // Fails only when the counter is full; then the thread wakes anyway.
   [[maybe_unused]] const auto Ignored =
-      write(this->WakeDescriptor, &One, sizeof(One));
+      write(this->WakeDescriptor, &Increment, sizeof(Increment));
 }
 
 void PeerNetwork::run() {
   for (;;) {
     try {
-      this->waitAndServe();
+      this->pollOnce();
     } catch (const zmq::error_t &Failure) {
       // Any thread may be the one that takes a signal, and its wait ends so;
       // without this a SIGTERM or SIGHUP could end the whole process.
       if (Failure.num() != EINTR)
         throw;
     }
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     if (this->Stopping)
       return;
   }
 }
 
-void PeerNetwork::waitAndServe() {
+void PeerNetwork::pollOnce() {
   std::vector<zmq::pollitem_t> Items{
-      {this->Gate.socket().handle(), 0, ZMQ_POLLIN, 0},
+      {this->Authenticator.socket().handle(), 0, ZMQ_POLLIN, 0},
       {this->Router.handle(), 0, ZMQ_POLLIN, 0},
       {nullptr, this->WakeDescriptor, ZMQ_POLLIN, 0}};
   this->Links.addPollItems(Items);
-  zmq::poll(Items, this->longestWait());
-  this->Gate.answerAll();
+  zmq::poll(Items, this->pollTimeout());
+  this->Authenticator.answerRequests();
   this->receiveAll();
-  this->takeCommands();
+  this->processCommands();
   this->Links.maintain(steadyNow());
 }
 
-milliseconds PeerNetwork::longestWait() const {
+milliseconds PeerNetwork::pollTimeout() const {
   const Time Due = this->Links.nextMaintenance();
   if (Due == Never)
     return milliseconds(-1);
-  const auto Left = std::chrono::ceil<milliseconds>(Due - steadyNow());
-  return std::max(Left, milliseconds(0));
+  const auto Remaining = std::chrono::ceil<milliseconds>(Due - steadyNow());
+  return std::max(Remaining, milliseconds(0));
 }
 
-void PeerNetwork::takeCommands() {
+void PeerNetwork::processCommands() {
   std::uint64_t Count = 0;
   [[maybe_unused]] const auto Ignored =
       read(this->WakeDescriptor, &Count, sizeof(Count));
   std::vector<Outgoing> Messages;
   std::optional<std::vector<HostListing>> Peers;
   {
-    const std::lock_guard Lock(this->Guard);
-    Messages.swap(this->Waiting);
-    this->WaitingBytes = 0;
+    const std::lock_guard Lock(this->Mutex);
+    Messages.swap(this->OutgoingMessages);
+    this->OutgoingBytes = 0;
     Peers.swap(this->NewPeers);
   }
   if (Peers)
@@ -193,22 +195,23 @@
     if (!zmq::recv_multipart(this->Router, std::back_inserter(Frames),
                              zmq::recv_flags::dontwait))
       return;
-    constexpr std::size_t WantedFrames = 2; // The connection's id, the message.
-    if (Frames.size() == WantedFrames)
-      this->take(Frames.back());
+    constexpr std::size_t ExpectedFrames =
+        2; // The connection's id, the message.
+    if (Frames.size() == ExpectedFrames)
+      this->handlePayload(Frames.back());
     else
-      this->Tell.OnMalformed("not one frame");
+      this->Callbacks.OnMalformed("not one frame");
   }
 }
 
-void PeerNetwork::take(zmq::message_t &Payload) {
+void PeerNetwork::handlePayload(zmq::message_t &Payload) {
   try {
     PeerMessage Message = decodePeerMessage(Payload.to_string_view());
     if (this->Values.Encrypted)
-      requireProof(Payload, Message.From);
-    this->Tell.OnMessage(std::move(Message));
+      requireSenderKey(Payload, Message.From);
+    this->Callbacks.OnMessage(std::move(Message));
   } catch (const std::exception &Failure) {
-    this->Tell.OnMalformed(Failure.what());
+    this->Callbacks.OnMalformed(Failure.what());
   }
 }
 
--- a/src/libs/peers/PeerNetwork.h
+++ b/src/libs/peers/PeerNetwork.h
@@ -5,7 +5,7 @@
 #include "kernel/Action.h"
 #include "peers/PeerLinks.h"
 #include "peers/PeerSettings.h"
-#include "peers/ZapGate.h"
+#include "peers/ZapAuthenticator.h"
 
 #include <functional>
 #include <mutex>
@@ -25,7 +25,7 @@
 
   /// Throws Error(Unavailable) when it can't listen.
   PeerNetwork(HostId Self, Incarnation Life, const Address &Listen,
-              PeerSettings Values, Listener Tell);
+              PeerSettings Values, Listener Callbacks);
   ~PeerNetwork();
   PeerNetwork(const PeerNetwork &) = delete;
   PeerNetwork &operator=(const PeerNetwork &) = delete;
@@ -47,27 +47,27 @@
   void bind(const Address &Listen);
   void run();
   /// Waits for something to do, and does it.
-  void waitAndServe();
-  void takeCommands();
+  void pollOnce();
+  void processCommands();
   void receiveAll();
-  void take(zmq::message_t &Payload);
+  void handlePayload(zmq::message_t &Payload);
   /// Until the links want attention.
-  milliseconds longestWait() const;
+  milliseconds pollTimeout() const;
   void wake();
 
   const HostId Self;
   const Incarnation Life;
   const PeerSettings Values;
-  const Listener Tell;
+  const Listener Callbacks;
   zmq::context_t Context;
-  ZapGate Gate;
+  ZapAuthenticator Authenticator;
   zmq::socket_t Router;
   PeerLinks Links;
   int WakeDescriptor = -1;
 
-  std::mutex Guard; ///< Of the members below.
-  std::vector<Outgoing> Waiting;
-  std::size_t WaitingBytes = 0;
+  std::mutex Mutex; ///< Of the members below.
+  std::vector<Outgoing> OutgoingMessages;
+  std::size_t OutgoingBytes = 0;
   std::optional<std::vector<HostListing>> NewPeers;
   bool Stopping = false;
 
--- a/src/libs/peers/PeerSettings.cpp
+++ b/src/libs/peers/PeerSettings.cpp
@@ -14,7 +14,7 @@
   return Result;
 }
 
-std::string keyOf(const Settings &Values, std::string_view Name) {
+std::string readKey(const Settings &Values, std::string_view Name) {
   std::string Key = Values.text("peers", Name);
   if (!isCurveKey(Key))
     throw Error(ErrorKind::BadInput,
@@ -70,10 +70,10 @@
   Result.Encrypted = Values.text("peers", "encryption") == "curve";
   if (!Result.Encrypted)
     return Result;
-  Result.Own.PublicKey = keyOf(Values, "curve_public_key");
-  Result.Own.SecretKey = keyOf(Values, "curve_secret_key");
+  Result.OwnKeys.PublicKey = readKey(Values, "curve_public_key");
+  Result.OwnKeys.SecretKey = readKey(Values, "curve_secret_key");
   Result.Allowed = AllowedKeys::parse(Values.text("peers", "allowed_keys"));
-  Result.Allowed.add(Result.Own.PublicKey);
+  Result.Allowed.add(Result.OwnKeys.PublicKey);
   return Result;
 }
 
--- a/src/libs/peers/PeerSettings.h
+++ b/src/libs/peers/PeerSettings.h
@@ -8,7 +8,7 @@
 namespace banyanpick {
 
 struct PeerSettings {
-  CurveKeyPair Own;
+  CurveKeyPair OwnKeys;
   AllowedKeys Allowed; ///< The own public key is always among them.
   std::uint64_t MaxMessageBytes = 0;
   std::uint64_t QueueMessages = 0; ///< For each peer and direction.
--- a/src/libs/peers/ZapGate.h
+++ b/src/libs/peers/ZapAuthenticator.h
@@ -10,20 +10,20 @@
 namespace banyanpick {
 
 /// Bound before any server socket of the context; used on one thread.
-class ZapGate {
+class ZapAuthenticator {
 public:
-  ZapGate(zmq::context_t &Context, const AllowedKeys &Allowed);
+  ZapAuthenticator(zmq::context_t &Context, const AllowedKeys &Allowed);
 
-  zmq::socket_t &socket() { return this->Requests; }
+  zmq::socket_t &socket() { return this->Socket; }
 
   /// Answers all questions that wait.
-  void answerAll();
+  void answerRequests();
 
 private:
-  void answer(const std::vector<zmq::message_t> &Question);
+  void reply(const std::vector<zmq::message_t> &Request);
 
   const AllowedKeys &Allowed;
-  zmq::socket_t Requests;
+  zmq::socket_t Socket;
 };
 
 /// What stands as user id of a connection whose key is good for any host.
