--- a/src/libs/peers/CurveKeys.cpp
+++ b/src/libs/peers/CurveKeys.cpp
@@ -27,7 +27,8 @@
   std::array<char, KeyLength + 1> Public{};
   std::array<char, KeyLength + 1> Secret{};
   if (zmq_curve_keypair(Public.data(), Secret.data()) != 0)
-    throw Error(ErrorKind::Internal, "this ZeroMQ has no CURVE",
+    throw Error(ErrorKind::Internal,
+                "this build of ZeroMQ has no CURVE support",
                 "install a ZeroMQ built with libsodium");
   return {Public.data(), Secret.data()};
 }
@@ -72,20 +73,20 @@
 
 bool AllowedKeys::allows(std::string_view Key) const {
   return std::any_of(this->Items.begin(), this->Items.end(),
-                     [&](const Item &Each) { return Each.Key == Key; });
+                     [&](const Item &Allowed) { return Allowed.Key == Key; });
 }
 
 std::optional<HostId> AllowedKeys::hostOf(std::string_view Key) const {
-  for (const Item &Each : this->Items)
-    if (Each.Key == Key)
-      return Each.Host;
+  for (const Item &Allowed : this->Items)
+    if (Allowed.Key == Key)
+      return Allowed.Host;
   return std::nullopt;
 }
 
 std::optional<std::string> AllowedKeys::keyOf(const HostId &Host) const {
-  for (const Item &Each : this->Items)
-    if (Each.Host == Host)
-      return Each.Key;
+  for (const Item &Allowed : this->Items)
+    if (Allowed.Host == Host)
+      return Allowed.Key;
   return std::nullopt;
 }
 
--- a/src/libs/peers/CurveKeys.h
+++ b/src/libs/peers/CurveKeys.h
@@ -1,5 +1,5 @@
 /// \file
-/// The keys by which entry hosts prove themselves to each other.
+/// The CURVE keys with which entry hosts authenticate to each other.
 #pragma once
 
 #include "base/StrongId.h"
@@ -17,29 +17,31 @@
   std::string SecretKey;
 };
 
-/// A new key pair.
+/// Generates a key pair. Throws Error(Internal) when ZeroMQ lacks CURVE.
 CurveKeyPair makeCurveKeyPair();
 
-/// Whether the text is a CURVE key in Z85.
+/// Returns whether the text is a CURVE key in Z85.
 bool isCurveKey(std::string_view Text);
 
-/// Public keys that may connect, each for any host or for one.
+/// The public keys that may connect. Each is valid for any host or bound to
+/// one.
 class AllowedKeys {
 public:
-  /// \p Text is a list divided by commas; each item is a key, or a host's name
-  /// and its key. Throws Error(BadInput) when an item is neither.
+  /// Parses a comma-separated list. Each item is a key, or a host's name
+  /// followed by its key. Throws Error(BadInput) when an item has another form.
   static AllowedKeys parse(std::string_view Text);
 
-  /// Also allows \p Key for any host.
+  /// Allows \p Key for any host.
   void add(std::string_view Key);
 
-  /// Whether the key may connect at all.
+  /// Returns whether a connection with this key is allowed.
   bool allows(std::string_view Key) const;
 
-  /// The host that the key is bound to; nothing when it is good for any.
+  /// Returns the host that the key is bound to, or nothing when the key is
+  /// valid for any host.
   std::optional<HostId> hostOf(std::string_view Key) const;
 
-  /// The key bound to the host; nothing when none is.
+  /// Returns the key bound to the host, or nothing when there is none.
   std::optional<std::string> keyOf(const HostId &Host) const;
 
 private:
--- a/src/libs/peers/PeerLinks.cpp
+++ b/src/libs/peers/PeerLinks.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-/// How soon a lost connection is tried again, at first and at most.
+/// Initial and maximum delay before a lost connection is reestablished.
 constexpr milliseconds MinReconnectInterval(100);
 constexpr milliseconds MaxReconnectInterval(1000);
 constexpr milliseconds HandshakeTimeout(2000);
 
-/// Data that the peer's host does not acknowledge for so long ends the
-/// connection: it went silent, and a new one may work. As long as peers wait
-/// before they take a host for dead.
+/// A connection is closed when the peer's host doesn't acknowledge data for
+/// this long; a new connection may work. Equal to the time without a message
+/// after which peers consider a host dead.
 constexpr milliseconds SilenceTimeout(2000);
 
-/// A link without a message for so long is closed. Longer than the interval in
-/// which each partner of the heartbeats gets one, so that these stay open.
+/// A link is closed after this time without a message to send. Longer than the
+/// interval at which each heartbeat partner gets a heartbeat, so that links to
+/// these partners stay open.
 constexpr seconds IdleTimeout(20);
 
-/// How long a message is kept for a connection that does not stand yet: a few
-/// round trips, and shorter than any news between hosts counts.
+/// A message waits this long for its connection to be established. This is a
+/// few round trips, and shorter than the validity of any update between hosts.
 constexpr milliseconds QueueTimeout(500);
 
-/// Messages kept for one connection; what hosts tell each other replaces what
-/// they told before, so the newest matter.
+/// Maximum number of messages queued for one connection. Each update between
+/// hosts supersedes earlier ones, so the oldest messages are dropped.
 constexpr std::size_t MaxQueuedMessages = 16;
 
 int inMilliseconds(milliseconds Value) {
@@ -51,13 +52,13 @@
 
 void PeerLinks::setPeers(std::span<const HostListing> Peers) {
   this->Addresses.clear();
-  for (const HostListing &Each : Peers)
-    if (Each.Id != this->Self)
-      this->Addresses[Each.Id] = Each.Peers;
-  std::erase_if(this->Links, [&](const auto &Each) {
-    const auto Found = this->Addresses.find(Each.first);
+  for (const HostListing &Peer : Peers)
+    if (Peer.Id != this->Self)
+      this->Addresses[Peer.Id] = Peer.Peers;
+  std::erase_if(this->Links, [&](const auto &Entry) {
+    const auto Found = this->Addresses.find(Entry.first);
     return Found == this->Addresses.end() ||
-           Found->second != Each.second.Destination;
+           Found->second != Entry.second.Destination;
   });
 }
 
@@ -79,10 +80,10 @@
 void PeerLinks::maintain(Time Now) {
   if (!this->HasQueuedMessages && Now < this->NextMaintenance)
     return;
-  for (auto &[Host, Each] : this->Links)
-    sendQueued(Each, Now);
-  std::erase_if(this->Links, [&](const auto &Each) {
-    return Now >= Each.second.LastUsed + IdleTimeout;
+  for (auto &[Host, Connection] : this->Links)
+    sendQueued(Connection, Now);
+  std::erase_if(this->Links, [&](const auto &Entry) {
+    return Now >= Entry.second.LastUsed + IdleTimeout;
   });
   this->scheduleMaintenance();
 }
@@ -90,11 +91,11 @@
 void PeerLinks::scheduleMaintenance() {
   this->HasQueuedMessages = false;
   this->NextMaintenance = Never;
-  for (const auto &[Host, Each] : this->Links) {
-    Time Due = Each.LastUsed + IdleTimeout;
-    if (!Each.Queue.empty()) {
+  for (const auto &[Host, Connection] : this->Links) {
+    Time Due = Connection.LastUsed + IdleTimeout;
+    if (!Connection.Queue.empty()) {
       this->HasQueuedMessages = true;
-      Due = std::min(Due, Each.Queue.front().QueuedAt + QueueTimeout);
+      Due = std::min(Due, Connection.Queue.front().QueuedAt + QueueTimeout);
     }
     this->NextMaintenance = std::min(this->NextMaintenance, Due);
   }
@@ -103,9 +104,9 @@
 void PeerLinks::addPollItems(std::vector<zmq::pollitem_t> &Items) {
   if (!this->HasQueuedMessages)
     return;
-  for (auto &[Host, Each] : this->Links)
-    if (!Each.Queue.empty())
-      Items.push_back({Each.Socket.handle(), 0, ZMQ_POLLOUT, 0});
+  for (auto &[Host, Connection] : this->Links)
+    if (!Connection.Queue.empty())
+      Items.push_back({Connection.Socket.handle(), 0, ZMQ_POLLOUT, 0});
 }
 
 PeerLinks::Link *PeerLinks::linkTo(const HostId &To, Time Now) {
@@ -123,7 +124,7 @@
     this->NextMaintenance = std::min(this->NextMaintenance, Now + IdleTimeout);
     return &this->Links.emplace(To, std::move(NewLink)).first->second;
   } catch (const zmq::error_t &Failure) {
-    // The host list may name an address that can't be connected to.
+    // The host list may contain an address that ZeroMQ can't connect to.
     this->OnFailure("peer " + To.Value + ": " + Failure.what());
     this->Addresses.erase(FoundAddress);
     return nullptr;
--- a/src/libs/peers/PeerLinks.h
+++ b/src/libs/peers/PeerLinks.h
@@ -1,5 +1,5 @@
 /// \file
-/// Connections to other entry hosts, made when there is something to send.
+/// Outgoing connections to other entry hosts, established on demand.
 #pragma once
 
 #include "base/Time.h"
@@ -15,31 +15,34 @@
 
 namespace banyanpick {
 
-/// One DEALER socket for each peer that this host speaks with. Connecting to
-/// every known peer instead cost a host among 295 some 40 MB and most of its
-/// processor time, as libzmq keeps pipes and timers for each connection.
-/// Not safe for several threads: sockets belong to the thread that uses them.
+/// Holds one DEALER socket for each peer to which this host sends messages.
+/// Connecting to all known peers instead cost each of 295 hosts about 40 MB and
+/// most of its processor time, because libzmq keeps pipes and timers for each
+/// connection. Not thread-safe: the sockets belong to the thread that uses
+/// them.
 class PeerLinks {
 public:
-  /// Told of a peer that cannot be connected to.
+  /// Called with the reason when a peer can't be connected to.
   using FailureListener = std::function<void(std::string_view Why)>;
 
   PeerLinks(zmq::context_t &Context, const PeerSettings &Values, HostId Self,
             FailureListener OnFailure);
 
-  /// The peers that exist from now on; links to others are closed.
+  /// Replaces the list of peers. Closes links to hosts that are not in the list
+  /// or whose address changed.
   void setPeers(std::span<const HostListing> Peers);
-  /// Sends, or keeps the message until the connection stands; drops it where
-  /// the peer is unknown or its queue is full.
+  /// Sends the message, or queues it until the connection is established. Drops
+  /// the message when the peer is unknown, and the oldest queued message when
+  /// the queue is full.
   void send(const HostId &To, std::string Bytes, Time Now);
-  /// Sends what was kept for connections that stand by now, drops what has
-  /// become too old, and closes links that were not used lately. Cheap while
-  /// nothing waits.
+  /// Sends queued messages over connections established in the meantime, drops
+  /// expired messages and closes idle links. Cheap while no messages are
+  /// queued.
   void maintain(Time Now);
 
-  /// Adds the sockets on which kept messages can be sent once they are ready.
+  /// Adds the sockets with queued messages, to be polled for writability.
   void addPollItems(std::vector<zmq::pollitem_t> &Items);
-  /// When maintain() has something to do, whatever the sockets say.
+  /// Returns when maintain() is due regardless of socket events.
   Time nextMaintenance() const { return this->NextMaintenance; }
   std::size_t openLinks() const { return this->Links.size(); }
 
@@ -51,7 +54,7 @@
   struct Link {
     Address Destination;
     zmq::socket_t Socket;
-    std::deque<QueuedMessage> Queue; ///< For the connection; the oldest first.
+    std::deque<QueuedMessage> Queue; ///< Until connected; oldest first.
     Time LastUsed{};
   };
 
@@ -65,13 +68,13 @@
   const PeerSettings &Values;
   HostId Self;
   FailureListener OnFailure;
-  std::map<HostId, Address> Addresses; ///< Of all peers.
+  std::map<HostId, Address> Addresses; ///< Addresses of all peers.
   std::map<HostId, Link> Links;
-  bool HasQueuedMessages = false; ///< Some link has messages that wait.
+  bool HasQueuedMessages = false; ///< At least one link has them.
   Time NextMaintenance = Never;
 };
 
-/// The address as ZeroMQ writes it.
+/// Returns the address as a ZeroMQ endpoint.
 std::string endpointText(const Address &Destination);
 
 } // namespace banyanpick
--- a/src/libs/peers/PeerNetwork.cpp
+++ b/src/libs/peers/PeerNetwork.cpp
@@ -14,16 +14,17 @@
 
 constexpr milliseconds HandshakeTimeout(2000);
 
-/// A connection from a peer that is silent for so long, and whose host does not
-/// answer probes, is closed: its host is gone without a word.
+/// TCP keep-alive for incoming connections. A connection is closed when it is
+/// idle for this long and the peer's host doesn't answer the probes, since that
+/// host stopped without closing the connection.
 constexpr int KeepAliveIdleSeconds = 10;
 constexpr int KeepAliveProbeSeconds = 2;
 constexpr int KeepAliveProbes = 3;
 
-/// Messages taken in before the other sockets get their turn.
+/// Number of messages received before the other sockets are served.
 constexpr int MessagesPerTurn = 256;
 
-/// Messages that other threads may leave before more are dropped.
+/// Limits of the queue that other threads fill; further messages are dropped.
 constexpr std::size_t MaxOutgoingMessages = 65536;
 constexpr std::size_t MaxOutgoingBytes = 8'000'000;
 
@@ -36,12 +37,14 @@
       std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/// Throws unless the key that the sender proved is its own or everybody's.
+/// Throws Error(NotAllowed) unless the authenticated key is bound to the sender
+/// or valid for any host.
 void requireSenderKey(zmq::message_t &Payload, const HostId &From) {
   const char *UserId = Payload.gets("User-Id");
   const std::string_view User = UserId ? UserId : "";
   if (User != AnyHost && User != From.Value)
-    throw Error(ErrorKind::NotAllowed, "the sender's key is another host's",
+    throw Error(ErrorKind::NotAllowed,
+                "the sender's key belongs to another host",
                 "give each host its own key pair");
 }
 
@@ -95,7 +98,7 @@
     throw Error(ErrorKind::Unavailable,
                 "can't listen for peers at " + endpointText(Listen) + ": " +
                     Failure.what(),
-                "give another address or end what listens there");
+                "give another address or end the process that listens there");
   }
 }
 
@@ -129,7 +132,7 @@
 
 void PeerNetwork::wake() {
   const std::uint64_t Increment = 1;
-  // Fails only when the counter is full; then the thread wakes anyway.
+  // Fails only when the counter is full; the thread then wakes up anyway.
   [[maybe_unused]] const auto Ignored =
       write(this->WakeDescriptor, &Increment, sizeof(Increment));
 }
@@ -139,8 +142,8 @@
     try {
       this->pollOnce();
     } catch (const zmq::error_t &Failure) {
-      // Any thread may be the one that takes a signal, and its wait ends so;
-      // without this a SIGTERM or SIGHUP could end the whole process.
+      // A signal may be delivered to this thread and interrupt the poll.
+      // Without this check, a SIGTERM or SIGHUP could terminate the process.
       if (Failure.num() != EINTR)
         throw;
     }
@@ -185,8 +188,8 @@
   }
   if (Peers)
     this->Links.setPeers(*Peers);
-  for (Outgoing &Each : Messages)
-    this->Links.send(Each.To, std::move(Each.Bytes), steadyNow());
+  for (Outgoing &Message : Messages)
+    this->Links.send(Message.To, std::move(Message.Bytes), steadyNow());
 }
 
 void PeerNetwork::receiveAll() {
@@ -195,12 +198,11 @@
     if (!zmq::recv_multipart(this->Router, std::back_inserter(Frames),
                              zmq::recv_flags::dontwait))
       return;
-    constexpr std::size_t ExpectedFrames =
-        2; // The connection's id, the message.
+    constexpr std::size_t ExpectedFrames = 2; // Connection id and payload.
     if (Frames.size() == ExpectedFrames)
       this->handlePayload(Frames.back());
     else
-      this->Callbacks.OnMalformed("not one frame");
+      this->Callbacks.OnMalformed("unexpected number of frames");
   }
 }
 
--- a/src/libs/peers/PeerNetwork.h
+++ b/src/libs/peers/PeerNetwork.h
@@ -1,5 +1,6 @@
 /// \file
-/// Messages between entry hosts: ZeroMQ ROUTER and DEALER with CURVE.
+/// Sends and receives messages between entry hosts over ZeroMQ ROUTER and
+/// DEALER sockets with CURVE.
 #pragma once
 
 #include "kernel/Action.h"
@@ -13,29 +14,30 @@
 
 namespace banyanpick {
 
-/// Everything may be lost: what can't be sent at once is dropped. All sockets
-/// live on a thread of their own; the public members are safe from any.
+/// Delivers messages between entry hosts without a guarantee: messages that
+/// can't be sent are dropped after a short time. All sockets belong to an
+/// internal thread; the public functions are thread-safe.
 class PeerNetwork {
 public:
-  /// Called on the network's thread.
+  /// Callbacks, called on the internal thread.
   struct Listener {
     std::function<void(PeerMessage)> OnMessage;
     std::function<void(std::string_view Why)> OnMalformed;
   };
 
-  /// Throws Error(Unavailable) when it can't listen.
+  /// Throws Error(Unavailable) when it can't listen on the address.
   PeerNetwork(HostId Self, Incarnation Life, const Address &Listen,
               PeerSettings Values, Listener Callbacks);
   ~PeerNetwork();
   PeerNetwork(const PeerNetwork &) = delete;
   PeerNetwork &operator=(const PeerNetwork &) = delete;
 
-  /// The peers that exist from now on; others are disconnected. Connects to a
-  /// peer when something is sent to it.
+  /// Replaces the list of peers and closes connections to hosts not in the
+  /// list. Connects to a peer when a message is sent to it.
   void connect(std::vector<HostListing> Peers);
   void send(const HostId &To, PeerMessageBody Body);
 
-  /// The port it got; for tests that listen at port 0.
+  /// Returns the bound port, for tests that listen on port 0.
   std::uint16_t port() const;
 
 private:
@@ -46,12 +48,12 @@
 
   void bind(const Address &Listen);
   void run();
-  /// Waits for something to do, and does it.
+  /// Waits for socket events, commands or maintenance and handles them.
   void pollOnce();
   void processCommands();
   void receiveAll();
   void handlePayload(zmq::message_t &Payload);
-  /// Until the links want attention.
+  /// Returns the time until the links need maintenance, or -1 for none.
   milliseconds pollTimeout() const;
   void wake();
 
@@ -65,13 +67,13 @@
   PeerLinks Links;
   int WakeDescriptor = -1;
 
-  std::mutex Mutex; ///< Of the members below.
+  std::mutex Mutex; ///< Protects the members up to Stopping.
   std::vector<Outgoing> OutgoingMessages;
   std::size_t OutgoingBytes = 0;
   std::optional<std::vector<HostListing>> NewPeers;
   bool Stopping = false;
 
-  std::thread Thread; ///< Last, so that it sees all the others.
+  std::thread Thread; ///< Last, since it uses all other members.
 };
 
 } // namespace banyanpick
--- a/src/libs/peers/PeerSettings.h
+++ b/src/libs/peers/PeerSettings.h
@@ -9,19 +9,19 @@
 
 struct PeerSettings {
   CurveKeyPair OwnKeys;
-  AllowedKeys Allowed; ///< The own public key is always among them.
+  AllowedKeys Allowed; ///< Includes the public key of this host.
   std::uint64_t MaxMessageBytes = 0;
-  std::uint64_t QueueMessages = 0; ///< For each peer and direction.
-  bool Encrypted = true;           ///< False: the keys are not used.
+  std::uint64_t QueueMessages = 0; ///< Per peer and direction.
+  bool Encrypted = true;           ///< false: the keys are not used.
 };
 
-/// The settings of section [peers].
+/// Returns the declarations of section [peers].
 std::vector<SettingDeclaration> peerSettingDeclarations();
 
-/// The keys that are needed and not given.
+/// Returns a problem for each required key that is not set.
 std::vector<SettingsProblem> missingPeerKeys(const Settings &Values);
 
-/// Throws Error(BadInput) when a key is malformed.
+/// Reads section [peers]. Throws Error(BadInput) when a key is malformed.
 PeerSettings peerSettings(const Settings &Values);
 
 } // namespace banyanpick
--- a/src/libs/peers/ZapAuthenticator.cpp
+++ b/src/libs/peers/ZapAuthenticator.cpp
@@ -17,7 +17,8 @@
 constexpr std::size_t KeyBytes = 32;
 constexpr std::size_t KeyTextBytes = 41;
 
-/// The client's public key in Z85; empty when it did not prove one.
+/// Returns the client's authenticated public key in Z85, or an empty string
+/// when the request is not for CURVE.
 std::string clientKey(const std::vector<zmq::message_t> &Request) {
   const bool IsCurve = Request.size() == CurveFrames &&
                        Request[MechanismFrame].to_string_view() == "CURVE" &&
@@ -63,8 +64,8 @@
       IsAllowed ? User : "",     ""};
   std::vector<zmq::const_buffer> Frames;
   Frames.reserve(Reply.size());
-  for (const std::string &Each : Reply)
-    Frames.push_back(zmq::buffer(Each));
+  for (const std::string &Frame : Reply)
+    Frames.push_back(zmq::buffer(Frame));
   zmq::send_multipart(this->Socket, Frames, zmq::send_flags::dontwait);
 }
 
--- a/src/libs/peers/ZapAuthenticator.h
+++ b/src/libs/peers/ZapAuthenticator.h
@@ -9,14 +9,15 @@
 
 namespace banyanpick {
 
-/// Bound before any server socket of the context; used on one thread.
+/// Answers the authentication requests of the context's server sockets. Must be
+/// created before any server socket of the context is bound. Not thread-safe.
 class ZapAuthenticator {
 public:
   ZapAuthenticator(zmq::context_t &Context, const AllowedKeys &Allowed);
 
   zmq::socket_t &socket() { return this->Socket; }
 
-  /// Answers all questions that wait.
+  /// Answers all pending requests.
   void answerRequests();
 
 private:
@@ -26,7 +27,7 @@
   zmq::socket_t Socket;
 };
 
-/// What stands as user id of a connection whose key is good for any host.
+/// The user id of connections whose key is valid for any host.
 inline constexpr std::string_view AnyHost = "*";
 
 } // namespace banyanpick
