--- a/src/libs/settings/SettingValue.cpp
+++ b/src/libs/settings/SettingValue.cpp
@@ -52,7 +52,7 @@
 }
 
 /// In the largest unit that divides the number.
-std::string withUnit(SettingKind Kind, double Number) {
+std::string textWithUnit(SettingKind Kind, double Number) {
   std::span<const Unit> Units;
   if (Kind == SettingKind::Span)
     Units = SpanUnits;
@@ -102,9 +102,9 @@
 }
 
 std::string allowedValues(const SettingDeclaration &Declaration) {
-  const std::string Range =
-      fmt::format("{} to {}", withUnit(Declaration.Kind, Declaration.Minimum),
-                  withUnit(Declaration.Kind, Declaration.Maximum));
+  const std::string Range = fmt::format(
+      "{} to {}", textWithUnit(Declaration.Kind, Declaration.Minimum),
+      textWithUnit(Declaration.Kind, Declaration.Maximum));
   switch (Declaration.Kind) {
   case SettingKind::Text:
     return "any text";
@@ -128,7 +128,7 @@
 
 std::string problemWith(const SettingDeclaration &Declaration,
                         std::string_view Text) {
-  const auto Complaint = [&] {
+  const auto ErrorText = [&] {
     return fmt::format("'{}' is not allowed; give {}", Text,
                        allowedValues(Declaration));
   };
@@ -136,12 +136,12 @@
   case SettingKind::Text:
     return "";
   case SettingKind::Address:
-    return isAddress(Text) ? "" : Complaint();
+    return isAddress(Text) ? "" : ErrorText();
   case SettingKind::Choice: {
     const auto &Choices = Declaration.Choices;
     const bool Known =
         std::find(Choices.begin(), Choices.end(), Text) != Choices.end();
-    return Known ? "" : Complaint();
+    return Known ? "" : ErrorText();
   }
   default:
     break;
@@ -150,7 +150,7 @@
   const bool Flag = Declaration.Kind == SettingKind::Flag;
   if (!Number || (!Flag && (*Number < Declaration.Minimum ||
                             *Number > Declaration.Maximum)))
-    return Complaint();
+    return ErrorText();
   return "";
 }
 
--- a/src/libs/settings/Settings.cpp
+++ b/src/libs/settings/Settings.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-using Place = std::pair<std::string, std::string>;
+using SettingName = std::pair<std::string, std::string>;
 
-std::string placeText(std::string_view Section, std::string_view Key) {
+std::string settingText(std::string_view Section, std::string_view Key) {
   return "[" + std::string(Section) + "] " + std::string(Key);
 }
 
 /// Fills the settings from INI values, collecting what is wrong.
-struct Reading {
+struct SettingsReader {
   Settings &Values;
   std::vector<SettingsProblem> &Problems;
-  std::set<Place> Seen;
+  std::set<SettingName> GivenSettings;
 
-  void takeSection(const IniSection &Given) {
+  void checkSection(const IniSection &Given) {
     const auto &Declared = this->Values.declarations();
     const bool Known =
         std::any_of(Declared.begin(), Declared.end(), [&](const auto &Each) {
@@ -35,8 +35,8 @@
            "is not a section of settings; remove it or see docs/SETTINGS.md"});
   }
 
-  void take(const IniValue &Given) {
-    if (!this->Seen.insert({Given.Section, Given.Key}).second) {
+  void setValue(const IniValue &Given) {
+    if (!this->GivenSettings.insert({Given.Section, Given.Key}).second) {
       this->Problems.push_back({Given.Line, Given.Section, Given.Key,
                                 "is given twice; remove one of the two lines"});
       return;
@@ -54,7 +54,7 @@
   Settings Result;
   Result.Declared.assign(Declarations.begin(), Declarations.end());
   for (const SettingDeclaration &Each : Declarations)
-    Result.Values[Place(Each.Section, Each.Key)] = Each.Default;
+    Result.Values[SettingName(Each.Section, Each.Key)] = Each.Default;
   return Result;
 }
 
@@ -65,17 +65,17 @@
     return "is not a setting; remove the line or see docs/SETTINGS.md";
   std::string Problem = problemWith(*Declaration, Value);
   if (Problem.empty())
-    this->Values[Place(Section, Key)] = std::string(Value);
+    this->Values[SettingName(Section, Key)] = std::string(Value);
   return Problem;
 }
 
 std::string Settings::text(std::string_view Section,
                            std::string_view Key) const {
   const auto Found =
-      this->Values.find(Place(std::string(Section), std::string(Key)));
+      this->Values.find(SettingName(std::string(Section), std::string(Key)));
   if (Found == this->Values.end())
     throw Error(ErrorKind::Internal,
-                placeText(Section, Key) + " is read but not declared",
+                settingText(Section, Key) + " is read but not declared",
                 "declare the setting in the plug-in that reads it");
   return Found->second;
 }
@@ -127,10 +127,10 @@
   const SettingDeclaration *Declaration = this->declaration(Section, Key);
   if (!Declaration || Declaration->Kind != Kind)
     throw Error(ErrorKind::Internal,
-                placeText(Section, Key) +
+                settingText(Section, Key) +
                     " is read but not declared with this kind",
                 "declare the setting in the plug-in that reads it");
-  return this->Values.find(Place(std::string(Section), std::string(Key)))
+  return this->Values.find(SettingName(std::string(Section), std::string(Key)))
       ->second;
 }
 
@@ -138,16 +138,17 @@
                       std::span<const SettingDeclaration> Declarations,
                       std::vector<SettingsProblem> &Problems) {
   Settings Result = Settings::defaults(Declarations);
-  Reading Into{Result, Problems, {}};
+  SettingsReader Reader{Result, Problems, {}};
   const IniText Ini = readIni(Text);
   for (const IniProblem &Each : Ini.Problems)
     Problems.push_back({Each.Line, "", "", Each.Message});
   for (const IniSection &Each : Ini.Sections)
-    Into.takeSection(Each);
+    Reader.checkSection(Each);
   for (const IniValue &Each : Ini.Values)
-    Into.take(Each);
+    Reader.setValue(Each);
   for (const SettingDeclaration &Each : Declarations) {
-    if (Each.Required && !Into.Seen.contains({Each.Section, Each.Key}))
+    if (Each.Required &&
+        !Reader.GivenSettings.contains({Each.Section, Each.Key}))
       Problems.push_back({0, Each.Section, Each.Key,
                           "is missing; give " + allowedValues(Each)});
   }
--- a/src/libs/settings/SettingsPage.cpp
+++ b/src/libs/settings/SettingsPage.cpp
@@ -9,15 +9,18 @@
 
 namespace {
 
-std::string defaultText(const SettingDeclaration &Of) {
-  if (Of.Required)
+std::string defaultText(const SettingDeclaration &Declaration) {
+  if (Declaration.Required)
     return "required";
-  return Of.Default.empty() ? "empty" : "`" + tableCell(Of.Default) + "`";
+  return Declaration.Default.empty()
+             ? "empty"
+             : "`" + tableCell(Declaration.Default) + "`";
 }
 
-std::string row(const SettingDeclaration &Of) {
-  return fmt::format("| `{}` | {} | {} | {} |\n", Of.Key, defaultText(Of),
-                     tableCell(allowedValues(Of)), tableCell(Of.Help));
+std::string row(const SettingDeclaration &Declaration) {
+  return fmt::format(
+      "| `{}` | {} | {} | {} |\n", Declaration.Key, defaultText(Declaration),
+      tableCell(allowedValues(Declaration)), tableCell(Declaration.Help));
 }
 
 } // namespace
--- a/tests/auto/pages/PagesTest.cpp
+++ b/tests/auto/pages/PagesTest.cpp
@@ -30,8 +30,8 @@
       << "make it again: banyanpick fields > docs/CATALOGUE.md";
 }
 
-std::vector<std::smatch> matches(const std::string &Text,
-                                 const std::regex &Wanted) {
+std::vector<std::smatch> findMatches(const std::string &Text,
+                                     const std::regex &Wanted) {
   return {std::sregex_iterator(Text.begin(), Text.end(), Wanted), {}};
 }
 
@@ -41,30 +41,30 @@
   const std::regex Declaration(
       R"RE(EventKind\s+\w+\{\s*(\d+),\s*LogLevel::(\w+),\s*"([^"]*)"\s*\})RE");
   std::multiset<std::string> Result;
-  for (const std::smatch &Each : matches(Header, Declaration)) {
+  for (const std::smatch &Each : findMatches(Header, Declaration)) {
     std::string Level = Each[2];
     Level[0] = static_cast<char>(std::tolower(Level[0]));
     Result.insert(Each[1].str() + " " + Level + " " + Each[3].str());
   }
   const std::regex AnyDeclaration(R"(constexpr EventKind)");
-  EXPECT_EQ(Result.size(), matches(Header, AnyDeclaration).size())
+  EXPECT_EQ(Result.size(), findMatches(Header, AnyDeclaration).size())
       << "a declaration in EventNumbers.h has another form";
   return Result;
 }
 
 /// The same for each row of the page; rows without a meaning are left out.
-std::multiset<std::string> cataloguedEvents() {
+std::multiset<std::string> documentedEvents() {
   const std::string Page = readFile("docs/EVENTS.md");
   const std::regex Row(
       R"(\n\| (\d+) \| (\w+) \| ([^|]*) \| [^|\n]{10,} \|(?=\n))");
   std::multiset<std::string> Result;
-  for (const std::smatch &Each : matches(Page, Row))
+  for (const std::smatch &Each : findMatches(Page, Row))
     Result.insert(Each[1].str() + " " + Each[2].str() + " " + Each[3].str());
   return Result;
 }
 
 TEST(EventsPage, HasEachEventOnceAndNoOther) {
-  EXPECT_EQ(cataloguedEvents(), declaredEvents())
+  EXPECT_EQ(documentedEvents(), declaredEvents())
       << "add a row to docs/EVENTS.md for each event of EventNumbers.h";
   std::set<std::string> Numbers;
   for (const std::string &Each : declaredEvents())
