--- a/src/libs/settings/SettingDeclaration.h
+++ b/src/libs/settings/SettingDeclaration.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a setting is: its place, kind, default, bounds and explanation.
-/// Declarations stand with the feature they steer.
+/// Declares settings: section, key, kind, default, bounds and help text. Each
+/// feature declares its own settings.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,17 @@
   Span,     ///< A duration with its unit: `250us`, `20ms`, `3s`, `5min`.
   Size,     ///< Bytes with an optional unit: `512`, `64KB`, `16MB`.
   Flag,     ///< `true` or `false`.
-  Address,  ///< `ip:port` by IP number.
+  Address,  ///< `ip:port` with a numeric IP address.
   Choice,   ///< One of Choices.
 };
 
-/// One setting. Bounds are in the unit of the kind: microseconds for Span,
-/// bytes for Size.
+/// Declares one setting. Bounds are in the unit of the kind: microseconds for
+/// Span, bytes for Size.
 struct SettingDeclaration {
   std::string Section;
   std::string Key;
   SettingKind Kind = SettingKind::Text;
-  std::string Default; ///< As it would be written.
+  std::string Default; ///< In the form used in a settings file.
   std::string Help;    ///< One sentence.
   double Minimum = 0;
   double Maximum = 1e15;
--- a/src/libs/settings/SettingValue.cpp
+++ b/src/libs/settings/SettingValue.cpp
@@ -25,13 +25,15 @@
                                     std::span<const Unit> Units) {
   double Number = 0;
   const char *End = Text.data() + Text.size();
-  const auto [Rest, Failure] = std::from_chars(Text.data(), End, Number);
+  const auto [ParsedEnd, Failure] = std::from_chars(Text.data(), End, Number);
   if (Failure != std::errc() || !std::isfinite(Number))
     return std::nullopt;
-  const std::string_view Suffix(Rest, static_cast<std::size_t>(End - Rest));
+  const std::string_view Suffix(ParsedEnd,
+                                static_cast<std::size_t>(End - ParsedEnd));
   const auto Found =
-      std::find_if(Units.begin(), Units.end(),
-                   [&](const Unit &Each) { return Each.Suffix == Suffix; });
+      std::find_if(Units.begin(), Units.end(), [&](const Unit &Candidate) {
+        return Candidate.Suffix == Suffix;
+      });
   if (Found == Units.end())
     return std::nullopt;
   return Number * Found->Factor;
@@ -43,15 +45,16 @@
     return false;
   unsigned Port = 0;
   const char *End = Text.data() + Text.size();
-  const auto [Rest, Failure] =
+  const auto [ParsedEnd, Failure] =
       std::from_chars(Text.data() + Colon + 1, End, Port);
   const bool IpNumber =
       Text.substr(0, Colon).find_first_not_of("0123456789abcdefABCDEF.:[]") ==
       std::string_view::npos;
-  return Failure == std::errc() && Rest == End && Port <= 65535 && IpNumber;
+  return Failure == std::errc() && ParsedEnd == End && Port <= 65535 &&
+         IpNumber;
 }
 
-/// In the largest unit that divides the number.
+/// Formats the number in the largest unit that divides it without a remainder.
 std::string textWithUnit(SettingKind Kind, double Number) {
   std::span<const Unit> Units;
   if (Kind == SettingKind::Span)
@@ -61,11 +64,11 @@
   if (Kind == SettingKind::Span && Number == 0)
     return "0s";
   std::string Result = numberText(Number);
-  for (const Unit &Each : Units) {
-    const double Count = Number / Each.Factor;
+  for (const Unit &Candidate : Units) {
+    const double Count = Number / Candidate.Factor;
     const bool Divides = Count == std::floor(Count);
-    if (Divides && (Count >= 1 || Each.Factor == 1))
-      Result = numberText(Count) + std::string(Each.Suffix);
+    if (Divides && (Count >= 1 || Candidate.Factor == 1))
+      Result = numberText(Count) + std::string(Candidate.Suffix);
   }
   return Result;
 }
@@ -139,9 +142,9 @@
     return isAddress(Text) ? "" : ErrorText();
   case SettingKind::Choice: {
     const auto &Choices = Declaration.Choices;
-    const bool Known =
+    const bool IsChoice =
         std::find(Choices.begin(), Choices.end(), Text) != Choices.end();
-    return Known ? "" : ErrorText();
+    return IsChoice ? "" : ErrorText();
   }
   default:
     break;
--- a/src/libs/settings/SettingValue.h
+++ b/src/libs/settings/SettingValue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Values of settings with units, as text and as numbers.
+/// Parses, formats and checks the values of settings, with their units.
 #pragma once
 
 #include "settings/SettingDeclaration.h"
@@ -10,19 +10,19 @@
 
 namespace banyanpick {
 
-/// The number that \p Text stands for under \p Kind (microseconds for spans,
-/// bytes for sizes, 0 or 1 for flags), or nothing when it is malformed.
+/// Parses \p Text as a number of the given kind: microseconds for spans, bytes
+/// for sizes, 0 or 1 for flags. Returns nothing when the text is malformed.
 std::optional<double> parseNumber(SettingKind Kind, std::string_view Text);
 
-/// The number without an exponent when it is whole.
+/// Formats the number, without an exponent when it is a whole number.
 std::string numberText(double Number);
 
-/// What is wrong with \p Text as a value of \p Declaration, with the allowed
-/// values and the remedy; empty when it is right.
+/// Returns why \p Text is not a valid value of \p Declaration, with the allowed
+/// values and the remedy, or an empty string when it is valid.
 std::string problemWith(const SettingDeclaration &Declaration,
                         std::string_view Text);
 
-/// The allowed values in words, such as `a duration like 20ms, 0s to 1min`.
+/// Describes the allowed values, such as `a duration such as 20ms, 0s to 1min`.
 std::string allowedValues(const SettingDeclaration &Declaration);
 
 } // namespace banyanpick
--- a/src/libs/settings/Settings.cpp
+++ b/src/libs/settings/Settings.cpp
@@ -17,34 +17,34 @@
   return "[" + std::string(Section) + "] " + std::string(Key);
 }
 
-/// Fills the settings from INI values, collecting what is wrong.
+/// Fills the settings from INI values and collects all problems.
 struct SettingsReader {
   Settings &Values;
   std::vector<SettingsProblem> &Problems;
   std::set<SettingName> GivenSettings;
 
-  void checkSection(const IniSection &Given) {
+  void checkSection(const IniSection &Section) {
     const auto &Declared = this->Values.declarations();
-    const bool Known =
-        std::any_of(Declared.begin(), Declared.end(), [&](const auto &Each) {
-          return Each.Section == Given.Name;
+    const bool IsDeclared = std::any_of(
+        Declared.begin(), Declared.end(), [&](const auto &Declaration) {
+          return Declaration.Section == Section.Name;
         });
-    if (!Known)
+    if (!IsDeclared)
       this->Problems.push_back(
-          {Given.Line, Given.Name, "",
+          {Section.Line, Section.Name, "",
            "is not a section of settings; remove it or see docs/SETTINGS.md"});
   }
 
-  void setValue(const IniValue &Given) {
-    if (!this->GivenSettings.insert({Given.Section, Given.Key}).second) {
-      this->Problems.push_back({Given.Line, Given.Section, Given.Key,
+  void setValue(const IniValue &Value) {
+    if (!this->GivenSettings.insert({Value.Section, Value.Key}).second) {
+      this->Problems.push_back({Value.Line, Value.Section, Value.Key,
                                 "is given twice; remove one of the two lines"});
       return;
     }
     const std::string Problem =
-        this->Values.set(Given.Section, Given.Key, Given.Value);
+        this->Values.set(Value.Section, Value.Key, Value.Value);
     if (!Problem.empty())
-      this->Problems.push_back({Given.Line, Given.Section, Given.Key, Problem});
+      this->Problems.push_back({Value.Line, Value.Section, Value.Key, Problem});
   }
 };
 
@@ -53,8 +53,9 @@
 Settings Settings::defaults(std::span<const SettingDeclaration> Declarations) {
   Settings Result;
   Result.Declared.assign(Declarations.begin(), Declarations.end());
-  for (const SettingDeclaration &Each : Declarations)
-    Result.Values[SettingName(Each.Section, Each.Key)] = Each.Default;
+  for (const SettingDeclaration &Declaration : Declarations)
+    Result.Values[SettingName(Declaration.Section, Declaration.Key)] =
+        Declaration.Default;
   return Result;
 }
 
@@ -114,11 +115,11 @@
 
 const SettingDeclaration *Settings::declaration(std::string_view Section,
                                                 std::string_view Key) const {
-  const auto Found =
-      std::find_if(this->Declared.begin(), this->Declared.end(),
-                   [&](const SettingDeclaration &Each) {
-                     return Each.Section == Section && Each.Key == Key;
-                   });
+  const auto Found = std::find_if(this->Declared.begin(), this->Declared.end(),
+                                  [&](const SettingDeclaration &Candidate) {
+                                    return Candidate.Section == Section &&
+                                           Candidate.Key == Key;
+                                  });
   return Found == this->Declared.end() ? nullptr : &*Found;
 }
 
@@ -140,17 +141,17 @@
   Settings Result = Settings::defaults(Declarations);
   SettingsReader Reader{Result, Problems, {}};
   const IniText Ini = readIni(Text);
-  for (const IniProblem &Each : Ini.Problems)
-    Problems.push_back({Each.Line, "", "", Each.Message});
-  for (const IniSection &Each : Ini.Sections)
-    Reader.checkSection(Each);
-  for (const IniValue &Each : Ini.Values)
-    Reader.setValue(Each);
-  for (const SettingDeclaration &Each : Declarations) {
-    if (Each.Required &&
-        !Reader.GivenSettings.contains({Each.Section, Each.Key}))
-      Problems.push_back({0, Each.Section, Each.Key,
-                          "is missing; give " + allowedValues(Each)});
+  for (const IniProblem &Problem : Ini.Problems)
+    Problems.push_back({Problem.Line, "", "", Problem.Message});
+  for (const IniSection &Section : Ini.Sections)
+    Reader.checkSection(Section);
+  for (const IniValue &Value : Ini.Values)
+    Reader.setValue(Value);
+  for (const SettingDeclaration &Declaration : Declarations) {
+    if (Declaration.Required &&
+        !Reader.GivenSettings.contains({Declaration.Section, Declaration.Key}))
+      Problems.push_back({0, Declaration.Section, Declaration.Key,
+                          "is missing; give " + allowedValues(Declaration)});
   }
   return Result;
 }
--- a/src/libs/settings/Settings.h
+++ b/src/libs/settings/Settings.h
@@ -1,5 +1,5 @@
 /// \file
-/// Checked settings: every declared setting has a valid value.
+/// Reads settings and checks them against their declarations.
 #pragma once
 
 #include "base/Time.h"
@@ -14,19 +14,19 @@
 
 namespace banyanpick {
 
-/// One thing wrong with a settings file.
+/// One problem of a settings file.
 struct SettingsProblem {
-  int Line = 0; ///< 0 when it concerns no line.
+  int Line = 0; ///< 0 when the problem concerns no line.
   std::string Section;
   std::string Key;
-  std::string Message; ///< What is wrong, what is allowed, the remedy.
+  std::string Message; ///< The problem, the allowed values and the remedy.
 };
 
-/// The values of all declared settings. Reading an undeclared one throws
-/// Error(Internal).
+/// The values of all declared settings. Reading a setting that is not declared,
+/// or is declared with another kind, throws Error(Internal).
 class Settings {
 public:
-  /// Every setting at its default; required ones are empty.
+  /// Returns all settings with their defaults. Required settings are empty.
   static Settings defaults(std::span<const SettingDeclaration> Declarations);
 
   std::string text(std::string_view Section, std::string_view Key) const;
@@ -36,7 +36,8 @@
   std::uint64_t size(std::string_view Section, std::string_view Key) const;
   bool flag(std::string_view Section, std::string_view Key) const;
 
-  /// Sets one value; returns what is wrong with it, or an empty string.
+  /// Sets one value. Returns the problem when the value is invalid, otherwise
+  /// an empty string.
   std::string set(std::string_view Section, std::string_view Key,
                   std::string_view Value);
 
@@ -55,8 +56,8 @@
       Values;
 };
 
-/// Reads INI text against the declarations. All problems are added to
-/// \p Problems; the result is usable only when there are none.
+/// Reads INI text and checks it against the declarations. Adds all problems to
+/// \p Problems. The result is usable only when there are none.
 Settings readSettings(std::string_view Text,
                       std::span<const SettingDeclaration> Declarations,
                       std::vector<SettingsProblem> &Problems);
--- a/src/libs/settings/SettingsPage.cpp
+++ b/src/libs/settings/SettingsPage.cpp
@@ -27,8 +27,8 @@
 
 std::string settingsPage(std::span<const SettingDeclaration> Declarations) {
   std::map<std::string, std::string> Sections;
-  for (const SettingDeclaration &Each : Declarations)
-    Sections[Each.Section] += row(Each);
+  for (const SettingDeclaration &Declaration : Declarations)
+    Sections[Declaration.Section] += row(Declaration);
   std::string Result =
       "# Settings\n\n"
       "Made by `banyanpickd --settings_page`; a test holds the two together.\n"
@@ -44,10 +44,10 @@
 
 std::string tableCell(std::string_view Text) {
   std::string Result;
-  for (const char Each : Text) {
-    if (Each == '|')
+  for (const char Character : Text) {
+    if (Character == '|')
       Result += '\\';
-    Result += Each == '\n' ? ' ' : Each;
+    Result += Character == '\n' ? ' ' : Character;
   }
   return Result;
 }
--- a/src/libs/settings/SettingsPage.h
+++ b/src/libs/settings/SettingsPage.h
@@ -1,5 +1,5 @@
 /// \file
-/// The page of settings in Markdown, made from their declarations.
+/// Generates the Markdown reference of settings from their declarations.
 #pragma once
 
 #include "settings/SettingDeclaration.h"
@@ -9,10 +9,11 @@
 
 namespace banyanpick {
 
-/// One table a section, sections by name, keys as they are declared.
+/// Returns the page with one table for each section. Sections are ordered by
+/// name, keys by declaration.
 std::string settingsPage(std::span<const SettingDeclaration> Declarations);
 
-/// \p Text as it may stand in a cell of a Markdown table.
+/// Escapes \p Text for a cell of a Markdown table.
 std::string tableCell(std::string_view Text);
 
 } // namespace banyanpick
--- a/tests/auto/settings/SettingsTest.cpp
+++ b/tests/auto/settings/SettingsTest.cpp
@@ -29,22 +29,22 @@
 
 TEST(Settings, ReadsValuesWithTheirUnits) {
   std::vector<SettingsProblem> Problems;
-  const Settings Read = readSettings(
+  const Settings Values = readSettings(
       "[a]\nwait = 1.5s\nbuffer = 1KB\n[b]\nat = 10.0.0.1:80\non = false\n",
       sampleDeclarations(), Problems);
   EXPECT_TRUE(Problems.empty());
-  EXPECT_EQ(Read.span("a", "wait"), milliseconds(1500));
-  EXPECT_EQ(Read.size("a", "buffer"), 1024u);
-  EXPECT_EQ(Read.whole("a", "count"), 3u);
-  EXPECT_DOUBLE_EQ(Read.fraction("b", "share"), 0.5);
-  EXPECT_FALSE(Read.flag("b", "on"));
-  EXPECT_EQ(Read.text("b", "at"), "10.0.0.1:80");
-  EXPECT_THROW(Read.whole("a", "wait"), Error);
-  EXPECT_THROW(Read.text("a", "none"), Error);
+  EXPECT_EQ(Values.span("a", "wait"), milliseconds(1500));
+  EXPECT_EQ(Values.size("a", "buffer"), 1024u);
+  EXPECT_EQ(Values.whole("a", "count"), 3u);
+  EXPECT_DOUBLE_EQ(Values.fraction("b", "share"), 0.5);
+  EXPECT_FALSE(Values.flag("b", "on"));
+  EXPECT_EQ(Values.text("b", "at"), "10.0.0.1:80");
+  EXPECT_THROW(Values.whole("a", "wait"), Error);
+  EXPECT_THROW(Values.text("a", "none"), Error);
 }
 
-TEST(Settings, ReportsEveryWrongLine) {
-  const std::string Rest = "[b]\nat = 1.1.1.1:1\n";
+TEST(Settings, ReportsEachInvalidLine) {
+  const std::string RequiredSettings = "[b]\nat = 1.1.1.1:1\n";
   const std::vector<std::pair<std::string, std::string>> Cases{
       {"[a]\nwait = 20\n", "a duration such as 20ms, 1ms to 5s"},
       {"[a]\nwait = 10s\n", "1ms to 5s"},
@@ -60,7 +60,7 @@
       {"[a]\nwhat = 1\n", "is not a setting"},
       {"[c]\n", "is not a section of settings"}};
   for (const auto &[Text, Expected] : Cases) {
-    const auto Problems = problemsIn(Text + Rest);
+    const auto Problems = problemsIn(Text + RequiredSettings);
     ASSERT_FALSE(Problems.empty()) << Text;
     EXPECT_NE(Problems[0].Message.find(Expected), std::string::npos)
         << Problems[0].Message;
@@ -72,18 +72,19 @@
             std::string::npos);
 }
 
-RC_GTEST_PROP(Settings, SurvivesAnyBytes, (const std::string &Bytes)) {
+RC_GTEST_PROP(Settings, ArbitraryBytesDontCrash, (const std::string &Bytes)) {
   problemsIn(Bytes);
   problemsIn("[a]\nwait = " + Bytes);
-  for (const Kind Each : {Kind::Whole, Kind::Fraction, Kind::Span, Kind::Size})
-    parseNumber(Each, Bytes);
+  for (const Kind NumberKind :
+       {Kind::Whole, Kind::Fraction, Kind::Span, Kind::Size})
+    parseNumber(NumberKind, Bytes);
 }
 
-TEST(Settings, AcceptsEachDefaultAndShowsItOnThePage) {
+TEST(Settings, DefaultsAreValidAndShownOnPage) {
   const std::string Page = settingsPage(sampleDeclarations());
-  for (const SettingDeclaration &Each : sampleDeclarations()) {
-    if (!Each.Required) {
-      EXPECT_EQ(problemWith(Each, Each.Default), "");
+  for (const SettingDeclaration &Declaration : sampleDeclarations()) {
+    if (!Declaration.Required) {
+      EXPECT_EQ(problemWith(Declaration, Declaration.Default), "");
     }
   }
   EXPECT_NE(Page.find("## [a]"), std::string::npos);
