--- a/src/tools/ApplyCommand.cpp
+++ b/src/tools/ApplyCommand.cpp
@@ -24,22 +24,22 @@
   CatalogueDiff Diff;
 };
 
-OwnerId authorOf(const Options &Given) {
-  const auto Key = splitKey(Given.Key);
+OwnerId authorOf(const Options &Opts) {
+  const auto Key = splitKey(Opts.Key);
   if (!Key)
     throw Error(ErrorKind::NotAllowed, "the key is not OWNER.SECRET",
                 "give the owner's key in BANYANPICK_KEY or --key_file");
   return OwnerId(std::string(Key->Name));
 }
 
-Comparison compare(OperatorClient &Client, const Options &Given,
+Comparison compare(OperatorClient &Client, const Options &Opts,
                    std::string_view FileText) {
-  const OwnerId Author = authorOf(Given);
+  const OwnerId Author = authorOf(Opts);
   Comparison Result;
   Result.Shown = Client.catalogue();
   const EntryMap Declared =
-      readDeclarations(Given.Arguments.at(0), FileText, &Result.Shown.Entries);
-  Result.Diff = difference(Declared, Result.Shown.Entries, Author, Given.Prune);
+      readDeclarations(Opts.Arguments.at(0), FileText, &Result.Shown.Entries);
+  Result.Diff = difference(Declared, Result.Shown.Entries, Author, Opts.Prune);
   return Result;
 }
 
@@ -63,12 +63,12 @@
 }
 
 /// Asks for the status until all live hosts are at the offset.
-InForceCheck waitUntilInForce(OperatorClient &Client, Clock &Passing,
+InForceCheck waitUntilInForce(OperatorClient &Client, Clock &WallClock,
                               LogOffset Offset, Duration Timeout) {
-  const Time GiveUp = Passing.now() + Timeout;
+  const Time Deadline = WallClock.now() + Timeout;
   InForceCheck Latest(Client.status(), Offset);
-  while (!Latest.isEverywhere() && Passing.now() < GiveUp) {
-    Passing.sleep(PollInterval);
+  while (!Latest.isInForceEverywhere() && WallClock.now() < Deadline) {
+    WallClock.sleep(PollInterval);
     Latest = InForceCheck(Client.status(), Offset);
   }
   return Latest;
@@ -77,19 +77,21 @@
 Outcome accepted(const InForceCheck &Check, const ChangeSet &Set,
                  LogOffset Offset) {
   Outcome Result;
-  Result.Code =
-      Check.isEverywhere() ? ExitCode::Ok : ExitCode::NotInForceEverywhere;
+  Result.Code = Check.isInForceEverywhere() ? ExitCode::Ok
+                                            : ExitCode::NotInForceEverywhere;
   Result.Text = fmt::format("accepted at offset {}; in force on {} of {} "
                             "hosts\n",
-                            Offset, Check.inForce(), Check.live());
-  for (const std::string &Each : Check.behind())
+                            Offset, Check.hostsInForce(), Check.liveHosts());
+  for (const std::string &Each : Check.hostsBehind())
     Result.Text += fmt::format("not in force on {}; look at that host's log, "
                                "or stop it\n",
                                Each);
-  Result.Json = {
-      {"verdict", "accepted"},      {"change", Set.Id.Value},
-      {"offset", Offset},           {"hosts_in_force", Check.inForce()},
-      {"hosts_live", Check.live()}, {"behind", Check.behind()}};
+  Result.Json = {{"verdict", "accepted"},
+                 {"change", Set.Id.Value},
+                 {"offset", Offset},
+                 {"hosts_in_force", Check.hostsInForce()},
+                 {"hosts_live", Check.liveHosts()},
+                 {"behind", Check.hostsBehind()}};
   return Result;
 }
 
@@ -111,24 +113,24 @@
 
 } // namespace
 
-Outcome apply(OperatorClient &Client, Clock &Passing, const Options &Given,
-              std::string_view FileText, const ChangeId &Fresh) {
-  const Comparison Compared = compare(Client, Given, FileText);
-  const std::string Notes = notesOn(Compared.Diff, Given.Prune);
+Outcome apply(OperatorClient &Client, Clock &WallClock, const Options &Opts,
+              std::string_view FileText, const ChangeId &NewId) {
+  const Comparison Compared = compare(Client, Opts, FileText);
+  const std::string Notes = notesOn(Compared.Diff, Opts.Prune);
   if (Compared.Diff.Changes.empty())
     return {ExitCode::Ok,
             Notes + fmt::format("nothing to change; in force at offset {}\n",
                                 Compared.Shown.AtOffset),
             {{"verdict", "unchanged"}, {"offset", Compared.Shown.AtOffset}}};
   ChangeSet Set;
-  Set.Id = Given.ChangeId.empty() ? Fresh : ChangeId(Given.ChangeId);
+  Set.Id = Opts.ChangeId.empty() ? NewId : ChangeId(Opts.ChangeId);
   Set.Changes = Compared.Diff.Changes;
-  const ChangeAnswer Answer = Client.submit(Set, Given.Timeout);
+  const ChangeAnswer Answer = Client.submit(Set, Opts.Timeout);
   Outcome Result = match(
       Answer,
       [&](const ChangesAccepted &Of) {
         return accepted(
-            waitUntilInForce(Client, Passing, Of.Offset, Given.Timeout), Set,
+            waitUntilInForce(Client, WallClock, Of.Offset, Opts.Timeout), Set,
             Of.Offset);
       },
       [&](const ChangesRejected &Of) { return rejected(Set, Of.Message); },
@@ -137,11 +139,11 @@
   return Result;
 }
 
-Outcome diff(OperatorClient &Client, const Options &Given,
+Outcome diff(OperatorClient &Client, const Options &Opts,
              std::string_view FileText) {
-  const Comparison Compared = compare(Client, Given, FileText);
+  const Comparison Compared = compare(Client, Opts, FileText);
   Outcome Result;
-  Result.Text = describeAll(Compared) + notesOn(Compared.Diff, Given.Prune);
+  Result.Text = describeAll(Compared) + notesOn(Compared.Diff, Opts.Prune);
   if (Result.Text.empty())
     Result.Text = "no difference\n";
   Result.Json = {
--- a/src/tools/ApplyCommand.h
+++ b/src/tools/ApplyCommand.h
@@ -11,11 +11,11 @@
 /// until that is in force on every live host. \p Fresh is the change set's id
 /// unless the options give one. Throws Error(BadInput) with every problem of
 /// the file.
-Outcome apply(OperatorClient &Client, Clock &Passing, const Options &Given,
-              std::string_view FileText, const ChangeId &Fresh);
+Outcome apply(OperatorClient &Client, Clock &WallClock, const Options &Opts,
+              std::string_view FileText, const ChangeId &NewId);
 
 /// What apply() would change.
-Outcome diff(OperatorClient &Client, const Options &Given,
+Outcome diff(OperatorClient &Client, const Options &Opts,
              std::string_view FileText);
 
 } // namespace banyanpick::tools
--- a/src/tools/BeastTransport.cpp
+++ b/src/tools/BeastTransport.cpp
@@ -22,32 +22,31 @@
 using TlsStream = beast::ssl_stream<beast::tcp_stream>;
 
 /// A catalogue of 36,000 teams stays far below this.
-constexpr std::uint64_t LargestAnswer = 256ULL * 1024 * 1024;
+constexpr std::uint64_t MaxResponseBytes = 256ULL * 1024 * 1024;
 
-http::verb verbOf(HostQuestion::Method How) {
-  switch (How) {
-  case HostQuestion::Method::Get:
+http::verb verbOf(HostRequest::Method Verb) {
+  switch (Verb) {
+  case HostRequest::Method::Get:
     return http::verb::get;
-  case HostQuestion::Method::Post:
+  case HostRequest::Method::Post:
     return http::verb::post;
-  case HostQuestion::Method::Delete:
+  case HostRequest::Method::Delete:
     return http::verb::delete_;
   }
   return http::verb::get;
 }
 
 http::request<http::string_body> requestFor(const Address &Host,
-                                            const HostQuestion &Question) {
+                                            const HostRequest &Req) {
   constexpr unsigned Http11 = 11;
-  http::request<http::string_body> Result(verbOf(Question.How), Question.Target,
-                                          Http11);
+  http::request<http::string_body> Result(verbOf(Req.Verb), Req.Target, Http11);
   Result.set(http::field::host, Host.Ip + ":" + std::to_string(Host.Port));
   Result.set(http::field::connection, "close");
-  if (!Question.Key.empty())
-    Result.set(http::field::authorization, "Bearer " + Question.Key);
-  if (!Question.Body.empty())
+  if (!Req.Key.empty())
+    Result.set(http::field::authorization, "Bearer " + Req.Key);
+  if (!Req.Body.empty())
     Result.set(http::field::content_type, "application/json");
-  Result.body() = Question.Body;
+  Result.body() = Req.Body;
   Result.prepare_payload();
   return Result;
 }
@@ -58,23 +57,23 @@
 public:
   Exchange(asio::io_context &Loop, Stream &Over) : Loop(Loop), Over(Over) {}
 
-  HostReply run(const Address &Host, const HostQuestion &Question) {
+  HostReply run(const Address &Host, const HostRequest &Req) {
     if (!this->connect(Host) || !this->secure())
-      return this->failed(HostReply::End::NotSent);
-    const auto Request = requestFor(Host, Question);
+      return this->failed(HostReply::ReplyState::NotSent);
+    const auto HttpRequest = requestFor(Host, Req);
     this->step(
-        [&](auto Done) { http::async_write(this->Over, Request, Done); });
+        [&](auto Done) { http::async_write(this->Over, HttpRequest, Done); });
     if (this->Failure)
-      return this->failed(HostReply::End::Lost);
+      return this->failed(HostReply::ReplyState::Lost);
     beast::flat_buffer Buffer;
     http::response_parser<http::string_body> Parser;
-    Parser.body_limit(LargestAnswer);
+    Parser.body_limit(MaxResponseBytes);
     this->step(
         [&](auto Done) { http::async_read(this->Over, Buffer, Parser, Done); });
     if (this->Failure)
-      return this->failed(HostReply::End::Lost);
+      return this->failed(HostReply::ReplyState::Lost);
     HostReply Result;
-    Result.Ended = HostReply::End::Whole;
+    Result.State = HostReply::ReplyState::Complete;
     Result.Status = Parser.get().result_int();
     Result.Body = std::move(Parser.get().body());
     return Result;
@@ -109,9 +108,9 @@
     return !this->Failure;
   }
 
-  HostReply failed(HostReply::End Ended) const {
+  HostReply failed(HostReply::ReplyState State) const {
     HostReply Result;
-    Result.Ended = Ended;
+    Result.State = State;
     Result.Problem = this->Failure.message();
     return Result;
   }
@@ -142,18 +141,18 @@
 
 BeastTransport::~BeastTransport() = default;
 
-HostReply BeastTransport::ask(const Address &Host, const HostQuestion &Question,
+HostReply BeastTransport::ask(const Address &Host, const HostRequest &Req,
                               Duration Timeout) {
   asio::io_context Loop;
   if (!this->Tls) {
     beast::tcp_stream Stream(Loop);
     Stream.expires_after(Timeout);
-    return Exchange<beast::tcp_stream>(Loop, Stream).run(Host, Question);
+    return Exchange<beast::tcp_stream>(Loop, Stream).run(Host, Req);
   }
   TlsStream Stream(Loop, this->Tls->Context);
   Stream.set_verify_callback(asio::ssl::host_name_verification(Host.Ip));
   beast::get_lowest_layer(Stream).expires_after(Timeout);
-  return Exchange<TlsStream>(Loop, Stream).run(Host, Question);
+  return Exchange<TlsStream>(Loop, Stream).run(Host, Req);
 }
 
 Time SystemClock::now() {
--- a/src/tools/BeastTransport.h
+++ b/src/tools/BeastTransport.h
@@ -17,7 +17,7 @@
   explicit BeastTransport(const std::string &CertificatesFile);
   ~BeastTransport() override;
 
-  HostReply ask(const Address &Host, const HostQuestion &Question,
+  HostReply ask(const Address &Host, const HostRequest &Req,
                 Duration Timeout) override;
 
 private:
--- a/src/tools/CommandLine.cpp
+++ b/src/tools/CommandLine.cpp
@@ -71,8 +71,8 @@
     return std::string(
         trimmed(std::string_view(Text).substr(0, Text.find('\n'))));
   }
-  const char *Given = std::getenv(KeyVariable);
-  return Given ? Given : "";
+  const char *Value = std::getenv(KeyVariable);
+  return Value ? Value : "";
 }
 
 Duration parseTimeout() {
@@ -123,9 +123,9 @@
     throwUsage("'" + std::string(Arguments[1]) + "' is no command");
   if (Result.Help)
     return Result;
-  Result.Given = optionsFromFlags();
-  Result.Given.Arguments.assign(Arguments + 2, Arguments + ArgumentCount);
-  if (Result.Given.Arguments.size() != Result.Command->ArgumentCount)
+  Result.Opts = optionsFromFlags();
+  Result.Opts.Arguments.assign(Arguments + 2, Arguments + ArgumentCount);
+  if (Result.Opts.Arguments.size() != Result.Command->ArgumentCount)
     throw Error(ErrorKind::BadInput,
                 std::string(Result.Command->Name) + " has other arguments",
                 "see banyanpick " + std::string(Result.Command->Name) +
--- a/src/tools/CommandLine.h
+++ b/src/tools/CommandLine.h
@@ -13,7 +13,7 @@
   bool Help = false;
   bool Json = false;
   std::string CertificatesFile;
-  Options Given;
+  Options Opts;
 };
 
 /// Throws Error(BadInput) on unknown commands and flags and malformed values.
--- a/src/tools/CommandTable.cpp
+++ b/src/tools/CommandTable.cpp
@@ -87,7 +87,7 @@
   return Result + "\n" + std::string(CommonHelp);
 }
 
-std::string helpOn(const CommandHelp &Command) {
+std::string commandHelp(const CommandHelp &Command) {
   std::string Result =
       fmt::format("usage: banyanpick {}{}{} [FLAGS]\n\n{}\n{}\n", Command.Name,
                   Command.Arguments.empty() ? "" : " ", Command.Arguments,
--- a/src/tools/CommandTable.h
+++ b/src/tools/CommandTable.h
@@ -27,6 +27,6 @@
 std::string overview();
 
 /// The help of one command.
-std::string helpOn(const CommandHelp &Command);
+std::string commandHelp(const CommandHelp &Command);
 
 } // namespace banyanpick::tools
--- a/src/tools/DeclarationFile.cpp
+++ b/src/tools/DeclarationFile.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::string readAll(std::istream &From) {
+std::string readStream(std::istream &From) {
   return {std::istreambuf_iterator<char>(From),
           std::istreambuf_iterator<char>()};
 }
@@ -46,12 +46,12 @@
 
 std::string readWholeFile(const std::string &FileName) {
   if (FileName == "-")
-    return readAll(std::cin);
+    return readStream(std::cin);
   std::ifstream File(FileName);
   if (!File)
     throw Error(ErrorKind::BadInput, "can't read " + FileName,
                 "look at its name and permissions");
-  return readAll(File);
+  return readStream(File);
 }
 
 } // namespace banyanpick::tools
--- a/src/tools/HostTransport.h
+++ b/src/tools/HostTransport.h
@@ -10,8 +10,8 @@
 namespace banyanpick::tools {
 
 /// One call to an entry host.
-struct HostQuestion {
-  enum class Method { Get, Post, Delete } How = Method::Get;
+struct HostRequest {
+  enum class Method { Get, Post, Delete } Verb = Method::Get;
   std::string Target;
   std::string Body{};
   std::string Key{}; ///< Sent as bearer token when not empty.
@@ -19,11 +19,11 @@
 
 /// How it went.
 struct HostReply {
-  enum class End {
+  enum class ReplyState {
     NotSent, ///< Nothing was sent.
     Lost,    ///< It may have taken effect, but no whole answer came.
-    Whole,
-  } Ended = End::NotSent;
+    Complete,
+  } State = ReplyState::NotSent;
   unsigned Status = 0;
   std::string Body;
   std::string Problem; ///< Why there is no whole answer.
@@ -33,7 +33,7 @@
 class HostTransport {
 public:
   virtual ~HostTransport() = default;
-  virtual HostReply ask(const Address &Host, const HostQuestion &Question,
+  virtual HostReply ask(const Address &Host, const HostRequest &Req,
                         Duration Timeout) = 0;
 };
 
--- a/src/tools/InForceCheck.h
+++ b/src/tools/InForceCheck.h
@@ -15,11 +15,11 @@
 public:
   InForceCheck(const StatusReport &Report, LogOffset Offset);
 
-  bool isEverywhere() const { return this->Behind.empty(); }
-  std::size_t inForce() const { return this->InForce; }
-  std::size_t live() const { return this->InForce + this->Behind.size(); }
+  bool isInForceEverywhere() const { return this->Behind.empty(); }
+  std::size_t hostsInForce() const { return this->InForce; }
+  std::size_t liveHosts() const { return this->InForce + this->Behind.size(); }
   /// Names of the hosts where it is not in force, with what they are at.
-  const std::vector<std::string> &behind() const { return this->Behind; }
+  const std::vector<std::string> &hostsBehind() const { return this->Behind; }
 
 private:
   std::size_t InForce = 0;
--- a/src/tools/LocalCommands.cpp
+++ b/src/tools/LocalCommands.cpp
@@ -41,18 +41,18 @@
 
 } // namespace
 
-Outcome check(const Options &Given, std::string_view FileText) {
-  const std::string &FileName = Given.Arguments.at(0);
+Outcome check(const Options &Opts, std::string_view FileText) {
+  const std::string &FileName = Opts.Arguments.at(0);
   const EntryMap Entries = readDeclarations(FileName, FileText, nullptr);
   return {ExitCode::Ok,
           fmt::format("{}: {} entries, no problem\n", FileName, Entries.size()),
           {{"file", FileName}, {"entries", Entries.size()}}};
 }
 
-Outcome digest(const Options &Given, std::string_view PresentedKey) {
-  const bool IsNew = !Given.NewKeyName.empty();
+Outcome digest(const Options &Opts, std::string_view PresentedKey) {
+  const bool IsNew = !Opts.NewKeyName.empty();
   const std::string Whole =
-      IsNew ? newKey(Given.NewKeyName) : std::string(trimmed(PresentedKey));
+      IsNew ? newKey(Opts.NewKeyName) : std::string(trimmed(PresentedKey));
   const auto Key = splitKey(Whole);
   if (!Key)
     throw Error(ErrorKind::BadInput, "the key is not NAME.SECRET",
--- a/src/tools/Main.cpp
+++ b/src/tools/Main.cpp
@@ -17,52 +17,52 @@
 namespace {
 
 /// Unique without agreement; a change set of the same id counts once.
-ChangeId freshChangeId() {
+ChangeId newChangeId() {
   return ChangeId(fmt::format("{:08x}{:08x}{:08x}{:08x}", randombytes_random(),
                               randombytes_random(), randombytes_random(),
                               randombytes_random()));
 }
 
-Outcome runLocal(const Options &Given, std::string_view Name) {
+Outcome runLocal(const Options &Opts, std::string_view Name) {
   if (Name == "check")
-    return check(Given, readWholeFile(Given.Arguments.at(0)));
+    return check(Opts, readWholeFile(Opts.Arguments.at(0)));
   if (Name == "keys")
     return keys();
   if (Name == "fields")
     return fields();
-  const bool NeedsKey = Given.NewKeyName.empty() && Given.Key.empty();
-  return digest(Given, NeedsKey ? readWholeFile("-") : Given.Key);
+  const bool NeedsKey = Opts.NewKeyName.empty() && Opts.Key.empty();
+  return digest(Opts, NeedsKey ? readWholeFile("-") : Opts.Key);
 }
 
 Outcome runRemote(const CommandLine &Asked) {
-  const Options &Given = Asked.Given;
+  const Options &Opts = Asked.Opts;
   const std::string_view Name = Asked.Command->Name;
   BeastTransport Transport(Asked.CertificatesFile);
-  SystemClock Passing;
-  OperatorClient Client(Transport, Passing, Given);
+  SystemClock WallClock;
+  OperatorClient Client(Transport, WallClock, Opts);
   if (Name == "apply")
-    return apply(Client, Passing, Given, readWholeFile(Given.Arguments.at(0)),
-                 freshChangeId());
+    return apply(Client, WallClock, Opts, readWholeFile(Opts.Arguments.at(0)),
+                 newChangeId());
   if (Name == "diff")
-    return diff(Client, Given, readWholeFile(Given.Arguments.at(0)));
+    return diff(Client, Opts, readWholeFile(Opts.Arguments.at(0)));
   if (Name == "show")
     return show(Client);
   if (Name == "history")
-    return history(Client, Given);
+    return history(Client, Opts);
   if (Name == "verdict")
-    return verdict(Client, Given);
+    return verdict(Client, Opts);
   if (Name == "status")
-    return status(Client, Passing.now());
+    return status(Client, WallClock.now());
   if (Name == "resolve")
-    return resolve(Client, Given);
-  return quarantine(Client, Given);
+    return resolve(Client, Opts);
+  return quarantine(Client, Opts);
 }
 
 Outcome run(const CommandLine &Asked) {
   const std::string_view Name = Asked.Command->Name;
   const bool IsLocal =
       Name == "check" || Name == "digest" || Name == "keys" || Name == "fields";
-  return IsLocal ? runLocal(Asked.Given, Name) : runRemote(Asked);
+  return IsLocal ? runLocal(Asked.Opts, Name) : runRemote(Asked);
 }
 
 ExitCode exitCodeOf(ErrorKind Kind) {
@@ -84,7 +84,7 @@
 ExitCode runAndPrint(int ArgumentCount, char **Arguments) {
   const CommandLine Asked = parseCommandLine(ArgumentCount, Arguments);
   if (Asked.Help) {
-    fmt::print("{}", Asked.Command ? helpOn(*Asked.Command) : overview());
+    fmt::print("{}", Asked.Command ? commandHelp(*Asked.Command) : overview());
     return ExitCode::Ok;
   }
   const Outcome Result = run(Asked);
--- a/src/tools/OperatorClient.cpp
+++ b/src/tools/OperatorClient.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-using Method = HostQuestion::Method;
-using End = HostReply::End;
+using Method = HostRequest::Method;
+using ReplyState = HostReply::ReplyState;
 using nlohmann::json;
 
 constexpr std::string_view Root = "/v1/operator/";
@@ -35,7 +35,7 @@
 }
 
 /// Whether another host may answer what this one did not.
-bool isPassing(const HostReply &Reply) { return Reply.Status >= 500; }
+bool isServerError(const HostReply &Reply) { return Reply.Status >= 500; }
 
 void throwIfRefused(const HostReply &Reply) {
   if (Reply.Status < 400 || Reply.Status == 409)
@@ -59,23 +59,23 @@
 
 std::string problemOf(const Address &Host, const HostReply &Reply) {
   return fmt::format(" {} ({})", addressText(Host),
-                     Reply.Ended == End::Whole
+                     Reply.State == ReplyState::Complete
                          ? fmt::format("status {}", Reply.Status)
                          : Reply.Problem);
 }
 
 } // namespace
 
-HostQuestion OperatorClient::question(Method How,
-                                      const std::string &Target) const {
-  return {How, Target, "", this->Given.Key};
+HostRequest OperatorClient::makeRequest(Method Verb,
+                                        const std::string &Target) const {
+  return {Verb, Target, "", this->Opts.Key};
 }
 
-json OperatorClient::ask(const HostQuestion &Question) {
+json OperatorClient::ask(const HostRequest &Req) {
   std::string Problems;
-  for (const Address &Host : this->Given.Hosts) {
-    const HostReply Reply = this->Transport.ask(Host, Question, CallTimeout);
-    if (Reply.Ended != End::Whole || isPassing(Reply)) {
+  for (const Address &Host : this->Opts.Hosts) {
+    const HostReply Reply = this->Transport.ask(Host, Req, CallTimeout);
+    if (Reply.State != ReplyState::Complete || isServerError(Reply)) {
       Problems += problemOf(Host, Reply);
       continue;
     }
@@ -86,11 +86,11 @@
 }
 
 json OperatorClient::get(const std::string &Target) {
-  return this->ask(this->question(Method::Get, Target));
+  return this->ask(this->makeRequest(Method::Get, Target));
 }
 
 json OperatorClient::remove(const std::string &Target) {
-  return this->ask(this->question(Method::Delete, Target));
+  return this->ask(this->makeRequest(Method::Delete, Target));
 }
 
 CatalogueShown OperatorClient::catalogue() {
@@ -102,29 +102,29 @@
 }
 
 ChangeAnswer OperatorClient::submit(const ChangeSet &Set, Duration Timeout) {
-  const Time GiveUp = this->Passing.now() + Timeout;
-  HostQuestion Question =
-      this->question(Method::Post, std::string(Root) + "changes");
-  Question.Body = toJson(Set).dump();
-  ChangeAnswer Answer = this->post(Question);
+  const Time Deadline = this->WallClock.now() + Timeout;
+  HostRequest Req =
+      this->makeRequest(Method::Post, std::string(Root) + "changes");
+  Req.Body = toJson(Set).dump();
+  ChangeAnswer Answer = this->post(Req);
   while (std::holds_alternative<VerdictPending>(Answer) &&
-         this->Passing.now() < GiveUp) {
-    this->Passing.sleep(PollInterval);
+         this->WallClock.now() < Deadline) {
+    this->WallClock.sleep(PollInterval);
     Answer = this->verdict(Set.Id);
   }
   return Answer;
 }
 
-ChangeAnswer OperatorClient::post(const HostQuestion &Question) {
+ChangeAnswer OperatorClient::post(const HostRequest &Req) {
   std::string Problems;
-  for (const Address &Host : this->Given.Hosts) {
-    const HostReply Reply = this->Transport.ask(Host, Question, CallTimeout);
-    if (Reply.Ended == End::NotSent) {
+  for (const Address &Host : this->Opts.Hosts) {
+    const HostReply Reply = this->Transport.ask(Host, Req, CallTimeout);
+    if (Reply.State == ReplyState::NotSent) {
       Problems += problemOf(Host, Reply);
       continue;
     }
     // From here on it may have taken effect: it is never sent again.
-    if (Reply.Ended == End::Lost || isPassing(Reply))
+    if (Reply.State == ReplyState::Lost || isServerError(Reply))
       return VerdictPending{"no answer from" + problemOf(Host, Reply)};
     throwIfRefused(Reply);
     return changeAnswerFromJson(parse(Reply));
@@ -133,12 +133,12 @@
 }
 
 ChangeAnswer OperatorClient::verdict(const ChangeId &Id) {
-  const HostQuestion Question =
-      this->question(Method::Get, std::string(Root) + "changes/" + Id.Value);
+  const HostRequest Req =
+      this->makeRequest(Method::Get, std::string(Root) + "changes/" + Id.Value);
   ChangeAnswer Latest = VerdictPending{"no host answers"};
-  for (const Address &Host : this->Given.Hosts) {
-    const HostReply Reply = this->Transport.ask(Host, Question, CallTimeout);
-    if (Reply.Ended != End::Whole || isPassing(Reply))
+  for (const Address &Host : this->Opts.Hosts) {
+    const HostReply Reply = this->Transport.ask(Host, Req, CallTimeout);
+    if (Reply.State != ReplyState::Complete || isServerError(Reply))
       continue;
     throwIfRefused(Reply);
     Latest = changeAnswerFromJson(parse(Reply));
--- a/src/tools/OperatorClient.h
+++ b/src/tools/OperatorClient.h
@@ -15,8 +15,9 @@
 /// no host gives an answer.
 class OperatorClient {
 public:
-  OperatorClient(HostTransport &Transport, Clock &Passing, const Options &Given)
-      : Transport(Transport), Passing(Passing), Given(Given) {}
+  OperatorClient(HostTransport &Transport, Clock &WallClock,
+                 const Options &Opts)
+      : Transport(Transport), WallClock(WallClock), Opts(Opts) {}
 
   /// Reads \p Target on the first host that answers.
   nlohmann::json get(const std::string &Target);
@@ -36,14 +37,14 @@
   ChangeAnswer verdict(const ChangeId &Id);
 
 private:
-  nlohmann::json ask(const HostQuestion &Question);
-  ChangeAnswer post(const HostQuestion &Question);
-  HostQuestion question(HostQuestion::Method How,
-                        const std::string &Target) const;
+  nlohmann::json ask(const HostRequest &Req);
+  ChangeAnswer post(const HostRequest &Req);
+  HostRequest makeRequest(HostRequest::Method Verb,
+                          const std::string &Target) const;
 
   HostTransport &Transport;
-  Clock &Passing;
-  const Options &Given;
+  Clock &WallClock;
+  const Options &Opts;
 };
 
 } // namespace banyanpick::tools
--- a/src/tools/ViewCommands.cpp
+++ b/src/tools/ViewCommands.cpp
@@ -91,9 +91,9 @@
           toJson(OperatorAnswer(Shown))};
 }
 
-Outcome history(OperatorClient &Client, const Options &Given) {
+Outcome history(OperatorClient &Client, const Options &Opts) {
   const HistoryShown Shown = historyFromJson(Client.get(
-      "/v1/operator/history?from=" + std::to_string(Given.FromOffset)));
+      "/v1/operator/history?from=" + std::to_string(Opts.FromOffset)));
   Outcome Result{ExitCode::Ok, "", toJson(OperatorAnswer(Shown))};
   for (const HistoryItem &Each : Shown.Items)
     Result.Text += historyLine(Each);
@@ -118,12 +118,12 @@
   return Result;
 }
 
-Outcome resolve(OperatorClient &Client, const Options &Given) {
+Outcome resolve(OperatorClient &Client, const Options &Opts) {
   std::string Target = "/v1/resolve";
-  if (!Given.Team.empty())
-    Target += "?team=" + Given.Team;
-  if (!Given.Zone.empty())
-    Target += (Given.Team.empty() ? "?zone=" : "&zone=") + Given.Zone;
+  if (!Opts.Team.empty())
+    Target += "?team=" + Opts.Team;
+  if (!Opts.Zone.empty())
+    Target += (Opts.Team.empty() ? "?zone=" : "&zone=") + Opts.Zone;
   Outcome Result;
   Result.Json = Client.get(Target);
   ObjectReader Object(Result.Json, "");
@@ -135,8 +135,8 @@
   return Result;
 }
 
-Outcome verdict(OperatorClient &Client, const Options &Given) {
-  const ChangeAnswer Answer = Client.verdict(ChangeId(Given.Arguments.at(0)));
+Outcome verdict(OperatorClient &Client, const Options &Opts) {
+  const ChangeAnswer Answer = Client.verdict(ChangeId(Opts.Arguments.at(0)));
   return match(
       Answer,
       [](const ChangesAccepted &Of) {
@@ -155,13 +155,13 @@
       });
 }
 
-Outcome quarantine(OperatorClient &Client, const Options &Given) {
-  if (Given.Arguments.at(0) != "release")
+Outcome quarantine(OperatorClient &Client, const Options &Opts) {
+  if (Opts.Arguments.at(0) != "release")
     throw Error(ErrorKind::BadInput,
-                "'" + Given.Arguments[0] + "' is no command of quarantine",
+                "'" + Opts.Arguments[0] + "' is no command of quarantine",
                 "give: quarantine release FINGERPRINT");
   const std::string Content =
-      fingerprintText(parseFingerprint(Given.Arguments.at(1)));
+      fingerprintText(parseFingerprint(Opts.Arguments.at(1)));
   Outcome Result;
   Result.Json = Client.remove("/v1/operator/quarantine/" + Content);
   Result.Text = "released " + Content + "\n";
--- a/tests/auto/tools/ApplyTest.cpp
+++ b/tests/auto/tools/ApplyTest.cpp
@@ -17,28 +17,28 @@
       whole(200, R"({"verdict": "pending", "message": "wait"})");
   StatusReport Status{HostId("h1"), true, true, false, 20, 0, {}, {}, {}};
   int QuietHosts = 0; ///< Of the hosts named, this many don't answer.
-  FakeHosts Hosts{[this](const Address &Host, const HostQuestion &Question) {
-    return this->answer(Host, Question);
+  FakeHosts Hosts{[this](const Address &Host, const HostRequest &Req) {
+    return this->answer(Host, Req);
   }};
-  FakeClock Passing;
-  Options Given;
+  FakeClock WallClock;
+  Options Opts;
 
   Deployment() {
-    this->Given.Key = "ring.secret";
-    this->Given.Arguments = {"f.ini"};
-    this->Given.Hosts = {{"127.0.0.1", 1}, {"127.0.0.1", 2}};
+    this->Opts.Key = "ring.secret";
+    this->Opts.Arguments = {"f.ini"};
+    this->Opts.Hosts = {{"127.0.0.1", 1}, {"127.0.0.1", 2}};
   }
 
-  HostReply answer(const Address &Host, const HostQuestion &Question) {
+  HostReply answer(const Address &Host, const HostRequest &Req) {
     if (Host.Port <= this->QuietHosts)
       return unreachable();
-    if (Question.How == HostQuestion::Method::Post)
+    if (Req.Verb == HostRequest::Method::Post)
       return this->PostAnswer;
-    if (Question.Target.ends_with("/catalogue"))
+    if (Req.Target.ends_with("/catalogue"))
       return whole(
           200,
           toJson(OperatorAnswer(CatalogueShown{9, sampleEntries()})).dump());
-    if (Question.Target.ends_with("/status"))
+    if (Req.Target.ends_with("/status"))
       return whole(200, toJson(OperatorAnswer(this->Status)).dump());
     return this->VerdictAnswer;
   }
@@ -52,13 +52,13 @@
   }
 
   Outcome applyText(const std::string &Text) {
-    OperatorClient Client(this->Hosts, this->Passing, this->Given);
-    return apply(Client, this->Passing, this->Given, Text, ChangeId("c1"));
+    OperatorClient Client(this->Hosts, this->WallClock, this->Opts);
+    return apply(Client, this->WallClock, this->Opts, Text, ChangeId("c1"));
   }
 
   ChangeSet sent() const {
-    for (const HostQuestion &Each : this->Hosts.Asked) {
-      if (Each.How == HostQuestion::Method::Post)
+    for (const HostRequest &Each : this->Hosts.Asked) {
+      if (Each.Verb == HostRequest::Method::Post)
         return changeSetFromJson(nlohmann::json::parse(Each.Body));
     }
     return {};
@@ -92,7 +92,7 @@
   EXPECT_TRUE(says(Result, "nothing to change"));
   EXPECT_EQ(Kept.Hosts.posts(), 0u);
   Deployment Pruned;
-  Pruned.Given.Prune = true;
+  Pruned.Opts.Prune = true;
   EXPECT_TRUE(says(Pruned.applyText(Text), "- class confirm"));
   ASSERT_EQ(Pruned.sent().Changes.size(), 1u);
   EXPECT_FALSE(Pruned.sent().Changes[0].Body.has_value());
@@ -167,7 +167,7 @@
   EXPECT_EQ(KindOf("[model new]\nowner = ring\nweights = w\n"),
             ErrorKind::NotAllowed);
   EXPECT_EQ(KindOf("[model new]\nowner = ring\n"), ErrorKind::BadInput);
-  World.Given.Key = "nodot";
+  World.Opts.Key = "nodot";
   EXPECT_EQ(KindOf(""), ErrorKind::NotAllowed);
 }
 
--- a/tests/auto/tools/CommandLineTest.cpp
+++ b/tests/auto/tools/CommandLineTest.cpp
@@ -25,10 +25,10 @@
       parse({"apply", "--prune", "--host", "10.0.0.1:7101, 10.0.0.2:7102",
              "f.ini", "--timeout=500ms"});
   EXPECT_EQ(Read.Command->Name, "apply");
-  EXPECT_TRUE(Read.Given.Prune);
-  EXPECT_EQ(Read.Given.Arguments, std::vector<std::string>{"f.ini"});
-  EXPECT_EQ(Read.Given.Timeout, milliseconds(500));
-  EXPECT_EQ(Read.Given.Hosts,
+  EXPECT_TRUE(Read.Opts.Prune);
+  EXPECT_EQ(Read.Opts.Arguments, std::vector<std::string>{"f.ini"});
+  EXPECT_EQ(Read.Opts.Timeout, milliseconds(500));
+  EXPECT_EQ(Read.Opts.Hosts,
             (std::vector<Address>{{"10.0.0.1", 7101}, {"10.0.0.2", 7102}}));
 }
 
@@ -57,7 +57,7 @@
 TEST(CommandLine, HelpsOnEachCommand) {
   for (const CommandHelp &Each : allCommands()) {
     EXPECT_NE(overview().find(std::string(Each.Name)), std::string::npos);
-    EXPECT_NE(helpOn(Each).find("Exit codes"), std::string::npos);
+    EXPECT_NE(commandHelp(Each).find("Exit codes"), std::string::npos);
   }
 }
 
@@ -75,25 +75,25 @@
 }
 
 TEST(Resolve, ShowsHostsAndTimeToLive) {
-  FakeHosts Hosts([](const Address &, const HostQuestion &Question) {
-    EXPECT_EQ(Question.Target, "/v1/resolve?team=t&zone=z");
+  FakeHosts Hosts([](const Address &, const HostRequest &Req) {
+    EXPECT_EQ(Req.Target, "/v1/resolve?team=t&zone=z");
     return whole(200, R"({"hosts": ["127.0.0.1:1"], "ttl_ms": 5000})");
   });
-  FakeClock Passing;
-  Options Given;
-  Given.Hosts = {{"127.0.0.1", 1}};
-  Given.Team = "t";
-  Given.Zone = "z";
-  OperatorClient Client(Hosts, Passing, Given);
-  EXPECT_EQ(resolve(Client, Given).Text, "127.0.0.1:1\nvalid for 5s\n");
+  FakeClock WallClock;
+  Options Opts;
+  Opts.Hosts = {{"127.0.0.1", 1}};
+  Opts.Team = "t";
+  Opts.Zone = "z";
+  OperatorClient Client(Hosts, WallClock, Opts);
+  EXPECT_EQ(resolve(Client, Opts).Text, "127.0.0.1:1\nvalid for 5s\n");
 }
 
 TEST(BeastTransport, TellsThatNothingWasSent) {
   BeastTransport Plain("");
-  EXPECT_EQ(Plain.ask({"127.0.0.1", 1}, {}, seconds(5)).Ended,
-            HostReply::End::NotSent);
-  EXPECT_EQ(Plain.ask({"not-an-ip", 1}, {}, seconds(5)).Ended,
-            HostReply::End::NotSent);
+  EXPECT_EQ(Plain.ask({"127.0.0.1", 1}, {}, seconds(5)).State,
+            HostReply::ReplyState::NotSent);
+  EXPECT_EQ(Plain.ask({"not-an-ip", 1}, {}, seconds(5)).State,
+            HostReply::ReplyState::NotSent);
   EXPECT_THROW(BeastTransport("/no/such/file"), Error);
 }
 
--- a/tests/auto/tools/FakeHosts.h
+++ b/tests/auto/tools/FakeHosts.h
@@ -11,34 +11,35 @@
 namespace banyanpick::tools {
 
 inline HostReply whole(unsigned Status, std::string Body) {
-  return {HostReply::End::Whole, Status, std::move(Body), ""};
+  return {HostReply::ReplyState::Complete, Status, std::move(Body), ""};
 }
 inline HostReply unreachable() {
-  return {HostReply::End::NotSent, 0, "", "refused"};
+  return {HostReply::ReplyState::NotSent, 0, "", "refused"};
+}
+inline HostReply lost() {
+  return {HostReply::ReplyState::Lost, 0, "", "timeout"};
 }
-inline HostReply lost() { return {HostReply::End::Lost, 0, "", "timeout"}; }
 
 class FakeHosts : public HostTransport {
 public:
-  using Answer =
-      std::function<HostReply(const Address &, const HostQuestion &)>;
+  using Answer = std::function<HostReply(const Address &, const HostRequest &)>;
 
   explicit FakeHosts(Answer Script) : Script(std::move(Script)) {}
 
-  HostReply ask(const Address &Host, const HostQuestion &Question,
+  HostReply ask(const Address &Host, const HostRequest &Req,
                 Duration) override {
-    this->Asked.push_back(Question);
-    return this->Script(Host, Question);
+    this->Asked.push_back(Req);
+    return this->Script(Host, Req);
   }
 
   std::size_t posts() const {
     std::size_t Count = 0;
-    for (const HostQuestion &Each : this->Asked)
-      Count += Each.How == HostQuestion::Method::Post;
+    for (const HostRequest &Each : this->Asked)
+      Count += Each.Verb == HostRequest::Method::Post;
     return Count;
   }
 
-  std::vector<HostQuestion> Asked;
+  std::vector<HostRequest> Asked;
 
 private:
   Answer Script;
