--- a/src/tools/ApplyCommand.cpp
+++ b/src/tools/ApplyCommand.cpp
@@ -20,7 +20,7 @@
 
 /// The file against what is in force.
 struct Comparison {
-  CatalogueShown Shown;
+  CatalogueShown InForce;
   CatalogueDiff Diff;
 };
 
@@ -36,14 +36,15 @@
                    std::string_view FileText) {
   const OwnerId Author = authorOf(Opts);
   Comparison Result;
-  Result.Shown = Client.catalogue();
+  Result.InForce = Client.catalogue();
   const EntryMap Declared =
-      readDeclarations(Opts.Arguments.at(0), FileText, &Result.Shown.Entries);
-  Result.Diff = difference(Declared, Result.Shown.Entries, Author, Opts.Prune);
+      readDeclarations(Opts.Arguments.at(0), FileText, &Result.InForce.Entries);
+  Result.Diff =
+      difference(Declared, Result.InForce.Entries, Author, Opts.Prune);
   return Result;
 }
 
-std::string notesOn(const CatalogueDiff &Of, bool Prune) {
+std::string describeUntouched(const CatalogueDiff &Of, bool Prune) {
   std::string Result;
   for (const EntryKey &Each : Of.OwnedByOthers)
     Result += "left to its owner: " + text(Each) + "\n";
@@ -55,10 +56,10 @@
   return Result;
 }
 
-std::string describeAll(const Comparison &Of) {
+std::string describeChanges(const Comparison &Of) {
   std::string Result;
   for (const Change &Each : Of.Diff.Changes)
-    Result += describe(Each, Of.Shown.Entries);
+    Result += describe(Each, Of.InForce.Entries);
   return Result;
 }
 
@@ -74,8 +75,8 @@
   return Latest;
 }
 
-Outcome accepted(const InForceCheck &Check, const ChangeSet &Set,
-                 LogOffset Offset) {
+Outcome acceptedOutcome(const InForceCheck &Check, const ChangeSet &Set,
+                        LogOffset Offset) {
   Outcome Result;
   Result.Code = Check.isInForceEverywhere() ? ExitCode::Ok
                                             : ExitCode::NotInForceEverywhere;
@@ -95,7 +96,7 @@
   return Result;
 }
 
-Outcome rejected(const ChangeSet &Set, const std::string &Message) {
+Outcome rejectedOutcome(const ChangeSet &Set, const std::string &Message) {
   return {ExitCode::Rejected,
           "rejected: " + Message + "\n",
           {{"verdict", "rejected"},
@@ -103,7 +104,7 @@
            {"message", Message}}};
 }
 
-Outcome unsettled(const ChangeSet &Set, const std::string &Message) {
+Outcome pendingOutcome(const ChangeSet &Set, const std::string &Message) {
   return {
       ExitCode::Unavailable,
       fmt::format("not known yet: {}; ask with 'banyanpick verdict {}'\n",
@@ -116,12 +117,12 @@
 Outcome apply(OperatorClient &Client, Clock &WallClock, const Options &Opts,
               std::string_view FileText, const ChangeId &NewId) {
   const Comparison Compared = compare(Client, Opts, FileText);
-  const std::string Notes = notesOn(Compared.Diff, Opts.Prune);
+  const std::string Notes = describeUntouched(Compared.Diff, Opts.Prune);
   if (Compared.Diff.Changes.empty())
     return {ExitCode::Ok,
             Notes + fmt::format("nothing to change; in force at offset {}\n",
-                                Compared.Shown.AtOffset),
-            {{"verdict", "unchanged"}, {"offset", Compared.Shown.AtOffset}}};
+                                Compared.InForce.AtOffset),
+            {{"verdict", "unchanged"}, {"offset", Compared.InForce.AtOffset}}};
   ChangeSet Set;
   Set.Id = Opts.ChangeId.empty() ? NewId : ChangeId(Opts.ChangeId);
   Set.Changes = Compared.Diff.Changes;
@@ -129,13 +130,17 @@
   Outcome Result = match(
       Answer,
       [&](const ChangesAccepted &Of) {
-        return accepted(
+        return acceptedOutcome(
             waitUntilInForce(Client, WallClock, Of.Offset, Opts.Timeout), Set,
             Of.Offset);
       },
-      [&](const ChangesRejected &Of) { return rejected(Set, Of.Message); },
-      [&](const VerdictPending &Of) { return unsettled(Set, Of.Message); });
-  Result.Text = describeAll(Compared) + Notes + Result.Text;
+      [&](const ChangesRejected &Of) {
+        return rejectedOutcome(Set, Of.Message);
+      },
+      [&](const VerdictPending &Of) {
+        return pendingOutcome(Set, Of.Message);
+      });
+  Result.Text = describeChanges(Compared) + Notes + Result.Text;
   return Result;
 }
 
@@ -143,11 +148,12 @@
              std::string_view FileText) {
   const Comparison Compared = compare(Client, Opts, FileText);
   Outcome Result;
-  Result.Text = describeAll(Compared) + notesOn(Compared.Diff, Opts.Prune);
+  Result.Text =
+      describeChanges(Compared) + describeUntouched(Compared.Diff, Opts.Prune);
   if (Result.Text.empty())
     Result.Text = "no difference\n";
   Result.Json = {
-      {"offset", Compared.Shown.AtOffset},
+      {"offset", Compared.InForce.AtOffset},
       {"changes",
        toJson(ChangeSet{{}, {}, Compared.Diff.Changes}).at("changes")}};
   return Result;
--- a/src/tools/BeastTransport.cpp
+++ b/src/tools/BeastTransport.cpp
@@ -55,23 +55,26 @@
 /// step is one, run to its end.
 template <class Stream> class Exchange {
 public:
-  Exchange(asio::io_context &Loop, Stream &Over) : Loop(Loop), Over(Over) {}
+  Exchange(asio::io_context &IoContext, Stream &Connection)
+      : IoContext(IoContext), Connection(Connection) {}
 
   HostReply run(const Address &Host, const HostRequest &Req) {
-    if (!this->connect(Host) || !this->secure())
-      return this->failed(HostReply::ReplyState::NotSent);
+    if (!this->connect(Host) || !this->handshake())
+      return this->failedReply(HostReply::ReplyState::NotSent);
     const auto HttpRequest = requestFor(Host, Req);
-    this->step(
-        [&](auto Done) { http::async_write(this->Over, HttpRequest, Done); });
+    this->runOperation([&](auto Handler) {
+      http::async_write(this->Connection, HttpRequest, Handler);
+    });
     if (this->Failure)
-      return this->failed(HostReply::ReplyState::Lost);
+      return this->failedReply(HostReply::ReplyState::Lost);
     beast::flat_buffer Buffer;
     http::response_parser<http::string_body> Parser;
     Parser.body_limit(MaxResponseBytes);
-    this->step(
-        [&](auto Done) { http::async_read(this->Over, Buffer, Parser, Done); });
+    this->runOperation([&](auto Handler) {
+      http::async_read(this->Connection, Buffer, Parser, Handler);
+    });
     if (this->Failure)
-      return this->failed(HostReply::ReplyState::Lost);
+      return this->failedReply(HostReply::ReplyState::Lost);
     HostReply Result;
     Result.State = HostReply::ReplyState::Complete;
     Result.Status = Parser.get().result_int();
@@ -80,10 +83,11 @@
   }
 
 private:
-  template <class Start> void step(Start &&Begin) {
-    Begin([this](error_code Result, auto &&...) { this->Failure = Result; });
-    this->Loop.restart();
-    this->Loop.run();
+  template <class Start> void runOperation(Start &&StartOperation) {
+    StartOperation(
+        [this](error_code Result, auto &&...) { this->Failure = Result; });
+    this->IoContext.restart();
+    this->IoContext.run();
   }
 
   bool connect(const Address &Host) {
@@ -93,30 +97,31 @@
       this->Failure = Malformed;
       return false;
     }
-    this->step([&](auto Done) {
-      beast::get_lowest_layer(this->Over)
-          .async_connect(Tcp::endpoint(Ip, Host.Port), Done);
+    this->runOperation([&](auto Handler) {
+      beast::get_lowest_layer(this->Connection)
+          .async_connect(Tcp::endpoint(Ip, Host.Port), Handler);
     });
     return !this->Failure;
   }
 
-  bool secure() {
+  bool handshake() {
     if constexpr (std::is_same_v<Stream, TlsStream>)
-      this->step([&](auto Done) {
-        this->Over.async_handshake(asio::ssl::stream_base::client, Done);
+      this->runOperation([&](auto Handler) {
+        this->Connection.async_handshake(asio::ssl::stream_base::client,
+                                         Handler);
       });
     return !this->Failure;
   }
 
-  HostReply failed(HostReply::ReplyState State) const {
+  HostReply failedReply(HostReply::ReplyState State) const {
     HostReply Result;
     Result.State = State;
     Result.Problem = this->Failure.message();
     return Result;
   }
 
-  asio::io_context &Loop;
-  Stream &Over;
+  asio::io_context &IoContext;
+  Stream &Connection;
   error_code Failure;
 };
 
@@ -143,16 +148,16 @@
 
 HostReply BeastTransport::ask(const Address &Host, const HostRequest &Req,
                               Duration Timeout) {
-  asio::io_context Loop;
+  asio::io_context IoContext;
   if (!this->Tls) {
-    beast::tcp_stream Stream(Loop);
+    beast::tcp_stream Stream(IoContext);
     Stream.expires_after(Timeout);
-    return Exchange<beast::tcp_stream>(Loop, Stream).run(Host, Req);
+    return Exchange<beast::tcp_stream>(IoContext, Stream).run(Host, Req);
   }
-  TlsStream Stream(Loop, this->Tls->Context);
+  TlsStream Stream(IoContext, this->Tls->Context);
   Stream.set_verify_callback(asio::ssl::host_name_verification(Host.Ip));
   beast::get_lowest_layer(Stream).expires_after(Timeout);
-  return Exchange<TlsStream>(Loop, Stream).run(Host, Req);
+  return Exchange<TlsStream>(IoContext, Stream).run(Host, Req);
 }
 
 Time SystemClock::now() {
--- a/src/tools/CommandLine.cpp
+++ b/src/tools/CommandLine.cpp
@@ -29,17 +29,17 @@
 
 constexpr const char *KeyVariable = "BANYANPICK_KEY";
 
-[[noreturn]] void throwUsage(const std::string &What) {
-  throw Error(ErrorKind::BadInput, What, "see banyanpick --help");
+[[noreturn]] void throwUsage(const std::string &Problem) {
+  throw Error(ErrorKind::BadInput, Problem, "see banyanpick --help");
 }
 
 /// A flag as it was written.
-struct WrittenFlag {
+struct ParsedFlag {
   std::string Name;
   bool HasValue = false; ///< `--name=value`
 };
 
-WrittenFlag splitFlag(std::string_view Text) {
+ParsedFlag splitFlag(std::string_view Text) {
   Text.remove_prefix(std::min(Text.find_first_not_of('-'), Text.size()));
   const std::size_t Equals = Text.find('=');
   return {std::string(Text.substr(0, Equals)), Equals != Text.npos};
@@ -52,20 +52,20 @@
     const std::string_view Text = Arguments[Index];
     if (!Text.starts_with("-") || Text == "-")
       continue;
-    const WrittenFlag Flag = splitFlag(Text);
-    gflags::CommandLineFlagInfo Known;
-    if (!gflags::GetCommandLineFlagInfo(Flag.Name.c_str(), &Known))
+    const ParsedFlag Flag = splitFlag(Text);
+    gflags::CommandLineFlagInfo Info;
+    if (!gflags::GetCommandLineFlagInfo(Flag.Name.c_str(), &Info))
       throwUsage("--" + Flag.Name + " is no flag");
-    if (Known.type == "bool" && Flag.HasValue)
+    if (Info.type == "bool" && Flag.HasValue)
       throwUsage("--" + Flag.Name + " takes no value");
-    if (Known.type == "bool" || Flag.HasValue)
+    if (Info.type == "bool" || Flag.HasValue)
       continue;
     if (++Index >= ArgumentCount)
       throwUsage("--" + Flag.Name + " needs a value");
   }
 }
 
-std::string presentedKey() {
+std::string readKey() {
   if (!FLAGS_key_file.empty()) {
     const std::string Text = readWholeFile(FLAGS_key_file);
     return std::string(
@@ -93,7 +93,7 @@
 Options optionsFromFlags() {
   Options Result;
   Result.Hosts = parseHosts(FLAGS_host);
-  Result.Key = presentedKey();
+  Result.Key = readKey();
   Result.Timeout = parseTimeout();
   Result.Prune = FLAGS_prune;
   Result.ChangeId = FLAGS_change_id;
@@ -137,20 +137,20 @@
   std::vector<Address> Result;
   while (!Text.empty()) {
     const std::size_t Comma = std::min(Text.find(','), Text.size());
-    const std::string_view Each = trimmed(Text.substr(0, Comma));
+    const std::string_view HostText = trimmed(Text.substr(0, Comma));
     const SettingDeclaration Host{.Section = "",
                                   .Key = "host",
                                   .Kind = SettingKind::Address,
                                   .Default = "",
                                   .Help = ""};
-    const std::string Problem = problemWith(Host, Each);
+    const std::string Problem = problemWith(Host, HostText);
     if (!Problem.empty())
       throwUsage("--host " + Problem);
-    const std::size_t Colon = Each.rfind(':');
-    Address Read{std::string(Each.substr(0, Colon)), 0};
-    std::from_chars(Each.data() + Colon + 1, Each.data() + Each.size(),
-                    Read.Port);
-    Result.push_back(std::move(Read));
+    const std::size_t Colon = HostText.rfind(':');
+    Address Parsed{std::string(HostText.substr(0, Colon)), 0};
+    std::from_chars(HostText.data() + Colon + 1,
+                    HostText.data() + HostText.size(), Parsed.Port);
+    Result.push_back(std::move(Parsed));
     Text.remove_prefix(std::min(Comma + 1, Text.size()));
   }
   if (Result.empty())
--- a/src/tools/CommandTable.cpp
+++ b/src/tools/CommandTable.cpp
@@ -71,19 +71,19 @@
 std::span<const CommandHelp> allCommands() { return Commands; }
 
 const CommandHelp *findCommand(std::string_view Name) {
-  const auto Found =
-      std::find_if(Commands.begin(), Commands.end(),
-                   [&](const CommandHelp &Each) { return Each.Name == Name; });
+  const auto Found = std::find_if(
+      Commands.begin(), Commands.end(),
+      [&](const CommandHelp &Command) { return Command.Name == Name; });
   return Found == Commands.end() ? nullptr : &*Found;
 }
 
 std::string overview() {
   std::string Result = "usage: banyanpick COMMAND [ARGUMENTS] [FLAGS]\n\n"
                        "Drives a deployment by its catalogue.\n\nCommands:\n";
-  for (const CommandHelp &Each : Commands)
+  for (const CommandHelp &Command : Commands)
     Result += fmt::format("  {:<32}{}\n",
-                          fmt::format("{} {}", Each.Name, Each.Arguments),
-                          Each.Summary);
+                          fmt::format("{} {}", Command.Name, Command.Arguments),
+                          Command.Summary);
   return Result + "\n" + std::string(CommonHelp);
 }
 
--- a/src/tools/DeclarationFile.cpp
+++ b/src/tools/DeclarationFile.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-std::string readStream(std::istream &From) {
-  return {std::istreambuf_iterator<char>(From),
+std::string readStream(std::istream &Input) {
+  return {std::istreambuf_iterator<char>(Input),
           std::istreambuf_iterator<char>()};
 }
 
@@ -22,14 +22,14 @@
 std::string problemLines(std::string_view FileName,
                          std::span<const SettingsProblem> Problems) {
   std::string Result;
-  for (const SettingsProblem &Each : Problems) {
+  for (const SettingsProblem &Problem : Problems) {
     Result += fmt::format("{}{}:{}:", Result.empty() ? "" : "\n", FileName,
-                          Each.Line);
-    if (!Each.Section.empty())
-      Result += fmt::format(" [{}]", Each.Section);
-    if (!Each.Key.empty())
-      Result += fmt::format(" {}:", Each.Key);
-    Result += " " + Each.Message;
+                          Problem.Line);
+    if (!Problem.Section.empty())
+      Result += fmt::format(" [{}]", Problem.Section);
+    if (!Problem.Key.empty())
+      Result += fmt::format(" {}:", Problem.Key);
+    Result += " " + Problem.Message;
   }
   return Result;
 }
--- a/src/tools/InForceCheck.cpp
+++ b/src/tools/InForceCheck.cpp
@@ -15,25 +15,25 @@
 } // namespace
 
 InForceCheck::InForceCheck(const StatusReport &Report, LogOffset Offset) {
-  std::vector<HostStatus> All = Report.Hosts;
+  std::vector<HostStatus> Hosts = Report.Hosts;
   std::erase_if(
-      All, [&](const HostStatus &Each) { return Each.Host == Report.Host; });
-  All.insert(All.begin(),
-             {Report.Host,
-              ZoneId(),
-              Report.Leaving ? MemberState::Leaving : MemberState::Alive,
-              Report.Ready,
-              Report.InForce,
-              {}});
-  for (const HostStatus &Each : All) {
-    if (!isCounted(Each))
+      Hosts, [&](const HostStatus &Host) { return Host.Host == Report.Host; });
+  Hosts.insert(Hosts.begin(),
+               {Report.Host,
+                ZoneId(),
+                Report.Leaving ? MemberState::Leaving : MemberState::Alive,
+                Report.Ready,
+                Report.InForce,
+                {}});
+  for (const HostStatus &Host : Hosts) {
+    if (!isCounted(Host))
       continue;
-    if (Each.InForce >= Offset)
+    if (Host.InForce >= Offset)
       ++this->InForce;
     else
       this->Behind.push_back(fmt::format("{} ({}, at offset {})",
-                                         Each.Host.Value, name(Each.State),
-                                         Each.InForce));
+                                         Host.Host.Value, name(Host.State),
+                                         Host.InForce));
   }
 }
 
--- a/src/tools/LocalCommands.cpp
+++ b/src/tools/LocalCommands.cpp
@@ -51,9 +51,9 @@
 
 Outcome digest(const Options &Opts, std::string_view PresentedKey) {
   const bool IsNew = !Opts.NewKeyName.empty();
-  const std::string Whole =
+  const std::string KeyText =
       IsNew ? newKey(Opts.NewKeyName) : std::string(trimmed(PresentedKey));
-  const auto Key = splitKey(Whole);
+  const auto Key = splitKey(KeyText);
   if (!Key)
     throw Error(ErrorKind::BadInput, "the key is not NAME.SECRET",
                 "give it on one line as it is presented, or --new NAME");
@@ -62,9 +62,10 @@
   Result.Text = Digest.Text + "\n";
   Result.Json = {{"digest", Digest.Text}};
   if (IsNew) {
-    Result.Text = fmt::format(
-        "key to present: {}\nin the catalogue: key = {}\n", Whole, Digest.Text);
-    Result.Json["key"] = Whole;
+    Result.Text =
+        fmt::format("key to present: {}\nin the catalogue: key = {}\n", KeyText,
+                    Digest.Text);
+    Result.Json["key"] = KeyText;
   }
   return Result;
 }
--- a/src/tools/Main.cpp
+++ b/src/tools/Main.cpp
@@ -34,10 +34,10 @@
   return digest(Opts, NeedsKey ? readWholeFile("-") : Opts.Key);
 }
 
-Outcome runRemote(const CommandLine &Asked) {
-  const Options &Opts = Asked.Opts;
-  const std::string_view Name = Asked.Command->Name;
-  BeastTransport Transport(Asked.CertificatesFile);
+Outcome runRemote(const CommandLine &Parsed) {
+  const Options &Opts = Parsed.Opts;
+  const std::string_view Name = Parsed.Command->Name;
+  BeastTransport Transport(Parsed.CertificatesFile);
   SystemClock WallClock;
   OperatorClient Client(Transport, WallClock, Opts);
   if (Name == "apply")
@@ -58,11 +58,11 @@
   return quarantine(Client, Opts);
 }
 
-Outcome run(const CommandLine &Asked) {
-  const std::string_view Name = Asked.Command->Name;
+Outcome run(const CommandLine &Parsed) {
+  const std::string_view Name = Parsed.Command->Name;
   const bool IsLocal =
       Name == "check" || Name == "digest" || Name == "keys" || Name == "fields";
-  return IsLocal ? runLocal(Asked.Opts, Name) : runRemote(Asked);
+  return IsLocal ? runLocal(Parsed.Opts, Name) : runRemote(Parsed);
 }
 
 ExitCode exitCodeOf(ErrorKind Kind) {
@@ -82,13 +82,14 @@
 }
 
 ExitCode runAndPrint(int ArgumentCount, char **Arguments) {
-  const CommandLine Asked = parseCommandLine(ArgumentCount, Arguments);
-  if (Asked.Help) {
-    fmt::print("{}", Asked.Command ? commandHelp(*Asked.Command) : overview());
+  const CommandLine Parsed = parseCommandLine(ArgumentCount, Arguments);
+  if (Parsed.Help) {
+    fmt::print("{}",
+               Parsed.Command ? commandHelp(*Parsed.Command) : overview());
     return ExitCode::Ok;
   }
-  const Outcome Result = run(Asked);
-  fmt::print("{}", Asked.Json ? Result.Json.dump(2) + "\n" : Result.Text);
+  const Outcome Result = run(Parsed);
+  fmt::print("{}", Parsed.Json ? Result.Json.dump(2) + "\n" : Result.Text);
   return Result.Code;
 }
 
--- a/src/tools/OperatorClient.cpp
+++ b/src/tools/OperatorClient.cpp
@@ -13,7 +13,7 @@
 using ReplyState = HostReply::ReplyState;
 using nlohmann::json;
 
-constexpr std::string_view Root = "/v1/operator/";
+constexpr std::string_view OperatorPath = "/v1/operator/";
 /// One call; a host answers a change set as pending before that.
 constexpr Duration CallTimeout = seconds(10);
 constexpr Duration PollInterval = milliseconds(250);
@@ -94,17 +94,18 @@
 }
 
 CatalogueShown OperatorClient::catalogue() {
-  return catalogueShownFromJson(this->get(std::string(Root) + "catalogue"));
+  return catalogueShownFromJson(
+      this->get(std::string(OperatorPath) + "catalogue"));
 }
 
 StatusReport OperatorClient::status() {
-  return statusFromJson(this->get(std::string(Root) + "status"));
+  return statusFromJson(this->get(std::string(OperatorPath) + "status"));
 }
 
 ChangeAnswer OperatorClient::submit(const ChangeSet &Set, Duration Timeout) {
   const Time Deadline = this->WallClock.now() + Timeout;
   HostRequest Req =
-      this->makeRequest(Method::Post, std::string(Root) + "changes");
+      this->makeRequest(Method::Post, std::string(OperatorPath) + "changes");
   Req.Body = toJson(Set).dump();
   ChangeAnswer Answer = this->post(Req);
   while (std::holds_alternative<VerdictPending>(Answer) &&
@@ -133,8 +134,8 @@
 }
 
 ChangeAnswer OperatorClient::verdict(const ChangeId &Id) {
-  const HostRequest Req =
-      this->makeRequest(Method::Get, std::string(Root) + "changes/" + Id.Value);
+  const HostRequest Req = this->makeRequest(
+      Method::Get, std::string(OperatorPath) + "changes/" + Id.Value);
   ChangeAnswer Latest = VerdictPending{"no host answers"};
   for (const Address &Host : this->Opts.Hosts) {
     const HostReply Reply = this->Transport.ask(Host, Req, CallTimeout);
--- a/src/tools/ViewCommands.cpp
+++ b/src/tools/ViewCommands.cpp
@@ -16,7 +16,7 @@
 
 std::string yesNo(bool Value) { return Value ? "yes" : "no"; }
 
-std::string seconds1(Duration Value) {
+std::string secondsText(Duration Value) {
   return fmt::format("{:.1f}s", inSeconds(Value));
 }
 
@@ -33,7 +33,7 @@
     Result +=
         fmt::format("{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n", Each.Host.Value,
                     Each.Zone.Value, name(Each.State), yesNo(Each.Ready),
-                    Each.InForce, seconds1(Each.HeardAgo));
+                    Each.InForce, secondsText(Each.HeardAgo));
   }
   return Result;
 }
@@ -49,7 +49,7 @@
         "{:<16} {:<10} {:<12} {:<8} {:>7} {:>15} {:>13} {:>8}\n", Each.Id.Value,
         Each.Zone.Value, Engine ? "engine" : "application", Each.State,
         Each.Running, Each.QueuedPrefillTokens, Each.FreeMemoryTokens,
-        seconds1(Each.ReportAge));
+        secondsText(Each.ReportAge));
   }
   return Result;
 }
@@ -62,7 +62,7 @@
   for (const QuarantineStatus &Each : Of.Quarantined)
     Result +=
         fmt::format("{:<17} {:>7} {:>10}\n", fingerprintText(Each.Content),
-                    Each.Crashes, seconds1(Each.Until - Now));
+                    Each.Crashes, secondsText(Each.Until - Now));
   return Result;
 }
 
--- a/tests/auto/tools/ApplyTest.cpp
+++ b/tests/auto/tools/ApplyTest.cpp
@@ -11,35 +11,36 @@
 namespace {
 
 /// A deployment of which each answer can be replaced.
-struct Deployment {
-  HostReply PostAnswer = whole(200, R"({"verdict": "accepted", "offset": 20})");
+struct FakeDeployment {
+  HostReply PostAnswer =
+      completeReply(200, R"({"verdict": "accepted", "offset": 20})");
   HostReply VerdictAnswer =
-      whole(200, R"({"verdict": "pending", "message": "wait"})");
+      completeReply(200, R"({"verdict": "pending", "message": "wait"})");
   StatusReport Status{HostId("h1"), true, true, false, 20, 0, {}, {}, {}};
-  int QuietHosts = 0; ///< Of the hosts named, this many don't answer.
+  int UnreachableHosts = 0; ///< Of the hosts named, this many don't answer.
   FakeHosts Hosts{[this](const Address &Host, const HostRequest &Req) {
     return this->answer(Host, Req);
   }};
   FakeClock WallClock;
   Options Opts;
 
-  Deployment() {
+  FakeDeployment() {
     this->Opts.Key = "ring.secret";
     this->Opts.Arguments = {"f.ini"};
     this->Opts.Hosts = {{"127.0.0.1", 1}, {"127.0.0.1", 2}};
   }
 
   HostReply answer(const Address &Host, const HostRequest &Req) {
-    if (Host.Port <= this->QuietHosts)
-      return unreachable();
+    if (Host.Port <= this->UnreachableHosts)
+      return unreachableHost();
     if (Req.Verb == HostRequest::Method::Post)
       return this->PostAnswer;
     if (Req.Target.ends_with("/catalogue"))
-      return whole(
+      return completeReply(
           200,
           toJson(OperatorAnswer(CatalogueShown{9, sampleEntries()})).dump());
     if (Req.Target.ends_with("/status"))
-      return whole(200, toJson(OperatorAnswer(this->Status)).dump());
+      return completeReply(200, toJson(OperatorAnswer(this->Status)).dump());
     return this->VerdictAnswer;
   }
 
@@ -57,7 +58,7 @@
   }
 
   ChangeSet sent() const {
-    for (const HostRequest &Each : this->Hosts.Asked) {
+    for (const HostRequest &Each : this->Hosts.Requests) {
       if (Each.Verb == HostRequest::Method::Post)
         return changeSetFromJson(nlohmann::json::parse(Each.Body));
     }
@@ -65,100 +66,101 @@
   }
 };
 
-bool says(const Outcome &Of, std::string_view Text) {
+bool containsText(const Outcome &Of, std::string_view Text) {
   return Of.Text.find(Text) != std::string::npos;
 }
 
-TEST(Apply, SendsOnlyWhatDiffersAgainstItsVersion) {
-  Deployment World;
-  const Outcome Result = World.applyChange();
+TEST(Apply, SendsOnlyChangedEntriesWithTheirBaseVersion) {
+  FakeDeployment Deployed;
+  const Outcome Result = Deployed.applyChange();
   EXPECT_EQ(Result.Code, ExitCode::Ok);
-  EXPECT_TRUE(says(Result, "~ team house-1\n    weight: 1.5 -> 2"));
-  EXPECT_TRUE(says(Result, "accepted at offset 20; in force on 1 of 1 hosts"));
-  const ChangeSet Sent = World.sent();
+  EXPECT_TRUE(containsText(Result, "~ team house-1\n    weight: 1.5 -> 2"));
+  EXPECT_TRUE(
+      containsText(Result, "accepted at offset 20; in force on 1 of 1 hosts"));
+  const ChangeSet Sent = Deployed.sent();
   ASSERT_EQ(Sent.Changes.size(), 1u);
   EXPECT_EQ(Sent.Id, ChangeId("c1"));
   EXPECT_EQ(Sent.Changes[0].BaseVersion, 7u);
 }
 
-TEST(Apply, LeavesTheEntriesOfOthersAndRemovesOnlyWhenPruning) {
+TEST(Apply, KeepsEntriesOfOtherOwnersAndRemovesOnlyWhenPruning) {
   EntryMap Wanted = sampleEntries();
   Wanted.erase({EntryKind::Class, "confirm"});
   const std::string Text = writeCatalogueIni(Wanted);
-  Deployment Kept;
+  FakeDeployment Kept;
   const Outcome Result = Kept.applyText(Text);
-  EXPECT_TRUE(says(Result, "left to its owner: owner ring"));
-  EXPECT_TRUE(says(Result, "class confirm; --prune removes it"));
-  EXPECT_TRUE(says(Result, "nothing to change"));
-  EXPECT_EQ(Kept.Hosts.posts(), 0u);
-  Deployment Pruned;
+  EXPECT_TRUE(containsText(Result, "left to its owner: owner ring"));
+  EXPECT_TRUE(containsText(Result, "class confirm; --prune removes it"));
+  EXPECT_TRUE(containsText(Result, "nothing to change"));
+  EXPECT_EQ(Kept.Hosts.postCount(), 0u);
+  FakeDeployment Pruned;
   Pruned.Opts.Prune = true;
-  EXPECT_TRUE(says(Pruned.applyText(Text), "- class confirm"));
+  EXPECT_TRUE(containsText(Pruned.applyText(Text), "- class confirm"));
   ASSERT_EQ(Pruned.sent().Changes.size(), 1u);
   EXPECT_FALSE(Pruned.sent().Changes[0].Body.has_value());
 }
 
-TEST(Apply, SettlesALostAnswerByAskingAndNeverSendsAgain) {
+TEST(Apply, ResolvesALostAnswerByQueryAndNeverSendsAgain) {
   for (const HostReply &Answer :
-       {lost(), whole(503, "{}"),
-        whole(200, R"({"verdict": "pending", "message": "wait"})")}) {
-    Deployment World;
-    World.PostAnswer = Answer;
-    World.VerdictAnswer =
-        whole(200, R"({"verdict": "accepted", "offset": 18})");
-    const Outcome Result = World.applyChange();
+       {lostReply(), completeReply(503, "{}"),
+        completeReply(200, R"({"verdict": "pending", "message": "wait"})")}) {
+    FakeDeployment Deployed;
+    Deployed.PostAnswer = Answer;
+    Deployed.VerdictAnswer =
+        completeReply(200, R"({"verdict": "accepted", "offset": 18})");
+    const Outcome Result = Deployed.applyChange();
     EXPECT_EQ(Result.Code, ExitCode::Ok);
-    EXPECT_TRUE(says(Result, "accepted at offset 18"));
-    EXPECT_EQ(World.Hosts.posts(), 1u);
+    EXPECT_TRUE(containsText(Result, "accepted at offset 18"));
+    EXPECT_EQ(Deployed.Hosts.postCount(), 1u);
   }
 }
 
-TEST(Apply, SaysSoWhenTheOutcomeStaysUnknown) {
-  Deployment World;
-  World.PostAnswer = lost();
-  const Outcome Result = World.applyChange();
+TEST(Apply, ReportsAnUnknownOutcome) {
+  FakeDeployment Deployed;
+  Deployed.PostAnswer = lostReply();
+  const Outcome Result = Deployed.applyChange();
   EXPECT_EQ(Result.Code, ExitCode::Unavailable);
-  EXPECT_TRUE(says(Result, "banyanpick verdict c1"));
-  EXPECT_EQ(World.Hosts.posts(), 1u);
+  EXPECT_TRUE(containsText(Result, "banyanpick verdict c1"));
+  EXPECT_EQ(Deployed.Hosts.postCount(), 1u);
 }
 
-TEST(Apply, GoesOnToTheNextHostWhenNothingWasSent) {
-  Deployment World;
-  World.QuietHosts = 1;
-  EXPECT_EQ(World.applyChange().Code, ExitCode::Ok);
-  World.QuietHosts = 2;
-  EXPECT_THROW(World.applyChange(), Error);
+TEST(Apply, UsesTheNextHostWhenNothingWasSent) {
+  FakeDeployment Deployed;
+  Deployed.UnreachableHosts = 1;
+  EXPECT_EQ(Deployed.applyChange().Code, ExitCode::Ok);
+  Deployed.UnreachableHosts = 2;
+  EXPECT_THROW(Deployed.applyChange(), Error);
 }
 
-TEST(Apply, TellsTheRejection) {
-  Deployment World;
-  World.PostAnswer = whole(
+TEST(Apply, ReportsTheRejection) {
+  FakeDeployment Deployed;
+  Deployed.PostAnswer = completeReply(
       200, R"({"verdict": "rejected", "message": "by owner x; apply again"})");
-  const Outcome Result = World.applyChange();
+  const Outcome Result = Deployed.applyChange();
   EXPECT_EQ(Result.Code, ExitCode::Rejected);
-  EXPECT_TRUE(says(Result, "rejected: by owner x; apply again"));
+  EXPECT_TRUE(containsText(Result, "rejected: by owner x; apply again"));
 }
 
-TEST(Apply, NamesTheHostsThatStayBehind) {
-  Deployment World;
-  World.Status.Hosts = {
+TEST(Apply, NamesTheHostsThatAreBehind) {
+  FakeDeployment Deployed;
+  Deployed.Status.Hosts = {
       {HostId("h1"), ZoneId("a"), MemberState::Alive, true, 20, {}},
       {HostId("h2"), ZoneId("a"), MemberState::Alive, true, 19, {}},
       {HostId("h3"), ZoneId("a"), MemberState::Dead, true, 3, {}},
       {HostId("h4"), ZoneId("a"), MemberState::Leaving, true, 3, {}}};
-  const Outcome Result = World.applyChange();
+  const Outcome Result = Deployed.applyChange();
   EXPECT_EQ(Result.Code, ExitCode::NotInForceEverywhere);
-  EXPECT_TRUE(says(Result, "in force on 1 of 2 hosts"));
-  EXPECT_TRUE(says(Result, "not in force on h2 (alive, at offset 19)"));
+  EXPECT_TRUE(containsText(Result, "in force on 1 of 2 hosts"));
+  EXPECT_TRUE(containsText(Result, "not in force on h2 (alive, at offset 19)"));
 }
 
-TEST(Apply, TellsAWrongKeyAndAWrongFile) {
-  Deployment World;
-  World.PostAnswer = whole(
+TEST(Apply, ReportsAWrongKeyAndAWrongFile) {
+  FakeDeployment Deployed;
+  Deployed.PostAnswer = completeReply(
       403, R"({"error": {"kind": "not-allowed", "message": "not valid"}})");
   const auto KindOf = [&](const std::string &Text) {
     try {
-      World.applyText(Text);
+      Deployed.applyText(Text);
     } catch (const Error &Caught) {
       return Caught.kind();
     }
@@ -167,7 +169,7 @@
   EXPECT_EQ(KindOf("[model new]\nowner = ring\nweights = w\n"),
             ErrorKind::NotAllowed);
   EXPECT_EQ(KindOf("[model new]\nowner = ring\n"), ErrorKind::BadInput);
-  World.Opts.Key = "nodot";
+  Deployed.Opts.Key = "nodot";
   EXPECT_EQ(KindOf(""), ErrorKind::NotAllowed);
 }
 
--- a/tests/auto/tools/CommandLineTest.cpp
+++ b/tests/auto/tools/CommandLineTest.cpp
@@ -11,28 +11,28 @@
 namespace banyanpick::tools {
 namespace {
 
-CommandLine parse(std::vector<std::string> Words) {
-  Words.insert(Words.begin(), "banyanpick");
+CommandLine parse(std::vector<std::string> Arguments) {
+  Arguments.insert(Arguments.begin(), "banyanpick");
   std::vector<char *> Pointers;
-  Pointers.reserve(Words.size());
-  for (std::string &Each : Words)
+  Pointers.reserve(Arguments.size());
+  for (std::string &Each : Arguments)
     Pointers.push_back(Each.data());
   return parseCommandLine(static_cast<int>(Pointers.size()), Pointers.data());
 }
 
 TEST(CommandLine, ReadsCommandFlagsAndArguments) {
-  const CommandLine Read =
+  const CommandLine Parsed =
       parse({"apply", "--prune", "--host", "10.0.0.1:7101, 10.0.0.2:7102",
              "f.ini", "--timeout=500ms"});
-  EXPECT_EQ(Read.Command->Name, "apply");
-  EXPECT_TRUE(Read.Opts.Prune);
-  EXPECT_EQ(Read.Opts.Arguments, std::vector<std::string>{"f.ini"});
-  EXPECT_EQ(Read.Opts.Timeout, milliseconds(500));
-  EXPECT_EQ(Read.Opts.Hosts,
+  EXPECT_EQ(Parsed.Command->Name, "apply");
+  EXPECT_TRUE(Parsed.Opts.Prune);
+  EXPECT_EQ(Parsed.Opts.Arguments, std::vector<std::string>{"f.ini"});
+  EXPECT_EQ(Parsed.Opts.Timeout, milliseconds(500));
+  EXPECT_EQ(Parsed.Opts.Hosts,
             (std::vector<Address>{{"10.0.0.1", 7101}, {"10.0.0.2", 7102}}));
 }
 
-TEST(CommandLine, RefusesWhatItDoesNotKnow) {
+TEST(CommandLine, RefusesUnknownAndMalformedInput) {
   const std::vector<std::vector<std::string>> Wrong{
       {},
       {"shwo"},
@@ -44,17 +44,17 @@
       {"history", "--from", "-3"},
       {"apply", "f", "--timeout", "20"},
       {"show", "--key_file", "/no/such/file"}};
-  for (const auto &Words : Wrong) {
+  for (const auto &Arguments : Wrong) {
     try {
-      parse(Words);
-      ADD_FAILURE() << (Words.empty() ? "" : Words.back());
+      parse(Arguments);
+      ADD_FAILURE() << (Arguments.empty() ? "" : Arguments.back());
     } catch (const Error &Caught) {
       EXPECT_EQ(Caught.kind(), ErrorKind::BadInput);
     }
   }
 }
 
-TEST(CommandLine, HelpsOnEachCommand) {
+TEST(CommandLine, PrintsHelpForEachCommand) {
   for (const CommandHelp &Each : allCommands()) {
     EXPECT_NE(overview().find(std::string(Each.Name)), std::string::npos);
     EXPECT_NE(commandHelp(Each).find("Exit codes"), std::string::npos);
@@ -67,17 +67,18 @@
   EXPECT_THROW(digest({}, "nodot"), Error);
   Options New;
   New.NewKeyName = "ring";
-  const Outcome Fresh = digest(New, "");
-  const std::string Key = Fresh.Json.at("key");
-  EXPECT_TRUE(matchesDigest(splitKey(Key)->Secret, {Fresh.Json.at("digest")}));
+  const Outcome Generated = digest(New, "");
+  const std::string Key = Generated.Json.at("key");
+  EXPECT_TRUE(
+      matchesDigest(splitKey(Key)->Secret, {Generated.Json.at("digest")}));
   New.NewKeyName = "a.b";
   EXPECT_THROW(digest(New, ""), Error);
 }
 
-TEST(Resolve, ShowsHostsAndTimeToLive) {
+TEST(Resolve, ShowsHostsAndTtl) {
   FakeHosts Hosts([](const Address &, const HostRequest &Req) {
     EXPECT_EQ(Req.Target, "/v1/resolve?team=t&zone=z");
-    return whole(200, R"({"hosts": ["127.0.0.1:1"], "ttl_ms": 5000})");
+    return completeReply(200, R"({"hosts": ["127.0.0.1:1"], "ttl_ms": 5000})");
   });
   FakeClock WallClock;
   Options Opts;
@@ -88,7 +89,7 @@
   EXPECT_EQ(resolve(Client, Opts).Text, "127.0.0.1:1\nvalid for 5s\n");
 }
 
-TEST(BeastTransport, TellsThatNothingWasSent) {
+TEST(BeastTransport, ReportsThatNothingWasSent) {
   BeastTransport Plain("");
   EXPECT_EQ(Plain.ask({"127.0.0.1", 1}, {}, seconds(5)).State,
             HostReply::ReplyState::NotSent);
--- a/tests/auto/tools/FakeHosts.h
+++ b/tests/auto/tools/FakeHosts.h
@@ -10,13 +10,13 @@
 
 namespace banyanpick::tools {
 
-inline HostReply whole(unsigned Status, std::string Body) {
+inline HostReply completeReply(unsigned Status, std::string Body) {
   return {HostReply::ReplyState::Complete, Status, std::move(Body), ""};
 }
-inline HostReply unreachable() {
+inline HostReply unreachableHost() {
   return {HostReply::ReplyState::NotSent, 0, "", "refused"};
 }
-inline HostReply lost() {
+inline HostReply lostReply() {
   return {HostReply::ReplyState::Lost, 0, "", "timeout"};
 }
 
@@ -28,18 +28,18 @@
 
   HostReply ask(const Address &Host, const HostRequest &Req,
                 Duration) override {
-    this->Asked.push_back(Req);
+    this->Requests.push_back(Req);
     return this->Script(Host, Req);
   }
 
-  std::size_t posts() const {
+  std::size_t postCount() const {
     std::size_t Count = 0;
-    for (const HostRequest &Each : this->Asked)
+    for (const HostRequest &Each : this->Requests)
       Count += Each.Verb == HostRequest::Method::Post;
     return Count;
   }
 
-  std::vector<HostRequest> Asked;
+  std::vector<HostRequest> Requests;
 
 private:
   Answer Script;
@@ -47,11 +47,11 @@
 
 class FakeClock : public Clock {
 public:
-  Time now() override { return this->Present; }
-  void sleep(Duration Length) override { this->Present += Length; }
+  Time now() override { return this->Current; }
+  void sleep(Duration Length) override { this->Current += Length; }
 
 private:
-  Time Present{};
+  Time Current{};
 };
 
 } // namespace banyanpick::tools
