--- a/src/tools/ApplyCommand.cpp
+++ b/src/tools/ApplyCommand.cpp
@@ -18,7 +18,7 @@
 
 constexpr Duration PollInterval = milliseconds(250);
 
-/// The file against what is in force.
+/// A file of declarations compared with the catalogue in force.
 struct Comparison {
   CatalogueShown InForce;
   CatalogueDiff Diff;
@@ -27,7 +27,8 @@
 OwnerId authorOf(const Options &Opts) {
   const auto Key = splitKey(Opts.Key);
   if (!Key)
-    throw Error(ErrorKind::NotAllowed, "the key is not OWNER.SECRET",
+    throw Error(ErrorKind::NotAllowed,
+                "the key does not have the form OWNER.SECRET",
                 "give the owner's key in BANYANPICK_KEY or --key_file");
   return OwnerId(std::string(Key->Name));
 }
@@ -35,35 +36,36 @@
 Comparison compare(OperatorClient &Client, const Options &Opts,
                    std::string_view FileText) {
   const OwnerId Author = authorOf(Opts);
-  Comparison Result;
-  Result.InForce = Client.catalogue();
-  const EntryMap Declared =
-      readDeclarations(Opts.Arguments.at(0), FileText, &Result.InForce.Entries);
-  Result.Diff =
-      difference(Declared, Result.InForce.Entries, Author, Opts.Prune);
-  return Result;
+  Comparison Compared;
+  Compared.InForce = Client.catalogue();
+  const EntryMap Declared = readDeclarations(Opts.Arguments.at(0), FileText,
+                                             &Compared.InForce.Entries);
+  Compared.Diff =
+      difference(Declared, Compared.InForce.Entries, Author, Opts.Prune);
+  return Compared;
 }
 
-std::string describeUntouched(const CatalogueDiff &Of, bool Prune) {
+std::string describeUntouched(const CatalogueDiff &Diff, bool Prune) {
   std::string Result;
-  for (const EntryKey &Each : Of.OwnedByOthers)
-    Result += "left to its owner: " + text(Each) + "\n";
+  for (const EntryKey &Key : Diff.OwnedByOthers)
+    Result += "left to its owner: " + text(Key) + "\n";
   if (Prune)
     return Result;
-  for (const EntryKey &Each : Of.Undeclared)
-    Result += "in force but not in the file: " + text(Each) +
-              "; --prune removes it\n";
+  for (const EntryKey &Key : Diff.Undeclared)
+    Result +=
+        "in force but not in the file: " + text(Key) + "; --prune removes it\n";
   return Result;
 }
 
-std::string describeChanges(const Comparison &Of) {
+std::string describeChanges(const Comparison &Compared) {
   std::string Result;
-  for (const Change &Each : Of.Diff.Changes)
-    Result += describe(Each, Of.InForce.Entries);
+  for (const Change &Changed : Compared.Diff.Changes)
+    Result += describe(Changed, Compared.InForce.Entries);
   return Result;
 }
 
-/// Asks for the status until all live hosts are at the offset.
+/// Polls the status until all live hosts have reached \p Offset or \p Timeout
+/// has passed. Returns the latest check.
 InForceCheck waitUntilInForce(OperatorClient &Client, Clock &WallClock,
                               LogOffset Offset, Duration Timeout) {
   const Time Deadline = WallClock.now() + Timeout;
@@ -83,10 +85,10 @@
   Result.Text = fmt::format("accepted at offset {}; in force on {} of {} "
                             "hosts\n",
                             Offset, Check.hostsInForce(), Check.liveHosts());
-  for (const std::string &Each : Check.hostsBehind())
+  for (const std::string &Host : Check.hostsBehind())
     Result.Text += fmt::format("not in force on {}; look at that host's log, "
                                "or stop it\n",
-                               Each);
+                               Host);
   Result.Json = {{"verdict", "accepted"},
                  {"change", Set.Id.Value},
                  {"offset", Offset},
@@ -129,16 +131,16 @@
   const ChangeAnswer Answer = Client.submit(Set, Opts.Timeout);
   Outcome Result = match(
       Answer,
-      [&](const ChangesAccepted &Of) {
+      [&](const ChangesAccepted &Verdict) {
         return acceptedOutcome(
-            waitUntilInForce(Client, WallClock, Of.Offset, Opts.Timeout), Set,
-            Of.Offset);
+            waitUntilInForce(Client, WallClock, Verdict.Offset, Opts.Timeout),
+            Set, Verdict.Offset);
       },
-      [&](const ChangesRejected &Of) {
-        return rejectedOutcome(Set, Of.Message);
+      [&](const ChangesRejected &Verdict) {
+        return rejectedOutcome(Set, Verdict.Message);
       },
-      [&](const VerdictPending &Of) {
-        return pendingOutcome(Set, Of.Message);
+      [&](const VerdictPending &Verdict) {
+        return pendingOutcome(Set, Verdict.Message);
       });
   Result.Text = describeChanges(Compared) + Notes + Result.Text;
   return Result;
--- a/src/tools/ApplyCommand.h
+++ b/src/tools/ApplyCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// `banyanpick apply` and `diff`.
+/// The commands `apply` and `diff` of the command line.
 #pragma once
 
 #include "tools/OperatorClient.h"
@@ -7,14 +7,14 @@
 
 namespace banyanpick::tools {
 
-/// Brings the author's entries to what the file \p FileText declares and waits
-/// until that is in force on every live host. \p Fresh is the change set's id
-/// unless the options give one. Throws Error(BadInput) with every problem of
-/// the file.
+/// Changes the entries of the key's owner to what \p FileText declares. Waits
+/// until the change is in force on every live host, or until the timeout of the
+/// options. \p NewId is the id of the change set unless the options give one.
+/// Throws Error(BadInput) with every problem of the file.
 Outcome apply(OperatorClient &Client, Clock &WallClock, const Options &Opts,
               std::string_view FileText, const ChangeId &NewId);
 
-/// What apply() would change.
+/// Describes what apply() would change.
 Outcome diff(OperatorClient &Client, const Options &Opts,
              std::string_view FileText);
 
--- a/src/tools/BeastTransport.cpp
+++ b/src/tools/BeastTransport.cpp
@@ -21,7 +21,7 @@
 using Tcp = asio::ip::tcp;
 using TlsStream = beast::ssl_stream<beast::tcp_stream>;
 
-/// A catalogue of 36,000 teams stays far below this.
+/// Limit of a response body. A catalogue of 36,000 teams is far smaller.
 constexpr std::uint64_t MaxResponseBytes = 256ULL * 1024 * 1024;
 
 http::verb verbOf(HostRequest::Method Verb) {
@@ -51,8 +51,9 @@
   return Result;
 }
 
-/// One exchange. Beast's timeouts work with asynchronous calls only, so each
-/// step is one, run to its end.
+/// One HTTP request with its response. Beast's timeouts work only with
+/// asynchronous operations, so each operation is asynchronous and is run to
+/// completion before the next one starts.
 template <class Stream> class Exchange {
 public:
   Exchange(asio::io_context &IoContext, Stream &Connection)
@@ -139,8 +140,8 @@
   this->Tls->Context.load_verify_file(CertificatesFile, Failure);
   if (Failure)
     throw Error(ErrorKind::BadInput,
-                "can't read certificates from " + CertificatesFile,
-                "give a file in PEM form");
+                "cannot read the certificates in " + CertificatesFile,
+                "give a file in PEM format");
   this->Tls->Context.set_verify_mode(asio::ssl::verify_peer);
 }
 
--- a/src/tools/BeastTransport.h
+++ b/src/tools/BeastTransport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to entry hosts by Boost.Beast, one connection a call.
+/// HTTP calls to entry hosts with Boost.Beast, one connection for each call.
 #pragma once
 
 #include "tools/HostTransport.h"
@@ -8,12 +8,13 @@
 
 namespace banyanpick::tools {
 
-/// With a file of certificates given, calls go over TLS and a host must prove
-/// its IP number by a certificate that one of these signed.
+/// Calls entry hosts over plain TCP, or over TLS if a certificate file is
+/// given. With TLS, a host must present a certificate for its IP address that
+/// is signed by one of the certificates in the file.
 class BeastTransport : public HostTransport {
 public:
-  /// \p CertificatesFile is in PEM; empty: no TLS. Throws Error(BadInput) when
-  /// it can't be read.
+  /// \p CertificatesFile is in PEM format; if empty, TLS is not used. Throws
+  /// Error(BadInput) if the file cannot be read.
   explicit BeastTransport(const std::string &CertificatesFile);
   ~BeastTransport() override;
 
--- a/src/tools/CommandLine.cpp
+++ b/src/tools/CommandLine.cpp
@@ -33,7 +33,7 @@
   throw Error(ErrorKind::BadInput, Problem, "see banyanpick --help");
 }
 
-/// A flag as it was written.
+/// The name of one flag and whether its value is part of the argument.
 struct ParsedFlag {
   std::string Name;
   bool HasValue = false; ///< `--name=value`
@@ -45,8 +45,8 @@
   return {std::string(Text.substr(0, Equals)), Equals != Text.npos};
 }
 
-/// gflags ends the process with its own exit code on an unknown flag, so that
-/// flags are looked at before it sees them.
+/// Checks the flags before gflags parses them, because gflags ends the process
+/// with its own exit code on an unknown flag.
 void checkFlags(int ArgumentCount, char **Arguments) {
   for (int Index = 1; Index < ArgumentCount; ++Index) {
     const std::string_view Text = Arguments[Index];
@@ -55,7 +55,7 @@
     const ParsedFlag Flag = splitFlag(Text);
     gflags::CommandLineFlagInfo Info;
     if (!gflags::GetCommandLineFlagInfo(Flag.Name.c_str(), &Info))
-      throwUsage("--" + Flag.Name + " is no flag");
+      throwUsage("--" + Flag.Name + " is not a flag");
     if (Info.type == "bool" && Flag.HasValue)
       throwUsage("--" + Flag.Name + " takes no value");
     if (Info.type == "bool" || Flag.HasValue)
@@ -79,14 +79,14 @@
   const auto Value = parseDuration(FLAGS_timeout);
   if (!Value || *Value < Duration::zero())
     throwUsage("--timeout " + FLAGS_timeout +
-               " is no duration such as 20s or 500ms");
+               " is not a duration such as 20s or 500ms");
   return *Value;
 }
 
 std::uint64_t parseOffset() {
   const auto Value = parseNumber(SettingKind::Whole, FLAGS_from);
   if (!Value || *Value < 0 || *Value > 1e18)
-    throwUsage("--from " + FLAGS_from + " is no offset");
+    throwUsage("--from " + FLAGS_from + " is not an offset");
   return static_cast<std::uint64_t>(*Value);
 }
 
@@ -115,19 +115,20 @@
   Result.CertificatesFile = FLAGS_ca_file;
   if (ArgumentCount < 2) {
     if (!Result.Help)
-      throwUsage("no command is given");
+      throwUsage("no command given");
     return Result;
   }
   Result.Command = findCommand(Arguments[1]);
   if (!Result.Command)
-    throwUsage("'" + std::string(Arguments[1]) + "' is no command");
+    throwUsage("'" + std::string(Arguments[1]) + "' is not a command");
   if (Result.Help)
     return Result;
   Result.Opts = optionsFromFlags();
   Result.Opts.Arguments.assign(Arguments + 2, Arguments + ArgumentCount);
   if (Result.Opts.Arguments.size() != Result.Command->ArgumentCount)
     throw Error(ErrorKind::BadInput,
-                std::string(Result.Command->Name) + " has other arguments",
+                std::string(Result.Command->Name) +
+                    " has the wrong number of arguments",
                 "see banyanpick " + std::string(Result.Command->Name) +
                     " --help");
   return Result;
@@ -154,7 +155,7 @@
     Text.remove_prefix(std::min(Comma + 1, Text.size()));
   }
   if (Result.empty())
-    throwUsage("--host names no host");
+    throwUsage("--host does not name a host");
   return Result;
 }
 
--- a/src/tools/CommandLine.h
+++ b/src/tools/CommandLine.h
@@ -1,5 +1,5 @@
 /// \file
-/// From the process's arguments to Options, by gflags.
+/// Parses the arguments of the process with gflags.
 #pragma once
 
 #include "tools/CommandTable.h"
@@ -7,19 +7,21 @@
 
 namespace banyanpick::tools {
 
-/// What was asked for.
+/// The parsed command line.
 struct CommandLine {
-  const CommandHelp *Command = nullptr; ///< Null: the overview.
+  const CommandHelp *Command =
+      nullptr; ///< Null if only the overview is wanted.
   bool Help = false;
   bool Json = false;
   std::string CertificatesFile;
   Options Opts;
 };
 
-/// Throws Error(BadInput) on unknown commands and flags and malformed values.
+/// Throws Error(BadInput) for unknown commands, unknown flags and malformed
+/// values.
 CommandLine parseCommandLine(int ArgumentCount, char **Arguments);
 
-/// `ip:port[,ip:port]`. Throws Error(BadInput).
+/// Parses `ip:port[,ip:port]`. Throws Error(BadInput) if malformed or empty.
 std::vector<Address> parseHosts(std::string_view Text);
 
 } // namespace banyanpick::tools
--- a/src/tools/CommandTable.cpp
+++ b/src/tools/CommandTable.cpp
@@ -16,25 +16,25 @@
     {"fields", "", 0, "",
      "Prints the keys of a file of declarations, as a page.", ""},
     {"apply", "FILE", 1, "--prune --timeout --change_id",
-     "Brings the catalogue to what FILE declares.",
-     R"(Changes the entries of the key's owner and leaves those of others alone.
-Ends when the change is in force on every live host, or says which are behind.
-A lost answer is settled by asking, never by sending again.
+     "Changes the catalogue in force to what FILE declares.",
+     R"(Changes only the entries of the key's owner. Ends when the change is in force on
+every live host, or names the hosts that are behind. After a lost answer, asks
+for the verdict and never sends the change again.
 )"},
     {"diff", "FILE", 1, "--prune", "Shows what apply would change.", ""},
     {"show", "", 0, "", "Prints the catalogue in force, in INI.", ""},
     {"history", "", 0, "--from", "Prints change sets with their verdicts.", ""},
-    {"verdict", "CHANGE", 1, "", "Tells what became of a change set.", ""},
+    {"verdict", "CHANGE", 1, "", "Prints the verdict on a change set.", ""},
     {"status", "", 0, "", "Shows hosts, upstreams and quarantine.", ""},
     {"resolve", "", 0, "--team --zone",
-     "Shows which hosts a caller is told to use; needs no key.", ""},
+     "Shows which hosts callers are directed to; needs no key.", ""},
     {"digest", "", 0, "--new", "Prints the salted hash of a key.",
      R"(The key, NAME.SECRET, is read from --key_file, BANYANPICK_KEY or standard
-input. The hash is what stands in the catalogue.
+input. The catalogue contains only the hash.
 )"},
     {"keys", "", 0, "", "Makes the CURVE key pair of an entry host.", ""},
     {"quarantine", "release FINGERPRINT", 2, "",
-     "Lets a quarantined request run again.", ""},
+     "Releases a request from quarantine.", ""},
 }};
 
 constexpr std::string_view CommonHelp =
@@ -78,8 +78,9 @@
 }
 
 std::string overview() {
-  std::string Result = "usage: banyanpick COMMAND [ARGUMENTS] [FLAGS]\n\n"
-                       "Drives a deployment by its catalogue.\n\nCommands:\n";
+  std::string Result =
+      "usage: banyanpick COMMAND [ARGUMENTS] [FLAGS]\n\n"
+      "Operates a deployment through its catalogue.\n\nCommands:\n";
   for (const CommandHelp &Command : Commands)
     Result += fmt::format("  {:<32}{}\n",
                           fmt::format("{} {}", Command.Name, Command.Arguments),
--- a/src/tools/CommandTable.h
+++ b/src/tools/CommandTable.h
@@ -8,25 +8,25 @@
 
 namespace banyanpick::tools {
 
-/// One command as --help shows it.
+/// The help of one command.
 struct CommandHelp {
   std::string_view Name;
-  std::string_view Arguments; ///< Such as `FILE`; empty: none.
+  std::string_view Arguments; ///< For example `FILE`; may be empty.
   std::size_t ArgumentCount;
-  std::string_view Flags; ///< Those it reads, beside the common ones.
+  std::string_view Flags; ///< Flags beside the common ones.
   std::string_view Summary;
-  std::string_view Text; ///< More to say; lines are broken already.
+  std::string_view Text; ///< Details, with line breaks.
 };
 
 std::span<const CommandHelp> allCommands();
 
-/// The command of this name, or null.
+/// Returns the command \p Name, or null if there is none.
 const CommandHelp *findCommand(std::string_view Name);
 
-/// All commands, exit codes and common flags.
+/// Returns the help text with all commands, exit codes and common flags.
 std::string overview();
 
-/// The help of one command.
+/// Returns the help text of one command.
 std::string commandHelp(const CommandHelp &Command);
 
 } // namespace banyanpick::tools
--- a/src/tools/DeclarationFile.cpp
+++ b/src/tools/DeclarationFile.cpp
@@ -39,8 +39,8 @@
   CatalogueFile File = readCatalogueIni(Text, InForce);
   if (!File.Problems.empty())
     throw Error(ErrorKind::BadInput,
-                "the file is wrong\n" + problemLines(FileName, File.Problems),
-                "mend these lines and try again");
+                "the file has errors\n" + problemLines(FileName, File.Problems),
+                "correct these lines and run the command again");
   return std::move(File.Entries);
 }
 
@@ -49,8 +49,8 @@
     return readStream(std::cin);
   std::ifstream File(FileName);
   if (!File)
-    throw Error(ErrorKind::BadInput, "can't read " + FileName,
-                "look at its name and permissions");
+    throw Error(ErrorKind::BadInput, "cannot read " + FileName,
+                "check its name and permissions");
   return readStream(File);
 }
 
--- a/src/tools/HostTransport.h
+++ b/src/tools/HostTransport.h
@@ -1,5 +1,6 @@
 /// \file
-/// How the command line reaches entry hosts and passes time.
+/// The interfaces through which the command line calls entry hosts and reads
+/// the time.
 #pragma once
 
 #include "base/Time.h"
@@ -14,22 +15,22 @@
   enum class Method { Get, Post, Delete } Verb = Method::Get;
   std::string Target;
   std::string Body{};
-  std::string Key{}; ///< Sent as bearer token when not empty.
+  std::string Key{}; ///< Sent as a bearer token unless empty.
 };
 
-/// How it went.
+/// The result of one call.
 struct HostReply {
   enum class ReplyState {
-    NotSent, ///< Nothing was sent.
-    Lost,    ///< It may have taken effect, but no whole answer came.
+    NotSent, ///< The request was not sent.
+    Lost,    ///< Sent, perhaps executed; no complete response arrived.
     Complete,
   } State = ReplyState::NotSent;
   unsigned Status = 0;
   std::string Body;
-  std::string Problem; ///< Why there is no whole answer.
+  std::string Problem; ///< Why there is no complete response.
 };
 
-/// Asks one host once.
+/// Sends one request to one host.
 class HostTransport {
 public:
   virtual ~HostTransport() = default;
@@ -37,7 +38,7 @@
                         Duration Timeout) = 0;
 };
 
-/// Tells the time and lets it pass.
+/// Reads the time and waits. Tests replace it.
 class Clock {
 public:
   virtual ~Clock() = default;
--- a/src/tools/InForceCheck.h
+++ b/src/tools/InForceCheck.h
@@ -1,5 +1,5 @@
 /// \file
-/// On how many hosts an offset is in force.
+/// Checks on how many hosts a log offset is in force.
 #pragma once
 
 #include "kernel/Operator.h"
@@ -9,8 +9,8 @@
 
 namespace banyanpick::tools {
 
-/// Counts the host that reported and the others that it hears of. Hosts that
-/// are dead or leaving are not counted; suspect ones are.
+/// Counts the reporting host and the other hosts in its report. Alive and
+/// suspect hosts are counted; dead and leaving ones are not.
 class InForceCheck {
 public:
   InForceCheck(const StatusReport &Report, LogOffset Offset);
@@ -18,7 +18,8 @@
   bool isInForceEverywhere() const { return this->Behind.empty(); }
   std::size_t hostsInForce() const { return this->InForce; }
   std::size_t liveHosts() const { return this->InForce + this->Behind.size(); }
-  /// Names of the hosts where it is not in force, with what they are at.
+  /// The hosts where the offset is not in force, each with its state and
+  /// offset.
   const std::vector<std::string> &hostsBehind() const { return this->Behind; }
 
 private:
--- a/src/tools/LocalCommands.cpp
+++ b/src/tools/LocalCommands.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t SaltBytes = 16;
 constexpr std::size_t SecretBytes = 24;
-/// Length of a CURVE key in the Z85 form, with its end.
+/// Length of a CURVE key in Z85, with the terminating zero.
 constexpr std::size_t CurveKeyCharacters = 41;
 
 std::string randomHex(std::size_t Bytes) {
@@ -55,8 +55,9 @@
       IsNew ? newKey(Opts.NewKeyName) : std::string(trimmed(PresentedKey));
   const auto Key = splitKey(KeyText);
   if (!Key)
-    throw Error(ErrorKind::BadInput, "the key is not NAME.SECRET",
-                "give it on one line as it is presented, or --new NAME");
+    throw Error(ErrorKind::BadInput,
+                "the key does not have the form NAME.SECRET",
+                "give the key on one line, or create one with --new NAME");
   const KeyDigest Digest = digestOfKey(Key->Secret, randomHex(SaltBytes));
   Outcome Result;
   Result.Text = Digest.Text + "\n";
@@ -79,8 +80,8 @@
   std::array<char, CurveKeyCharacters> Public{};
   std::array<char, CurveKeyCharacters> Secret{};
   if (zmq_curve_keypair(Public.data(), Secret.data()) != 0)
-    throw Error(ErrorKind::Internal, "ZeroMQ makes no CURVE keys",
-                "install a libzmq that is built with CURVE");
+    throw Error(ErrorKind::Internal, "ZeroMQ cannot create CURVE keys",
+                "install a libzmq that was built with CURVE");
   return {ExitCode::Ok,
           fmt::format("curve_public_key = {}\ncurve_secret_key = {}\n",
                       Public.data(), Secret.data()),
--- a/src/tools/LocalCommands.h
+++ b/src/tools/LocalCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// The commands that need no entry host.
+/// The commands that do not call an entry host.
 #pragma once
 
 #include "tools/Options.h"
@@ -9,17 +9,19 @@
 
 namespace banyanpick::tools {
 
-/// `check FILE`. Throws Error(BadInput) with every problem of the file.
+/// `check FILE`: checks a file of declarations. Throws Error(BadInput) with
+/// every problem of the file.
 Outcome check(const Options &Opts, std::string_view FileText);
 
-/// `digest`: the salted hash of the secret in \p PresentedKey, `NAME.SECRET`,
-/// or of a new one. Throws Error(BadInput) when the key is malformed.
+/// `digest`: returns the salted hash of the secret in \p PresentedKey, which
+/// has the form `NAME.SECRET`, or of a new key. Throws Error(BadInput) if the
+/// key is malformed.
 Outcome digest(const Options &Opts, std::string_view PresentedKey);
 
-/// `fields`: the page of what may stand in a file of declarations.
+/// `fields`: returns the page with the keys of a file of declarations.
 Outcome fields();
 
-/// `keys`: a new CURVE key pair for an entry host.
+/// `keys`: returns a new CURVE key pair for an entry host.
 Outcome keys();
 
 } // namespace banyanpick::tools
--- a/src/tools/Main.cpp
+++ b/src/tools/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' command line.
+/// The main program of the operators' command line.
 
 #include "base/Error.h"
 #include "tools/ApplyCommand.h"
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// Unique without agreement; a change set of the same id counts once.
+/// Returns a random id, unique without coordination between clients. A change
+/// set with the same id is applied only once.
 ChangeId newChangeId() {
   return ChangeId(fmt::format("{:08x}{:08x}{:08x}{:08x}", randombytes_random(),
                               randombytes_random(), randombytes_random(),
@@ -96,8 +97,9 @@
 ExitCode guardedMain(int ArgumentCount, char **Arguments) {
   try {
     if (sodium_init() < 0)
-      throw Error(ErrorKind::Internal, "libsodium finds no random numbers",
-                  "look at /dev/urandom of this machine");
+      throw Error(ErrorKind::Internal,
+                  "libsodium has no source of random numbers",
+                  "check /dev/urandom on this machine");
     return runAndPrint(ArgumentCount, Arguments);
   } catch (const Error &Caught) {
     fmt::print(stderr, "banyanpick: {}\n", Caught.what());
--- a/src/tools/OperatorClient.cpp
+++ b/src/tools/OperatorClient.cpp
@@ -14,19 +14,20 @@
 using nlohmann::json;
 
 constexpr std::string_view OperatorPath = "/v1/operator/";
-/// One call; a host answers a change set as pending before that.
+/// Timeout of one call. A host answers a change set as pending before this
+/// time.
 constexpr Duration CallTimeout = seconds(10);
 constexpr Duration PollInterval = milliseconds(250);
 
 json parse(const HostReply &Reply) {
   json Result = json::parse(Reply.Body, nullptr, false);
   if (Result.is_discarded())
-    throw Error(ErrorKind::Unavailable, "the host's answer is no JSON",
-                "look whether --host names an entry host of banyanpick");
+    throw Error(ErrorKind::Unavailable, "the host's answer is not JSON",
+                "check that --host names an entry host of banyanpick");
   return Result;
 }
 
-/// The message of an error body; it names its remedy.
+/// Returns the message of an error body, which includes the remedy.
 std::string messageOf(const json &Body) {
   const auto Found = Body.find("error");
   if (Found == Body.end() || !Found->is_object())
@@ -34,7 +35,8 @@
   return Found->value("message", "no message");
 }
 
-/// Whether another host may answer what this one did not.
+/// Whether the host failed to serve the request, so that another host may serve
+/// it.
 bool isServerError(const HostReply &Reply) { return Reply.Status >= 500; }
 
 void throwIfRefused(const HostReply &Reply) {
@@ -124,7 +126,7 @@
       Problems += problemOf(Host, Reply);
       continue;
     }
-    // From here on it may have taken effect: it is never sent again.
+    // The change set may have taken effect, so it is never sent again.
     if (Reply.State == ReplyState::Lost || isServerError(Reply))
       return VerdictPending{"no answer from" + problemOf(Host, Reply)};
     throwIfRefused(Reply);
--- a/src/tools/OperatorClient.h
+++ b/src/tools/OperatorClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' calls, asked of whichever entry host answers.
+/// Client of the operators' HTTP interface.
 #pragma once
 
 #include "operators/OperatorJson.h"
@@ -11,29 +11,31 @@
 
 namespace banyanpick::tools {
 
-/// Throws Error: NotAllowed, BadInput as the hosts say, or Unavailable when
-/// no host gives an answer.
+/// Sends the operators' calls to the given entry hosts in turn until one
+/// answers. Throws Error: NotAllowed or BadInput if a host refuses the call,
+/// Unavailable if no host answers.
 class OperatorClient {
 public:
   OperatorClient(HostTransport &Transport, Clock &WallClock,
                  const Options &Opts)
       : Transport(Transport), WallClock(WallClock), Opts(Opts) {}
 
-  /// Reads \p Target on the first host that answers.
+  /// Returns \p Target from the first host that answers.
   nlohmann::json get(const std::string &Target);
 
-  /// The same for a call that may be repeated.
+  /// Deletes \p Target on the first host that answers. The call must be
+  /// idempotent, because it may reach several hosts.
   nlohmann::json remove(const std::string &Target);
 
   CatalogueShown catalogue();
   StatusReport status();
 
-  /// Hands the change set in once and finds out its verdict. A lost or pending
-  /// answer is settled by asking for the verdict, on any host. Pending when
-  /// none is known after \p Timeout.
+  /// Sends the change set at most once and returns its verdict. If the answer
+  /// is lost or pending, polls the hosts for the verdict. Returns
+  /// VerdictPending if no verdict is known after \p Timeout.
   ChangeAnswer submit(const ChangeSet &Set, Duration Timeout);
 
-  /// The verdict as known now on any host.
+  /// Returns the verdict if any host knows it now, otherwise VerdictPending.
   ChangeAnswer verdict(const ChangeId &Id);
 
 private:
--- a/src/tools/Options.h
+++ b/src/tools/Options.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command line, parsed.
+/// The options of the command line.
 #pragma once
 
 #include "base/Time.h"
@@ -10,18 +10,18 @@
 
 namespace banyanpick::tools {
 
-/// What the flags and arguments say.
+/// The parsed flags and arguments.
 struct Options {
-  std::vector<std::string> Arguments; ///< Behind the command's name.
+  std::vector<std::string> Arguments; ///< After the name of the command.
   std::vector<Address> Hosts;
-  std::string Key; ///< `OWNER.SECRET`; empty when none was given.
+  std::string Key; ///< `OWNER.SECRET`; empty if not given.
   Duration Timeout = seconds(20);
   bool Prune = false;
-  std::string ChangeId; ///< Empty: a fresh one.
+  std::string ChangeId; ///< If empty, a new id is used.
   std::uint64_t FromOffset = 0;
   std::string Team;
   std::string Zone;
-  std::string NewKeyName; ///< Of `digest`: make a key of this name.
+  std::string NewKeyName; ///< Name of the key that `digest` creates.
 };
 
 } // namespace banyanpick::tools
--- a/src/tools/Outcome.h
+++ b/src/tools/Outcome.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a command of the command line comes to.
+/// The result of a command of the command line.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,18 +7,18 @@
 
 namespace banyanpick::tools {
 
-/// The process's exit code.
+/// The exit code of the process.
 enum class ExitCode {
   Ok = 0,
   Rejected = 1,
-  BadInput = 2, ///< Wrong file, flag or argument.
+  BadInput = 2, ///< Invalid file, flag or argument.
   Unavailable = 3,
   NotAllowed = 4,
   NotInForceEverywhere = 5,
   Internal = 6,
 };
 
-/// Printed on standard output: the text, or with --json the JSON.
+/// Printed to standard output: the text, or the JSON with --json.
 struct Outcome {
   ExitCode Code = ExitCode::Ok;
   std::string Text;
--- a/src/tools/ViewCommands.cpp
+++ b/src/tools/ViewCommands.cpp
@@ -20,84 +20,89 @@
   return fmt::format("{:.1f}s", inSeconds(Value));
 }
 
-std::string hostLines(const StatusReport &Of) {
+std::string hostLines(const StatusReport &Report) {
   std::string Result =
       fmt::format("{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n", "HOST", "ZONE",
                   "STATE", "READY", "IN FORCE", "HEARD");
-  Result += fmt::format(
-      "{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n", Of.Host.Value, "(asked)",
-      Of.Leaving ? "leaving" : "alive", yesNo(Of.Ready), Of.InForce, "-");
-  for (const HostStatus &Each : Of.Hosts) {
-    if (Each.Host == Of.Host)
+  Result +=
+      fmt::format("{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n", Report.Host.Value,
+                  "(asked)", Report.Leaving ? "leaving" : "alive",
+                  yesNo(Report.Ready), Report.InForce, "-");
+  for (const HostStatus &Member : Report.Hosts) {
+    if (Member.Host == Report.Host)
       continue;
-    Result +=
-        fmt::format("{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n", Each.Host.Value,
-                    Each.Zone.Value, name(Each.State), yesNo(Each.Ready),
-                    Each.InForce, secondsText(Each.HeardAgo));
+    Result += fmt::format("{:<16} {:<10} {:<8} {:<6} {:>9} {:>8}\n",
+                          Member.Host.Value, Member.Zone.Value,
+                          name(Member.State), yesNo(Member.Ready),
+                          Member.InForce, secondsText(Member.HeardAgo));
   }
   return Result;
 }
 
-std::string upstreamLines(const StatusReport &Of) {
+std::string upstreamLines(const StatusReport &Report) {
   std::string Result =
       fmt::format("\n{:<16} {:<10} {:<12} {:<8} {:>7} {:>15} {:>13} {:>8}\n",
                   "UPSTREAM", "ZONE", "KIND", "STATE", "RUNNING",
                   "PREFILL TOKENS", "FREE MEMORY", "REPORT");
-  for (const UpstreamStatus &Each : Of.Upstreams) {
-    const bool Engine = Each.Kind == UpstreamKind::Engine;
-    Result += fmt::format(
-        "{:<16} {:<10} {:<12} {:<8} {:>7} {:>15} {:>13} {:>8}\n", Each.Id.Value,
-        Each.Zone.Value, Engine ? "engine" : "application", Each.State,
-        Each.Running, Each.QueuedPrefillTokens, Each.FreeMemoryTokens,
-        secondsText(Each.ReportAge));
+  for (const UpstreamStatus &Reported : Report.Upstreams) {
+    const bool IsEngine = Reported.Kind == UpstreamKind::Engine;
+    Result +=
+        fmt::format("{:<16} {:<10} {:<12} {:<8} {:>7} {:>15} {:>13} {:>8}\n",
+                    Reported.Id.Value, Reported.Zone.Value,
+                    IsEngine ? "engine" : "application", Reported.State,
+                    Reported.Running, Reported.QueuedPrefillTokens,
+                    Reported.FreeMemoryTokens, secondsText(Reported.ReportAge));
   }
   return Result;
 }
 
-std::string quarantineLines(const StatusReport &Of, Time Now) {
-  if (Of.Quarantined.empty())
+std::string quarantineLines(const StatusReport &Report, Time Now) {
+  if (Report.Quarantined.empty())
     return "\nnothing in quarantine\n";
   std::string Result = fmt::format("\n{:<17} {:>7} {:>10}\n", "QUARANTINED",
                                    "CRASHES", "ENDS IN");
-  for (const QuarantineStatus &Each : Of.Quarantined)
+  for (const QuarantineStatus &Entry : Report.Quarantined)
     Result +=
-        fmt::format("{:<17} {:>7} {:>10}\n", fingerprintText(Each.Content),
-                    Each.Crashes, secondsText(Each.Until - Now));
+        fmt::format("{:<17} {:>7} {:>10}\n", fingerprintText(Entry.Content),
+                    Entry.Crashes, secondsText(Entry.Until - Now));
   return Result;
 }
 
-std::string verdictText(const ChangeVerdict &Of) {
+std::string verdictText(const ChangeVerdict &Verdict) {
   return match(
-      Of, [](const ChangeAccepted &) { return std::string("accepted"); },
-      [](const ChangeRefused &Each) { return "rejected: " + Each.Message; });
+      Verdict, [](const ChangeAccepted &) { return std::string("accepted"); },
+      [](const ChangeRefused &Refusal) {
+        return "rejected: " + Refusal.Message;
+      });
 }
 
-std::string historyLine(const HistoryItem &Of) {
+std::string historyLine(const HistoryItem &Item) {
   std::string Result =
-      fmt::format("{:>8} {} {} {}\n", Of.Offset, Of.Set.Author.Value,
-                  Of.Set.Id.Value, verdictText(Of.Verdict));
-  for (const Change &Each : Of.Set.Changes)
-    Result += fmt::format("{:>10} {}\n", Each.Body ? "=" : "-", text(Each.Key));
+      fmt::format("{:>8} {} {} {}\n", Item.Offset, Item.Set.Author.Value,
+                  Item.Set.Id.Value, verdictText(Item.Verdict));
+  for (const Change &Changed : Item.Set.Changes)
+    Result +=
+        fmt::format("{:>10} {}\n", Changed.Body ? "=" : "-", text(Changed.Key));
   return Result;
 }
 
 } // namespace
 
 Outcome show(OperatorClient &Client) {
-  const CatalogueShown Shown = Client.catalogue();
+  const CatalogueShown Catalogue = Client.catalogue();
   return {ExitCode::Ok,
-          fmt::format("# in force at offset {}\n{}", Shown.AtOffset,
-                      writeCatalogueIni(Shown.Entries)),
-          toJson(OperatorAnswer(Shown))};
+          fmt::format("# in force at offset {}\n{}", Catalogue.AtOffset,
+                      writeCatalogueIni(Catalogue.Entries)),
+          toJson(OperatorAnswer(Catalogue))};
 }
 
 Outcome history(OperatorClient &Client, const Options &Opts) {
-  const HistoryShown Shown = historyFromJson(Client.get(
+  const HistoryShown History = historyFromJson(Client.get(
       "/v1/operator/history?from=" + std::to_string(Opts.FromOffset)));
-  Outcome Result{ExitCode::Ok, "", toJson(OperatorAnswer(Shown))};
-  for (const HistoryItem &Each : Shown.Items)
-    Result.Text += historyLine(Each);
-  if (Shown.Items.empty())
+  Outcome Result{ExitCode::Ok, "", toJson(OperatorAnswer(History))};
+  for (const HistoryItem &Item : History.Items)
+    Result.Text += historyLine(Item);
+  if (History.Items.empty())
     Result.Text = "no change sets\n";
   return Result;
 }
@@ -109,7 +114,7 @@
       hostLines(Report) + upstreamLines(Report) + quarantineLines(Report, Now);
   if (!Report.Current)
     Result.Text += "this host can't know the catalogue in force: neither the "
-                   "log nor a peer answers it; look at its network\n";
+                   "log nor a peer answers it; check its network\n";
   if (Report.InvariantsBroken > 0)
     Result.Text += fmt::format("{} invariants broken; report it with the log "
                                "lines numbered 103\n",
@@ -127,9 +132,9 @@
   Outcome Result;
   Result.Json = Client.get(Target);
   ObjectReader Object(Result.Json, "");
-  for (const json &Each : Object.list("hosts"))
+  for (const json &Host : Object.list("hosts"))
     Result.Text +=
-        (Each.is_string() ? Each.get<std::string>() : Each.dump()) + "\n";
+        (Host.is_string() ? Host.get<std::string>() : Host.dump()) + "\n";
   Result.Text += fmt::format("valid for {}s\n",
                              static_cast<double>(Object.whole("ttl_ms")) / 1e3);
   return Result;
@@ -139,26 +144,27 @@
   const ChangeAnswer Answer = Client.verdict(ChangeId(Opts.Arguments.at(0)));
   return match(
       Answer,
-      [](const ChangesAccepted &Of) {
+      [](const ChangesAccepted &Verdict) {
         return Outcome{ExitCode::Ok,
-                       fmt::format("accepted at offset {}\n", Of.Offset),
-                       toJson(OperatorAnswer(Of))};
+                       fmt::format("accepted at offset {}\n", Verdict.Offset),
+                       toJson(OperatorAnswer(Verdict))};
       },
-      [](const ChangesRejected &Of) {
-        return Outcome{ExitCode::Rejected, "rejected: " + Of.Message + "\n",
-                       toJson(OperatorAnswer(Of))};
+      [](const ChangesRejected &Verdict) {
+        return Outcome{ExitCode::Rejected,
+                       "rejected: " + Verdict.Message + "\n",
+                       toJson(OperatorAnswer(Verdict))};
       },
-      [](const VerdictPending &Of) {
+      [](const VerdictPending &Verdict) {
         return Outcome{ExitCode::Unavailable,
-                       "not known yet: " + Of.Message + "\n",
-                       toJson(OperatorAnswer(Of))};
+                       "not known yet: " + Verdict.Message + "\n",
+                       toJson(OperatorAnswer(Verdict))};
       });
 }
 
 Outcome quarantine(OperatorClient &Client, const Options &Opts) {
   if (Opts.Arguments.at(0) != "release")
     throw Error(ErrorKind::BadInput,
-                "'" + Opts.Arguments[0] + "' is no command of quarantine",
+                "'" + Opts.Arguments[0] + "' is not a subcommand of quarantine",
                 "give: quarantine release FINGERPRINT");
   const std::string Content =
       fingerprintText(parseFingerprint(Opts.Arguments.at(1)));
--- a/src/tools/ViewCommands.h
+++ b/src/tools/ViewCommands.h
@@ -1,5 +1,6 @@
 /// \file
-/// The commands that show something of the deployment.
+/// The commands that show the state of the deployment, and the release of
+/// quarantined requests.
 #pragma once
 
 #include "tools/OperatorClient.h"
@@ -7,22 +8,23 @@
 
 namespace banyanpick::tools {
 
-/// `show`: the catalogue in force, in INI.
+/// `show`: returns the catalogue in force in INI format.
 Outcome show(OperatorClient &Client);
 
-/// `history`: the change sets from an offset on with their verdicts.
+/// `history`: returns the change sets from an offset on, with their verdicts.
 Outcome history(OperatorClient &Client, const Options &Opts);
 
-/// `status`: hosts, upstreams and quarantine; \p Now dates the expiries.
+/// `status`: returns hosts, upstreams and quarantined requests. The remaining
+/// times of the quarantine are relative to \p Now.
 Outcome status(OperatorClient &Client, Time Now);
 
-/// `resolve`: the hosts that callers are told to use.
+/// `resolve`: returns the hosts that callers are directed to.
 Outcome resolve(OperatorClient &Client, const Options &Opts);
 
-/// `verdict CHANGE`: what became of a change set.
+/// `verdict CHANGE`: returns the verdict on a change set.
 Outcome verdict(OperatorClient &Client, const Options &Opts);
 
-/// `quarantine release FINGERPRINT`.
+/// `quarantine release FINGERPRINT`: allows a quarantined request again.
 Outcome quarantine(OperatorClient &Client, const Options &Opts);
 
 } // namespace banyanpick::tools
