--- a/tests/auto/tools/ApplyTest.cpp
+++ b/tests/auto/tools/ApplyTest.cpp
@@ -10,14 +10,14 @@
 namespace banyanpick::tools {
 namespace {
 
-/// A deployment of which each answer can be replaced.
+/// A simulated deployment. Tests replace its answers.
 struct FakeDeployment {
   HostReply PostAnswer =
       completeReply(200, R"({"verdict": "accepted", "offset": 20})");
   HostReply VerdictAnswer =
       completeReply(200, R"({"verdict": "pending", "message": "wait"})");
   StatusReport Status{HostId("h1"), true, true, false, 20, 0, {}, {}, {}};
-  int UnreachableHosts = 0; ///< Of the hosts named, this many don't answer.
+  int UnreachableHosts = 0; ///< The first ones; they don't answer.
   FakeHosts Hosts{[this](const Address &Host, const HostRequest &Req) {
     return this->answer(Host, Req);
   }};
@@ -44,7 +44,7 @@
     return this->VerdictAnswer;
   }
 
-  /// Applies the sample with a new weight for house-1.
+  /// Applies the sample catalogue with a new weight for house-1.
   Outcome applyChange() {
     EntryMap Wanted = sampleEntries();
     std::get<TeamEntry>(Wanted.at({EntryKind::Team, "house-1"}).Body).Weight =
@@ -58,16 +58,16 @@
   }
 
   ChangeSet sent() const {
-    for (const HostRequest &Each : this->Hosts.Requests) {
-      if (Each.Verb == HostRequest::Method::Post)
-        return changeSetFromJson(nlohmann::json::parse(Each.Body));
+    for (const HostRequest &Req : this->Hosts.Requests) {
+      if (Req.Verb == HostRequest::Method::Post)
+        return changeSetFromJson(nlohmann::json::parse(Req.Body));
     }
     return {};
   }
 };
 
-bool containsText(const Outcome &Of, std::string_view Text) {
-  return Of.Text.find(Text) != std::string::npos;
+bool containsText(const Outcome &Result, std::string_view Text) {
+  return Result.Text.find(Text) != std::string::npos;
 }
 
 TEST(Apply, SendsOnlyChangedEntriesWithTheirBaseVersion) {
--- a/tests/auto/tools/CommandLineTest.cpp
+++ b/tests/auto/tools/CommandLineTest.cpp
@@ -15,8 +15,8 @@
   Arguments.insert(Arguments.begin(), "banyanpick");
   std::vector<char *> Pointers;
   Pointers.reserve(Arguments.size());
-  for (std::string &Each : Arguments)
-    Pointers.push_back(Each.data());
+  for (std::string &Argument : Arguments)
+    Pointers.push_back(Argument.data());
   return parseCommandLine(static_cast<int>(Pointers.size()), Pointers.data());
 }
 
@@ -55,9 +55,9 @@
 }
 
 TEST(CommandLine, PrintsHelpForEachCommand) {
-  for (const CommandHelp &Each : allCommands()) {
-    EXPECT_NE(overview().find(std::string(Each.Name)), std::string::npos);
-    EXPECT_NE(commandHelp(Each).find("Exit codes"), std::string::npos);
+  for (const CommandHelp &Command : allCommands()) {
+    EXPECT_NE(overview().find(std::string(Command.Name)), std::string::npos);
+    EXPECT_NE(commandHelp(Command).find("Exit codes"), std::string::npos);
   }
 }
 
--- a/tests/auto/tools/FakeHosts.h
+++ b/tests/auto/tools/FakeHosts.h
@@ -1,6 +1,6 @@
 /// \file
-/// Entry hosts for tests of the command line: scripted replies, and a clock
-/// that passes time without waiting.
+/// Test doubles for the command line: entry hosts with scripted replies, and a
+/// clock whose sleep() advances the time without waiting.
 #pragma once
 
 #include "tools/HostTransport.h"
@@ -34,8 +34,8 @@
 
   std::size_t postCount() const {
     std::size_t Count = 0;
-    for (const HostRequest &Each : this->Requests)
-      Count += Each.Verb == HostRequest::Method::Post;
+    for (const HostRequest &Req : this->Requests)
+      Count += Req.Verb == HostRequest::Method::Post;
     return Count;
   }
 
