--- a/src/tools/CommandLine.cpp
+++ b/src/tools/CommandLine.cpp
@@ -55,7 +55,7 @@
     const ParsedFlag Flag = splitFlag(Text);
     gflags::CommandLineFlagInfo Info;
     if (!gflags::GetCommandLineFlagInfo(Flag.Name.c_str(), &Info))
-      throwUsage("--" + Flag.Name + " is not a flag");
+      throwUsage("--" + Flag.Name + ": no such flag");
     if (Info.type == "bool" && Flag.HasValue)
       throwUsage("--" + Flag.Name + " takes no value");
     if (Info.type == "bool" || Flag.HasValue)
@@ -79,14 +79,14 @@
   const auto Value = parseDuration(FLAGS_timeout);
   if (!Value || *Value < Duration::zero())
     throwUsage("--timeout " + FLAGS_timeout +
-               " is not a duration such as 20s or 500ms");
+               ": no valid duration; give one such as 20s or 500ms");
   return *Value;
 }
 
 std::uint64_t parseOffset() {
   const auto Value = parseNumber(SettingKind::Whole, FLAGS_from);
   if (!Value || *Value < 0 || *Value > 1e18)
-    throwUsage("--from " + FLAGS_from + " is not an offset");
+    throwUsage("--from " + FLAGS_from + ": no valid offset");
   return static_cast<std::uint64_t>(*Value);
 }
 
@@ -115,20 +115,19 @@
   Result.CertificatesFile = FLAGS_ca_file;
   if (ArgumentCount < 2) {
     if (!Result.Help)
-      throwUsage("no command given");
+      throwUsage("no command is given");
     return Result;
   }
   Result.Command = findCommand(Arguments[1]);
   if (!Result.Command)
-    throwUsage("'" + std::string(Arguments[1]) + "' is not a command");
+    throwUsage("'" + std::string(Arguments[1]) + "': no such command");
   if (Result.Help)
     return Result;
   Result.Opts = optionsFromFlags();
   Result.Opts.Arguments.assign(Arguments + 2, Arguments + ArgumentCount);
   if (Result.Opts.Arguments.size() != Result.Command->ArgumentCount)
     throw Error(ErrorKind::BadInput,
-                std::string(Result.Command->Name) +
-                    " has the wrong number of arguments",
+                std::string(Result.Command->Name) + " takes other arguments",
                 "see banyanpick " + std::string(Result.Command->Name) +
                     " --help");
   return Result;
@@ -155,7 +154,7 @@
     Text.remove_prefix(std::min(Comma + 1, Text.size()));
   }
   if (Result.empty())
-    throwUsage("--host does not name a host");
+    throwUsage("no host is given in --host");
   return Result;
 }
 
--- a/src/tools/CommandTable.cpp
+++ b/src/tools/CommandTable.cpp
@@ -27,14 +27,14 @@
     {"verdict", "CHANGE", 1, "", "Prints the verdict on a change set.", ""},
     {"status", "", 0, "", "Shows hosts, upstreams and quarantine.", ""},
     {"resolve", "", 0, "--team --zone",
-     "Shows which hosts callers are directed to; needs no key.", ""},
+     "Shows which hosts a caller is told to use; needs no key.", ""},
     {"digest", "", 0, "--new", "Prints the salted hash of a key.",
      R"(The key, NAME.SECRET, is read from --key_file, BANYANPICK_KEY or standard
 input. The catalogue contains only the hash.
 )"},
     {"keys", "", 0, "", "Makes the CURVE key pair of an entry host.", ""},
     {"quarantine", "release FINGERPRINT", 2, "",
-     "Releases a request from quarantine.", ""},
+     "Releases a quarantined request.", ""},
 }};
 
 constexpr std::string_view CommonHelp =
--- a/src/tools/DeclarationFile.cpp
+++ b/src/tools/DeclarationFile.cpp
@@ -40,7 +40,7 @@
   if (!File.Problems.empty())
     throw Error(ErrorKind::BadInput,
                 "the file has errors\n" + problemLines(FileName, File.Problems),
-                "correct these lines and run the command again");
+                "correct these lines and try again");
   return std::move(File.Entries);
 }
 
@@ -50,7 +50,7 @@
   std::ifstream File(FileName);
   if (!File)
     throw Error(ErrorKind::BadInput, "cannot read " + FileName,
-                "check its name and permissions");
+                "look at its name and permissions");
   return readStream(File);
 }
 
--- a/src/tools/Main.cpp
+++ b/src/tools/Main.cpp
@@ -99,7 +99,7 @@
     if (sodium_init() < 0)
       throw Error(ErrorKind::Internal,
                   "libsodium has no source of random numbers",
-                  "check /dev/urandom on this machine");
+                  "look at /dev/urandom on this machine");
     return runAndPrint(ArgumentCount, Arguments);
   } catch (const Error &Caught) {
     fmt::print(stderr, "banyanpick: {}\n", Caught.what());
--- a/src/tools/OperatorClient.cpp
+++ b/src/tools/OperatorClient.cpp
@@ -22,7 +22,7 @@
 json parse(const HostReply &Reply) {
   json Result = json::parse(Reply.Body, nullptr, false);
   if (Result.is_discarded())
-    throw Error(ErrorKind::Unavailable, "the host's answer is not JSON",
+    throw Error(ErrorKind::Unavailable, "no valid JSON in the host's answer",
                 "check that --host names an entry host of banyanpick");
   return Result;
 }
--- a/src/tools/ViewCommands.cpp
+++ b/src/tools/ViewCommands.cpp
@@ -114,7 +114,7 @@
       hostLines(Report) + upstreamLines(Report) + quarantineLines(Report, Now);
   if (!Report.Current)
     Result.Text += "this host can't know the catalogue in force: neither the "
-                   "log nor a peer answers it; check its network\n";
+                   "log nor a peer answers it; look at its network\n";
   if (Report.InvariantsBroken > 0)
     Result.Text += fmt::format("{} invariants broken; report it with the log "
                                "lines numbered 103\n",
@@ -164,7 +164,7 @@
 Outcome quarantine(OperatorClient &Client, const Options &Opts) {
   if (Opts.Arguments.at(0) != "release")
     throw Error(ErrorKind::BadInput,
-                "'" + Opts.Arguments[0] + "' is not a subcommand of quarantine",
+                "'" + Opts.Arguments[0] + "': no such subcommand of quarantine",
                 "give: quarantine release FINGERPRINT");
   const std::string Content =
       fingerprintText(parseFingerprint(Opts.Arguments.at(1)));
