--- a/src/tools/BeastTransport.cpp
+++ b/src/tools/BeastTransport.cpp
@@ -140,7 +140,7 @@
   this->Tls->Context.load_verify_file(CertificatesFile, Failure);
   if (Failure)
     throw Error(ErrorKind::BadInput,
-                "cannot read the certificates in " + CertificatesFile,
+                "cannot read certificates from " + CertificatesFile,
                 "give a file in PEM format");
   this->Tls->Context.set_verify_mode(asio::ssl::verify_peer);
 }
--- a/src/tools/CommandTable.cpp
+++ b/src/tools/CommandTable.cpp
@@ -17,14 +17,14 @@
      "Prints the keys of a file of declarations, as a page.", ""},
     {"apply", "FILE", 1, "--prune --timeout --change_id",
      "Changes the catalogue in force to what FILE declares.",
-     R"(Changes only the entries of the key's owner. Ends when the change is in force on
-every live host, or names the hosts that are behind. After a lost answer, asks
-for the verdict and never sends the change again.
+     R"(Changes only the entries of the key's owner. Ends when the change is in force
+on every live host, or names the hosts that are behind. After a lost answer,
+asks for the verdict and never sends the change again.
 )"},
     {"diff", "FILE", 1, "--prune", "Shows what apply would change.", ""},
     {"show", "", 0, "", "Prints the catalogue in force, in INI.", ""},
     {"history", "", 0, "--from", "Prints change sets with their verdicts.", ""},
-    {"verdict", "CHANGE", 1, "", "Prints the verdict on a change set.", ""},
+    {"verdict", "CHANGE", 1, "", "Prints the verdict of a change set.", ""},
     {"status", "", 0, "", "Shows hosts, upstreams and quarantine.", ""},
     {"resolve", "", 0, "--team --zone",
      "Shows which hosts a caller is told to use; needs no key.", ""},
--- a/src/tools/LocalCommands.cpp
+++ b/src/tools/LocalCommands.cpp
@@ -80,7 +80,8 @@
   std::array<char, CurveKeyCharacters> Public{};
   std::array<char, CurveKeyCharacters> Secret{};
   if (zmq_curve_keypair(Public.data(), Secret.data()) != 0)
-    throw Error(ErrorKind::Internal, "no CURVE support in this ZeroMQ",
+    throw Error(ErrorKind::Internal,
+                "this ZeroMQ has no support for CURVE keys",
                 "install a libzmq that was built with CURVE");
   return {ExitCode::Ok,
           fmt::format("curve_public_key = {}\ncurve_secret_key = {}\n",
