--- a/tests/process/Deployment.cpp
+++ b/tests/process/Deployment.cpp
@@ -117,17 +117,17 @@
   std::filesystem::remove_all(this->Directory, Ignored);
 }
 
-void Deployment::start(Member &Into, const std::string &Program,
+void Deployment::start(Member &Started, const std::string &Program,
                        std::vector<std::string> Flags) {
-  Into.Process = std::make_unique<ChildProcess>(
+  Started.Process = std::make_unique<ChildProcess>(
       Programs + "/" + Program, std::move(Flags),
-      this->Directory + "/" + Into.Name + ".log");
+      this->Directory + "/" + Started.Name + ".log");
   const standins::HttpQuestion Any{http::verb::get, "/health"};
   if (!eventually(
-          [&] { return askHttp(Into.Address, Any, Patience).isComplete(); }))
+          [&] { return askHttp(Started.Address, Any, Patience).isComplete(); }))
     throw std::runtime_error(
-        Into.Name + " does not answer:\n" +
-        readFile(this->Directory + "/" + Into.Name + ".log"));
+        Started.Name + " does not answer:\n" +
+        readFile(this->Directory + "/" + Started.Name + ".log"));
 }
 
 std::string Deployment::settingsOf(std::size_t Index) const {
@@ -202,7 +202,7 @@
           {http::verb::post, "/admin/log", Faults.dump()}, Patience);
 }
 
-std::uint64_t Deployment::runsOf(const std::string &Key) const {
+std::uint64_t Deployment::runCount(const std::string &Key) const {
   return askHttp(this->Application.Address, {http::verb::get, "/counts"},
                  Patience)
       .parsed()
@@ -225,8 +225,8 @@
   return *Found;
 }
 
-standins::HttpReply Deployment::confirmAt(std::size_t Host,
-                                          const std::string &Key) const {
+standins::HttpReply Deployment::sendConfirmation(std::size_t Host,
+                                                 const std::string &Key) const {
   const json Body{
       {"class", "confirm"}, {"operation_key", Key}, {"body", json::object()}};
   return askHttp(this->Hosts[Host].Address,
--- a/tests/process/Deployment.h
+++ b/tests/process/Deployment.h
@@ -42,15 +42,16 @@
   /// Sets the faults of the log, `{"down", "lose_answers", "delay_ms"}`.
   void setLogFaults(const nlohmann::json &Faults) const;
   /// How often the application ran the operation.
-  std::uint64_t runsOf(const std::string &Key) const;
+  std::uint64_t runCount(const std::string &Key) const;
   /// The engine that runs something now; waits until there is one.
   Member &busyEngine();
 
   /// Asks one host for a confirmation, once.
-  standins::HttpReply confirmAt(std::size_t Host, const std::string &Key) const;
+  standins::HttpReply sendConfirmation(std::size_t Host,
+                                       const std::string &Key) const;
 
 private:
-  void start(Member &Into, const std::string &Program,
+  void start(Member &Started, const std::string &Program,
              std::vector<std::string> Flags);
   std::string settingsOf(std::size_t Index) const;
   std::string writeFile(const std::string &Name, const std::string &Text) const;
--- a/tests/process/EngineLeavingTest.cpp
+++ b/tests/process/EngineLeavingTest.cpp
@@ -29,7 +29,7 @@
     Served += Reply.Status == 200 ? 1 : 0;
     std::this_thread::sleep_for(milliseconds(10));
   }
-  const auto Arrivals = Gateway.arrivalsAt(0);
+  const auto Arrivals = Gateway.arrivalTimes(0);
   ASSERT_FALSE(Arrivals.empty()) << "it was never sent anything";
   const auto First = std::ranges::min_element(
       Arrivals, {}, [](const auto &Each) { return Each.second; });
--- a/tests/process/EngineLimitTest.cpp
+++ b/tests/process/EngineLimitTest.cpp
@@ -37,13 +37,13 @@
       });
   for (std::thread &Each : Callers)
     Each.join();
-  const auto Arrivals = Gateway.arrivalsSinceLimit(0);
-  ASSERT_FALSE(Arrivals.All.empty()) << "it was never sent anything";
+  const auto Arrivals = Gateway.arrivalsUnderLimit(0);
+  ASSERT_FALSE(Arrivals.Requests.empty()) << "it was never sent anything";
   std::vector<std::chrono::steady_clock::time_point> Heeded;
-  for (const auto &Each : Arrivals.All)
-    if (Each.At >= Arrivals.Since + LimitHeededAfter)
-      Heeded.push_back(Each.At);
-  EXPECT_LE(mostInLimitWindow(Heeded), mostInLimitWindowAllowed());
+  for (const auto &Each : Arrivals.Requests)
+    if (Each.ReceivedAt >= Arrivals.LimitNamedAt + LimitObeyedWithin)
+      Heeded.push_back(Each.ReceivedAt);
+  EXPECT_LE(maxInLimitWindow(Heeded), allowedInLimitWindow());
   EXPECT_GE(Heeded.size(), 1U) << "an upstream at its limit is still used";
   EXPECT_EQ(Served, Asked) << "the others have room for all";
 }
--- a/tests/process/EngineRestTest.cpp
+++ b/tests/process/EngineRestTest.cpp
@@ -31,7 +31,7 @@
     Served += Reply.Status == 200 ? 1 : 0;
     std::this_thread::sleep_for(milliseconds(20));
   }
-  const auto Arrivals = Gateway.arrivalsAt(0);
+  const auto Arrivals = Gateway.arrivalTimes(0);
   ASSERT_FALSE(Arrivals.empty()) << "it was never sent anything";
   for (const auto &Asked : Arrivals) {
     const auto InRest = std::ranges::count_if(Arrivals, [&](const auto &Each) {
--- a/tests/process/FailureTest.cpp
+++ b/tests/process/FailureTest.cpp
@@ -118,15 +118,15 @@
   // The owner is frozen while its claim is on the way into the log.
   this->All.setLogFaults({{"delay_ms", 1'000}});
   auto First = std::async(std::launch::async,
-                          [&] { return this->All.confirmAt(0, Key); });
+                          [&] { return this->All.sendConfirmation(0, Key); });
   std::this_thread::sleep_for(milliseconds(300));
   this->All.host(0).Process->signal(SIGSTOP);
   this->All.setLogFaults(json::object());
   std::this_thread::sleep_for(milliseconds(1'500));
-  const std::string Second = answerOf(this->All.confirmAt(1, Key));
+  const std::string Second = answerOf(this->All.sendConfirmation(1, Key));
   this->All.host(0).Process->signal(SIGCONT);
   const std::string Owner = answerOf(First.get());
-  const std::uint64_t Runs = this->All.runsOf(Key);
+  const std::uint64_t Runs = this->All.runCount(Key);
   EXPECT_LE(Runs, 1U) << Owner << " and " << Second;
   if (Owner == "whole" || Second == "whole") {
     EXPECT_EQ(Runs, 1U);
@@ -139,16 +139,16 @@
 TEST_F(Failure, LogOutageRefusesConfirmationsTruthfullyAndNothingElse) {
   const std::string Key = freshKey();
   this->All.setLogFaults({{"down", true}});
-  const std::string During = answerOf(this->All.confirmAt(0, Key));
+  const std::string During = answerOf(this->All.sendConfirmation(0, Key));
   EXPECT_NE(During, "whole");
-  EXPECT_EQ(this->All.runsOf(Key), 0U) << During;
+  EXPECT_EQ(this->All.runCount(Key), 0U) << During;
   WorkItem Idempotent = longStream();
   Idempotent.OutputTokens = 20;
   expectWhole(this->runBeside(Idempotent).get());
   this->All.setLogFaults(json::object());
   Caller Sender(this->Hosts, Deployment::team());
   expectWhole(Sender.confirm(confirmation(), freshKey(), 0));
-  EXPECT_EQ(this->All.runsOf(Key), 0U);
+  EXPECT_EQ(this->All.runCount(Key), 0U);
 }
 
 TEST_F(Failure, LostAnswersOfTheLogAreSettledByReading) {
@@ -156,7 +156,7 @@
   const std::string Key = freshKey();
   Caller Sender(this->Hosts, Deployment::team());
   expectWhole(Sender.confirm(confirmation(), Key, 0));
-  EXPECT_EQ(this->All.runsOf(Key), 1U);
+  EXPECT_EQ(this->All.runCount(Key), 1U);
 }
 
 TEST_F(Failure, SameConfirmationAtAllHostsRunsOnce) {
@@ -169,7 +169,7 @@
     }));
   for (auto &Each : Sent)
     expectWhole(Each.get());
-  EXPECT_EQ(this->All.runsOf(Key), 1U);
+  EXPECT_EQ(this->All.runCount(Key), 1U);
 }
 
 TEST_F(Failure, BadBytesAtEveryPortLeaveTheHostServing) {
--- a/tests/process/GatewayDeployment.cpp
+++ b/tests/process/GatewayDeployment.cpp
@@ -89,19 +89,19 @@
   this->Upstreams.clear();
   this->StoreProcess.reset();
   std::error_code Ignored;
-  if (!this->KeepsFolder)
+  if (!this->KeepFolder)
     std::filesystem::remove_all(this->Folder, Ignored);
 }
 
 std::string GatewayDeployment::keepLogs() {
-  this->KeepsFolder = true;
+  this->KeepFolder = true;
   return this->Folder;
 }
 
-void GatewayDeployment::replaceUpstream(Upstream &Into) {
-  Into.Id = fmt::format("{}r{}", Into.Id.substr(0, Into.Id.find('r')),
-                        ++this->Replacements);
-  this->startUpstream(Into, "");
+void GatewayDeployment::replaceUpstream(Upstream &Target) {
+  Target.Id = fmt::format("{}r{}", Target.Id.substr(0, Target.Id.find('r')),
+                          ++this->Replacements);
+  this->startUpstream(Target, "");
 }
 
 void GatewayDeployment::unregister(const std::string &Id) const {
@@ -128,18 +128,19 @@
       this->Folder + "/" + Name + ".log");
 }
 
-void GatewayDeployment::startUpstream(Upstream &Into, const Fault &How) {
-  Into.Process =
-      this->start(Into.Id, "standin_upstream",
-                  {"--listen", Into.Address, "--id", Into.Id, "--registered",
-                   Into.Registered, "--store", this->Store, "--fault", How,
-                   "--runs_file", this->Folder + "/" + Into.Id + ".runs"});
+void GatewayDeployment::startUpstream(Upstream &Target, const Fault &How) {
+  Target.Process = this->start(Target.Id, "standin_upstream",
+                               {"--listen", Target.Address, "--id", Target.Id,
+                                "--registered", Target.Registered, "--store",
+                                this->Store, "--fault", How, "--runs_file",
+                                this->Folder + "/" + Target.Id + ".runs"});
 }
 
-void GatewayDeployment::startHost(Host &Into) {
-  const std::string File = this->Folder + "/" + Into.Name + ".ini";
-  std::ofstream(File) << this->settingsOf(Into);
-  Into.Process = this->start(Into.Name, "banyanpickd", {"--settings", File});
+void GatewayDeployment::startHost(Host &Target) {
+  const std::string File = this->Folder + "/" + Target.Name + ".ini";
+  std::ofstream(File) << this->settingsOf(Target);
+  Target.Process =
+      this->start(Target.Name, "banyanpickd", {"--settings", File});
 }
 
 std::string GatewayDeployment::settingsOf(const Host &Of) const {
@@ -166,7 +167,7 @@
   return askHttp(this->Hosts.at(Host).Callers, Question, Patience);
 }
 
-int GatewayDeployment::runsOf(const std::string &Attempt) const {
+int GatewayDeployment::runCount(const std::string &Attempt) const {
   int Sum = 0;
   HttpQuestion Ask;
   Ask.Target = "/standin/runs";
@@ -176,7 +177,7 @@
   return Sum;
 }
 
-bool GatewayDeployment::anyUpstreamSawAKey() const {
+bool GatewayDeployment::anyUpstreamReceivedAKey() const {
   HttpQuestion Ask;
   Ask.Target = "/standin/runs";
   for (const Upstream &Each : this->Upstreams)
@@ -185,7 +186,7 @@
   return false;
 }
 
-json GatewayDeployment::recordOf(std::size_t Upstream) const {
+json GatewayDeployment::requestRecord(std::size_t Upstream) const {
   HttpQuestion Ask;
   Ask.Target = "/standin/runs";
   const json Reply =
@@ -193,21 +194,21 @@
   return Reply.is_object() ? Reply : json();
 }
 
-GatewayDeployment::LimitedArrivals
-GatewayDeployment::arrivalsSinceLimit(std::size_t Upstream) const {
-  const json Record = this->recordOf(Upstream);
-  LimitedArrivals Result;
+GatewayDeployment::ArrivalsUnderLimit
+GatewayDeployment::arrivalsUnderLimit(std::size_t Upstream) const {
+  const json Record = this->requestRecord(Upstream);
+  ArrivalsUnderLimit Result;
   if (Record.is_null())
     return Result;
-  Result.Since = timeOf(Record["limited_since_us"]);
+  Result.LimitNamedAt = timeOf(Record["limited_since_us"]);
   for (const json &Each : Record["arrivals"])
-    Result.All.push_back({timeOf(Each["at_us"]), Each["attempt"]});
+    Result.Requests.push_back({timeOf(Each["at_us"]), Each["attempt"]});
   return Result;
 }
 
 std::map<std::string, std::chrono::steady_clock::time_point>
-GatewayDeployment::arrivalsAt(std::size_t Upstream) const {
-  const json Record = this->recordOf(Upstream);
+GatewayDeployment::arrivalTimes(std::size_t Upstream) const {
+  const json Record = this->requestRecord(Upstream);
   std::map<std::string, std::chrono::steady_clock::time_point> Result;
   if (!Record.is_null())
     for (const json &Each : Record["all_arrivals"])
--- a/tests/process/GatewayDeployment.h
+++ b/tests/process/GatewayDeployment.h
@@ -54,9 +54,9 @@
   ChildProcess &store() { return *this->StoreProcess; }
 
   /// Starts the host's process anew, at the same addresses.
-  void startHost(Host &Into);
+  void startHost(Host &Target);
   /// Starts another upstream at the same address; its id is new.
-  void replaceUpstream(Upstream &Into);
+  void replaceUpstream(Upstream &Target);
   /// Takes the upstream out of the registry.
   void unregister(const std::string &Id) const;
 
@@ -74,22 +74,22 @@
                           const std::string &Body = "hello",
                           std::vector<standins::HttpHeader> More = {}) const;
   /// Sums how often the upstreams ran the caller's attempt.
-  int runsOf(const std::string &Attempt) const;
-  bool anyUpstreamSawAKey() const;
+  int runCount(const std::string &Attempt) const;
+  bool anyUpstreamReceivedAKey() const;
   /// What reached an upstream with the fault `limit`, from its first answer on
   /// that named its limit.
-  struct LimitedArrivals {
-    struct One {
-      std::chrono::steady_clock::time_point At;
+  struct ArrivalsUnderLimit {
+    struct Arrival {
+      std::chrono::steady_clock::time_point ReceivedAt;
       std::string Attempt;
     };
-    std::chrono::steady_clock::time_point Since;
-    std::vector<One> All;
+    std::chrono::steady_clock::time_point LimitNamedAt;
+    std::vector<Arrival> Requests;
   };
-  LimitedArrivals arrivalsSinceLimit(std::size_t Upstream) const;
+  ArrivalsUnderLimit arrivalsUnderLimit(std::size_t Upstream) const;
   /// When requests reached an upstream, by the attempt's id.
   std::map<std::string, std::chrono::steady_clock::time_point>
-  arrivalsAt(std::size_t Upstream) const;
+  arrivalTimes(std::size_t Upstream) const;
   unsigned readiness(std::size_t Host) const;
   /// The hosts that it names, if it does so within the limit.
   std::vector<std::string> directory(std::size_t Host,
@@ -102,15 +102,15 @@
 
 private:
   /// What the upstream noted of its requests; null when it does not tell.
-  nlohmann::json recordOf(std::size_t Upstream) const;
-  void startUpstream(Upstream &Into, const Fault &How);
+  nlohmann::json requestRecord(std::size_t Upstream) const;
+  void startUpstream(Upstream &Target, const Fault &How);
   std::string settingsOf(const Host &Of) const;
   std::unique_ptr<ChildProcess> start(const std::string &Name,
                                       const std::string &Program,
                                       std::vector<std::string> Flags) const;
 
   std::string Folder;
-  bool KeepsFolder = false;
+  bool KeepFolder = false;
   std::size_t Replacements = 0;
   std::string Store;
   std::unique_ptr<ChildProcess> StoreProcess;
--- a/tests/process/GatewayTest.cpp
+++ b/tests/process/GatewayTest.cpp
@@ -28,7 +28,7 @@
   const HttpReply Stream = Gateway.ask(1, "/stream/x", "a2");
   EXPECT_TRUE(Stream.isComplete());
   EXPECT_EQ(Stream.Body, demoStream());
-  EXPECT_FALSE(Gateway.anyUpstreamSawAKey());
+  EXPECT_FALSE(Gateway.anyUpstreamReceivedAKey());
 }
 
 TEST(Gateway, GoesOnWithAStreamThatWasCutInTheMiddleOfAnEvent) {
@@ -69,7 +69,7 @@
     EXPECT_TRUE(Safe.Body.ends_with(": hello")) << Safe.Body;
     const std::string Once = fmt::format("once{}", Each);
     const HttpReply Reply = Gateway.ask(1, "/once/x", Once);
-    const int Runs = Gateway.runsOf(Once);
+    const int Runs = Gateway.runCount(Once);
     EXPECT_LE(Runs, 1) << GetParam();
     if (Reply.Status == 503)
       EXPECT_EQ(Runs, 0) << GetParam();
@@ -101,7 +101,7 @@
           .Status,
       400U);
   for (const char *Attempt : {"b1", "b2", "b3", "b4", "b5"})
-    EXPECT_EQ(Gateway.runsOf(Attempt), 0) << Attempt;
+    EXPECT_EQ(Gateway.runCount(Attempt), 0) << Attempt;
   EXPECT_EQ(Gateway.ask(0, "/safe/x", "b6").Status, 200U);
 }
 
--- a/tests/process/LimitWindow.h
+++ b/tests/process/LimitWindow.h
@@ -16,13 +16,13 @@
 inline constexpr double StandinLimit = 1.6;
 
 /// All hosts keep to a limit so long after it was first named,
-inline constexpr seconds LimitHeededAfter(3);
+inline constexpr seconds LimitObeyedWithin(3);
 
 /// and what an upstream gets is counted in any such time.
 inline constexpr seconds LimitWindow(4);
 
 /// The most requests that may come within a window.
-inline std::size_t mostInLimitWindowAllowed() {
+inline std::size_t allowedInLimitWindow() {
   constexpr double Factor = 1.5;
   constexpr double More = 5;
   return static_cast<std::size_t>(
@@ -31,7 +31,7 @@
 
 /// The most of the arrivals that lie within one window.
 inline std::size_t
-mostInLimitWindow(std::vector<std::chrono::steady_clock::time_point> Arrivals) {
+maxInLimitWindow(std::vector<std::chrono::steady_clock::time_point> Arrivals) {
   std::ranges::sort(Arrivals);
   std::size_t Most = 0;
   for (auto First = Arrivals.begin(); First != Arrivals.end(); ++First) {
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -200,25 +200,25 @@
   std::map<std::string, std::size_t> HostOf;
   for (const CallRecord &Each : Records)
     HostOf[Each.Attempt] = Each.Host;
-  const auto Arrivals = Deployed.arrivalsSinceLimit(0);
+  const auto Arrivals = Deployed.arrivalsUnderLimit(0);
   std::vector<Clock::time_point> Counted;
-  for (const auto &Each : Arrivals.All) {
+  for (const auto &Each : Arrivals.Requests) {
     const auto Host = HostOf.find(Each.Attempt);
     const bool Counts =
         Host != HostOf.end() &&
-        Each.At >= Arrivals.Since + process::LimitHeededAfter &&
+        Each.ReceivedAt >= Arrivals.LimitNamedAt + process::LimitObeyedWithin &&
         std::ranges::none_of(Faults, [&](const FaultSpan &Fault) {
           return excusesFromLimit(Fault.What, Host->second);
         });
     if (Counts)
-      Counted.push_back(Each.At);
+      Counted.push_back(Each.ReceivedAt);
   }
-  const std::size_t Most = process::mostInLimitWindow(Counted);
-  if (Most > process::mostInLimitWindowAllowed())
+  const std::size_t Most = process::maxInLimitWindow(Counted);
+  if (Most > process::allowedInLimitWindow())
     Into.Violations.push_back(fmt::format(
         "an upstream that names a limit got {} requests in a window; {} are "
         "allowed",
-        Most, process::mostInLimitWindowAllowed()));
+        Most, process::allowedInLimitWindow()));
 }
 
 void judgeAll(std::span<const CallRecord> Records, const Judge &Of,
