--- a/tests/process/ChildProcess.cpp
+++ b/tests/process/ChildProcess.cpp
@@ -13,18 +13,18 @@
                            std::vector<std::string> Arguments,
                            const std::string &OutputFile) {
   Arguments.insert(Arguments.begin(), Program);
-  std::vector<char *> Raw;
-  Raw.reserve(Arguments.size() + 1);
-  for (std::string &Each : Arguments)
-    Raw.push_back(Each.data());
-  Raw.push_back(nullptr);
+  std::vector<char *> RawArguments;
+  RawArguments.reserve(Arguments.size() + 1);
+  for (std::string &Argument : Arguments)
+    RawArguments.push_back(Argument.data());
+  RawArguments.push_back(nullptr);
   posix_spawn_file_actions_t Files;
   posix_spawn_file_actions_init(&Files);
   posix_spawn_file_actions_addopen(&Files, STDOUT_FILENO, OutputFile.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0600);
   posix_spawn_file_actions_adddup2(&Files, STDOUT_FILENO, STDERR_FILENO);
-  const int Failure = posix_spawn(&this->Id, Program.c_str(), &Files, nullptr,
-                                  Raw.data(), environ);
+  const int Failure = posix_spawn(&this->Pid, Program.c_str(), &Files, nullptr,
+                                  RawArguments.data(), environ);
   posix_spawn_file_actions_destroy(&Files);
   if (Failure != 0)
     throw std::runtime_error("can't start " + Program);
@@ -32,9 +32,9 @@
 
 ChildProcess::~ChildProcess() { this->kill(); }
 
-void ChildProcess::signal(int Number) const {
-  if (!this->Ended)
-    ::kill(this->Id, Number);
+void ChildProcess::signal(int SignalNumber) const {
+  if (!this->HasExited)
+    ::kill(this->Pid, SignalNumber);
 }
 
 void ChildProcess::kill() {
@@ -44,8 +44,8 @@
 
 int ChildProcess::wait() {
   int Status = 0;
-  if (!this->Ended && waitpid(this->Id, &Status, 0) == this->Id) {
-    this->Ended = true;
+  if (!this->HasExited && waitpid(this->Pid, &Status, 0) == this->Pid) {
+    this->HasExited = true;
     this->ExitCode = WIFEXITED(Status) ? WEXITSTATUS(Status) : -1;
   }
   return this->ExitCode;
@@ -53,11 +53,11 @@
 
 bool ChildProcess::isAlive() {
   int Status = 0;
-  if (!this->Ended && waitpid(this->Id, &Status, WNOHANG) == this->Id) {
-    this->Ended = true;
+  if (!this->HasExited && waitpid(this->Pid, &Status, WNOHANG) == this->Pid) {
+    this->HasExited = true;
     this->ExitCode = WIFEXITED(Status) ? WEXITSTATUS(Status) : -1;
   }
-  return !this->Ended;
+  return !this->HasExited;
 }
 
 } // namespace banyanpick::process
--- a/tests/process/ChildProcess.h
+++ b/tests/process/ChildProcess.h
@@ -18,7 +18,7 @@
   ChildProcess &operator=(const ChildProcess &) = delete;
 
   /// Sends a signal to this very process.
-  void signal(int Number) const;
+  void signal(int SignalNumber) const;
   /// Kills it at once and waits for its end.
   void kill();
   /// Waits for its end; the exit code, or -1 when a signal ended it.
@@ -26,8 +26,8 @@
   bool isAlive();
 
 private:
-  pid_t Id = 0;
-  bool Ended = false;
+  pid_t Pid = 0;
+  bool HasExited = false;
   int ExitCode = -1;
 };
 
--- a/tests/process/Deployment.cpp
+++ b/tests/process/Deployment.cpp
@@ -19,20 +19,20 @@
 using nlohmann::json;
 using standins::askHttp;
 
-constexpr Duration Patience = seconds(30);
-constexpr milliseconds LookAgain(20);
+constexpr Duration RequestTimeout = seconds(30);
+constexpr milliseconds PollInterval(20);
 
 /// Bound of every wait; far beyond what any of them takes.
-constexpr seconds LongestWait(30);
+constexpr seconds MaxWait(30);
 
 const std::string Programs = BANYANPICK_PROGRAMS;
 const std::string CatalogueFile = BANYANPICK_CATALOGUE;
 
 std::vector<Member> makeMembers(const std::string &Name, std::size_t Count) {
   std::vector<Member> Members;
-  for (std::size_t I = 1; I <= Count; ++I)
-    Members.push_back(
-        {fmt::format("{}-{}", Name, I), freeAddress(), freeAddress(), nullptr});
+  for (std::size_t Index = 1; Index <= Count; ++Index)
+    Members.push_back({fmt::format("{}-{}", Name, Index), freeAddress(),
+                       freeAddress(), nullptr});
   return Members;
 }
 
@@ -69,12 +69,12 @@
   }
 }
 
-bool eventually(const std::function<bool()> &Holds) {
-  const auto GiveUp = std::chrono::steady_clock::now() + LongestWait;
-  while (!Holds()) {
-    if (std::chrono::steady_clock::now() > GiveUp)
+bool eventually(const std::function<bool()> &Condition) {
+  const auto Deadline = std::chrono::steady_clock::now() + MaxWait;
+  while (!Condition()) {
+    if (std::chrono::steady_clock::now() > Deadline)
       return false;
-    std::this_thread::sleep_for(LookAgain);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
@@ -94,17 +94,18 @@
                this->writeFile("hosts.json", this->hostList().dump())});
   this->start(this->Application, "standin_application",
               {"--listen", this->Application.Address, "--life", "b0"});
-  for (std::size_t I = 0; I < EngineCount; ++I)
-    this->start(this->Engines[I], "standin_engine",
-                {"--listen", this->Engines[I].Address, "--id",
-                 this->Engines[I].Name, "--life", fmt::format("e{}", I)});
+  for (std::size_t Index = 0; Index < EngineCount; ++Index)
+    this->start(this->Engines[Index], "standin_engine",
+                {"--listen", this->Engines[Index].Address, "--id",
+                 this->Engines[Index].Name, "--life",
+                 fmt::format("e{}", Index)});
   ChildProcess(Programs + "/banyanpick", {"keys"}, this->Directory + "/keys")
       .wait();
   this->CurveKeys = readFile(this->Directory + "/keys");
-  for (std::size_t I = 0; I < HostCount; ++I)
-    this->start(this->Hosts[I], "banyanpickd",
-                {"--settings", this->writeFile(this->Hosts[I].Name + ".ini",
-                                               this->settingsOf(I))});
+  for (std::size_t Index = 0; Index < HostCount; ++Index)
+    this->start(this->Hosts[Index], "banyanpickd",
+                {"--settings", this->writeFile(this->Hosts[Index].Name + ".ini",
+                                               this->settingsOf(Index))});
   for (const char *Key : {"root.demo-root-secret", "ring.demo-ring-secret",
                           "ateliers.demo-ateliers-secret"})
     this->apply(Key);
@@ -123,8 +124,9 @@
       Programs + "/" + Program, std::move(Flags),
       this->Directory + "/" + Started.Name + ".log");
   const standins::HttpQuestion Any{http::verb::get, "/health"};
-  if (!eventually(
-          [&] { return askHttp(Started.Address, Any, Patience).isComplete(); }))
+  if (!eventually([&] {
+        return askHttp(Started.Address, Any, RequestTimeout).isComplete();
+      }))
     throw std::runtime_error(
         Started.Name + " does not answer:\n" +
         readFile(this->Directory + "/" + Started.Name + ".log"));
@@ -149,22 +151,22 @@
 
 json Deployment::hostList() const {
   json Listed{{"hosts", json::array()}, {"upstreams", json::array()}};
-  for (std::size_t I = 0; I < HostCount; ++I)
-    Listed["hosts"].push_back({{"id", this->Hosts[I].Name},
-                               {"zone", I < 2 ? "east" : "west"},
-                               {"callers", this->Hosts[I].Address},
-                               {"peers", this->Hosts[I].Peers}});
+  for (std::size_t Index = 0; Index < HostCount; ++Index)
+    Listed["hosts"].push_back({{"id", this->Hosts[Index].Name},
+                               {"zone", Index < 2 ? "east" : "west"},
+                               {"callers", this->Hosts[Index].Address},
+                               {"peers", this->Hosts[Index].Peers}});
   Listed["upstreams"].push_back({{"id", "booking"},
                                  {"life", "b0"},
                                  {"kind", "application"},
                                  {"at", this->Application.Address},
                                  {"zone", "east"},
                                  {"application", "booking"}});
-  for (std::size_t I = 0; I < EngineCount; ++I)
-    Listed["upstreams"].push_back({{"id", this->Engines[I].Name},
-                                   {"life", fmt::format("e{}", I)},
+  for (std::size_t Index = 0; Index < EngineCount; ++Index)
+    Listed["upstreams"].push_back({{"id", this->Engines[Index].Name},
+                                   {"life", fmt::format("e{}", Index)},
                                    {"kind", "engine"},
-                                   {"at", this->Engines[I].Address},
+                                   {"at", this->Engines[Index].Address},
                                    {"zone", "east"},
                                    {"checks_fencing", true}});
   return Listed;
@@ -188,8 +190,8 @@
 
 standins::Resolver Deployment::resolver(std::size_t First) const {
   std::vector<std::string> Seeds;
-  for (std::size_t I = 0; I < HostCount; ++I)
-    Seeds.push_back(this->Hosts[(First + I) % HostCount].Address);
+  for (std::size_t Index = 0; Index < HostCount; ++Index)
+    Seeds.push_back(this->Hosts[(First + Index) % HostCount].Address);
   return standins::Resolver(Seeds, "east");
 }
 
@@ -199,12 +201,12 @@
 
 void Deployment::setLogFaults(const json &Faults) const {
   askHttp(this->Platform.Address,
-          {http::verb::post, "/admin/log", Faults.dump()}, Patience);
+          {http::verb::post, "/admin/log", Faults.dump()}, RequestTimeout);
 }
 
 std::uint64_t Deployment::runCount(const std::string &Key) const {
   return askHttp(this->Application.Address, {http::verb::get, "/counts"},
-                 Patience)
+                 RequestTimeout)
       .parsed()
       .value<std::uint64_t>(Key, 0);
 }
@@ -214,7 +216,8 @@
   eventually([&] {
     for (Member &Each : this->Engines) {
       const json Load =
-          askHttp(Each.Address, {http::verb::get, "/load"}, Patience).parsed();
+          askHttp(Each.Address, {http::verb::get, "/load"}, RequestTimeout)
+              .parsed();
       if (Load.is_object() && Load.value("running", 0) > 0)
         Found = &Each;
     }
@@ -235,7 +238,7 @@
                   Body.dump(),
                   {{"Authorization", "Bearer " + team().Key},
                    {"Content-Type", "application/json"}}},
-                 Patience);
+                 RequestTimeout);
 }
 
 } // namespace banyanpick::process
--- a/tests/process/Deployment.h
+++ b/tests/process/Deployment.h
@@ -70,6 +70,6 @@
 std::string freeAddress();
 
 /// Looks until \p Holds; false when it never does within a generous time.
-bool eventually(const std::function<bool()> &Holds);
+bool eventually(const std::function<bool()> &Condition);
 
 } // namespace banyanpick::process
--- a/tests/process/EngineLimitTest.cpp
+++ b/tests/process/EngineLimitTest.cpp
@@ -16,36 +16,36 @@
 
 /// Guards against each host keeping to itself what all keep to together, and
 /// against not heeding it at all.
-TEST(EngineLimit, AnUpstreamThatNamesALimitGetsNoMoreFromAllHostsTogether) {
+TEST(EngineLimit, AllHostsTogetherStayWithinTheNamedLimit) {
   constexpr std::size_t Hosts = 3;
   constexpr int CallersEach = 2;
-  constexpr seconds Runs(10);
+  constexpr seconds TestLength(10);
   GatewayDeployment Gateway({"limit", "", ""}, Hosts);
-  std::atomic<int> Asked = 0;
-  std::atomic<int> Served = 0;
-  const auto Until = std::chrono::steady_clock::now() + Runs;
+  std::atomic<int> Sent = 0;
+  std::atomic<int> Succeeded = 0;
+  const auto Until = std::chrono::steady_clock::now() + TestLength;
   std::vector<std::thread> Callers;
   for (std::size_t Host = 0; Host < Hosts; ++Host)
     for (int Caller = 0; Caller < CallersEach; ++Caller)
       Callers.emplace_back([&, Host] {
         while (std::chrono::steady_clock::now() < Until) {
-          const std::string Attempt = fmt::format("l{}", ++Asked);
+          const std::string Attempt = fmt::format("l{}", ++Sent);
           const auto Reply = Gateway.ask(Host, "/safe/x", Attempt);
-          Served += Reply.Status == 200 ? 1 : 0;
+          Succeeded += Reply.Status == 200 ? 1 : 0;
           std::this_thread::sleep_for(milliseconds(80));
         }
       });
-  for (std::thread &Each : Callers)
-    Each.join();
+  for (std::thread &Caller : Callers)
+    Caller.join();
   const auto Arrivals = Gateway.arrivalsUnderLimit(0);
   ASSERT_FALSE(Arrivals.Requests.empty()) << "it was never sent anything";
-  std::vector<std::chrono::steady_clock::time_point> Heeded;
-  for (const auto &Each : Arrivals.Requests)
-    if (Each.ReceivedAt >= Arrivals.LimitNamedAt + LimitObeyedWithin)
-      Heeded.push_back(Each.ReceivedAt);
-  EXPECT_LE(maxInLimitWindow(Heeded), allowedInLimitWindow());
-  EXPECT_GE(Heeded.size(), 1U) << "an upstream at its limit is still used";
-  EXPECT_EQ(Served, Asked) << "the others have room for all";
+  std::vector<std::chrono::steady_clock::time_point> Counted;
+  for (const auto &Arrival : Arrivals.Requests)
+    if (Arrival.ReceivedAt >= Arrivals.LimitNamedAt + LimitObeyedWithin)
+      Counted.push_back(Arrival.ReceivedAt);
+  EXPECT_LE(maxInLimitWindow(Counted), allowedInLimitWindow());
+  EXPECT_GE(Counted.size(), 1U) << "an upstream at its limit is still used";
+  EXPECT_EQ(Succeeded, Sent) << "the others have room for all";
 }
 
 } // namespace
--- a/tests/process/EngineRestTest.cpp
+++ b/tests/process/EngineRestTest.cpp
@@ -12,35 +12,36 @@
 namespace {
 
 /// What the stand-in asks for,
-constexpr seconds Rest(3);
+constexpr seconds BackoffTime(3);
 
 /// when a host must have heeded it,
-constexpr milliseconds HeededAfter(500);
+constexpr milliseconds ObeyedWithin(500);
 
 /// and how many requests may come until the rest is over.
-constexpr std::size_t MostAllowed = 2;
+constexpr std::size_t MaxRequests = 2;
 
 /// Guards against requests that go on to an upstream in its rest.
-TEST(EngineRest, AnUpstreamThatAsksAHostForRestGetsNoMoreThanTwoRequestsInIt) {
+TEST(EngineRest, GetsAtMostTwoRequestsDuringTheBackoff) {
   GatewayDeployment Gateway({"rest", "", ""}, 1);
   const auto Until = std::chrono::steady_clock::now() + seconds(5);
-  int Asked = 0;
-  int Served = 0;
+  int Sent = 0;
+  int Succeeded = 0;
   while (std::chrono::steady_clock::now() < Until) {
-    const auto Reply = Gateway.ask(0, "/safe/x", fmt::format("r{}", ++Asked));
-    Served += Reply.Status == 200 ? 1 : 0;
+    const auto Reply = Gateway.ask(0, "/safe/x", fmt::format("r{}", ++Sent));
+    Succeeded += Reply.Status == 200 ? 1 : 0;
     std::this_thread::sleep_for(milliseconds(20));
   }
   const auto Arrivals = Gateway.arrivalTimes(0);
   ASSERT_FALSE(Arrivals.empty()) << "it was never sent anything";
-  for (const auto &Asked : Arrivals) {
-    const auto InRest = std::ranges::count_if(Arrivals, [&](const auto &Each) {
-      return Each.second > Asked.second + HeededAfter &&
-             Each.second < Asked.second + Rest;
-    });
-    EXPECT_LE(InRest, MostAllowed) << "after " << Asked.first;
+  for (const auto &Refused : Arrivals) {
+    const auto DuringBackoff =
+        std::ranges::count_if(Arrivals, [&](const auto &Arrival) {
+          return Arrival.second > Refused.second + ObeyedWithin &&
+                 Arrival.second < Refused.second + BackoffTime;
+        });
+    EXPECT_LE(DuringBackoff, MaxRequests) << "after " << Refused.first;
   }
-  EXPECT_EQ(Served, Asked) << "the others have room for all";
+  EXPECT_EQ(Succeeded, Sent) << "the others have room for all";
 }
 
 } // namespace
--- a/tests/process/FailureTest.cpp
+++ b/tests/process/FailureTest.cpp
@@ -41,12 +41,12 @@
 }
 
 std::string freshKey() {
-  static std::uint64_t Draw = 1;
+  static std::uint64_t Counter = 1;
   return standins::makeOperationKey(standins::wallNow(),
-                                    Draw++ * 0x9e3779b97f4a7c15);
+                                    Counter++ * 0x9e3779b97f4a7c15);
 }
 
-void expectWhole(const WorkResult &Result) {
+void expectComplete(const WorkResult &Result) {
   EXPECT_EQ(Result.Ended, WorkResult::End::Whole) << Result.LastAnswer;
   EXPECT_FALSE(Result.Doubled);
   EXPECT_FALSE(Result.Crossed);
@@ -60,73 +60,75 @@
 /// Sends the bytes as they are and hangs up.
 void sendRaw(const std::string &Address, const std::string &Bytes) {
   boost::asio::io_context Io;
-  boost::asio::ip::tcp::socket Line(Io);
+  boost::asio::ip::tcp::socket Socket(Io);
   boost::system::error_code Ignored;
-  Line.connect(standins::parseEndpoint(Address), Ignored);
-  boost::asio::write(Line, boost::asio::buffer(Bytes), Ignored);
+  Socket.connect(standins::parseEndpoint(Address), Ignored);
+  boost::asio::write(Socket, boost::asio::buffer(Bytes), Ignored);
 }
 
 class Failure : public testing::Test {
 protected:
   /// Runs the item in the background, from the host's point of view first.
-  std::future<WorkResult> runBeside(const WorkItem &Item) {
+  std::future<WorkResult> runInBackground(const WorkItem &Item) {
     return std::async(std::launch::async, [this, Item] {
-      return Caller(this->Hosts, Deployment::team()).run(Item);
+      return Caller(this->HostResolver, Deployment::team()).run(Item);
     });
   }
 
   /// The host that callers of the team are told to use first.
   Member &firstHost() {
-    const auto Addresses = this->Hosts.hosts(Deployment::team().Name);
-    for (std::size_t I = 0; I < Deployment::HostCount; ++I)
-      if (!Addresses.empty() && this->All.host(I).Address == Addresses[0])
-        return this->All.host(I);
+    const auto Addresses = this->HostResolver.hosts(Deployment::team().Name);
+    for (std::size_t Index = 0; Index < Deployment::HostCount; ++Index)
+      if (!Addresses.empty() &&
+          this->Deployed.host(Index).Address == Addresses[0])
+        return this->Deployed.host(Index);
     throw std::runtime_error("resolve names no host");
   }
 
-  Deployment All;
-  standins::Resolver Hosts = this->All.resolver();
+  Deployment Deployed;
+  standins::Resolver HostResolver = this->Deployed.resolver();
 };
 
-TEST_F(Failure, StreamIsWholeAfterItsEntryHostIsKilled) {
-  Member &Serving = this->firstHost();
-  auto Result = this->runBeside(longStream());
-  this->All.busyEngine();
-  Serving.Process->kill();
-  expectWhole(Result.get());
+TEST_F(Failure, StreamIsCompleteAfterItsEntryHostIsKilled) {
+  Member &ServingHost = this->firstHost();
+  auto Result = this->runInBackground(longStream());
+  this->Deployed.busyEngine();
+  ServingHost.Process->kill();
+  expectComplete(Result.get());
 }
 
-TEST_F(Failure, StreamIsWholeAfterItsEngineIsKilled) {
-  auto Result = this->runBeside(longStream());
-  this->All.busyEngine().Process->kill();
-  expectWhole(Result.get());
+TEST_F(Failure, StreamIsCompleteAfterItsEngineIsKilled) {
+  auto Result = this->runInBackground(longStream());
+  this->Deployed.busyEngine().Process->kill();
+  expectComplete(Result.get());
 }
 
-TEST_F(Failure, PlannedStopOfAHostCutsOffNoStream) {
-  Member &Serving = this->firstHost();
-  auto Result = this->runBeside(longStream());
-  this->All.busyEngine();
-  Serving.Process->signal(SIGTERM);
+TEST_F(Failure, PlannedStopOfAHostInterruptsNoStream) {
+  Member &ServingHost = this->firstHost();
+  auto Result = this->runInBackground(longStream());
+  this->Deployed.busyEngine();
+  ServingHost.Process->signal(SIGTERM);
   const WorkResult Ended = Result.get();
-  expectWhole(Ended);
+  expectComplete(Ended);
   EXPECT_EQ(Ended.Restarted, 0U);
-  EXPECT_EQ(Serving.Process->wait(), 0);
+  EXPECT_EQ(ServingHost.Process->wait(), 0);
 }
 
 TEST_F(Failure, FrozenOwnerOfAClaimRunsItAtMostOnce) {
   const std::string Key = freshKey();
   // The owner is frozen while its claim is on the way into the log.
-  this->All.setLogFaults({{"delay_ms", 1'000}});
-  auto First = std::async(std::launch::async,
-                          [&] { return this->All.sendConfirmation(0, Key); });
+  this->Deployed.setLogFaults({{"delay_ms", 1'000}});
+  auto First = std::async(std::launch::async, [&] {
+    return this->Deployed.sendConfirmation(0, Key);
+  });
   std::this_thread::sleep_for(milliseconds(300));
-  this->All.host(0).Process->signal(SIGSTOP);
-  this->All.setLogFaults(json::object());
+  this->Deployed.host(0).Process->signal(SIGSTOP);
+  this->Deployed.setLogFaults(json::object());
   std::this_thread::sleep_for(milliseconds(1'500));
-  const std::string Second = answerOf(this->All.sendConfirmation(1, Key));
-  this->All.host(0).Process->signal(SIGCONT);
+  const std::string Second = answerOf(this->Deployed.sendConfirmation(1, Key));
+  this->Deployed.host(0).Process->signal(SIGCONT);
   const std::string Owner = answerOf(First.get());
-  const std::uint64_t Runs = this->All.runCount(Key);
+  const std::uint64_t Runs = this->Deployed.runCount(Key);
   EXPECT_LE(Runs, 1U) << Owner << " and " << Second;
   if (Owner == "whole" || Second == "whole") {
     EXPECT_EQ(Runs, 1U);
@@ -136,55 +138,55 @@
   }
 }
 
-TEST_F(Failure, LogOutageRefusesConfirmationsTruthfullyAndNothingElse) {
+TEST_F(Failure, LogOutageRefusesOnlyConfirmationsAndRunsNone) {
   const std::string Key = freshKey();
-  this->All.setLogFaults({{"down", true}});
-  const std::string During = answerOf(this->All.sendConfirmation(0, Key));
+  this->Deployed.setLogFaults({{"down", true}});
+  const std::string During = answerOf(this->Deployed.sendConfirmation(0, Key));
   EXPECT_NE(During, "whole");
-  EXPECT_EQ(this->All.runCount(Key), 0U) << During;
+  EXPECT_EQ(this->Deployed.runCount(Key), 0U) << During;
   WorkItem Idempotent = longStream();
   Idempotent.OutputTokens = 20;
-  expectWhole(this->runBeside(Idempotent).get());
-  this->All.setLogFaults(json::object());
-  Caller Sender(this->Hosts, Deployment::team());
-  expectWhole(Sender.confirm(confirmation(), freshKey(), 0));
-  EXPECT_EQ(this->All.runCount(Key), 0U);
+  expectComplete(this->runInBackground(Idempotent).get());
+  this->Deployed.setLogFaults(json::object());
+  Caller Sender(this->HostResolver, Deployment::team());
+  expectComplete(Sender.confirm(confirmation(), freshKey(), 0));
+  EXPECT_EQ(this->Deployed.runCount(Key), 0U);
 }
 
-TEST_F(Failure, LostAnswersOfTheLogAreSettledByReading) {
-  this->All.setLogFaults({{"lose_answers", 3}});
+TEST_F(Failure, LostAnswersOfTheLogAreResolvedByReading) {
+  this->Deployed.setLogFaults({{"lose_answers", 3}});
   const std::string Key = freshKey();
-  Caller Sender(this->Hosts, Deployment::team());
-  expectWhole(Sender.confirm(confirmation(), Key, 0));
-  EXPECT_EQ(this->All.runCount(Key), 1U);
+  Caller Sender(this->HostResolver, Deployment::team());
+  expectComplete(Sender.confirm(confirmation(), Key, 0));
+  EXPECT_EQ(this->Deployed.runCount(Key), 1U);
 }
 
 TEST_F(Failure, SameConfirmationAtAllHostsRunsOnce) {
   const std::string Key = freshKey();
   std::vector<std::future<WorkResult>> Sent;
-  for (std::size_t I = 0; I < Deployment::HostCount; ++I)
-    Sent.push_back(std::async(std::launch::async, [this, Key, I] {
-      return Caller(this->Hosts, Deployment::team())
-          .confirm(confirmation(), Key, I);
+  for (std::size_t Index = 0; Index < Deployment::HostCount; ++Index)
+    Sent.push_back(std::async(std::launch::async, [this, Key, Index] {
+      return Caller(this->HostResolver, Deployment::team())
+          .confirm(confirmation(), Key, Index);
     }));
-  for (auto &Each : Sent)
-    expectWhole(Each.get());
-  EXPECT_EQ(this->All.runCount(Key), 1U);
+  for (auto &Pending : Sent)
+    expectComplete(Pending.get());
+  EXPECT_EQ(this->Deployed.runCount(Key), 1U);
 }
 
-TEST_F(Failure, BadBytesAtEveryPortLeaveTheHostServing) {
+TEST_F(Failure, HostServesAfterArbitraryBytesAtEveryPort) {
   rc::check("a host answers after any bytes", [this] {
     const auto Bytes = *rc::gen::container<std::string>(
         rc::gen::oneOf(rc::gen::arbitrary<char>(),
                        rc::gen::elementOf(std::string("GETPOST /{}\":\r\n"))));
-    Member &Target = this->All.host(0);
+    Member &Target = this->Deployed.host(0);
     sendRaw(Target.Address, Bytes);
     sendRaw(Target.Address, "POST /v1/completions HTTP/1.1\r\n\r\n" + Bytes);
     sendRaw(Target.Peers, Bytes);
     RC_ASSERT(Target.Process->isAlive());
   });
-  expectWhole(this->runBeside(longStream()).get());
-  EXPECT_TRUE(this->All.host(0).Process->isAlive());
+  expectComplete(this->runInBackground(longStream()).get());
+  EXPECT_TRUE(this->Deployed.host(0).Process->isAlive());
 }
 
 } // namespace
--- a/tests/process/GatewayDeployment.cpp
+++ b/tests/process/GatewayDeployment.cpp
@@ -18,9 +18,9 @@
 using standins::HttpQuestion;
 using standins::HttpReply;
 
-constexpr seconds Patience(10);
+constexpr seconds RequestTimeout(10);
 /// What callers say that they will wait.
-constexpr seconds CallerWaits(5);
+constexpr seconds CallerTimeout(5);
 
 json route(const std::string &Prefix, const std::string &Kind, int Attempts) {
   return {{"Name", Prefix},
@@ -66,10 +66,10 @@
   }
   for (std::size_t Index = 0; Index < Faults.size(); ++Index)
     this->startUpstream(this->Upstreams[Index], Faults[Index]);
-  HttpQuestion Ping;
-  Ping.Target = "/standin/ping";
+  HttpQuestion Req;
+  Req.Target = "/standin/ping";
   eventually(
-      [&] { return askHttp(this->Store, Ping, Patience).Status == 200; });
+      [&] { return askHttp(this->Store, Req, RequestTimeout).Status == 200; });
   this->configure(1);
   for (Host &Each : this->Hosts)
     this->startHost(Each);
@@ -128,11 +128,11 @@
       this->Folder + "/" + Name + ".log");
 }
 
-void GatewayDeployment::startUpstream(Upstream &Target, const Fault &How) {
+void GatewayDeployment::startUpstream(Upstream &Target, const Fault &Behavior) {
   Target.Process = this->start(Target.Id, "standin_upstream",
                                {"--listen", Target.Address, "--id", Target.Id,
                                 "--registered", Target.Registered, "--store",
-                                this->Store, "--fault", How, "--runs_file",
+                                this->Store, "--fault", Behavior, "--runs_file",
                                 this->Folder + "/" + Target.Id + ".runs"});
 }
 
@@ -143,7 +143,7 @@
       this->start(Target.Name, "banyanpickd", {"--settings", File});
 }
 
-std::string GatewayDeployment::settingsOf(const Host &Of) const {
+std::string GatewayDeployment::settingsOf(const Host &ForHost) const {
   return fmt::format(
       "[host]\nname = {}\nzone = east\ncallers = {}\npeers = {}\n"
       "serving = gateway\n"
@@ -152,45 +152,50 @@
       "[membership]\ndiscovery = gossip\nseeds = {}\n"
       "heartbeat_interval = 100ms\nhost_list_interval = 500ms\n"
       "[peers]\nencryption = none\n",
-      Of.Name, Of.Callers, Of.Peers, Of.Directory, Of.Readiness, Of.Metrics,
-      Of.Store, Of.Store, this->Hosts.front().Peers);
+      ForHost.Name, ForHost.Callers, ForHost.Peers, ForHost.Directory,
+      ForHost.Readiness, ForHost.Metrics, ForHost.Store, ForHost.Store,
+      this->Hosts.front().Peers);
 }
 
-HttpReply GatewayDeployment::ask(std::size_t Host, const std::string &Path,
-                                 const std::string &Attempt,
-                                 const std::string &Body,
-                                 std::vector<standins::HttpHeader> More) const {
-  HttpQuestion Question =
-      standins::demoQuestion({}, Path, Attempt, Body, CallerWaits);
-  for (standins::HttpHeader &Each : More)
-    Question.Headers.push_back(std::move(Each));
-  return askHttp(this->Hosts.at(Host).Callers, Question, Patience);
+HttpReply
+GatewayDeployment::ask(std::size_t Host, const std::string &Path,
+                       const std::string &Attempt, const std::string &Body,
+                       std::vector<standins::HttpHeader> ExtraHeaders) const {
+  HttpQuestion Req =
+      standins::demoQuestion({}, Path, Attempt, Body, CallerTimeout);
+  for (standins::HttpHeader &Each : ExtraHeaders)
+    Req.Headers.push_back(std::move(Each));
+  return askHttp(this->Hosts.at(Host).Callers, Req, RequestTimeout);
 }
 
 int GatewayDeployment::runCount(const std::string &Attempt) const {
   int Sum = 0;
-  HttpQuestion Ask;
-  Ask.Target = "/standin/runs";
+  HttpQuestion Req;
+  Req.Target = "/standin/runs";
   for (const Upstream &Each : this->Upstreams)
-    Sum +=
-        askHttp(Each.Address, Ask, Patience).parsed()["runs"].value(Attempt, 0);
+    Sum += askHttp(Each.Address, Req, RequestTimeout)
+               .parsed()["runs"]
+               .value(Attempt, 0);
   return Sum;
 }
 
 bool GatewayDeployment::anyUpstreamReceivedAKey() const {
-  HttpQuestion Ask;
-  Ask.Target = "/standin/runs";
+  HttpQuestion Req;
+  Req.Target = "/standin/runs";
   for (const Upstream &Each : this->Upstreams)
-    if (askHttp(Each.Address, Ask, Patience).parsed()["saw_key"].get<bool>())
+    if (askHttp(Each.Address, Req, RequestTimeout)
+            .parsed()["saw_key"]
+            .get<bool>())
       return true;
   return false;
 }
 
 json GatewayDeployment::requestRecord(std::size_t Upstream) const {
-  HttpQuestion Ask;
-  Ask.Target = "/standin/runs";
+  HttpQuestion Req;
+  Req.Target = "/standin/runs";
   const json Reply =
-      askHttp(this->Upstreams.at(Upstream).Address, Ask, Patience).parsed();
+      askHttp(this->Upstreams.at(Upstream).Address, Req, RequestTimeout)
+          .parsed();
   return Reply.is_object() ? Reply : json();
 }
 
@@ -217,17 +222,17 @@
 }
 
 unsigned GatewayDeployment::readiness(std::size_t Host) const {
-  HttpQuestion Ask;
-  Ask.Target = std::string(platform::path::Readiness);
-  return askHttp(this->Hosts.at(Host).Readiness, Ask, Patience).Status;
+  HttpQuestion Req;
+  Req.Target = std::string(platform::path::Readiness);
+  return askHttp(this->Hosts.at(Host).Readiness, Req, RequestTimeout).Status;
 }
 
 std::vector<std::string> GatewayDeployment::directory(std::size_t Host,
-                                                      Duration Limit) const {
-  HttpQuestion Ask;
-  Ask.Target = std::string(platform::path::Resolution) + "?Name=demo.example";
+                                                      Duration Timeout) const {
+  HttpQuestion Req;
+  Req.Target = std::string(platform::path::Resolution) + "?Name=demo.example";
   const json Reply =
-      askHttp(this->Hosts.at(Host).Directory, Ask, Limit).parsed();
+      askHttp(this->Hosts.at(Host).Directory, Req, Timeout).parsed();
   if (!Reply.is_object() || !Reply.contains("Addresses"))
     return {};
   return Reply["Addresses"].get<std::vector<std::string>>();
@@ -250,18 +255,18 @@
 
 void GatewayDeployment::put(const std::string &Topic, const std::string &Key,
                             const std::string &Value) const {
-  HttpQuestion Put;
-  Put.Method = boost::beast::http::verb::post;
-  Put.Target = fmt::format("/standin/put?Topic={}&Key={}", Topic, Key);
-  Put.Body = Value;
-  askHttp(this->Store, Put, Patience);
+  HttpQuestion Req;
+  Req.Method = boost::beast::http::verb::post;
+  Req.Target = fmt::format("/standin/put?Topic={}&Key={}", Topic, Key);
+  Req.Body = Value;
+  askHttp(this->Store, Req, RequestTimeout);
 }
 
 void GatewayDeployment::control(const std::string &Target) const {
-  HttpQuestion Ask;
-  Ask.Method = boost::beast::http::verb::post;
-  Ask.Target = Target;
-  askHttp(this->Store, Ask, Patience);
+  HttpQuestion Req;
+  Req.Method = boost::beast::http::verb::post;
+  Req.Target = Target;
+  askHttp(this->Store, Req, RequestTimeout);
 }
 
 } // namespace banyanpick::process
--- a/tests/process/GatewayDeployment.h
+++ b/tests/process/GatewayDeployment.h
@@ -69,10 +69,10 @@
   Upstream &upstream(std::size_t Index) { return this->Upstreams.at(Index); }
 
   /// Sends one request for the path to the host.
-  standins::HttpReply ask(std::size_t Host, const std::string &Path,
-                          const std::string &Attempt,
-                          const std::string &Body = "hello",
-                          std::vector<standins::HttpHeader> More = {}) const;
+  standins::HttpReply
+  ask(std::size_t Host, const std::string &Path, const std::string &Attempt,
+      const std::string &Body = "hello",
+      std::vector<standins::HttpHeader> ExtraHeaders = {}) const;
   /// Sums how often the upstreams ran the caller's attempt.
   int runCount(const std::string &Attempt) const;
   bool anyUpstreamReceivedAKey() const;
@@ -93,7 +93,7 @@
   unsigned readiness(std::size_t Host) const;
   /// The hosts that it names, if it does so within the limit.
   std::vector<std::string> directory(std::size_t Host,
-                                     Duration Limit = seconds(10)) const;
+                                     Duration Timeout = seconds(10)) const;
   /// Writes the configuration's next version with or without `/extra/`.
   void configure(std::uint64_t Version, bool WithExtra = false) const;
   void put(const std::string &Topic, const std::string &Key,
@@ -103,8 +103,8 @@
 private:
   /// What the upstream noted of its requests; null when it does not tell.
   nlohmann::json requestRecord(std::size_t Upstream) const;
-  void startUpstream(Upstream &Target, const Fault &How);
-  std::string settingsOf(const Host &Of) const;
+  void startUpstream(Upstream &Target, const Fault &Behavior);
+  std::string settingsOf(const Host &ForHost) const;
   std::unique_ptr<ChildProcess> start(const std::string &Name,
                                       const std::string &Program,
                                       std::vector<std::string> Flags) const;
--- a/tests/process/GatewayTest.cpp
+++ b/tests/process/GatewayTest.cpp
@@ -19,7 +19,7 @@
 using standins::demoStream;
 using standins::HttpReply;
 
-TEST(Gateway, RelaysWholeAnswersAndStreamsWithTheTeamAndWithoutTheKey) {
+TEST(Gateway, RelaysAnswersAndStreamsWithTheTeamAndWithoutTheKey) {
   GatewayDeployment Gateway({"", ""});
   const HttpReply Whole = Gateway.ask(0, "/safe/x", "a1", "my words");
   EXPECT_EQ(Whole.Status, 200U);
@@ -31,11 +31,11 @@
   EXPECT_FALSE(Gateway.anyUpstreamReceivedAKey());
 }
 
-TEST(Gateway, GoesOnWithAStreamThatWasCutInTheMiddleOfAnEvent) {
+TEST(Gateway, ResumesAStreamThatWasCutInTheMiddleOfAnEvent) {
   GatewayDeployment Gateway({"cut", ""});
-  for (int Each = 0; Each < 8; ++Each) {
+  for (int Round = 0; Round < 8; ++Round) {
     const HttpReply Reply =
-        Gateway.ask(0, "/stream/x", fmt::format("s{}", Each));
+        Gateway.ask(0, "/stream/x", fmt::format("s{}", Round));
     EXPECT_TRUE(Reply.isComplete());
     EXPECT_EQ(Reply.Body, demoStream());
   }
@@ -43,9 +43,9 @@
 
 TEST(Gateway, GoesOnWithAStreamThatFellSilent) {
   GatewayDeployment Gateway({"stall", ""});
-  for (int Each = 0; Each < 4; ++Each) {
+  for (int Round = 0; Round < 4; ++Round) {
     const HttpReply Reply =
-        Gateway.ask(0, "/stream/x", fmt::format("q{}", Each));
+        Gateway.ask(0, "/stream/x", fmt::format("q{}", Round));
     EXPECT_TRUE(Reply.isComplete());
     EXPECT_EQ(Reply.Body, demoStream());
   }
@@ -60,14 +60,14 @@
 
 class GatewayFault : public testing::TestWithParam<const char *> {};
 
-TEST_P(GatewayFault, IsHiddenFromWhatMayRepeatAndRunsNothingTwiceElse) {
+TEST_P(GatewayFault, IsHiddenFromSafeRequestsAndRunsNoOtherRequestTwice) {
   GatewayDeployment Gateway({GetParam(), ""});
-  for (int Each = 0; Each < 6; ++Each) {
+  for (int Round = 0; Round < 6; ++Round) {
     const HttpReply Safe =
-        Gateway.ask(0, "/safe/x", fmt::format("safe{}", Each));
+        Gateway.ask(0, "/safe/x", fmt::format("safe{}", Round));
     EXPECT_EQ(Safe.Status, 200U) << GetParam();
     EXPECT_TRUE(Safe.Body.ends_with(": hello")) << Safe.Body;
-    const std::string Once = fmt::format("once{}", Each);
+    const std::string Once = fmt::format("once{}", Round);
     const HttpReply Reply = Gateway.ask(1, "/once/x", Once);
     const int Runs = Gateway.runCount(Once);
     EXPECT_LE(Runs, 1) << GetParam();
@@ -117,7 +117,7 @@
         [&] { return Gateway.ask(Host, "/extra/x", "c2").Status == 404; }));
 }
 
-TEST(Gateway, ServesThroughAnOutageOfTheStoreAndFollowsAfterIt) {
+TEST(Gateway, ServesDuringAStoreOutageAndCatchesUpAfterwards) {
   GatewayDeployment Gateway({""});
   Gateway.control("/standin/down?On=1");
   EXPECT_EQ(Gateway.ask(0, "/once/x", "d1").Status, 200U);
@@ -151,11 +151,12 @@
   Gateway.host(0).Process->kill();
   EXPECT_TRUE(eventually([&] { return Gateway.directory(1).size() == 1; }));
   Gateway.upstream(0).Process->kill();
-  for (int Each = 0; Each < 10; ++Each)
-    EXPECT_EQ(Gateway.ask(1, "/once/x", fmt::format("f{}", Each)).Status, 200U);
+  for (int Round = 0; Round < 10; ++Round)
+    EXPECT_EQ(Gateway.ask(1, "/once/x", fmt::format("f{}", Round)).Status,
+              200U);
 }
 
-TEST(Gateway, ReloadsItsSettingsAndKeepsTheOldOnesWhenTheNewAreWrong) {
+TEST(Gateway, KeepsServingAfterAReloadOfItsSettings) {
   GatewayDeployment Gateway({""}, 1);
   Gateway.host(0).Process->signal(SIGHUP);
   EXPECT_EQ(Gateway.ask(0, "/safe/x", "g1").Status, 200U);
@@ -166,13 +167,13 @@
   GatewayDeployment Gateway({""});
   ChildProcess &Paused = *Gateway.host(0).Process;
   // Any thread may take such a signal, and its wait is interrupted.
-  for (int Each = 0; Each < 20; ++Each) {
+  for (int Round = 0; Round < 20; ++Round) {
     Paused.signal(SIGSTOP);
     Paused.signal(SIGHUP);
     std::this_thread::sleep_for(milliseconds(20));
     Paused.signal(SIGCONT);
     std::this_thread::sleep_for(milliseconds(20));
-    ASSERT_TRUE(Paused.isAlive()) << "after pause " << Each;
+    ASSERT_TRUE(Paused.isAlive()) << "after pause " << Round;
   }
   EXPECT_EQ(Gateway.ask(0, "/once/x", "p1").Status, 200U);
   Paused.signal(SIGSTOP);
@@ -183,8 +184,8 @@
 }
 
 /// Sends a whole request and leaves without waiting for the answer.
-void askAndLeave(const std::string &Address, const std::string &Path,
-                 int Number, Duration LeaveAfter) {
+void sendAndDisconnect(const std::string &Address, const std::string &Path,
+                       int Number, Duration DisconnectAfter) {
   boost::asio::io_context Io;
   boost::asio::ip::tcp::socket Socket(Io);
   boost::system::error_code Ignored;
@@ -195,7 +196,7 @@
       "X-Remaining-Milliseconds: 3000\r\nContent-Length: 5\r\n\r\nhello",
       Path, Number);
   boost::asio::write(Socket, boost::asio::buffer(Request), Ignored);
-  std::this_thread::sleep_for(LeaveAfter);
+  std::this_thread::sleep_for(DisconnectAfter);
 }
 
 TEST(Gateway, CallersThatLeaveAtOnceDoNotEndIt) {
@@ -206,12 +207,13 @@
   Callers.reserve(CallerCount);
   for (int Caller = 0; Caller < CallerCount; ++Caller)
     Callers.emplace_back([&, Caller] {
-      for (int Each = 0; Each < 300 && Host.isAlive(); ++Each)
-        askAndLeave(Gateway.host(0).Callers, Each % 2 ? "/once/x" : "/safe/x",
-                    Caller * 1000 + Each, std::chrono::microseconds(Each));
+      for (int Round = 0; Round < 300 && Host.isAlive(); ++Round)
+        sendAndDisconnect(
+            Gateway.host(0).Callers, Round % 2 ? "/once/x" : "/safe/x",
+            Caller * 1000 + Round, std::chrono::microseconds(Round));
     });
-  for (std::thread &Each : Callers)
-    Each.join();
+  for (std::thread &Caller : Callers)
+    Caller.join();
   ASSERT_TRUE(Host.isAlive());
   EXPECT_EQ(Gateway.ask(0, "/once/x", "stayed").Status, 200U);
 }
@@ -219,12 +221,12 @@
 TEST(Gateway, ShowsItsMetrics) {
   GatewayDeployment Gateway({""}, 1);
   Gateway.ask(0, "/safe/x", "h1");
-  standins::HttpQuestion Ask;
-  Ask.Target = "/metrics";
+  standins::HttpQuestion Req;
+  Req.Target = "/metrics";
   // Control counts the end a moment after the caller has its answer.
   std::string Page;
   EXPECT_TRUE(eventually([&] {
-    Page = standins::askHttp(Gateway.host(0).Metrics, Ask, seconds(5)).Body;
+    Page = standins::askHttp(Gateway.host(0).Metrics, Req, seconds(5)).Body;
     return Page.find(
                "banyanpick_relays_ended_total{label=\"delivered\"} 1\n") !=
            std::string::npos;
--- a/tests/process/LimitWindow.h
+++ b/tests/process/LimitWindow.h
@@ -24,22 +24,22 @@
 /// The most requests that may come within a window.
 inline std::size_t allowedInLimitWindow() {
   constexpr double Factor = 1.5;
-  constexpr double More = 5;
+  constexpr double Allowance = 5;
   return static_cast<std::size_t>(
-      Factor * StandinLimit * inSeconds(LimitWindow) + More);
+      Factor * StandinLimit * inSeconds(LimitWindow) + Allowance);
 }
 
 /// The most of the arrivals that lie within one window.
 inline std::size_t
 maxInLimitWindow(std::vector<std::chrono::steady_clock::time_point> Arrivals) {
   std::ranges::sort(Arrivals);
-  std::size_t Most = 0;
+  std::size_t Max = 0;
   for (auto First = Arrivals.begin(); First != Arrivals.end(); ++First) {
     const auto Last =
         std::upper_bound(First, Arrivals.end(), *First + LimitWindow);
-    Most = std::max(Most, static_cast<std::size_t>(Last - First));
+    Max = std::max(Max, static_cast<std::size_t>(Last - First));
   }
-  return Most;
+  return Max;
 }
 
 } // namespace banyanpick::process
