--- a/tests/process/ChildProcess.cpp
+++ b/tests/process/ChildProcess.cpp
@@ -27,7 +27,7 @@
                                   RawArguments.data(), environ);
   posix_spawn_file_actions_destroy(&Files);
   if (Failure != 0)
-    throw std::runtime_error("can't start " + Program);
+    throw std::runtime_error("cannot start " + Program);
 }
 
 ChildProcess::~ChildProcess() { this->kill(); }
--- a/tests/process/ChildProcess.h
+++ b/tests/process/ChildProcess.h
@@ -1,5 +1,5 @@
 /// \file
-/// A process started by a test, and ended with it.
+/// A child process of a test.
 #pragma once
 
 #include <string>
@@ -8,20 +8,23 @@
 
 namespace banyanpick::process {
 
+/// Starts a process and kills it in the destructor. Not thread-safe.
 class ChildProcess {
 public:
-  /// Starts \p Program; what it prints goes to \p OutputFile.
+  /// Starts \p Program. Its output is appended to \p OutputFile. Throws
+  /// std::runtime_error if the process cannot be started.
   ChildProcess(const std::string &Program, std::vector<std::string> Arguments,
                const std::string &OutputFile);
   ~ChildProcess();
   ChildProcess(const ChildProcess &) = delete;
   ChildProcess &operator=(const ChildProcess &) = delete;
 
-  /// Sends a signal to this very process.
+  /// Sends a signal to the process unless it has exited.
   void signal(int SignalNumber) const;
-  /// Kills it at once and waits for its end.
+  /// Sends SIGKILL and waits until the process has exited.
   void kill();
-  /// Waits for its end; the exit code, or -1 when a signal ended it.
+  /// Waits until the process has exited. Returns the exit code, or -1 if a
+  /// signal ended the process.
   int wait();
   bool isAlive();
 
--- a/tests/process/Deployment.cpp
+++ b/tests/process/Deployment.cpp
@@ -22,7 +22,7 @@
 constexpr Duration RequestTimeout = seconds(30);
 constexpr milliseconds PollInterval(20);
 
-/// Bound of every wait; far beyond what any of them takes.
+/// Upper bound of each wait. Every wait normally ends much earlier.
 constexpr seconds MaxWait(30);
 
 const std::string Programs = BANYANPICK_PROGRAMS;
@@ -45,8 +45,8 @@
 } // namespace
 
 std::string freeAddress() {
-  // Below the ports that systems give to outgoing connections: a process that
-  // is started again must find its port free.
+  // The range is below the ephemeral ports of outgoing connections, so that a
+  // restarted process finds its port free.
   constexpr std::uint16_t First = 15000;
   constexpr std::uint16_t Last = 31999;
   static std::uint16_t Next =
@@ -56,15 +56,15 @@
   for (;;) {
     Next = Next >= Last ? First : Next + 1;
     boost::asio::ip::tcp::acceptor Probe(Io);
-    const boost::asio::ip::tcp::endpoint At(
+    const boost::asio::ip::tcp::endpoint Endpoint(
         boost::asio::ip::make_address("127.0.0.1"), Next);
-    boost::system::error_code Taken;
-    Probe.open(At.protocol());
+    boost::system::error_code Failure;
+    Probe.open(Endpoint.protocol());
     Probe.set_option(boost::asio::socket_base::reuse_address(true));
-    Probe.bind(At, Taken);
-    if (!Taken)
-      Probe.listen(1, Taken);
-    if (!Taken)
+    Probe.bind(Endpoint, Failure);
+    if (!Failure)
+      Probe.listen(1, Failure);
+    if (!Failure)
       return fmt::format("127.0.0.1:{}", Next);
   }
 }
@@ -85,7 +85,7 @@
   std::string Template =
       (std::filesystem::temp_directory_path() / "banyanpick-XXXXXX").string();
   if (!mkdtemp(Template.data()))
-    throw std::runtime_error("can't make a directory for the test");
+    throw std::runtime_error("cannot create a directory for the test");
   this->Directory = Template;
   this->Platform.Address = freeAddress();
   this->Application.Address = freeAddress();
@@ -183,7 +183,7 @@
                .wait() == 0;
   });
   if (!Applied)
-    throw std::runtime_error("the catalogue can't be applied:\n" +
+    throw std::runtime_error("the catalogue cannot be applied:\n" +
                              readFile(Output) +
                              readFile(this->Directory + "/host-1.log"));
 }
@@ -214,17 +214,17 @@
 Member &Deployment::busyEngine() {
   Member *Found = nullptr;
   eventually([&] {
-    for (Member &Each : this->Engines) {
+    for (Member &Engine : this->Engines) {
       const json Load =
-          askHttp(Each.Address, {http::verb::get, "/load"}, RequestTimeout)
+          askHttp(Engine.Address, {http::verb::get, "/load"}, RequestTimeout)
               .parsed();
       if (Load.is_object() && Load.value("running", 0) > 0)
-        Found = &Each;
+        Found = &Engine;
     }
     return Found != nullptr;
   });
   if (!Found)
-    throw std::runtime_error("no engine runs anything");
+    throw std::runtime_error("no engine runs a request");
   return *Found;
 }
 
--- a/tests/process/Deployment.h
+++ b/tests/process/Deployment.h
@@ -1,6 +1,6 @@
 /// \file
-/// Three entry hosts, three engines, an application service and the platform,
-/// as processes on loopback, with the demonstration's catalogue in force.
+/// A deployment of processes on loopback: three entry hosts, three engines, an
+/// application service and the platform. The demo catalogue is in force.
 #pragma once
 
 #include "process/ChildProcess.h"
@@ -17,36 +17,39 @@
 /// One process of the deployment.
 struct Member {
   std::string Name;
-  std::string Address; ///< Where it is asked.
-  std::string Peers;   ///< Entry hosts only.
+  std::string Address; ///< Address for calls.
+  std::string Peers;   ///< Address for peers; only entry hosts.
   std::unique_ptr<ChildProcess> Process;
 };
 
+/// Starts and stops the processes of a deployment.
 class Deployment {
 public:
   static constexpr std::size_t HostCount = 3;
   static constexpr std::size_t EngineCount = 3;
 
-  /// Starts everything and waits until the catalogue is in force.
+  /// Starts all processes and waits until the catalogue is in force. Throws
+  /// std::runtime_error if a process does not answer.
   Deployment();
   ~Deployment();
 
   Member &host(std::size_t Index) { return this->Hosts.at(Index); }
   Member &engine(std::size_t Index) { return this->Engines.at(Index); }
 
-  /// Callers with this resolver ask \p First and then the other hosts.
+  /// Returns a resolver that asks \p First and then the other hosts.
   standins::Resolver resolver(std::size_t First = 0) const;
-  /// A caller of the first team.
+  /// Returns the first team of the catalogue with its key.
   static standins::CallerTeam team();
 
-  /// Sets the faults of the log, `{"down", "lose_answers", "delay_ms"}`.
+  /// Sets the faults of the log: `{"down", "lose_answers", "delay_ms"}`.
   void setLogFaults(const nlohmann::json &Faults) const;
-  /// How often the application ran the operation.
+  /// Returns how often the application ran the operation \p Key.
   std::uint64_t runCount(const std::string &Key) const;
-  /// The engine that runs something now; waits until there is one.
+  /// Waits until an engine runs a request and returns the engine. Throws
+  /// std::runtime_error after a timeout.
   Member &busyEngine();
 
-  /// Asks one host for a confirmation, once.
+  /// Sends one confirmation to one host, without retry.
   standins::HttpReply sendConfirmation(std::size_t Host,
                                        const std::string &Key) const;
 
@@ -66,10 +69,11 @@
   std::string CurveKeys;
 };
 
-/// An address that nobody listens on, and that was not given before.
+/// Returns a loopback address with a free port that was not returned before.
 std::string freeAddress();
 
-/// Looks until \p Holds; false when it never does within a generous time.
+/// Polls until \p Condition returns true. Returns false if that does not happen
+/// within 30 s.
 bool eventually(const std::function<bool()> &Condition);
 
 } // namespace banyanpick::process
--- a/tests/process/EngineLeavingTest.cpp
+++ b/tests/process/EngineLeavingTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// An upstream that says in its answers that it leaves.
+/// An upstream that announces in its answers that it is leaving.
 #include "process/Deployment.h"
 #include "process/GatewayDeployment.h"
 
@@ -11,12 +11,12 @@
 namespace banyanpick::process {
 namespace {
 
-/// The host that heard it heeds it from the next request on, and the others
-/// are told within so long.
+/// The host that receives the answer obeys it from the next request on. It
+/// notifies the other hosts, which obey within this time.
 constexpr milliseconds ObeyedWithin(300);
 
-/// Guards against requests that begin on an upstream after it has said in an
-/// answer that it leaves, though the store calls it ready.
+/// Guards against requests that start on an upstream after it has announced in
+/// an answer that it is leaving, while the store still lists it as ready.
 TEST(EngineLeaving, GetsNoNewRequestsFromAnyHostAfterAnnouncingIt) {
   constexpr std::size_t Hosts = 2;
   GatewayDeployment Gateway({"leaving", "", ""}, Hosts);
@@ -30,12 +30,13 @@
     std::this_thread::sleep_for(milliseconds(10));
   }
   const auto Arrivals = Gateway.arrivalTimes(0);
-  ASSERT_FALSE(Arrivals.empty()) << "it was never sent anything";
+  ASSERT_FALSE(Arrivals.empty()) << "the upstream received no request";
   const auto First = std::ranges::min_element(
       Arrivals, {}, [](const auto &Arrival) { return Arrival.second; });
   for (const auto &[Attempt, At] : Arrivals)
     EXPECT_LT(At, First->second + ObeyedWithin) << Attempt;
-  EXPECT_EQ(Succeeded, Sent) << "the others have room for all";
+  EXPECT_EQ(Succeeded, Sent)
+      << "the other upstreams have capacity for all requests";
 }
 
 } // namespace
--- a/tests/process/EngineLimitTest.cpp
+++ b/tests/process/EngineLimitTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// An upstream in need that names how many requests it takes, before hosts
-/// that share the callers.
+/// An overloaded upstream that names a request limit, with several hosts that
+/// share the callers.
 #include "process/Deployment.h"
 #include "process/GatewayDeployment.h"
 #include "process/LimitWindow.h"
@@ -14,8 +14,8 @@
 namespace banyanpick::process {
 namespace {
 
-/// Guards against each host keeping to itself what all keep to together, and
-/// against not heeding it at all.
+/// Guards against hosts that each use the whole limit instead of sharing it,
+/// and against hosts that ignore the limit.
 TEST(EngineLimit, AllHostsTogetherStayWithinTheNamedLimit) {
   constexpr std::size_t Hosts = 3;
   constexpr int CallersEach = 2;
@@ -38,14 +38,16 @@
   for (std::thread &Caller : Callers)
     Caller.join();
   const auto Arrivals = Gateway.arrivalsUnderLimit(0);
-  ASSERT_FALSE(Arrivals.Requests.empty()) << "it was never sent anything";
+  ASSERT_FALSE(Arrivals.Requests.empty()) << "the upstream received no request";
   std::vector<std::chrono::steady_clock::time_point> Counted;
   for (const auto &Arrival : Arrivals.Requests)
     if (Arrival.ReceivedAt >= Arrivals.LimitNamedAt + LimitObeyedWithin)
       Counted.push_back(Arrival.ReceivedAt);
   EXPECT_LE(maxInLimitWindow(Counted), allowedInLimitWindow());
-  EXPECT_GE(Counted.size(), 1U) << "an upstream at its limit is still used";
-  EXPECT_EQ(Succeeded, Sent) << "the others have room for all";
+  EXPECT_GE(Counted.size(), 1U)
+      << "an upstream at its limit still gets requests";
+  EXPECT_EQ(Succeeded, Sent)
+      << "the other upstreams have capacity for all requests";
 }
 
 } // namespace
--- a/tests/process/EngineRestTest.cpp
+++ b/tests/process/EngineRestTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// An upstream that turns a host away and asks it for rest.
+/// An upstream that refuses a request and asks the host to back off.
 #include "process/Deployment.h"
 #include "process/GatewayDeployment.h"
 
@@ -11,16 +11,17 @@
 namespace banyanpick::process {
 namespace {
 
-/// What the stand-in asks for,
+/// The backoff time that the stand-in asks for.
 constexpr seconds BackoffTime(3);
 
-/// when a host must have heeded it,
+/// The host must obey the request for backoff after this time.
 constexpr milliseconds ObeyedWithin(500);
 
-/// and how many requests may come until the rest is over.
+/// Requests that may still arrive until the backoff ends.
 constexpr std::size_t MaxRequests = 2;
 
-/// Guards against requests that go on to an upstream in its rest.
+/// Guards against a host that keeps sending requests to an upstream during the
+/// backoff that the upstream asked for.
 TEST(EngineRest, GetsAtMostTwoRequestsDuringTheBackoff) {
   GatewayDeployment Gateway({"rest", "", ""}, 1);
   const auto Until = std::chrono::steady_clock::now() + seconds(5);
@@ -32,7 +33,7 @@
     std::this_thread::sleep_for(milliseconds(20));
   }
   const auto Arrivals = Gateway.arrivalTimes(0);
-  ASSERT_FALSE(Arrivals.empty()) << "it was never sent anything";
+  ASSERT_FALSE(Arrivals.empty()) << "the upstream received no request";
   for (const auto &Refused : Arrivals) {
     const auto DuringBackoff =
         std::ranges::count_if(Arrivals, [&](const auto &Arrival) {
@@ -41,7 +42,8 @@
         });
     EXPECT_LE(DuringBackoff, MaxRequests) << "after " << Refused.first;
   }
-  EXPECT_EQ(Succeeded, Sent) << "the others have room for all";
+  EXPECT_EQ(Succeeded, Sent)
+      << "the other upstreams have capacity for all requests";
 }
 
 } // namespace
--- a/tests/process/FailureTest.cpp
+++ b/tests/process/FailureTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Failures of real processes: kills, freezes, outages of the log and bad
-/// bytes. No verdict depends on how fast anything runs.
+/// Failures of real processes: kills, pauses, log outages and malformed input.
+/// No assertion depends on the speed of the machine.
 #include "process/Deployment.h"
 #include "standins/HttpServer.h"
 #include "standins/WireText.h"
@@ -21,7 +21,7 @@
 using standins::WorkKind;
 using standins::WorkResult;
 
-/// Long enough that a process can be killed before the answer is whole.
+/// Long enough to kill a process before the answer is complete.
 constexpr std::uint64_t LongAnswerTokens = 400;
 
 WorkItem longStream() {
@@ -57,7 +57,7 @@
   return Answer.is_object() ? Answer.value("answer", "") : "";
 }
 
-/// Sends the bytes as they are and hangs up.
+/// Sends the bytes unchanged and disconnects.
 void sendRaw(const std::string &Address, const std::string &Bytes) {
   boost::asio::io_context Io;
   boost::asio::ip::tcp::socket Socket(Io);
@@ -68,21 +68,21 @@
 
 class Failure : public testing::Test {
 protected:
-  /// Runs the item in the background, from the host's point of view first.
+  /// Runs the item in a background thread.
   std::future<WorkResult> runInBackground(const WorkItem &Item) {
     return std::async(std::launch::async, [this, Item] {
       return Caller(this->HostResolver, Deployment::team()).run(Item);
     });
   }
 
-  /// The host that callers of the team are told to use first.
+  /// Returns the host that callers of the team use first.
   Member &firstHost() {
     const auto Addresses = this->HostResolver.hosts(Deployment::team().Name);
     for (std::size_t Index = 0; Index < Deployment::HostCount; ++Index)
       if (!Addresses.empty() &&
           this->Deployed.host(Index).Address == Addresses[0])
         return this->Deployed.host(Index);
-    throw std::runtime_error("resolve names no host");
+    throw std::runtime_error("no host is named by resolve");
   }
 
   Deployment Deployed;
@@ -116,7 +116,7 @@
 
 TEST_F(Failure, FrozenOwnerOfAClaimRunsItAtMostOnce) {
   const std::string Key = freshKey();
-  // The owner is frozen while its claim is on the way into the log.
+  // The owner is paused while its claim is being appended to the log.
   this->Deployed.setLogFaults({{"delay_ms", 1'000}});
   auto First = std::async(std::launch::async, [&] {
     return this->Deployed.sendConfirmation(0, Key);
@@ -175,7 +175,7 @@
 }
 
 TEST_F(Failure, HostServesAfterArbitraryBytesAtEveryPort) {
-  rc::check("a host answers after any bytes", [this] {
+  rc::check("a host answers after arbitrary bytes", [this] {
     const auto Bytes = *rc::gen::container<std::string>(
         rc::gen::oneOf(rc::gen::arbitrary<char>(),
                        rc::gen::elementOf(std::string("GETPOST /{}\":\r\n"))));
--- a/tests/process/GatewayDeployment.cpp
+++ b/tests/process/GatewayDeployment.cpp
@@ -19,7 +19,7 @@
 using standins::HttpReply;
 
 constexpr seconds RequestTimeout(10);
-/// What callers say that they will wait.
+/// The remaining time that callers send.
 constexpr seconds CallerTimeout(5);
 
 json route(const std::string &Prefix, const std::string &Kind, int Attempts) {
@@ -36,7 +36,8 @@
           {"Resumable", Kind == "streaming"}};
 }
 
-/// The stand-ins' microseconds of the machine's steady clock.
+/// Converts the microseconds that the stand-ins report from the steady clock of
+/// the machine.
 std::chrono::steady_clock::time_point timeOf(const json &Us) {
   return std::chrono::steady_clock::time_point(
       Duration(Us.get<std::int64_t>()));
@@ -71,8 +72,8 @@
   eventually(
       [&] { return askHttp(this->Store, Req, RequestTimeout).Status == 200; });
   this->configure(1);
-  for (Host &Each : this->Hosts)
-    this->startHost(Each);
+  for (Host &NewHost : this->Hosts)
+    this->startHost(NewHost);
   eventually([&] {
     for (std::size_t Index = 0; Index < this->Hosts.size(); ++Index)
       if (this->readiness(Index) != 200 ||
@@ -80,7 +81,7 @@
         return false;
     return true;
   });
-  // Every upstream must be known before a test counts on it.
+  // Waits until the hosts know every upstream, which tests rely on.
   std::this_thread::sleep_for(milliseconds(300));
 }
 
@@ -163,8 +164,8 @@
                        std::vector<standins::HttpHeader> ExtraHeaders) const {
   HttpQuestion Req =
       standins::demoQuestion({}, Path, Attempt, Body, CallerTimeout);
-  for (standins::HttpHeader &Each : ExtraHeaders)
-    Req.Headers.push_back(std::move(Each));
+  for (standins::HttpHeader &Header : ExtraHeaders)
+    Req.Headers.push_back(std::move(Header));
   return askHttp(this->Hosts.at(Host).Callers, Req, RequestTimeout);
 }
 
@@ -172,8 +173,8 @@
   int Sum = 0;
   HttpQuestion Req;
   Req.Target = "/standin/runs";
-  for (const Upstream &Each : this->Upstreams)
-    Sum += askHttp(Each.Address, Req, RequestTimeout)
+  for (const Upstream &Queried : this->Upstreams)
+    Sum += askHttp(Queried.Address, Req, RequestTimeout)
                .parsed()["runs"]
                .value(Attempt, 0);
   return Sum;
@@ -182,8 +183,8 @@
 bool GatewayDeployment::anyUpstreamReceivedAKey() const {
   HttpQuestion Req;
   Req.Target = "/standin/runs";
-  for (const Upstream &Each : this->Upstreams)
-    if (askHttp(Each.Address, Req, RequestTimeout)
+  for (const Upstream &Queried : this->Upstreams)
+    if (askHttp(Queried.Address, Req, RequestTimeout)
             .parsed()["saw_key"]
             .get<bool>())
       return true;
@@ -206,8 +207,8 @@
   if (Record.is_null())
     return Result;
   Result.LimitNamedAt = timeOf(Record["limited_since_us"]);
-  for (const json &Each : Record["arrivals"])
-    Result.Requests.push_back({timeOf(Each["at_us"]), Each["attempt"]});
+  for (const json &Arrival : Record["arrivals"])
+    Result.Requests.push_back({timeOf(Arrival["at_us"]), Arrival["attempt"]});
   return Result;
 }
 
@@ -216,8 +217,8 @@
   const json Record = this->requestRecord(Upstream);
   std::map<std::string, std::chrono::steady_clock::time_point> Result;
   if (!Record.is_null())
-    for (const json &Each : Record["all_arrivals"])
-      Result.emplace(Each["attempt"], timeOf(Each["at_us"]));
+    for (const json &Arrival : Record["all_arrivals"])
+      Result.emplace(Arrival["attempt"], timeOf(Arrival["at_us"]));
   return Result;
 }
 
--- a/tests/process/GatewayDeployment.h
+++ b/tests/process/GatewayDeployment.h
@@ -1,5 +1,6 @@
 /// \file
-/// Gateway hosts, a store and upstreams, as processes on loopback.
+/// A deployment of gateway hosts, a store and upstreams as processes on
+/// loopback.
 #pragma once
 
 #include "process/ChildProcess.h"
@@ -13,7 +14,8 @@
 
 namespace banyanpick::process {
 
-/// What lies between the processes: each gives the address to use for a target.
+/// Maps the address of a process to the address under which another process
+/// reaches it. Tests use it to insert proxies.
 struct GatewayLinks {
   std::function<std::string(std::size_t Host, const std::string &Store)>
       ToStore = [](std::size_t, const std::string &At) { return At; };
@@ -21,7 +23,7 @@
       ToUpstream = [](std::size_t, const std::string &At) { return At; };
 };
 
-/// Two hosts before the upstreams that a test names.
+/// Starts and stops hosts in front of the upstreams that a test names.
 class GatewayDeployment {
 public:
   struct Host {
@@ -31,19 +33,19 @@
     std::string Readiness;
     std::string Metrics;
     std::string Peers;
-    std::string Store; ///< Where it reaches the store.
+    std::string Store; ///< Address under which the host reaches the store.
     std::unique_ptr<ChildProcess> Process;
   };
   struct Upstream {
     std::string Id;
     std::string Address;
-    std::string Registered; ///< Where hosts reach it.
+    std::string Registered; ///< Address under which hosts reach the upstream.
     std::unique_ptr<ChildProcess> Process;
   };
-  /// How one upstream of the only service behaves; see standin_upstream.
+  /// The fault of one upstream of the only service; see standin_upstream.
   using Fault = std::string;
 
-  /// Starts everything and waits until each host is ready.
+  /// Starts all processes and waits until each host is ready.
   explicit GatewayDeployment(const std::vector<Fault> &Faults,
                              std::size_t HostCount = 2,
                              const GatewayLinks &Links = {});
@@ -53,31 +55,31 @@
   std::size_t upstreams() const { return this->Upstreams.size(); }
   ChildProcess &store() { return *this->StoreProcess; }
 
-  /// Starts the host's process anew, at the same addresses.
+  /// Starts the process of the host at the same addresses.
   void startHost(Host &Target);
-  /// Starts another upstream at the same address; its id is new.
+  /// Starts another upstream with a new id at the same address.
   void replaceUpstream(Upstream &Target);
-  /// Takes the upstream out of the registry.
+  /// Removes the upstream from the registry.
   void unregister(const std::string &Id) const;
 
-  /// How often each attempt ran, also on upstreams that are gone.
+  /// Returns how often each attempt ran, including runs on removed upstreams.
   std::map<std::string, int> recordedRuns() const;
-  /// Leaves the processes' output behind; the folder's path.
+  /// Keeps the output of the processes and returns the path of the folder.
   std::string keepLogs();
 
   Host &host(std::size_t Index) { return this->Hosts.at(Index); }
   Upstream &upstream(std::size_t Index) { return this->Upstreams.at(Index); }
 
-  /// Sends one request for the path to the host.
+  /// Sends one request for \p Path to a host.
   standins::HttpReply
   ask(std::size_t Host, const std::string &Path, const std::string &Attempt,
       const std::string &Body = "hello",
       std::vector<standins::HttpHeader> ExtraHeaders = {}) const;
-  /// Sums how often the upstreams ran the caller's attempt.
+  /// Returns how often the running upstreams ran the caller's attempt.
   int runCount(const std::string &Attempt) const;
   bool anyUpstreamReceivedAKey() const;
-  /// What reached an upstream with the fault `limit`, from its first answer on
-  /// that named its limit.
+  /// The requests that reached an upstream with the fault `limit` since its
+  /// first answer that named the limit.
   struct ArrivalsUnderLimit {
     struct Arrival {
       std::chrono::steady_clock::time_point ReceivedAt;
@@ -87,21 +89,24 @@
     std::vector<Arrival> Requests;
   };
   ArrivalsUnderLimit arrivalsUnderLimit(std::size_t Upstream) const;
-  /// When requests reached an upstream, by the attempt's id.
+  /// Returns when requests reached an upstream, by the id of the attempt.
   std::map<std::string, std::chrono::steady_clock::time_point>
   arrivalTimes(std::size_t Upstream) const;
   unsigned readiness(std::size_t Host) const;
-  /// The hosts that it names, if it does so within the limit.
+  /// Returns the hosts that the directory of a host names, or nothing if it
+  /// does not answer within \p Timeout.
   std::vector<std::string> directory(std::size_t Host,
                                      Duration Timeout = seconds(10)) const;
-  /// Writes the configuration's next version with or without `/extra/`.
+  /// Writes \p Version of the configuration, with or without the route
+  /// `/extra/`.
   void configure(std::uint64_t Version, bool WithExtra = false) const;
   void put(const std::string &Topic, const std::string &Key,
            const std::string &Value) const;
   void control(const std::string &Target) const;
 
 private:
-  /// What the upstream noted of its requests; null when it does not tell.
+  /// Returns the requests that the upstream recorded, or null if it does not
+  /// answer.
   nlohmann::json requestRecord(std::size_t Upstream) const;
   void startUpstream(Upstream &Target, const Fault &Behavior);
   std::string settingsOf(const Host &ForHost) const;
--- a/tests/process/GatewayTest.cpp
+++ b/tests/process/GatewayTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The whole path of a gateway, with real processes: callers, hosts, upstreams
+/// End-to-end tests of a gateway with real processes: callers, hosts, upstreams
 /// and the store.
 #include "process/Deployment.h"
 #include "process/GatewayDeployment.h"
@@ -140,7 +140,7 @@
            std::vector<std::string>{Gateway.host(1).Callers};
   }));
   EXPECT_EQ(Gateway.ask(0, "/once/x", "e2").Status, 200U)
-      << "callers that kept its address are still served";
+      << "callers that still use the address are served";
   Caller.join();
   EXPECT_EQ(Reply.Body, demoStream());
   EXPECT_EQ(Gateway.host(0).Process->wait(), 0);
@@ -166,7 +166,7 @@
 TEST(Gateway, SignalsThatWaitedForAPausedHostDoNotEndIt) {
   GatewayDeployment Gateway({""});
   ChildProcess &Paused = *Gateway.host(0).Process;
-  // Any thread may take such a signal, and its wait is interrupted.
+  // Any thread may receive the signal, which interrupts its blocking call.
   for (int Round = 0; Round < 20; ++Round) {
     Paused.signal(SIGSTOP);
     Paused.signal(SIGHUP);
@@ -183,7 +183,7 @@
   EXPECT_EQ(Paused.wait(), 0);
 }
 
-/// Sends a whole request and leaves without waiting for the answer.
+/// Sends a complete request and disconnects without waiting for the answer.
 void sendAndDisconnect(const std::string &Address, const std::string &Path,
                        int Number, Duration DisconnectAfter) {
   boost::asio::io_context Io;
@@ -223,7 +223,7 @@
   Gateway.ask(0, "/safe/x", "h1");
   standins::HttpQuestion Req;
   Req.Target = "/metrics";
-  // Control counts the end a moment after the caller has its answer.
+  // The control thread counts the end shortly after the caller has its answer.
   std::string Page;
   EXPECT_TRUE(eventually([&] {
     Page = standins::askHttp(Gateway.host(0).Metrics, Req, seconds(5)).Body;
--- a/tests/process/LimitWindow.h
+++ b/tests/process/LimitWindow.h
@@ -1,6 +1,6 @@
 /// \file
-/// How the platform judges whether hosts keep to the limit that an upstream
-/// names.
+/// The rule by which the platform judges whether hosts stay within the limit
+/// that an upstream names.
 #pragma once
 
 #include "base/Time.h"
@@ -12,16 +12,16 @@
 
 namespace banyanpick::process {
 
-/// As standin_upstream names it under the fault `limit`, requests a second.
+/// Requests per second that standin_upstream names with the fault `limit`.
 inline constexpr double StandinLimit = 1.6;
 
-/// All hosts keep to a limit so long after it was first named,
+/// All hosts must obey a limit within this time after it was first named.
 inline constexpr seconds LimitObeyedWithin(3);
 
-/// and what an upstream gets is counted in any such time.
+/// Length of the sliding window in which requests to an upstream are counted.
 inline constexpr seconds LimitWindow(4);
 
-/// The most requests that may come within a window.
+/// Returns the number of requests that are allowed within one window.
 inline std::size_t allowedInLimitWindow() {
   constexpr double Factor = 1.5;
   constexpr double Allowance = 5;
@@ -29,7 +29,7 @@
       Factor * StandinLimit * inSeconds(LimitWindow) + Allowance);
 }
 
-/// The most of the arrivals that lie within one window.
+/// Returns the largest number of arrivals within one window.
 inline std::size_t
 maxInLimitWindow(std::vector<std::chrono::steady_clock::time_point> Arrivals) {
   std::ranges::sort(Arrivals);
