--- a/tests/soak/FaultInjector.cpp
+++ b/tests/soak/FaultInjector.cpp
@@ -8,99 +8,103 @@
 
 namespace banyanpick::soak {
 
-void FaultInjector::begin(const Disruption &What) {
+void FaultInjector::inject(const Disruption &Fault) {
   match(
-      What,
-      [&](const HostStopped &Is) {
-        if (this->DownHosts.contains(Is.Host))
+      Fault,
+      [&](const HostStopped &Failure) {
+        if (this->DownHosts.contains(Failure.Host))
           return;
-        this->Stopping.insert(Is.Host);
-        this->DownHosts.insert(Is.Host);
-        this->Deployed.host(Is.Host).Process->signal(SIGTERM);
+        this->Stopping.insert(Failure.Host);
+        this->DownHosts.insert(Failure.Host);
+        this->Deployed.host(Failure.Host).Process->signal(SIGTERM);
       },
-      [&](const HostKilled &Is) {
-        this->Stopping.erase(Is.Host);
-        this->DownHosts.insert(Is.Host);
-        this->Deployed.host(Is.Host).Process->kill();
+      [&](const HostKilled &Failure) {
+        this->Stopping.erase(Failure.Host);
+        this->DownHosts.insert(Failure.Host);
+        this->Deployed.host(Failure.Host).Process->kill();
       },
-      [&](const HostPaused &Is) {
-        this->Deployed.host(Is.Host).Process->signal(SIGSTOP);
+      [&](const HostPaused &Failure) {
+        this->Deployed.host(Failure.Host).Process->signal(SIGSTOP);
       },
-      [&](const UpstreamKilled &Is) {
-        auto &Of = this->Deployed.upstream(Is.Upstream);
-        if (!this->DownUpstreams.insert(Is.Upstream).second)
+      [&](const UpstreamKilled &Failure) {
+        auto &Of = this->Deployed.upstream(Failure.Upstream);
+        if (!this->DownUpstreams.insert(Failure.Upstream).second)
           return;
         Of.Process->kill();
-        this->Orders.add([this, Id = Of.Id] { this->Deployed.unregister(Id); });
+        this->Writes.add([this, Id = Of.Id] { this->Deployed.unregister(Id); });
       },
-      [&](const UpstreamPaused &Is) {
-        this->Deployed.upstream(Is.Upstream).Process->signal(SIGSTOP);
+      [&](const UpstreamPaused &Failure) {
+        this->Deployed.upstream(Failure.Upstream).Process->signal(SIGSTOP);
       },
-      [&](const StoreRefuses &) {
-        this->Orders.add(
+      [&](const StoreRefusing &) {
+        this->Writes.add(
             [this] { this->Deployed.control("/standin/down?On=1"); });
       },
       [&](const StorePaused &) { this->Deployed.store().signal(SIGSTOP); },
-      [&](const StoreForgets &) {
+      [&](const StoreCompacted &) {
         for (const auto Topic :
              {platform::topic::Declarations, platform::topic::Engines})
-          this->Orders.add([this, Topic] {
+          this->Writes.add([this, Topic] {
             this->Deployed.control(
                 fmt::format("/standin/compact?Topic={}", Topic));
           });
       },
-      [&](const StoreLinkFails &Is) {
-        this->Links.Stores[Is.Host]->set(Is.Fault);
+      [&](const StoreLinkFailed &Failure) {
+        this->Links.Stores[Failure.Host]->setFault(Failure.Fault);
       },
-      [&](const UpstreamLinkFails &Is) {
-        this->Links.Upstreams[Is.Upstream]->set(Is.Fault);
+      [&](const UpstreamLinkFailed &Failure) {
+        this->Links.Upstreams[Failure.Upstream]->setFault(Failure.Fault);
       },
-      [&](const CallerLinkFails &Is) {
-        this->Links.Callers[Is.Host]->set(Is.Fault);
+      [&](const CallerLinkFailed &Failure) {
+        this->Links.Callers[Failure.Host]->setFault(Failure.Fault);
       },
-      [&](const ConfigurationChanged &Is) { this->configure(Is.WithExtra); });
+      [&](const ConfigurationChanged &Failure) {
+        this->configure(Failure.WithExtra);
+      });
 }
 
-bool FaultInjector::end(const Disruption &What) {
+bool FaultInjector::undo(const Disruption &Fault) {
   return match(
-      What,
-      [&](const HostStopped &Is) {
-        auto &Host = this->Deployed.host(Is.Host);
-        if (!this->DownHosts.contains(Is.Host))
+      Fault,
+      [&](const HostStopped &Failure) {
+        auto &Host = this->Deployed.host(Failure.Host);
+        if (!this->DownHosts.contains(Failure.Host))
           return true;
         if (Host.Process->isAlive())
           return false;
-        if (this->Stopping.erase(Is.Host) > 0 && Host.Process->wait() != 0)
+        if (this->Stopping.erase(Failure.Host) > 0 && Host.Process->wait() != 0)
           this->Wrong.push_back(
               fmt::format("host {} ended with code {} after a planned stop",
-                          Is.Host, Host.Process->wait()));
-        this->DownHosts.erase(Is.Host);
+                          Failure.Host, Host.Process->wait()));
+        this->DownHosts.erase(Failure.Host);
         this->Deployed.startHost(Host);
         return true;
       },
-      [&](const HostKilled &Is) {
-        auto &Host = this->Deployed.host(Is.Host);
-        if (this->DownHosts.contains(Is.Host) && !Host.Process->isAlive()) {
-          this->DownHosts.erase(Is.Host);
+      [&](const HostKilled &Failure) {
+        auto &Host = this->Deployed.host(Failure.Host);
+        if (this->DownHosts.contains(Failure.Host) &&
+            !Host.Process->isAlive()) {
+          this->DownHosts.erase(Failure.Host);
           this->Deployed.startHost(Host);
         }
         return true;
       },
-      [&](const HostPaused &Is) {
-        this->Deployed.host(Is.Host).Process->signal(SIGCONT);
+      [&](const HostPaused &Failure) {
+        this->Deployed.host(Failure.Host).Process->signal(SIGCONT);
         return true;
       },
-      [&](const UpstreamKilled &Is) {
-        if (this->DownUpstreams.erase(Is.Upstream) > 0)
-          this->Deployed.replaceUpstream(this->Deployed.upstream(Is.Upstream));
+      [&](const UpstreamKilled &Failure) {
+        if (this->DownUpstreams.erase(Failure.Upstream) > 0)
+          this->Deployed.replaceUpstream(
+              this->Deployed.upstream(Failure.Upstream));
         return true;
       },
-      [&](const UpstreamPaused &Is) {
-        this->Deployed.upstream(Is.Upstream).Process->signal(SIGCONT);
+      [&](const UpstreamPaused &Failure) {
+        this->Deployed.upstream(Failure.Upstream).Process->signal(SIGCONT);
         return true;
       },
-      [&](const StoreRefuses &) {
-        this->Orders.add(
+      [&](const StoreRefusing &) {
+        this->Writes.add(
             [this] { this->Deployed.control("/standin/down?On=0"); });
         return true;
       },
@@ -108,28 +112,28 @@
         this->Deployed.store().signal(SIGCONT);
         return true;
       },
-      [&](const StoreLinkFails &Is) {
-        this->Links.Stores[Is.Host]->set(SoundLink());
+      [&](const StoreLinkFailed &Failure) {
+        this->Links.Stores[Failure.Host]->setFault(HealthyLink());
         return true;
       },
-      [&](const UpstreamLinkFails &Is) {
-        this->Links.Upstreams[Is.Upstream]->set(SoundLink());
+      [&](const UpstreamLinkFailed &Failure) {
+        this->Links.Upstreams[Failure.Upstream]->setFault(HealthyLink());
         return true;
       },
-      [&](const CallerLinkFails &Is) {
-        this->Links.Callers[Is.Host]->set(SoundLink());
+      [&](const CallerLinkFailed &Failure) {
+        this->Links.Callers[Failure.Host]->setFault(HealthyLink());
         return true;
       },
       [](const auto &) { return true; });
 }
 
 void FaultInjector::configure(bool Extra) {
-  this->Orders.add([this, Version = ++this->Version, Extra] {
+  this->Writes.add([this, Version = ++this->Version, Extra] {
     this->Deployed.configure(Version, Extra);
   });
 }
 
-void FaultInjector::lookForOwnEnds(std::vector<std::string> &Violations) {
+void FaultInjector::checkUnexpectedExits(std::vector<std::string> &Violations) {
   for (std::size_t Index = 0; Index < this->Deployed.hosts(); ++Index)
     if (!this->DownHosts.contains(Index) &&
         !this->Deployed.host(Index).Process->isAlive())
--- a/tests/soak/FaultInjector.h
+++ b/tests/soak/FaultInjector.h
@@ -4,7 +4,7 @@
 
 #include "process/GatewayDeployment.h"
 #include "soak/FaultPlan.h"
-#include "soak/StoreOrders.h"
+#include "soak/StoreWrites.h"
 
 #include <chrono>
 #include <set>
@@ -23,16 +23,16 @@
   FaultInjector(process::GatewayDeployment &Deployed, SoakLinks &Links)
       : Deployed(Deployed), Links(Links) {}
 
-  void begin(const Disruption &What);
+  void inject(const Disruption &Fault);
   /// Undoes it; false when it must be tried again soon.
-  bool end(const Disruption &What);
+  bool undo(const Disruption &Fault);
   /// Processes that ended though nobody ended them, and stops that went wrong.
-  void lookForOwnEnds(std::vector<std::string> &Violations);
+  void checkUnexpectedExits(std::vector<std::string> &Violations);
 
   /// Writes the next version of the configuration.
   void configure(bool Extra);
   /// Waits until the store took everything.
-  void settle() { this->Orders.finish(); }
+  void waitForStore() { this->Writes.waitUntilDone(); }
 
 private:
   process::GatewayDeployment &Deployed;
@@ -42,7 +42,7 @@
   std::set<std::size_t> DownUpstreams;
   std::vector<std::string> Wrong;
   std::uint64_t Version = 1;
-  StoreOrders Orders;
+  StoreWrites Writes;
 };
 
 } // namespace banyanpick::soak
--- a/tests/soak/FaultPlan.cpp
+++ b/tests/soak/FaultPlan.cpp
@@ -12,14 +12,14 @@
 
 std::string describe(const LinkFault &Fault) {
   return match(
-      Fault, [](const SoundLink &) { return std::string("sound"); },
-      [](const DelayedLink &Is) {
-        return fmt::format("delayed by {} us", Is.By.count());
+      Fault, [](const HealthyLink &) { return std::string("sound"); },
+      [](const DelayedLink &Link) {
+        return fmt::format("delayed by {} us", Link.Delay.count());
       },
       [](const ResettingLink &) { return std::string("reset"); },
-      [](const SilentLink &Is) {
-        return fmt::format("silent{}{}", Is.ToServer ? " to the server" : "",
-                           Is.ToClient ? " to the client" : "");
+      [](const SilentLink &Link) {
+        return fmt::format("silent{}{}", Link.ToServer ? " to the server" : "",
+                           Link.ToClient ? " to the client" : "");
       });
 }
 
@@ -51,17 +51,18 @@
     case 4:
       return UpstreamPaused{this->below(this->Upstreams)};
     case 5:
-      return StoreRefuses{};
+      return StoreRefusing{};
     case 6:
       return StorePaused{};
     case 7:
-      return StoreForgets{};
+      return StoreCompacted{};
     case 8:
-      return StoreLinkFails{this->below(this->Hosts), this->linkFault()};
+      return StoreLinkFailed{this->below(this->Hosts), this->linkFault()};
     case 9:
-      return UpstreamLinkFails{this->below(this->Upstreams), this->linkFault()};
+      return UpstreamLinkFailed{this->below(this->Upstreams),
+                                this->linkFault()};
     case 10:
-      return CallerLinkFails{this->below(this->Hosts), this->linkFault()};
+      return CallerLinkFailed{this->below(this->Hosts), this->linkFault()};
     default:
       return ConfigurationChanged{this->below(2) == 0};
     }
@@ -90,49 +91,54 @@
 
 } // namespace
 
-std::string describe(const Disruption &What) {
+std::string describe(const Disruption &Fault) {
   return match(
-      What,
-      [](const HostStopped &Is) {
-        return fmt::format("stop host {}", Is.Host);
+      Fault,
+      [](const HostStopped &Failure) {
+        return fmt::format("stop host {}", Failure.Host);
       },
-      [](const HostKilled &Is) { return fmt::format("kill host {}", Is.Host); },
-      [](const HostPaused &Is) {
-        return fmt::format("pause host {}", Is.Host);
+      [](const HostKilled &Failure) {
+        return fmt::format("kill host {}", Failure.Host);
       },
-      [](const UpstreamKilled &Is) {
-        return fmt::format("kill upstream {}", Is.Upstream);
+      [](const HostPaused &Failure) {
+        return fmt::format("pause host {}", Failure.Host);
       },
-      [](const UpstreamPaused &Is) {
-        return fmt::format("pause upstream {}", Is.Upstream);
+      [](const UpstreamKilled &Failure) {
+        return fmt::format("kill upstream {}", Failure.Upstream);
       },
-      [](const StoreRefuses &) { return std::string("store refuses"); },
+      [](const UpstreamPaused &Failure) {
+        return fmt::format("pause upstream {}", Failure.Upstream);
+      },
+      [](const StoreRefusing &) { return std::string("store refuses"); },
       [](const StorePaused &) { return std::string("pause store"); },
-      [](const StoreForgets &) { return std::string("store forgets"); },
-      [](const StoreLinkFails &Is) {
-        return fmt::format("store for host {} {}", Is.Host, describe(Is.Fault));
+      [](const StoreCompacted &) { return std::string("store forgets"); },
+      [](const StoreLinkFailed &Failure) {
+        return fmt::format("store for host {} {}", Failure.Host,
+                           describe(Failure.Fault));
       },
-      [](const UpstreamLinkFails &Is) {
-        return fmt::format("way to upstream {} {}", Is.Upstream,
-                           describe(Is.Fault));
+      [](const UpstreamLinkFailed &Failure) {
+        return fmt::format("way to upstream {} {}", Failure.Upstream,
+                           describe(Failure.Fault));
       },
-      [](const CallerLinkFails &Is) {
-        return fmt::format("way to host {} {}", Is.Host, describe(Is.Fault));
+      [](const CallerLinkFailed &Failure) {
+        return fmt::format("way to host {} {}", Failure.Host,
+                           describe(Failure.Fault));
       },
-      [](const ConfigurationChanged &Is) {
+      [](const ConfigurationChanged &Failure) {
         return fmt::format("configuration {} the extra route",
-                           Is.WithExtra ? "with" : "without");
+                           Failure.WithExtra ? "with" : "without");
       });
 }
 
-bool mayBreakRequests(const Disruption &What, std::size_t Host, bool IsStream) {
+bool mayBreakRequests(const Disruption &Fault, std::size_t Host,
+                      bool IsStream) {
   return match(
-      What, [&](const HostKilled &Is) { return Is.Host == Host; },
-      [&](const HostPaused &Is) { return Is.Host == Host; },
-      [&](const CallerLinkFails &Is) { return Is.Host == Host; },
+      Fault, [&](const HostKilled &Failure) { return Failure.Host == Host; },
+      [&](const HostPaused &Failure) { return Failure.Host == Host; },
+      [&](const CallerLinkFailed &Failure) { return Failure.Host == Host; },
       [&](const UpstreamKilled &) { return IsStream; },
       [&](const UpstreamPaused &) { return IsStream; },
-      [&](const UpstreamLinkFails &) { return IsStream; },
+      [&](const UpstreamLinkFailed &) { return IsStream; },
       [](const auto &) { return false; });
 }
 
@@ -152,7 +158,7 @@
                         Of.disruption()});
     At += Of.between(milliseconds(200), milliseconds(3000));
   }
-  std::ranges::sort(Result, {}, &PlannedFault::At);
+  std::ranges::sort(Result, {}, &PlannedFault::StartAt);
   return Result;
 }
 
--- a/tests/soak/FaultPlan.h
+++ b/tests/soak/FaultPlan.h
@@ -31,20 +31,20 @@
   std::size_t Upstream = 0;
 };
 /// The store refuses everything.
-struct StoreRefuses {};
+struct StoreRefusing {};
 struct StorePaused {};
 /// The store drops the history of its topics.
-struct StoreForgets {};
+struct StoreCompacted {};
 /// What a host hears of the store.
-struct StoreLinkFails {
+struct StoreLinkFailed {
   std::size_t Host = 0;
   LinkFault Fault;
 };
-struct UpstreamLinkFails {
+struct UpstreamLinkFailed {
   std::size_t Upstream = 0;
   LinkFault Fault;
 };
-struct CallerLinkFails {
+struct CallerLinkFailed {
   std::size_t Host = 0;
   LinkFault Fault;
 };
@@ -55,23 +55,23 @@
 
 using Disruption =
     std::variant<HostStopped, HostKilled, HostPaused, UpstreamKilled,
-                 UpstreamPaused, StoreRefuses, StorePaused, StoreForgets,
-                 StoreLinkFails, UpstreamLinkFails, CallerLinkFails,
+                 UpstreamPaused, StoreRefusing, StorePaused, StoreCompacted,
+                 StoreLinkFailed, UpstreamLinkFailed, CallerLinkFailed,
                  ConfigurationChanged>;
 
 struct PlannedFault {
-  Duration At{};  ///< From the soak's start.
-  Duration For{}; ///< Until what it did is undone.
-  Disruption What;
+  Duration StartAt{}; ///< From the soak's start.
+  Duration Length{};  ///< Until what it did is undone.
+  Disruption Fault;
 };
 
 /// For the report: the fault with its target.
-std::string describe(const Disruption &What);
+std::string describe(const Disruption &Fault);
 
 /// Whether a request to the host may be broken off, or answered late, because
 /// of it: its own host's end, or, for a stream, its upstream's. Everything else
 /// gets a final answer in time whatever happens behind the host.
-bool mayBreakRequests(const Disruption &What, std::size_t Host, bool IsStream);
+bool mayBreakRequests(const Disruption &Fault, std::size_t Host, bool IsStream);
 
 /// Bursts of faults that overlap, drawn from the seed; the same seed gives the
 /// same plan. Ends some time before \p Length.
--- a/tests/soak/LoopbackProxy.cpp
+++ b/tests/soak/LoopbackProxy.cpp
@@ -24,8 +24,8 @@
   return Silent && (ToServer ? Silent->ToServer : Silent->ToClient);
 }
 
-asio::awaitable<void> pause(Duration For) {
-  asio::steady_timer Timer(co_await asio::this_coro::executor, For);
+asio::awaitable<void> pause(Duration Length) {
+  asio::steady_timer Timer(co_await asio::this_coro::executor, Length);
   co_await Timer.async_wait(asio::use_awaitable);
 }
 
@@ -58,7 +58,7 @@
   this->Runner.join();
 }
 
-void LoopbackProxy::set(const LinkFault &Fault) {
+void LoopbackProxy::setFault(const LinkFault &Fault) {
   asio::post(this->Io, [this, Fault] {
     this->Now = Fault;
     if (!std::holds_alternative<ResettingLink>(Fault))
@@ -121,7 +121,7 @@
 
 asio::awaitable<void> LoopbackProxy::holdBack(bool ToServer) {
   if (const auto *Delayed = std::get_if<DelayedLink>(&this->Now))
-    co_await pause(Delayed->By);
+    co_await pause(Delayed->Delay);
   while (isSilent(this->Now, ToServer))
     co_await pause(LookAgain);
 }
--- a/tests/soak/LoopbackProxy.h
+++ b/tests/soak/LoopbackProxy.h
@@ -19,10 +19,10 @@
 namespace banyanpick::soak {
 
 /// Everything passes as it comes.
-struct SoundLink {};
+struct HealthyLink {};
 /// Each piece waits so long, in both directions.
 struct DelayedLink {
-  Duration By{};
+  Duration Delay{};
 };
 /// Open connections are reset, and new ones as soon as they are made.
 struct ResettingLink {};
@@ -33,7 +33,7 @@
 };
 
 using LinkFault =
-    std::variant<SoundLink, DelayedLink, ResettingLink, SilentLink>;
+    std::variant<HealthyLink, DelayedLink, ResettingLink, SilentLink>;
 
 /// Forwards each connection to one target, on a thread of its own.
 class LoopbackProxy {
@@ -45,7 +45,7 @@
   LoopbackProxy &operator=(const LoopbackProxy &) = delete;
 
   /// May be called from any thread; holds for open connections, too.
-  void set(const LinkFault &Fault);
+  void setFault(const LinkFault &Fault);
   const std::string &address() const { return this->Address; }
 
 private:
--- a/tests/soak/SoakMain.cpp
+++ b/tests/soak/SoakMain.cpp
@@ -28,7 +28,7 @@
     fmt::print("logs: {}\n", Report.Logs);
   fmt::print("soak: seed={} sent={} whole={} refused={} broken={} faults={} "
              "violations={}\n",
-             FLAGS_seed, Report.Sent, Report.Whole, Report.Refused,
-             Report.Broken, Report.Faults, Report.Violations.size());
+             FLAGS_seed, Report.Sent, Report.Correct, Report.Refused,
+             Report.Interrupted, Report.Faults, Report.Violations.size());
   return Good ? 0 : 1;
 }
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -28,7 +28,7 @@
 
 /// When a fault was in effect.
 struct FaultSpan {
-  Disruption What;
+  Disruption Fault;
   Clock::time_point From;
   Clock::time_point To = Clock::time_point::max();
 };
@@ -58,19 +58,20 @@
 
   void beginDue(Clock::time_point Start) {
     for (; this->Next < this->Plan.size() &&
-           Clock::now() >= Start + this->Plan[this->Next].At;
+           Clock::now() >= Start + this->Plan[this->Next].StartAt;
          ++this->Next) {
       const PlannedFault &Each = this->Plan[this->Next];
-      this->Spans.push_back({Each.What, Clock::now()});
-      this->Injector.begin(Each.What);
-      this->Active.push_back({this->Spans.size() - 1, Clock::now() + Each.For});
+      this->Spans.push_back({Each.Fault, Clock::now()});
+      this->Injector.inject(Each.Fault);
+      this->Active.push_back(
+          {this->Spans.size() - 1, Clock::now() + Each.Length});
     }
   }
 
   void endDue() {
     std::erase_if(this->Active, [&](const Running &Each) {
       if (Clock::now() < Each.Ends ||
-          !this->Injector.end(this->Spans[Each.Span].What))
+          !this->Injector.undo(this->Spans[Each.Span].Fault))
         return false;
       this->Spans[Each.Span].To = Clock::now();
       return true;
@@ -103,13 +104,13 @@
     std::vector<std::string> Result;
     const auto Found = this->Runs.find(Of.Attempt);
     const int Count = Found == this->Runs.end() ? 0 : Found->second;
-    const auto Add = [&](std::string_view What) {
+    const auto Add = [&](std::string_view Violation) {
       Result.push_back(fmt::format(
-          "{} (attempt {}, host {}, status {}, runs {}, after {} ms)", What,
-          Of.Attempt, Of.Host, Of.Reply.Status, Count,
+          "{} (attempt {}, host {}, status {}, runs {}, after {} ms)",
+          Violation, Of.Attempt, Of.Host, Of.Reply.Status, Count,
           std::chrono::duration_cast<milliseconds>(Of.End - Of.Start).count()));
     };
-    if (Of.Kind == CallKind::Once && Count > 1)
+    if (Of.Kind == CallKind::Unsafe && Count > 1)
       Add("ran twice");
     if (Of.Reply.isComplete() && Of.Reply.Status == 503 && Count > 0)
       Add("ran though the answer says that it did not");
@@ -121,7 +122,7 @@
     if (this->isUndisturbed(Of)) {
       if (!Of.Reply.isComplete())
         Add("broken off with nothing to excuse it");
-      if (Of.End > Of.Start + Of.Limit + LateMargin)
+      if (Of.End > Of.Start + Of.Timeout + LateMargin)
         Add("answered late with nothing to excuse it");
     }
     return Result;
@@ -135,7 +136,7 @@
           Each.From <= Of.End && (Each.To == Clock::time_point::max() ||
                                   Of.Start <= Each.To + Aftermath);
       return Near &&
-             mayBreakRequests(Each.What, Of.Host, Of.Kind == CallKind::Stream);
+             mayBreakRequests(Each.Fault, Of.Host, Of.Kind == CallKind::Stream);
     });
   }
 
@@ -145,14 +146,14 @@
 
 /// Whether every host is ready, names all, and serves each kind.
 bool isWell(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
-  constexpr seconds Limit(3);
+  constexpr seconds Timeout(3);
   for (std::size_t Index = 0; Index < Deployed.hosts(); ++Index) {
     if (Deployed.readiness(Index) != 200 ||
         Deployed.directory(Index).size() != Deployed.hosts())
       return false;
     for (const CallKind Kind :
-         {CallKind::Safe, CallKind::Once, CallKind::Stream})
-      if (!isWhole(Traffic.callOnce(Kind, Index, Limit)))
+         {CallKind::Safe, CallKind::Unsafe, CallKind::Stream})
+      if (!isWhole(Traffic.call(Kind, Index, Timeout)))
         return false;
     // The last version has the route that earlier ones may lack.
     if (Deployed.ask(Index, "/extra/x", "end").Status != 200)
@@ -181,14 +182,14 @@
 
 /// Whether a fault keeps a host from heeding what an upstream names, or makes
 /// requests pile up on their way to the first upstream.
-bool excusesFromLimit(const Disruption &What, std::size_t Host) {
+bool excusesFromLimit(const Disruption &Fault, std::size_t Host) {
   return match(
-      What, [&](const HostStopped &Is) { return Is.Host == Host; },
-      [&](const HostKilled &Is) { return Is.Host == Host; },
-      [&](const HostPaused &Is) { return Is.Host == Host; },
-      [](const UpstreamKilled &Is) { return Is.Upstream == 0; },
-      [](const UpstreamPaused &Is) { return Is.Upstream == 0; },
-      [](const UpstreamLinkFails &Is) { return Is.Upstream == 0; },
+      Fault, [&](const HostStopped &Failure) { return Failure.Host == Host; },
+      [&](const HostKilled &Failure) { return Failure.Host == Host; },
+      [&](const HostPaused &Failure) { return Failure.Host == Host; },
+      [](const UpstreamKilled &Failure) { return Failure.Upstream == 0; },
+      [](const UpstreamPaused &Failure) { return Failure.Upstream == 0; },
+      [](const UpstreamLinkFailed &Failure) { return Failure.Upstream == 0; },
       [](const auto &) { return false; });
 }
 
@@ -207,8 +208,8 @@
     const bool Counts =
         Host != HostOf.end() &&
         Each.ReceivedAt >= Arrivals.LimitNamedAt + process::LimitObeyedWithin &&
-        std::ranges::none_of(Faults, [&](const FaultSpan &Fault) {
-          return excusesFromLimit(Fault.What, Host->second);
+        std::ranges::none_of(Faults, [&](const FaultSpan &Span) {
+          return excusesFromLimit(Span.Fault, Host->second);
         });
     if (Counts)
       Counted.push_back(Each.ReceivedAt);
@@ -225,9 +226,9 @@
               SoakReport &Into) {
   for (const CallRecord &Each : Records) {
     ++Into.Sent;
-    Into.Whole += isWhole(Each) ? 1 : 0;
+    Into.Correct += isWhole(Each) ? 1 : 0;
     Into.Refused += Each.Reply.isComplete() && Each.Reply.Status != 200 ? 1 : 0;
-    Into.Broken += Each.Reply.isComplete() ? 0 : 1;
+    Into.Interrupted += Each.Reply.isComplete() ? 0 : 1;
     for (std::string &Line : Of.violations(Each))
       Into.Violations.push_back(std::move(Line));
   }
@@ -259,18 +260,18 @@
   SoakTraffic Traffic(Deployed, Links.Callers, Seed, Size.Callers);
   Player.play(Length);
   Injector.configure(true);
-  Injector.settle();
+  Injector.waitForStore();
   const std::vector<CallRecord> Records = Traffic.finish();
   if (!isWellSoon(Deployed, Traffic))
     Report.Violations.emplace_back("not all is well again after the faults");
-  Injector.lookForOwnEnds(Report.Violations);
+  Injector.checkUnexpectedExits(Report.Violations);
   const std::map<std::string, int> Runs = Deployed.recordedRuns();
   judgeAll(Records, Judge(Runs, Player.spans()), Report);
   if (IsInNeed)
     judgeLimit(Deployed, Records, Player.spans(), Report);
   Report.Faults = Player.spans().size();
   for (const FaultSpan &Each : Player.spans())
-    Report.Plan.push_back(describe(Each.What));
+    Report.Plan.push_back(describe(Each.Fault));
   if (!Report.Violations.empty())
     Report.Logs = Deployed.keepLogs();
   return Report;
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -16,9 +16,9 @@
 
 struct SoakReport {
   std::size_t Sent = 0;
-  std::size_t Whole = 0;
+  std::size_t Correct = 0;
   std::size_t Refused = 0;
-  std::size_t Broken = 0;
+  std::size_t Interrupted = 0;
   std::size_t Faults = 0;
   std::vector<std::string> Plan; ///< The faults, in order.
   std::vector<std::string> Violations;
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -15,7 +15,7 @@
   const SoakReport Report = runSoak(GetParam(), seconds(8), {});
   for (const std::string &Each : Report.Violations)
     ADD_FAILURE() << Each << "; logs in " << Report.Logs;
-  EXPECT_GT(Report.Whole, Report.Sent / 2);
+  EXPECT_GT(Report.Correct, Report.Sent / 2);
   EXPECT_GT(Report.Faults, 4U);
 }
 
@@ -25,8 +25,8 @@
   const auto DescribeAll = [](std::uint64_t Seed) {
     std::string Result;
     for (const PlannedFault &Each : planFaults(Seed, seconds(30), 3, 4))
-      Result += fmt::format("{} {} {}\n", Each.At.count(), Each.For.count(),
-                            describe(Each.What));
+      Result += fmt::format("{} {} {}\n", Each.StartAt.count(),
+                            Each.Length.count(), describe(Each.Fault));
     return Result;
   };
   EXPECT_EQ(DescribeAll(7), DescribeAll(7));
@@ -37,10 +37,12 @@
   const auto Plan = planFaults(3, seconds(60), 3, 4);
   std::size_t Overlaps = 0;
   for (std::size_t Each = 1; Each < Plan.size(); ++Each)
-    Overlaps += Plan[Each].At < Plan[Each - 1].At + Plan[Each - 1].For ? 1 : 0;
+    Overlaps +=
+        Plan[Each].StartAt < Plan[Each - 1].StartAt + Plan[Each - 1].Length ? 1
+                                                                            : 0;
   EXPECT_GT(Overlaps, Plan.size() / 4);
   for (const PlannedFault &Each : Plan)
-    EXPECT_LE(Each.At + Each.For, Duration(seconds(60) + seconds(1)));
+    EXPECT_LE(Each.StartAt + Each.Length, Duration(seconds(60) + seconds(1)));
 }
 
 } // namespace
--- a/tests/soak/SoakTraffic.cpp
+++ b/tests/soak/SoakTraffic.cpp
@@ -23,7 +23,7 @@
   switch (Kind) {
   case CallKind::Safe:
     return "/safe/x";
-  case CallKind::Once:
+  case CallKind::Unsafe:
     return "/once/x";
   case CallKind::Stream:
     return "/stream/x";
@@ -52,20 +52,20 @@
   return std::move(this->Records);
 }
 
-CallRecord SoakTraffic::callOnce(CallKind Kind, std::size_t Host,
-                                 Duration Limit) {
+CallRecord SoakTraffic::call(CallKind Kind, std::size_t Host,
+                             Duration Timeout) {
   CallRecord Result;
   const std::uint64_t Number = ++this->Calls;
   Result.Kind = Kind;
   Result.Attempt = fmt::format("a{}", Number);
   Result.Payload = fmt::format("payload-{}", Number);
   Result.Host = Host;
-  Result.Limit = Limit;
+  Result.Timeout = Timeout;
   const standins::HttpQuestion Ask = standins::demoQuestion(
-      {}, pathOf(Kind), Result.Attempt, Result.Payload, Limit);
+      {}, pathOf(Kind), Result.Attempt, Result.Payload, Timeout);
   Result.Start = Clock::now();
   Result.Reply =
-      askHttp(this->CallerLinks[Host]->address(), Ask, Limit + ReadSlack);
+      askHttp(this->CallerLinks[Host]->address(), Ask, Timeout + ReadSlack);
   Result.End = Clock::now();
   return Result;
 }
@@ -101,8 +101,8 @@
     if (!Host)
       continue;
     const auto Kind = static_cast<CallKind>(Numbers() % 3);
-    const Duration Limit = milliseconds(500 + Numbers() % 3500);
-    CallRecord Record = this->callOnce(Kind, *Host, Limit);
+    const Duration Timeout = milliseconds(500 + Numbers() % 3500);
+    CallRecord Record = this->call(Kind, *Host, Timeout);
     const std::lock_guard Lock(this->Guard);
     this->Records.push_back(std::move(Record));
   }
--- a/tests/soak/SoakTraffic.h
+++ b/tests/soak/SoakTraffic.h
@@ -16,7 +16,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-enum class CallKind { Safe, Once, Stream };
+enum class CallKind { Safe, Unsafe, Stream };
 
 /// One request as its caller saw it.
 struct CallRecord {
@@ -26,7 +26,7 @@
   std::size_t Host = 0;
   Clock::time_point Start;
   Clock::time_point End;
-  Duration Limit{}; ///< How long its caller would wait.
+  Duration Timeout{}; ///< How long its caller would wait.
   standins::HttpReply Reply;
 };
 
@@ -43,7 +43,7 @@
   std::vector<CallRecord> finish();
 
   /// Sends one request to the host and waits for its end.
-  CallRecord callOnce(CallKind Kind, std::size_t Host, Duration Limit);
+  CallRecord call(CallKind Kind, std::size_t Host, Duration Timeout);
 
 private:
   void run(std::uint64_t Seed);
--- a/tests/soak/StoreOrders.h
+++ b/tests/soak/StoreWrites.h
@@ -11,10 +11,10 @@
 
 namespace banyanpick::soak {
 
-class StoreOrders {
+class StoreWrites {
 public:
-  StoreOrders() : Worker([this] { this->work(); }) {}
-  ~StoreOrders() {
+  StoreWrites() : Worker([this] { this->work(); }) {}
+  ~StoreWrites() {
     {
       const std::lock_guard Lock(this->Guard);
       this->Ends = true;
@@ -22,19 +22,19 @@
     this->Changed.notify_all();
     this->Worker.join();
   }
-  StoreOrders(const StoreOrders &) = delete;
-  StoreOrders &operator=(const StoreOrders &) = delete;
+  StoreWrites(const StoreWrites &) = delete;
+  StoreWrites &operator=(const StoreWrites &) = delete;
 
-  void add(std::function<void()> Order) {
+  void add(std::function<void()> Write) {
     {
       const std::lock_guard Lock(this->Guard);
-      this->Waiting.push_back(std::move(Order));
+      this->Waiting.push_back(std::move(Write));
     }
     this->Changed.notify_all();
   }
 
   /// Waits until everything added is done.
-  void finish() {
+  void waitUntilDone() {
     std::unique_lock Lock(this->Guard);
     this->Changed.wait(Lock,
                        [this] { return this->Waiting.empty() && !this->Busy; });
