--- a/tests/soak/FaultInjector.cpp
+++ b/tests/soak/FaultInjector.cpp
@@ -73,7 +73,7 @@
         if (Host.Process->isAlive())
           return false;
         if (this->Stopping.erase(Failure.Host) > 0 && Host.Process->wait() != 0)
-          this->Wrong.push_back(
+          this->StopProblems.push_back(
               fmt::format("host {} ended with code {} after a planned stop",
                           Failure.Host, Host.Process->wait()));
         this->DownHosts.erase(Failure.Host);
@@ -138,8 +138,9 @@
     if (!this->DownHosts.contains(Index) &&
         !this->Deployed.host(Index).Process->isAlive())
       Violations.push_back(fmt::format("host {} ended by itself", Index));
-  Violations.insert(Violations.end(), this->Wrong.begin(), this->Wrong.end());
-  this->Wrong.clear();
+  Violations.insert(Violations.end(), this->StopProblems.begin(),
+                    this->StopProblems.end());
+  this->StopProblems.clear();
 }
 
 } // namespace banyanpick::soak
--- a/tests/soak/FaultInjector.h
+++ b/tests/soak/FaultInjector.h
@@ -40,7 +40,7 @@
   std::set<std::size_t> Stopping; ///< Hosts asked to stop, not killed since.
   std::set<std::size_t> DownHosts;
   std::set<std::size_t> DownUpstreams;
-  std::vector<std::string> Wrong;
+  std::vector<std::string> StopProblems;
   std::uint64_t Version = 1;
   StoreWrites Writes;
 };
--- a/tests/soak/FaultPlan.cpp
+++ b/tests/soak/FaultPlan.cpp
@@ -24,18 +24,17 @@
 }
 
 /// Draws the parts of a plan.
-class Draw {
+class FaultGenerator {
 public:
-  Draw(std::uint64_t Seed, std::size_t Hosts, std::size_t Upstreams)
-      : Numbers(Seed), Hosts(Hosts), Upstreams(Upstreams) {}
+  FaultGenerator(std::uint64_t Seed, std::size_t Hosts, std::size_t Upstreams)
+      : Rng(Seed), Hosts(Hosts), Upstreams(Upstreams) {}
 
-  Duration between(milliseconds Least, milliseconds Most) {
+  Duration between(milliseconds Min, milliseconds Max) {
     return milliseconds(std::uniform_int_distribution<milliseconds::rep>(
-        Least.count(), Most.count())(this->Numbers));
+        Min.count(), Max.count())(this->Rng));
   }
   std::size_t below(std::size_t Count) {
-    return std::uniform_int_distribution<std::size_t>(0,
-                                                      Count - 1)(this->Numbers);
+    return std::uniform_int_distribution<std::size_t>(0, Count - 1)(this->Rng);
   }
 
   Disruption disruption() {
@@ -84,7 +83,7 @@
     }
   }
 
-  std::mt19937_64 Numbers;
+  std::mt19937_64 Rng;
   std::size_t Hosts;
   std::size_t Upstreams;
 };
@@ -145,18 +144,19 @@
 std::vector<PlannedFault> planFaults(std::uint64_t Seed, Duration Length,
                                      std::size_t Hosts, std::size_t Upstreams) {
   /// The last fault's end leaves time to see the recovery.
-  constexpr milliseconds Longest(2500);
-  constexpr std::size_t MostInBurst = 4;
-  Draw Of(Seed, Hosts, Upstreams);
+  constexpr milliseconds MaxLength(2500);
+  constexpr std::size_t MaxBurst = 4;
+  FaultGenerator Generator(Seed, Hosts, Upstreams);
   std::vector<PlannedFault> Result;
   Duration At = milliseconds(300);
-  while (At + Longest < Length) {
-    const std::size_t Count = 1 + Of.below(MostInBurst);
+  while (At + MaxLength < Length) {
+    const std::size_t Count = 1 + Generator.below(MaxBurst);
     for (std::size_t Each = 0; Each < Count; ++Each)
-      Result.push_back({At + Of.between(milliseconds(0), milliseconds(700)),
-                        Of.between(milliseconds(100), Longest),
-                        Of.disruption()});
-    At += Of.between(milliseconds(200), milliseconds(3000));
+      Result.push_back(
+          {At + Generator.between(milliseconds(0), milliseconds(700)),
+           Generator.between(milliseconds(100), MaxLength),
+           Generator.disruption()});
+    At += Generator.between(milliseconds(200), milliseconds(3000));
   }
   std::ranges::sort(Result, {}, &PlannedFault::StartAt);
   return Result;
--- a/tests/soak/LoopbackProxy.h
+++ b/tests/soak/LoopbackProxy.h
@@ -52,7 +52,7 @@
   using Socket = boost::asio::ip::tcp::socket;
 
   /// The two ends of one connection.
-  struct Pipe {
+  struct Connection {
     Socket Client;
     Socket Server;
 
@@ -61,17 +61,18 @@
   };
 
   boost::asio::awaitable<void> acceptAll();
-  boost::asio::awaitable<void> connect(std::shared_ptr<Pipe> Each);
-  boost::asio::awaitable<void> carry(std::shared_ptr<Pipe> Each, bool ToServer);
-  boost::asio::awaitable<void> holdBack(bool ToServer);
+  boost::asio::awaitable<void> connect(std::shared_ptr<Connection> Accepted);
+  boost::asio::awaitable<void> forward(std::shared_ptr<Connection> Accepted,
+                                       bool ToServer);
+  boost::asio::awaitable<void> applyFault(bool ToServer);
 
   std::string Address;
   boost::asio::io_context Io{1};
   boost::asio::ip::tcp::endpoint Target;
   boost::asio::ip::tcp::acceptor Acceptor;
-  LinkFault Now;
-  std::vector<std::weak_ptr<Pipe>> Open;
-  std::thread Runner;
+  LinkFault CurrentFault;
+  std::vector<std::weak_ptr<Connection>> Connections;
+  std::thread Thread;
 };
 
 } // namespace banyanpick::soak
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -18,13 +18,13 @@
 
 /// An answer may come so much after its caller's limit: both sides' timers and
 /// a machine that runs other things.
-constexpr milliseconds LateMargin(1500);
+constexpr milliseconds LatenessMargin(1500);
 /// A fault's effects on requests last so long after it: what is read again
 /// elsewhere, hosts that find each other again.
-constexpr milliseconds Aftermath(2500);
+constexpr milliseconds EffectTime(2500);
 /// After the last fault everything is well again within so long.
 constexpr seconds RecoveryLimit(12);
-constexpr milliseconds LookAgain(100);
+constexpr milliseconds PollInterval(100);
 
 /// When a fault was in effect.
 struct FaultSpan {
@@ -51,9 +51,9 @@
   const std::vector<FaultSpan> &spans() const { return this->Spans; }
 
 private:
-  struct Running {
+  struct ActiveFault {
     std::size_t Span;
-    Clock::time_point Ends;
+    Clock::time_point EndsAt;
   };
 
   void beginDue(Clock::time_point Start) {
@@ -69,8 +69,8 @@
   }
 
   void endDue() {
-    std::erase_if(this->Active, [&](const Running &Each) {
-      if (Clock::now() < Each.Ends ||
+    std::erase_if(this->Active, [&](const ActiveFault &Each) {
+      if (Clock::now() < Each.EndsAt ||
           !this->Injector.undo(this->Spans[Each.Span].Fault))
         return false;
       this->Spans[Each.Span].To = Clock::now();
@@ -82,47 +82,48 @@
   std::vector<PlannedFault> Plan;
   std::size_t Next = 0;
   std::vector<FaultSpan> Spans;
-  std::vector<Running> Active;
+  std::vector<ActiveFault> Active;
 };
 
-bool isWhole(const CallRecord &Of) {
-  if (!Of.Reply.isComplete() || Of.Reply.Status != 200)
+bool isCorrect(const CallRecord &Call) {
+  if (!Call.Reply.isComplete() || Call.Reply.Status != 200)
     return false;
-  return Of.Kind == CallKind::Stream
-             ? Of.Reply.Body == demoStream()
-             : Of.Reply.Body.ends_with(": " + Of.Payload);
+  return Call.Kind == CallKind::Stream
+             ? Call.Reply.Body == demoStream()
+             : Call.Reply.Body.ends_with(": " + Call.Payload);
 }
 
 /// Judges what callers saw against what upstreams ran.
-class Judge {
+class CallChecker {
 public:
-  Judge(const std::map<std::string, int> &Runs,
-        const std::vector<FaultSpan> &Faults)
+  CallChecker(const std::map<std::string, int> &Runs,
+              const std::vector<FaultSpan> &Faults)
       : Runs(Runs), Faults(Faults) {}
 
-  std::vector<std::string> violations(const CallRecord &Of) const {
+  std::vector<std::string> violations(const CallRecord &Call) const {
     std::vector<std::string> Result;
-    const auto Found = this->Runs.find(Of.Attempt);
+    const auto Found = this->Runs.find(Call.Attempt);
     const int Count = Found == this->Runs.end() ? 0 : Found->second;
     const auto Add = [&](std::string_view Violation) {
       Result.push_back(fmt::format(
           "{} (attempt {}, host {}, status {}, runs {}, after {} ms)",
-          Violation, Of.Attempt, Of.Host, Of.Reply.Status, Count,
-          std::chrono::duration_cast<milliseconds>(Of.End - Of.Start).count()));
+          Violation, Call.Attempt, Call.Host, Call.Reply.Status, Count,
+          std::chrono::duration_cast<milliseconds>(Call.End - Call.Start)
+              .count()));
     };
-    if (Of.Kind == CallKind::Unsafe && Count > 1)
+    if (Call.Kind == CallKind::Unsafe && Count > 1)
       Add("ran twice");
-    if (Of.Reply.isComplete() && Of.Reply.Status == 503 && Count > 0)
+    if (Call.Reply.isComplete() && Call.Reply.Status == 503 && Count > 0)
       Add("ran though the answer says that it did not");
-    if (Of.Reply.isComplete() && Of.Reply.Status == 200 && !isWhole(Of))
+    if (Call.Reply.isComplete() && Call.Reply.Status == 200 && !isCorrect(Call))
       Add("a complete answer that is not whole, or another's");
-    if (Of.Kind == CallKind::Stream && Of.Reply.Status == 200 &&
-        !demoStream().starts_with(Of.Reply.Body))
+    if (Call.Kind == CallKind::Stream && Call.Reply.Status == 200 &&
+        !demoStream().starts_with(Call.Reply.Body))
       Add("a stream out of order");
-    if (this->isUndisturbed(Of)) {
-      if (!Of.Reply.isComplete())
+    if (this->isUnaffected(Call)) {
+      if (!Call.Reply.isComplete())
         Add("broken off with nothing to excuse it");
-      if (Of.End > Of.Start + Of.Timeout + LateMargin)
+      if (Call.End > Call.Start + Call.Timeout + LatenessMargin)
         Add("answered late with nothing to excuse it");
     }
     return Result;
@@ -130,13 +131,13 @@
 
 private:
   /// Whether no fault that may break this request was near.
-  bool isUndisturbed(const CallRecord &Of) const {
+  bool isUnaffected(const CallRecord &Call) const {
     return std::ranges::none_of(this->Faults, [&](const FaultSpan &Each) {
-      const bool Near =
-          Each.From <= Of.End && (Each.To == Clock::time_point::max() ||
-                                  Of.Start <= Each.To + Aftermath);
-      return Near &&
-             mayBreakRequests(Each.Fault, Of.Host, Of.Kind == CallKind::Stream);
+      const bool IsNear =
+          Each.From <= Call.End && (Each.To == Clock::time_point::max() ||
+                                    Call.Start <= Each.To + EffectTime);
+      return IsNear && mayBreakRequests(Each.Fault, Call.Host,
+                                        Call.Kind == CallKind::Stream);
     });
   }
 
@@ -145,7 +146,7 @@
 };
 
 /// Whether every host is ready, names all, and serves each kind.
-bool isWell(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
+bool isHealthy(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
   constexpr seconds Timeout(3);
   for (std::size_t Index = 0; Index < Deployed.hosts(); ++Index) {
     if (Deployed.readiness(Index) != 200 ||
@@ -153,7 +154,7 @@
       return false;
     for (const CallKind Kind :
          {CallKind::Safe, CallKind::Unsafe, CallKind::Stream})
-      if (!isWhole(Traffic.call(Kind, Index, Timeout)))
+      if (!isCorrect(Traffic.call(Kind, Index, Timeout)))
         return false;
     // The last version has the route that earlier ones may lack.
     if (Deployed.ask(Index, "/extra/x", "end").Status != 200)
@@ -163,19 +164,19 @@
 }
 
 /// A way to one target through a new proxy.
-std::string proxied(std::vector<std::unique_ptr<LoopbackProxy>> &Into,
-                    const std::string &Target) {
-  Into.push_back(
+std::string addProxy(std::vector<std::unique_ptr<LoopbackProxy>> &Proxies,
+                     const std::string &Target) {
+  Proxies.push_back(
       std::make_unique<LoopbackProxy>(process::freeAddress(), Target));
-  return Into.back()->address();
+  return Proxies.back()->address();
 }
 
-bool isWellSoon(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
-  const auto GiveUp = Clock::now() + RecoveryLimit;
-  while (!isWell(Deployed, Traffic)) {
-    if (Clock::now() >= GiveUp)
+bool becomesHealthy(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
+  const auto Deadline = Clock::now() + RecoveryLimit;
+  while (!isHealthy(Deployed, Traffic)) {
+    if (Clock::now() >= Deadline)
       return false;
-    std::this_thread::sleep_for(LookAgain);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
@@ -195,9 +196,9 @@
 
 /// Judges whether the first upstream got more than the limit that it names,
 /// from hosts that nothing kept from heeding it.
-void judgeLimit(const GatewayDeployment &Deployed,
+void checkLimit(const GatewayDeployment &Deployed,
                 std::span<const CallRecord> Records,
-                const std::vector<FaultSpan> &Faults, SoakReport &Into) {
+                const std::vector<FaultSpan> &Faults, SoakReport &Report) {
   std::map<std::string, std::size_t> HostOf;
   for (const CallRecord &Each : Records)
     HostOf[Each.Attempt] = Each.Host;
@@ -205,32 +206,33 @@
   std::vector<Clock::time_point> Counted;
   for (const auto &Each : Arrivals.Requests) {
     const auto Host = HostOf.find(Each.Attempt);
-    const bool Counts =
+    const bool IsCounted =
         Host != HostOf.end() &&
         Each.ReceivedAt >= Arrivals.LimitNamedAt + process::LimitObeyedWithin &&
         std::ranges::none_of(Faults, [&](const FaultSpan &Span) {
           return excusesFromLimit(Span.Fault, Host->second);
         });
-    if (Counts)
+    if (IsCounted)
       Counted.push_back(Each.ReceivedAt);
   }
   const std::size_t Most = process::maxInLimitWindow(Counted);
   if (Most > process::allowedInLimitWindow())
-    Into.Violations.push_back(fmt::format(
+    Report.Violations.push_back(fmt::format(
         "an upstream that names a limit got {} requests in a window; {} are "
         "allowed",
         Most, process::allowedInLimitWindow()));
 }
 
-void judgeAll(std::span<const CallRecord> Records, const Judge &Of,
-              SoakReport &Into) {
+void checkCalls(std::span<const CallRecord> Records, const CallChecker &Checker,
+                SoakReport &Report) {
   for (const CallRecord &Each : Records) {
-    ++Into.Sent;
-    Into.Correct += isWhole(Each) ? 1 : 0;
-    Into.Refused += Each.Reply.isComplete() && Each.Reply.Status != 200 ? 1 : 0;
-    Into.Interrupted += Each.Reply.isComplete() ? 0 : 1;
-    for (std::string &Line : Of.violations(Each))
-      Into.Violations.push_back(std::move(Line));
+    ++Report.Sent;
+    Report.Correct += isCorrect(Each) ? 1 : 0;
+    Report.Refused +=
+        Each.Reply.isComplete() && Each.Reply.Status != 200 ? 1 : 0;
+    Report.Interrupted += Each.Reply.isComplete() ? 0 : 1;
+    for (std::string &Line : Checker.violations(Each))
+      Report.Violations.push_back(std::move(Line));
   }
 }
 
@@ -238,21 +240,21 @@
 
 SoakReport runSoak(std::uint64_t Seed, Duration Length, const SoakSize &Size) {
   SoakLinks Links;
-  process::GatewayLinks Ways;
-  Ways.ToStore = [&](std::size_t, const std::string &Target) {
-    return proxied(Links.Stores, Target);
+  process::GatewayLinks ProxyLinks;
+  ProxyLinks.ToStore = [&](std::size_t, const std::string &Target) {
+    return addProxy(Links.Stores, Target);
   };
-  Ways.ToUpstream = [&](std::size_t, const std::string &Target) {
-    return proxied(Links.Upstreams, Target);
+  ProxyLinks.ToUpstream = [&](std::size_t, const std::string &Target) {
+    return addProxy(Links.Upstreams, Target);
   };
   std::vector<std::string> Upstreams(Size.Upstreams, "");
   // In every other run the first upstream is in need.
-  const bool IsInNeed = Seed % 2 == 1 && Size.Upstreams > 1;
-  if (IsInNeed)
+  const bool NamesLimit = Seed % 2 == 1 && Size.Upstreams > 1;
+  if (NamesLimit)
     Upstreams.front() = "limit";
-  GatewayDeployment Deployed(Upstreams, Size.Hosts, Ways);
+  GatewayDeployment Deployed(Upstreams, Size.Hosts, ProxyLinks);
   for (std::size_t Index = 0; Index < Size.Hosts; ++Index)
-    proxied(Links.Callers, Deployed.host(Index).Callers);
+    addProxy(Links.Callers, Deployed.host(Index).Callers);
   SoakReport Report;
   FaultInjector Injector(Deployed, Links);
   PlanPlayer Player(Injector,
@@ -262,13 +264,13 @@
   Injector.configure(true);
   Injector.waitForStore();
   const std::vector<CallRecord> Records = Traffic.finish();
-  if (!isWellSoon(Deployed, Traffic))
+  if (!becomesHealthy(Deployed, Traffic))
     Report.Violations.emplace_back("not all is well again after the faults");
   Injector.checkUnexpectedExits(Report.Violations);
   const std::map<std::string, int> Runs = Deployed.recordedRuns();
-  judgeAll(Records, Judge(Runs, Player.spans()), Report);
-  if (IsInNeed)
-    judgeLimit(Deployed, Records, Player.spans(), Report);
+  checkCalls(Records, CallChecker(Runs, Player.spans()), Report);
+  if (NamesLimit)
+    checkLimit(Deployed, Records, Player.spans(), Report);
   Report.Faults = Player.spans().size();
   for (const FaultSpan &Each : Player.spans())
     Report.Plan.push_back(describe(Each.Fault));
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -11,7 +11,7 @@
 /// Seeds that once broke a promise stay here, each with the cause.
 class Soak : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Soak, BreaksNoPromise) {
+TEST_P(Soak, KeepsAllGuarantees) {
   const SoakReport Report = runSoak(GetParam(), seconds(8), {});
   for (const std::string &Each : Report.Violations)
     ADD_FAILURE() << Each << "; logs in " << Report.Logs;
@@ -21,7 +21,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Fixed, Soak, testing::Values(1, 2));
 
-TEST(FaultPlan, OneSeedGivesOnePlanAndAnotherAnother) {
+TEST(FaultPlan, TheSeedDeterminesThePlan) {
   const auto DescribeAll = [](std::uint64_t Seed) {
     std::string Result;
     for (const PlannedFault &Each : planFaults(Seed, seconds(30), 3, 4))
--- a/tests/soak/SoakTraffic.cpp
+++ b/tests/soak/SoakTraffic.cpp
@@ -13,9 +13,9 @@
 
 /// How long a caller uses what a directory said, and how long at most: three
 /// times the second that hosts name.
-constexpr seconds AskAgainAfter(1);
-constexpr seconds KeepAtMost(3);
-constexpr milliseconds DirectoryPatience(300);
+constexpr seconds RefreshAfter(1);
+constexpr seconds MaxAge(3);
+constexpr milliseconds DirectoryTimeout(300);
 /// A connection that says nothing for so long beyond its limit is given up.
 constexpr seconds ReadSlack(3);
 
@@ -45,7 +45,7 @@
 SoakTraffic::~SoakTraffic() { this->finish(); }
 
 std::vector<CallRecord> SoakTraffic::finish() {
-  this->Ends = true;
+  this->Stopping = true;
   for (std::thread &Each : this->Threads)
     Each.join();
   this->Threads.clear();
@@ -61,30 +61,30 @@
   Result.Payload = fmt::format("payload-{}", Number);
   Result.Host = Host;
   Result.Timeout = Timeout;
-  const standins::HttpQuestion Ask = standins::demoQuestion(
+  const standins::HttpQuestion Req = standins::demoQuestion(
       {}, pathOf(Kind), Result.Attempt, Result.Payload, Timeout);
   Result.Start = Clock::now();
   Result.Reply =
-      askHttp(this->CallerLinks[Host]->address(), Ask, Timeout + ReadSlack);
+      askHttp(this->CallerLinks[Host]->address(), Req, Timeout + ReadSlack);
   Result.End = Clock::now();
   return Result;
 }
 
 std::optional<std::size_t>
-SoakTraffic::pickHost(std::mt19937_64 &Numbers, std::vector<std::string> &Known,
-                      Clock::time_point &KnownAt) const {
+SoakTraffic::pickHost(std::mt19937_64 &Rng, std::vector<std::string> &Addresses,
+                      Clock::time_point &ReceivedAt) const {
   const auto Now = Clock::now();
-  if (Known.empty() || Now >= KnownAt + AskAgainAfter) {
-    std::vector<std::string> Named = this->Deployed.directory(
-        Numbers() % this->Deployed.hosts(), DirectoryPatience);
-    if (!Named.empty()) {
-      Known = std::move(Named);
-      KnownAt = Now;
+  if (Addresses.empty() || Now >= ReceivedAt + RefreshAfter) {
+    std::vector<std::string> Received = this->Deployed.directory(
+        Rng() % this->Deployed.hosts(), DirectoryTimeout);
+    if (!Received.empty()) {
+      Addresses = std::move(Received);
+      ReceivedAt = Now;
     }
   }
-  if (Known.empty() || Now >= KnownAt + KeepAtMost)
+  if (Addresses.empty() || Now >= ReceivedAt + MaxAge)
     return std::nullopt;
-  const std::string &Picked = Known[Numbers() % Known.size()];
+  const std::string &Picked = Addresses[Rng() % Addresses.size()];
   for (std::size_t Index = 0; Index < this->Deployed.hosts(); ++Index)
     if (this->Deployed.host(Index).Callers == Picked)
       return Index;
@@ -92,18 +92,18 @@
 }
 
 void SoakTraffic::run(std::uint64_t Seed) {
-  std::mt19937_64 Numbers(Seed);
-  std::vector<std::string> Known;
-  Clock::time_point KnownAt;
-  while (!this->Ends) {
-    std::this_thread::sleep_for(milliseconds(Numbers() % 40));
-    const auto Host = this->pickHost(Numbers, Known, KnownAt);
+  std::mt19937_64 Rng(Seed);
+  std::vector<std::string> Addresses;
+  Clock::time_point ReceivedAt;
+  while (!this->Stopping) {
+    std::this_thread::sleep_for(milliseconds(Rng() % 40));
+    const auto Host = this->pickHost(Rng, Addresses, ReceivedAt);
     if (!Host)
       continue;
-    const auto Kind = static_cast<CallKind>(Numbers() % 3);
-    const Duration Timeout = milliseconds(500 + Numbers() % 3500);
+    const auto Kind = static_cast<CallKind>(Rng() % 3);
+    const Duration Timeout = milliseconds(500 + Rng() % 3500);
     CallRecord Record = this->call(Kind, *Host, Timeout);
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     this->Records.push_back(std::move(Record));
   }
 }
--- a/tests/soak/SoakTraffic.h
+++ b/tests/soak/SoakTraffic.h
@@ -48,15 +48,15 @@
 private:
   void run(std::uint64_t Seed);
   /// The index of a host that the directories name; nothing when none answers.
-  std::optional<std::size_t> pickHost(std::mt19937_64 &Numbers,
-                                      std::vector<std::string> &Known,
-                                      Clock::time_point &KnownAt) const;
+  std::optional<std::size_t> pickHost(std::mt19937_64 &Rng,
+                                      std::vector<std::string> &Addresses,
+                                      Clock::time_point &ReceivedAt) const;
 
   process::GatewayDeployment &Deployed;
   std::span<const std::unique_ptr<LoopbackProxy>> CallerLinks;
-  std::atomic<bool> Ends = false;
+  std::atomic<bool> Stopping = false;
   std::atomic<std::uint64_t> Calls = 0;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::vector<CallRecord> Records;
   std::vector<std::thread> Threads;
 };
--- a/tests/soak/StoreWrites.h
+++ b/tests/soak/StoreWrites.h
@@ -13,43 +13,43 @@
 
 class StoreWrites {
 public:
-  StoreWrites() : Worker([this] { this->work(); }) {}
+  StoreWrites() : Thread([this] { this->run(); }) {}
   ~StoreWrites() {
     {
-      const std::lock_guard Lock(this->Guard);
-      this->Ends = true;
+      const std::lock_guard Lock(this->Mutex);
+      this->Stopping = true;
     }
     this->Changed.notify_all();
-    this->Worker.join();
+    this->Thread.join();
   }
   StoreWrites(const StoreWrites &) = delete;
   StoreWrites &operator=(const StoreWrites &) = delete;
 
   void add(std::function<void()> Write) {
     {
-      const std::lock_guard Lock(this->Guard);
-      this->Waiting.push_back(std::move(Write));
+      const std::lock_guard Lock(this->Mutex);
+      this->Queue.push_back(std::move(Write));
     }
     this->Changed.notify_all();
   }
 
   /// Waits until everything added is done.
   void waitUntilDone() {
-    std::unique_lock Lock(this->Guard);
+    std::unique_lock Lock(this->Mutex);
     this->Changed.wait(Lock,
-                       [this] { return this->Waiting.empty() && !this->Busy; });
+                       [this] { return this->Queue.empty() && !this->Busy; });
   }
 
 private:
-  void work() {
-    std::unique_lock Lock(this->Guard);
+  void run() {
+    std::unique_lock Lock(this->Mutex);
     for (;;) {
       this->Changed.wait(
-          Lock, [this] { return this->Ends || !this->Waiting.empty(); });
-      if (this->Waiting.empty())
+          Lock, [this] { return this->Stopping || !this->Queue.empty(); });
+      if (this->Queue.empty())
         return;
-      const std::function<void()> Next = std::move(this->Waiting.front());
-      this->Waiting.pop_front();
+      const std::function<void()> Next = std::move(this->Queue.front());
+      this->Queue.pop_front();
       this->Busy = true;
       Lock.unlock();
       Next();
@@ -59,12 +59,12 @@
     }
   }
 
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Changed;
-  std::deque<std::function<void()>> Waiting;
+  std::deque<std::function<void()>> Queue;
   bool Busy = false;
-  bool Ends = false;
-  std::thread Worker; ///< Last: it uses the others.
+  bool Stopping = false;
+  std::thread Thread; ///< Last: it uses the others.
 };
 
 } // namespace banyanpick::soak
