--- a/tests/soak/FaultInjector.cpp
+++ b/tests/soak/FaultInjector.cpp
@@ -27,11 +27,12 @@
         this->Deployed.host(Failure.Host).Process->signal(SIGSTOP);
       },
       [&](const UpstreamKilled &Failure) {
-        auto &Of = this->Deployed.upstream(Failure.Upstream);
+        auto &Killed = this->Deployed.upstream(Failure.Upstream);
         if (!this->DownUpstreams.insert(Failure.Upstream).second)
           return;
-        Of.Process->kill();
-        this->Writes.add([this, Id = Of.Id] { this->Deployed.unregister(Id); });
+        Killed.Process->kill();
+        this->Writes.add(
+            [this, Id = Killed.Id] { this->Deployed.unregister(Id); });
       },
       [&](const UpstreamPaused &Failure) {
         this->Deployed.upstream(Failure.Upstream).Process->signal(SIGSTOP);
@@ -137,7 +138,8 @@
   for (std::size_t Index = 0; Index < this->Deployed.hosts(); ++Index)
     if (!this->DownHosts.contains(Index) &&
         !this->Deployed.host(Index).Process->isAlive())
-      Violations.push_back(fmt::format("host {} ended by itself", Index));
+      Violations.push_back(
+          fmt::format("host {} ended without an injected fault", Index));
   Violations.insert(Violations.end(), this->StopProblems.begin(),
                     this->StopProblems.end());
   this->StopProblems.clear();
--- a/tests/soak/FaultInjector.h
+++ b/tests/soak/FaultInjector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Does to a deployment what a plan says, and undoes it.
+/// Injects the faults of a plan into a deployment and undoes them.
 #pragma once
 
 #include "process/GatewayDeployment.h"
@@ -11,33 +11,36 @@
 
 namespace banyanpick::soak {
 
-/// The proxies before and behind the hosts.
+/// The proxies between callers, hosts, store and upstreams.
 struct SoakLinks {
-  std::vector<std::unique_ptr<LoopbackProxy>> Callers;   ///< One a host.
-  std::vector<std::unique_ptr<LoopbackProxy>> Stores;    ///< One a host.
-  std::vector<std::unique_ptr<LoopbackProxy>> Upstreams; ///< One an upstream.
+  std::vector<std::unique_ptr<LoopbackProxy>> Callers;   ///< One per host.
+  std::vector<std::unique_ptr<LoopbackProxy>> Stores;    ///< One per host.
+  std::vector<std::unique_ptr<LoopbackProxy>> Upstreams; ///< One per upstream.
 };
 
+/// Injects and undoes faults. Used from one thread.
 class FaultInjector {
 public:
   FaultInjector(process::GatewayDeployment &Deployed, SoakLinks &Links)
       : Deployed(Deployed), Links(Links) {}
 
   void inject(const Disruption &Fault);
-  /// Undoes it; false when it must be tried again soon.
+  /// Undoes a fault. Returns false if the caller must try again later, because
+  /// the host is still stopping.
   bool undo(const Disruption &Fault);
-  /// Processes that ended though nobody ended them, and stops that went wrong.
+  /// Appends the hosts that ended without a fault and the planned stops that
+  /// failed.
   void checkUnexpectedExits(std::vector<std::string> &Violations);
 
   /// Writes the next version of the configuration.
   void configure(bool Extra);
-  /// Waits until the store took everything.
+  /// Waits until all writes to the store are done.
   void waitForStore() { this->Writes.waitUntilDone(); }
 
 private:
   process::GatewayDeployment &Deployed;
   SoakLinks &Links;
-  std::set<std::size_t> Stopping; ///< Hosts asked to stop, not killed since.
+  std::set<std::size_t> Stopping; ///< Hosts told to stop and not killed since.
   std::set<std::size_t> DownHosts;
   std::set<std::size_t> DownUpstreams;
   std::vector<std::string> StopProblems;
--- a/tests/soak/FaultPlan.cpp
+++ b/tests/soak/FaultPlan.cpp
@@ -23,7 +23,7 @@
       });
 }
 
-/// Draws the parts of a plan.
+/// Draws random faults, times and durations.
 class FaultGenerator {
 public:
   FaultGenerator(std::uint64_t Seed, std::size_t Hosts, std::size_t Upstreams)
@@ -108,19 +108,21 @@
       [](const UpstreamPaused &Failure) {
         return fmt::format("pause upstream {}", Failure.Upstream);
       },
-      [](const StoreRefusing &) { return std::string("store refuses"); },
+      [](const StoreRefusing &) {
+        return std::string("store refuses requests");
+      },
       [](const StorePaused &) { return std::string("pause store"); },
-      [](const StoreCompacted &) { return std::string("store forgets"); },
+      [](const StoreCompacted &) { return std::string("compact store"); },
       [](const StoreLinkFailed &Failure) {
-        return fmt::format("store for host {} {}", Failure.Host,
+        return fmt::format("link from host {} to the store {}", Failure.Host,
                            describe(Failure.Fault));
       },
       [](const UpstreamLinkFailed &Failure) {
-        return fmt::format("way to upstream {} {}", Failure.Upstream,
+        return fmt::format("link to upstream {} {}", Failure.Upstream,
                            describe(Failure.Fault));
       },
       [](const CallerLinkFailed &Failure) {
-        return fmt::format("way to host {} {}", Failure.Host,
+        return fmt::format("link to host {} {}", Failure.Host,
                            describe(Failure.Fault));
       },
       [](const ConfigurationChanged &Failure) {
@@ -143,7 +145,7 @@
 
 std::vector<PlannedFault> planFaults(std::uint64_t Seed, Duration Length,
                                      std::size_t Hosts, std::size_t Upstreams) {
-  /// The last fault's end leaves time to see the recovery.
+  /// Longest fault. The last one ends early enough to observe the recovery.
   constexpr milliseconds MaxLength(2500);
   constexpr std::size_t MaxBurst = 4;
   FaultGenerator Generator(Seed, Hosts, Upstreams);
@@ -151,7 +153,7 @@
   Duration At = milliseconds(300);
   while (At + MaxLength < Length) {
     const std::size_t Count = 1 + Generator.below(MaxBurst);
-    for (std::size_t Each = 0; Each < Count; ++Each)
+    for (std::size_t Index = 0; Index < Count; ++Index)
       Result.push_back(
           {At + Generator.between(milliseconds(0), milliseconds(700)),
            Generator.between(milliseconds(100), MaxLength),
--- a/tests/soak/FaultPlan.h
+++ b/tests/soak/FaultPlan.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which faults a soak injects, and when.
+/// The faults that a soak injects, with their times.
 #pragma once
 
 #include "soak/LoopbackProxy.h"
@@ -11,31 +11,32 @@
 
 namespace banyanpick::soak {
 
-/// A host is asked to stop, and started again once it has.
+/// A host is told to stop and is started again after it has stopped.
 struct HostStopped {
   std::size_t Host = 0;
 };
-/// A host is killed, and started again at the end.
+/// A host is killed and is started again when the fault ends.
 struct HostKilled {
   std::size_t Host = 0;
 };
-/// A host gets no processor time.
+/// A host is suspended and gets no processor time.
 struct HostPaused {
   std::size_t Host = 0;
 };
-/// An upstream is killed; another one takes its address at the end.
+/// An upstream is killed. When the fault ends, another one starts at its
+/// address.
 struct UpstreamKilled {
   std::size_t Upstream = 0;
 };
 struct UpstreamPaused {
   std::size_t Upstream = 0;
 };
-/// The store refuses everything.
+/// The store refuses all requests.
 struct StoreRefusing {};
 struct StorePaused {};
-/// The store drops the history of its topics.
+/// The store drops the history of its topics by compaction.
 struct StoreCompacted {};
-/// What a host hears of the store.
+/// The connection of a host to the store fails.
 struct StoreLinkFailed {
   std::size_t Host = 0;
   LinkFault Fault;
@@ -48,7 +49,8 @@
   std::size_t Host = 0;
   LinkFault Fault;
 };
-/// The operator writes the next version, with or without the extra route.
+/// The operator writes the next version of the configuration, with or without
+/// the extra route.
 struct ConfigurationChanged {
   bool WithExtra = false;
 };
@@ -60,21 +62,21 @@
                  ConfigurationChanged>;
 
 struct PlannedFault {
-  Duration StartAt{}; ///< From the soak's start.
-  Duration Length{};  ///< Until what it did is undone.
+  Duration StartAt{}; ///< Since the start of the soak.
+  Duration Length{};  ///< Until the fault is undone.
   Disruption Fault;
 };
 
-/// For the report: the fault with its target.
+/// Returns the fault with its target, for the report.
 std::string describe(const Disruption &Fault);
 
-/// Whether a request to the host may be broken off, or answered late, because
-/// of it: its own host's end, or, for a stream, its upstream's. Everything else
-/// gets a final answer in time whatever happens behind the host.
+/// Whether the fault may interrupt or delay a request to \p Host: a fault of
+/// the host itself or, for a stream, of its upstream. All other requests get a
+/// final answer in time, whatever fails behind the host.
 bool mayBreakRequests(const Disruption &Fault, std::size_t Host, bool IsStream);
 
-/// Bursts of faults that overlap, drawn from the seed; the same seed gives the
-/// same plan. Ends some time before \p Length.
+/// Returns bursts of overlapping faults. The plan depends only on \p Seed and
+/// the sizes, and ends some time before \p Length.
 std::vector<PlannedFault> planFaults(std::uint64_t Seed, Duration Length,
                                      std::size_t Hosts, std::size_t Upstreams);
 
--- a/tests/soak/LoopbackProxy.cpp
+++ b/tests/soak/LoopbackProxy.cpp
@@ -16,7 +16,7 @@
 
 namespace asio = boost::asio;
 
-/// How often a silent direction looks whether the fault is over.
+/// Interval at which a silent direction checks whether the fault has ended.
 constexpr milliseconds PollInterval(10);
 
 bool isSilent(const LinkFault &Fault, bool ToServer) {
@@ -39,7 +39,7 @@
 
 void LoopbackProxy::Connection::reset() {
   boost::system::error_code Ignored;
-  // A close with no time to linger sends a reset.
+  // Closing with a linger time of 0 sends a reset.
   this->Client.set_option(asio::socket_base::linger(true, 0), Ignored);
   this->Server.set_option(asio::socket_base::linger(true, 0), Ignored);
   this->close();
@@ -90,7 +90,7 @@
   try {
     co_await Accepted->Server.async_connect(this->Target, asio::use_awaitable);
   } catch (const boost::system::system_error &) {
-    // Nobody listens there; the client shall see the same.
+    // The target does not listen. The client gets the same result.
     Accepted->reset();
     co_return;
   }
@@ -115,7 +115,7 @@
                                  asio::use_awaitable);
     }
   } catch (const boost::system::system_error &) {
-    // Either end is gone; the other hears of it below.
+    // One end is closed. The other end is closed below.
   }
   co_await this->applyFault(ToServer);
   Accepted->close();
--- a/tests/soak/LoopbackProxy.h
+++ b/tests/soak/LoopbackProxy.h
@@ -1,10 +1,11 @@
 /// \file
-/// A TCP proxy on loopback that spoils what passes through it.
+/// A TCP proxy on loopback that injects network faults.
 #pragma once
 
 #include "base/Time.h"
 
-// Before Asio's coroutines, which use std::exchange without including it.
+// Included before Asio's coroutines, which use std::exchange without including
+// its header.
 #include <utility>
 
 #include <boost/asio/awaitable.hpp>
@@ -18,15 +19,15 @@
 
 namespace banyanpick::soak {
 
-/// Everything passes as it comes.
+/// Data passes unchanged.
 struct HealthyLink {};
-/// Each piece waits so long, in both directions.
+/// Each chunk of data is delayed, in both directions.
 struct DelayedLink {
   Duration Delay{};
 };
-/// Open connections are reset, and new ones as soon as they are made.
+/// Open connections are reset, and new ones as soon as they are accepted.
 struct ResettingLink {};
-/// Nothing passes in the named directions until the fault ends.
+/// No data passes in the given directions until the fault ends.
 struct SilentLink {
   bool ToServer = false;
   bool ToClient = false;
@@ -35,16 +36,16 @@
 using LinkFault =
     std::variant<HealthyLink, DelayedLink, ResettingLink, SilentLink>;
 
-/// Forwards each connection to one target, on a thread of its own.
+/// Forwards all connections to one target, on its own thread.
 class LoopbackProxy {
 public:
-  /// Both are `ip:port`.
+  /// Both addresses have the form `ip:port`.
   LoopbackProxy(const std::string &Listen, const std::string &Target);
   ~LoopbackProxy();
   LoopbackProxy(const LoopbackProxy &) = delete;
   LoopbackProxy &operator=(const LoopbackProxy &) = delete;
 
-  /// May be called from any thread; holds for open connections, too.
+  /// Sets the fault, also for open connections. Thread-safe.
   void setFault(const LinkFault &Fault);
   const std::string &address() const { return this->Address; }
 
--- a/tests/soak/SoakMain.cpp
+++ b/tests/soak/SoakMain.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The soak as a program: plays the plan of one seed and ends with one line.
+/// The soak as a program. Runs the fault plan of one seed and prints a summary
+/// line at the end:
 ///   soak: seed=N sent=N whole=N refused=N broken=N faults=N violations=N
 #include "soak/SoakRun.h"
 
@@ -20,10 +21,10 @@
                     {FLAGS_hosts, FLAGS_upstreams, FLAGS_callers});
   const bool Good = Report.Violations.empty();
   if (!Good)
-    for (const std::string &Each : Report.Plan)
-      fmt::print("fault: {}\n", Each);
-  for (const std::string &Each : Report.Violations)
-    fmt::print("violation: {}\n", Each);
+    for (const std::string &Fault : Report.Plan)
+      fmt::print("fault: {}\n", Fault);
+  for (const std::string &Violation : Report.Violations)
+    fmt::print("violation: {}\n", Violation);
   if (!Good)
     fmt::print("logs: {}\n", Report.Logs);
   fmt::print("soak: seed={} sent={} whole={} refused={} broken={} faults={} "
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -16,30 +16,30 @@
 using process::GatewayDeployment;
 using standins::demoStream;
 
-/// An answer may come so much after its caller's limit: both sides' timers and
-/// a machine that runs other things.
+/// Allowed lateness of an answer after the timeout of its caller. It covers the
+/// timers of both sides and other load on the machine.
 constexpr milliseconds LatenessMargin(1500);
-/// A fault's effects on requests last so long after it: what is read again
-/// elsewhere, hosts that find each other again.
+/// Time after a fault during which it may still affect requests, because data
+/// is read again from another source and hosts reconnect to each other.
 constexpr milliseconds EffectTime(2500);
-/// After the last fault everything is well again within so long.
+/// Time within which the deployment recovers after the last fault.
 constexpr seconds RecoveryLimit(12);
 constexpr milliseconds PollInterval(100);
 
-/// When a fault was in effect.
+/// A fault with the time during which it was active.
 struct FaultSpan {
   Disruption Fault;
   Clock::time_point From;
   Clock::time_point To = Clock::time_point::max();
 };
 
-/// Plays a plan and keeps when each fault held.
+/// Injects the faults of a plan and records when each was active.
 class PlanPlayer {
 public:
   PlanPlayer(FaultInjector &Injector, std::vector<PlannedFault> Plan)
       : Injector(Injector), Plan(std::move(Plan)) {}
 
-  /// Returns after \p Length, once everything is undone.
+  /// Returns after \p Length, when all faults are undone.
   void play(Duration Length) {
     const auto Start = Clock::now();
     while (Clock::now() < Start + Length || !this->Active.empty()) {
@@ -60,20 +60,20 @@
     for (; this->Next < this->Plan.size() &&
            Clock::now() >= Start + this->Plan[this->Next].StartAt;
          ++this->Next) {
-      const PlannedFault &Each = this->Plan[this->Next];
-      this->Spans.push_back({Each.Fault, Clock::now()});
-      this->Injector.inject(Each.Fault);
+      const PlannedFault &Planned = this->Plan[this->Next];
+      this->Spans.push_back({Planned.Fault, Clock::now()});
+      this->Injector.inject(Planned.Fault);
       this->Active.push_back(
-          {this->Spans.size() - 1, Clock::now() + Each.Length});
+          {this->Spans.size() - 1, Clock::now() + Planned.Length});
     }
   }
 
   void endDue() {
-    std::erase_if(this->Active, [&](const ActiveFault &Each) {
-      if (Clock::now() < Each.EndsAt ||
-          !this->Injector.undo(this->Spans[Each.Span].Fault))
+    std::erase_if(this->Active, [&](const ActiveFault &Fault) {
+      if (Clock::now() < Fault.EndsAt ||
+          !this->Injector.undo(this->Spans[Fault.Span].Fault))
         return false;
-      this->Spans[Each.Span].To = Clock::now();
+      this->Spans[Fault.Span].To = Clock::now();
       return true;
     });
   }
@@ -93,7 +93,7 @@
              : Call.Reply.Body.ends_with(": " + Call.Payload);
 }
 
-/// Judges what callers saw against what upstreams ran.
+/// Compares the answers that callers got with the runs that upstreams recorded.
 class CallChecker {
 public:
   CallChecker(const std::map<std::string, int> &Runs,
@@ -114,29 +114,30 @@
     if (Call.Kind == CallKind::Unsafe && Count > 1)
       Add("ran twice");
     if (Call.Reply.isComplete() && Call.Reply.Status == 503 && Count > 0)
-      Add("ran though the answer says that it did not");
+      Add("ran although the answer says that it did not");
     if (Call.Reply.isComplete() && Call.Reply.Status == 200 && !isCorrect(Call))
-      Add("a complete answer that is not whole, or another's");
+      Add("a complete answer whose content is not whole or belongs to another "
+          "call");
     if (Call.Kind == CallKind::Stream && Call.Reply.Status == 200 &&
         !demoStream().starts_with(Call.Reply.Body))
       Add("a stream out of order");
     if (this->isUnaffected(Call)) {
       if (!Call.Reply.isComplete())
-        Add("broken off with nothing to excuse it");
+        Add("broken off with nothing to explain it");
       if (Call.End > Call.Start + Call.Timeout + LatenessMargin)
-        Add("answered late with nothing to excuse it");
+        Add("answered late with nothing to explain it");
     }
     return Result;
   }
 
 private:
-  /// Whether no fault that may break this request was near.
+  /// Whether no fault that may affect this call was active near its time.
   bool isUnaffected(const CallRecord &Call) const {
-    return std::ranges::none_of(this->Faults, [&](const FaultSpan &Each) {
+    return std::ranges::none_of(this->Faults, [&](const FaultSpan &Span) {
       const bool IsNear =
-          Each.From <= Call.End && (Each.To == Clock::time_point::max() ||
-                                    Call.Start <= Each.To + EffectTime);
-      return IsNear && mayBreakRequests(Each.Fault, Call.Host,
+          Span.From <= Call.End && (Span.To == Clock::time_point::max() ||
+                                    Call.Start <= Span.To + EffectTime);
+      return IsNear && mayBreakRequests(Span.Fault, Call.Host,
                                         Call.Kind == CallKind::Stream);
     });
   }
@@ -145,7 +146,7 @@
   const std::vector<FaultSpan> &Faults;
 };
 
-/// Whether every host is ready, names all, and serves each kind.
+/// Whether every host is ready, lists all hosts and serves each kind of call.
 bool isHealthy(GatewayDeployment &Deployed, SoakTraffic &Traffic) {
   constexpr seconds Timeout(3);
   for (std::size_t Index = 0; Index < Deployed.hosts(); ++Index) {
@@ -156,14 +157,14 @@
          {CallKind::Safe, CallKind::Unsafe, CallKind::Stream})
       if (!isCorrect(Traffic.call(Kind, Index, Timeout)))
         return false;
-    // The last version has the route that earlier ones may lack.
+    // The last version contains the extra route, which earlier ones may lack.
     if (Deployed.ask(Index, "/extra/x", "end").Status != 200)
       return false;
   }
   return true;
 }
 
-/// A way to one target through a new proxy.
+/// Starts a proxy for one target and returns its address.
 std::string addProxy(std::vector<std::unique_ptr<LoopbackProxy>> &Proxies,
                      const std::string &Target) {
   Proxies.push_back(
@@ -181,8 +182,8 @@
   return true;
 }
 
-/// Whether a fault keeps a host from heeding what an upstream names, or makes
-/// requests pile up on their way to the first upstream.
+/// Whether a fault prevents a host from obeying the limit of an upstream, or
+/// makes requests accumulate on the way to the first upstream.
 bool excusesFromLimit(const Disruption &Fault, std::size_t Host) {
   return match(
       Fault, [&](const HostStopped &Failure) { return Failure.Host == Host; },
@@ -194,45 +195,46 @@
       [](const auto &) { return false; });
 }
 
-/// Judges whether the first upstream got more than the limit that it names,
-/// from hosts that nothing kept from heeding it.
+/// Checks whether the first upstream got more requests than the limit it names.
+/// Only requests from hosts without a fault that excuses them are counted.
 void checkLimit(const GatewayDeployment &Deployed,
                 std::span<const CallRecord> Records,
                 const std::vector<FaultSpan> &Faults, SoakReport &Report) {
   std::map<std::string, std::size_t> HostOf;
-  for (const CallRecord &Each : Records)
-    HostOf[Each.Attempt] = Each.Host;
+  for (const CallRecord &Call : Records)
+    HostOf[Call.Attempt] = Call.Host;
   const auto Arrivals = Deployed.arrivalsUnderLimit(0);
   std::vector<Clock::time_point> Counted;
-  for (const auto &Each : Arrivals.Requests) {
-    const auto Host = HostOf.find(Each.Attempt);
+  for (const auto &Arrival : Arrivals.Requests) {
+    const auto Host = HostOf.find(Arrival.Attempt);
     const bool IsCounted =
         Host != HostOf.end() &&
-        Each.ReceivedAt >= Arrivals.LimitNamedAt + process::LimitObeyedWithin &&
+        Arrival.ReceivedAt >=
+            Arrivals.LimitNamedAt + process::LimitObeyedWithin &&
         std::ranges::none_of(Faults, [&](const FaultSpan &Span) {
           return excusesFromLimit(Span.Fault, Host->second);
         });
     if (IsCounted)
-      Counted.push_back(Each.ReceivedAt);
+      Counted.push_back(Arrival.ReceivedAt);
   }
-  const std::size_t Most = process::maxInLimitWindow(Counted);
-  if (Most > process::allowedInLimitWindow())
+  const std::size_t Max = process::maxInLimitWindow(Counted);
+  if (Max > process::allowedInLimitWindow())
     Report.Violations.push_back(fmt::format(
         "an upstream that names a limit got {} requests in a window; {} are "
         "allowed",
-        Most, process::allowedInLimitWindow()));
+        Max, process::allowedInLimitWindow()));
 }
 
 void checkCalls(std::span<const CallRecord> Records, const CallChecker &Checker,
                 SoakReport &Report) {
-  for (const CallRecord &Each : Records) {
+  for (const CallRecord &Call : Records) {
     ++Report.Sent;
-    Report.Correct += isCorrect(Each) ? 1 : 0;
+    Report.Correct += isCorrect(Call) ? 1 : 0;
     Report.Refused +=
-        Each.Reply.isComplete() && Each.Reply.Status != 200 ? 1 : 0;
-    Report.Interrupted += Each.Reply.isComplete() ? 0 : 1;
-    for (std::string &Line : Checker.violations(Each))
-      Report.Violations.push_back(std::move(Line));
+        Call.Reply.isComplete() && Call.Reply.Status != 200 ? 1 : 0;
+    Report.Interrupted += Call.Reply.isComplete() ? 0 : 1;
+    for (std::string &Violation : Checker.violations(Call))
+      Report.Violations.push_back(std::move(Violation));
   }
 }
 
@@ -248,7 +250,7 @@
     return addProxy(Links.Upstreams, Target);
   };
   std::vector<std::string> Upstreams(Size.Upstreams, "");
-  // In every other run the first upstream is in need.
+  // With an odd seed, the first upstream names a limit.
   const bool NamesLimit = Seed % 2 == 1 && Size.Upstreams > 1;
   if (NamesLimit)
     Upstreams.front() = "limit";
@@ -265,15 +267,16 @@
   Injector.waitForStore();
   const std::vector<CallRecord> Records = Traffic.finish();
   if (!becomesHealthy(Deployed, Traffic))
-    Report.Violations.emplace_back("not all is well again after the faults");
+    Report.Violations.emplace_back(
+        "not all hosts are healthy after the faults");
   Injector.checkUnexpectedExits(Report.Violations);
   const std::map<std::string, int> Runs = Deployed.recordedRuns();
   checkCalls(Records, CallChecker(Runs, Player.spans()), Report);
   if (NamesLimit)
     checkLimit(Deployed, Records, Player.spans(), Report);
   Report.Faults = Player.spans().size();
-  for (const FaultSpan &Each : Player.spans())
-    Report.Plan.push_back(describe(Each.Fault));
+  for (const FaultSpan &Span : Player.spans())
+    Report.Plan.push_back(describe(Span.Fault));
   if (!Report.Violations.empty())
     Report.Logs = Deployed.keepLogs();
   return Report;
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Short soaks with fixed seeds, and the plan itself.
+/// Short soaks with fixed seeds, and tests of the fault plan.
 #include "soak/SoakRun.h"
 
 #include <fmt/format.h>
@@ -8,13 +8,13 @@
 namespace banyanpick::soak {
 namespace {
 
-/// Seeds that once broke a promise stay here, each with the cause.
+/// Seeds that once violated a guarantee are kept here, each with the cause.
 class Soak : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(Soak, KeepsAllGuarantees) {
   const SoakReport Report = runSoak(GetParam(), seconds(8), {});
-  for (const std::string &Each : Report.Violations)
-    ADD_FAILURE() << Each << "; logs in " << Report.Logs;
+  for (const std::string &Violation : Report.Violations)
+    ADD_FAILURE() << Violation << "; logs in " << Report.Logs;
   EXPECT_GT(Report.Correct, Report.Sent / 2);
   EXPECT_GT(Report.Faults, 4U);
 }
@@ -24,9 +24,9 @@
 TEST(FaultPlan, TheSeedDeterminesThePlan) {
   const auto DescribeAll = [](std::uint64_t Seed) {
     std::string Result;
-    for (const PlannedFault &Each : planFaults(Seed, seconds(30), 3, 4))
-      Result += fmt::format("{} {} {}\n", Each.StartAt.count(),
-                            Each.Length.count(), describe(Each.Fault));
+    for (const PlannedFault &Planned : planFaults(Seed, seconds(30), 3, 4))
+      Result += fmt::format("{} {} {}\n", Planned.StartAt.count(),
+                            Planned.Length.count(), describe(Planned.Fault));
     return Result;
   };
   EXPECT_EQ(DescribeAll(7), DescribeAll(7));
@@ -36,13 +36,15 @@
 TEST(FaultPlan, FaultsOverlapAndEndInTime) {
   const auto Plan = planFaults(3, seconds(60), 3, 4);
   std::size_t Overlaps = 0;
-  for (std::size_t Each = 1; Each < Plan.size(); ++Each)
+  for (std::size_t Index = 1; Index < Plan.size(); ++Index)
     Overlaps +=
-        Plan[Each].StartAt < Plan[Each - 1].StartAt + Plan[Each - 1].Length ? 1
-                                                                            : 0;
+        Plan[Index].StartAt < Plan[Index - 1].StartAt + Plan[Index - 1].Length
+            ? 1
+            : 0;
   EXPECT_GT(Overlaps, Plan.size() / 4);
-  for (const PlannedFault &Each : Plan)
-    EXPECT_LE(Each.StartAt + Each.Length, Duration(seconds(60) + seconds(1)));
+  for (const PlannedFault &Planned : Plan)
+    EXPECT_LE(Planned.StartAt + Planned.Length,
+              Duration(seconds(60) + seconds(1)));
 }
 
 } // namespace
--- a/tests/soak/SoakTraffic.cpp
+++ b/tests/soak/SoakTraffic.cpp
@@ -11,12 +11,13 @@
 
 using standins::askHttp;
 
-/// How long a caller uses what a directory said, and how long at most: three
-/// times the second that hosts name.
+/// A caller asks a directory again after RefreshAfter and uses an answer for at
+/// most MaxAge, which is three times the TTL of one second that hosts name.
 constexpr seconds RefreshAfter(1);
 constexpr seconds MaxAge(3);
 constexpr milliseconds DirectoryTimeout(300);
-/// A connection that says nothing for so long beyond its limit is given up.
+/// A connection without data is abandoned this long after the timeout of the
+/// call.
 constexpr seconds ReadSlack(3);
 
 std::string pathOf(CallKind Kind) {
@@ -38,16 +39,17 @@
     std::span<const std::unique_ptr<LoopbackProxy>> CallerLinks,
     std::uint64_t Seed, std::size_t Callers)
     : Deployed(Deployed), CallerLinks(CallerLinks) {
-  for (std::size_t Each = 0; Each < Callers; ++Each)
-    this->Threads.emplace_back([this, Seed, Each] { this->run(Seed + Each); });
+  for (std::size_t Index = 0; Index < Callers; ++Index)
+    this->Threads.emplace_back(
+        [this, Seed, Index] { this->run(Seed + Index); });
 }
 
 SoakTraffic::~SoakTraffic() { this->finish(); }
 
 std::vector<CallRecord> SoakTraffic::finish() {
   this->Stopping = true;
-  for (std::thread &Each : this->Threads)
-    Each.join();
+  for (std::thread &Caller : this->Threads)
+    Caller.join();
   this->Threads.clear();
   return std::move(this->Records);
 }
--- a/tests/soak/SoakTraffic.h
+++ b/tests/soak/SoakTraffic.h
@@ -1,5 +1,5 @@
 /// \file
-/// The callers of a soak, and what each of their requests came to.
+/// The callers of a soak, with a record of each call.
 #pragma once
 
 #include "process/GatewayDeployment.h"
@@ -18,7 +18,7 @@
 
 enum class CallKind { Safe, Unsafe, Stream };
 
-/// One request as its caller saw it.
+/// One call with its result as seen by the caller.
 struct CallRecord {
   CallKind Kind = CallKind::Safe;
   std::string Attempt;
@@ -26,12 +26,13 @@
   std::size_t Host = 0;
   Clock::time_point Start;
   Clock::time_point End;
-  Duration Timeout{}; ///< How long its caller would wait.
+  Duration Timeout{}; ///< How long the caller waits.
   standins::HttpReply Reply;
 };
 
-/// Callers that ask hosts which addresses to use, keep the answer up to three
-/// seconds, and connect through the proxies.
+/// Runs callers, one thread each. A caller asks a host for the addresses of all
+/// hosts, uses the answer for up to three seconds and connects through the
+/// proxies.
 class SoakTraffic {
 public:
   SoakTraffic(process::GatewayDeployment &Deployed,
@@ -39,15 +40,16 @@
               std::uint64_t Seed, std::size_t Callers);
   ~SoakTraffic();
 
-  /// Lets the requests under way end; what all came to.
+  /// Waits for the calls in progress and returns the records of all calls.
   std::vector<CallRecord> finish();
 
-  /// Sends one request to the host and waits for its end.
+  /// Sends one request to the host and waits for the answer.
   CallRecord call(CallKind Kind, std::size_t Host, Duration Timeout);
 
 private:
   void run(std::uint64_t Seed);
-  /// The index of a host that the directories name; nothing when none answers.
+  /// Returns the index of a host that a directory names, or nothing if there is
+  /// no recent answer.
   std::optional<std::size_t> pickHost(std::mt19937_64 &Rng,
                                       std::vector<std::string> &Addresses,
                                       Clock::time_point &ReceivedAt) const;
--- a/tests/soak/StoreWrites.h
+++ b/tests/soak/StoreWrites.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the operator and the registry write to the store, in order, without
-/// holding up the soak while the store hangs.
+/// A queue of writes by the operator and the registry to the store. A store
+/// that hangs does not block the soak.
 #pragma once
 
 #include <condition_variable>
@@ -11,6 +11,7 @@
 
 namespace banyanpick::soak {
 
+/// Runs writes in order on its own thread. The destructor completes all writes.
 class StoreWrites {
 public:
   StoreWrites() : Thread([this] { this->run(); }) {}
@@ -33,7 +34,7 @@
     this->Changed.notify_all();
   }
 
-  /// Waits until everything added is done.
+  /// Waits until all added writes are done.
   void waitUntilDone() {
     std::unique_lock Lock(this->Mutex);
     this->Changed.wait(Lock,
@@ -64,7 +65,7 @@
   std::deque<std::function<void()>> Queue;
   bool Busy = false;
   bool Stopping = false;
-  std::thread Thread; ///< Last: it uses the others.
+  std::thread Thread; ///< Last, because it uses the other members.
 };
 
 } // namespace banyanpick::soak
