--- a/tests/bench/RoutingBench.cpp
+++ b/tests/bench/RoutingBench.cpp
@@ -77,11 +77,11 @@
   std::vector<Job> Jobs;
   for (std::size_t Row = 0; Row < Rows.size(); ++Row)
     for (int Seed = 1; Seed <= FLAGS_seeds; ++Seed)
-      for (const bool WithLong : {true, false}) {
+      for (const bool WithLongPrompts : {true, false}) {
         Job New{Row, Rows[Row].Options, {}};
         New.Options.Seed = static_cast<std::uint64_t>(Seed);
-        New.Options.WithLong = WithLong;
-        if (WithLong || New.Options.Scenario == "calm")
+        New.Options.WithLongPrompts = WithLongPrompts;
+        if (WithLongPrompts || New.Options.Scenario == "calm")
           Jobs.push_back(std::move(New));
       }
   return Jobs;
@@ -102,8 +102,9 @@
 void collect(const std::vector<Job> &Jobs, std::vector<TableRow> &Rows) {
   std::vector<CellResult> WithoutLong(Rows.size());
   for (const Job &Each : Jobs)
-    (Each.Options.WithLong ? Rows[Each.Row].Result : WithoutLong[Each.Row])
-        .add(Each.Result);
+    (Each.Options.WithLongPrompts ? Rows[Each.Row].Result
+                                  : WithoutLong[Each.Row])
+        .merge(Each.Result);
   for (std::size_t Row = 0; Row < Rows.size(); ++Row) {
     const double Alone = WithoutLong[Row].percentile(0, 0.95);
     if (Alone > 0)
--- a/tests/bench/RoutingCell.cpp
+++ b/tests/bench/RoutingCell.cpp
@@ -79,51 +79,51 @@
 class CellRun {
 public:
   explicit CellRun(const CellOptions &Options)
-      : Options(Options), World(deploymentOptions(Options)),
-        Numbers(Options.Seed) {}
+      : Options(Options), Deployed(deploymentOptions(Options)),
+        Rng(Options.Seed) {}
 
   CellResult run() {
     this->build();
-    this->World.runFor(Settling);
-    const auto Work = makeWorkload(this->Options.Shape, this->Options.Load,
-                                   WarmUp + this->Options.Length,
-                                   this->Options.Seed, this->Options.WithLong);
+    this->Deployed.runFor(Settling);
+    const auto Work = makeWorkload(
+        this->Options.Shape, this->Options.Load, WarmUp + this->Options.Length,
+        this->Options.Seed, this->Options.WithLongPrompts);
     this->scheduleFault();
     for (const Arrival &Each : Work)
-      this->World.queue().after(Each.At, [this, Each] { this->send(Each); });
-    this->World.runFor(WarmUp + this->Options.Length + Drain);
+      this->Deployed.queue().after(Each.At, [this, Each] { this->send(Each); });
+    this->Deployed.runFor(WarmUp + this->Options.Length + Drain);
     return this->judge();
   }
 
 private:
   void build() {
-    this->World.network().Far = this->Options.Shape.Far;
+    this->Deployed.network().Far = this->Options.Shape.Far;
     for (std::uint32_t Each = 0; Each < this->Options.Shape.Engines; ++Each) {
       EngineShape Shape;
       Shape.Id = UpstreamId("engine-" + std::to_string(Each));
       Shape.Models = {ModelId(TestModel)};
-      this->World.addEngine(Shape, zoneName(Each % Zones));
+      this->Deployed.addEngine(Shape, zoneName(Each % Zones));
     }
     for (std::uint32_t Each = 0; Each < this->Options.Shape.Hosts; ++Each)
-      this->World.addHost("host-" + std::to_string(Each),
-                          zoneName(Each % Zones));
-    this->World.seedCatalogue(catalogue());
+      this->Deployed.addHost("host-" + std::to_string(Each),
+                             zoneName(Each % Zones));
+    this->Deployed.seedCatalogue(catalogue());
   }
 
   void scheduleFault() {
     const Duration When = WarmUp + this->Options.Length / 3;
-    EventQueue &Queue = this->World.queue();
+    EventQueue &Queue = this->Deployed.queue();
     if (this->Options.Scenario == "engine-death") {
-      Queue.after(When, [this] { this->World.killUpstream("engine-0"); });
+      Queue.after(When, [this] { this->Deployed.killUpstream("engine-0"); });
       Queue.after(When + seconds(20),
-                  [this] { this->World.restartUpstream("engine-0"); });
+                  [this] { this->Deployed.restartUpstream("engine-0"); });
     }
     if (this->Options.Scenario == "host-death")
-      Queue.after(When, [this] { this->World.killHost("host-0"); });
+      Queue.after(When, [this] { this->Deployed.killHost("host-0"); });
     if (this->Options.Scenario == "log-outage")
-      Queue.after(When, [this] { this->World.log().Down = true; });
+      Queue.after(When, [this] { this->Deployed.log().Down = true; });
     if (this->Options.Scenario == "stale-reports")
-      for (auto &[Name, Engine] : this->World.engines())
+      for (auto &[Name, Engine] : this->Deployed.engines())
         Engine.LoadLag = seconds(2);
   }
 
@@ -133,9 +133,9 @@
     Head.MaxOutputTokens = From.OutputTokens;
     const std::uint64_t Shared = From.PrefixTokens / PromptBlockTokens;
     const RequestHead Prefix =
-        testRequest("", From.Class, From.PrefixTokens, From.PrefixOf);
+        testRequest("", From.Class, From.PrefixTokens, From.PrefixContent);
     std::copy_n(Prefix.Blocks.begin(), Shared, Head.Blocks.begin());
-    const std::size_t Caller = this->World.send(this->host(From), Head);
+    const std::size_t Caller = this->Deployed.send(this->host(From), Head);
     this->Sent.emplace_back(Caller, From);
   }
 
@@ -143,7 +143,7 @@
   std::string host(const Arrival &From) {
     std::vector<std::string> Near;
     std::vector<std::string> All;
-    for (const auto &[Name, Host] : this->World.hosts()) {
+    for (const auto &[Name, Host] : this->Deployed.hosts()) {
       if (!Host->isRunning())
         continue;
       All.push_back(Name);
@@ -151,17 +151,17 @@
         Near.push_back(Name);
     }
     const auto &Choice = Near.empty() ? All : Near;
-    return Choice[this->Numbers.below(Choice.size())];
+    return Choice[this->Rng.below(Choice.size())];
   }
 
   CellResult judge() {
     CellResult Result;
     Result.Seconds = inSeconds(this->Options.Length);
-    Result.Violations = this->World.violations().size();
+    Result.Violations = this->Deployed.violations().size();
     for (const auto &[Caller, From] : this->Sent)
       if (From.At >= WarmUp)
-        this->judgeOne(this->World.callers()[Caller], From, Result);
-    for (const auto &[Name, Engine] : this->World.engines()) {
+        this->judgeOne(this->Deployed.callers()[Caller], From, Result);
+    for (const auto &[Name, Engine] : this->Deployed.engines()) {
       Result.Prefilled += static_cast<double>(Engine.Model.prefilledTokens());
       Result.Wasted += static_cast<double>(Engine.Model.wastedPrefillTokens());
     }
@@ -200,8 +200,8 @@
     } else if (!Seen.AcceptedAt) {
       ++Result.Refused;
     } else if (Whole && isInTime(Seen, From)) {
-      ++Result.Kept[Bucket];
-      ++Result.TeamKept[From.Team];
+      ++Result.InTime[Bucket];
+      ++Result.TeamInTime[From.Team];
       Result.GoodTokens +=
           static_cast<double>(From.PromptTokens + From.OutputTokens);
     } else {
@@ -210,8 +210,8 @@
   }
 
   const CellOptions &Options;
-  VirtualDeployment World;
-  Random Numbers;
+  VirtualDeployment Deployed;
+  Random Rng;
   std::vector<std::pair<std::size_t, Arrival>> Sent;
 };
 
@@ -221,13 +221,13 @@
   return CellRun(Options).run();
 }
 
-void CellResult::add(const CellResult &Other) {
+void CellResult::merge(const CellResult &Other) {
   for (std::size_t Each = 0; Each < LengthBuckets.size(); ++Each) {
     this->FirstToken[Each].insert(this->FirstToken[Each].end(),
                                   Other.FirstToken[Each].begin(),
                                   Other.FirstToken[Each].end());
     this->Offered[Each] += Other.Offered[Each];
-    this->Kept[Each] += Other.Kept[Each];
+    this->InTime[Each] += Other.InTime[Each];
   }
   this->Sent += Other.Sent;
   this->Refused += Other.Refused;
@@ -241,7 +241,7 @@
   this->Violations += Other.Violations;
   for (std::size_t Each = 0; Each < Teams; ++Each) {
     this->TeamOffered[Each] += Other.TeamOffered[Each];
-    this->TeamKept[Each] += Other.TeamKept[Each];
+    this->TeamInTime[Each] += Other.TeamInTime[Each];
   }
 }
 
@@ -260,7 +260,7 @@
   double Squares = 0;
   for (std::size_t Each = LargeTeams; Each < Teams; ++Each) {
     const double Part =
-        this->TeamKept[Each] / std::max(this->TeamOffered[Each], 1.0);
+        this->TeamInTime[Each] / std::max(this->TeamOffered[Each], 1.0);
     Sum += Part;
     Squares += Part * Part;
   }
--- a/tests/bench/RoutingCell.h
+++ b/tests/bench/RoutingCell.h
@@ -16,7 +16,7 @@
   std::string Without = "nothing";
   std::string Scenario = "calm";
   double Load = 0.8;
-  bool WithLong = true;
+  bool WithLongPrompts = true;
   std::uint64_t Seed = 1;
   Duration Length = seconds(60);
   std::vector<std::string> Settings; ///< More of `section.key=value`.
@@ -26,7 +26,7 @@
 struct CellResult {
   std::array<std::vector<double>, LengthBuckets.size()> FirstToken; ///< s
   std::array<std::uint64_t, LengthBuckets.size()> Offered{};
-  std::array<std::uint64_t, LengthBuckets.size()> Kept{}; ///< Whole, in time.
+  std::array<std::uint64_t, LengthBuckets.size()> InTime{}; ///< Whole, in time.
   std::uint64_t Sent = 0;
   std::uint64_t Refused = 0;     ///< Not admitted.
   std::uint64_t RefusedLate = 0; ///< Told "not run" after admission.
@@ -37,11 +37,11 @@
   double Prefilled = 0;
   double Wasted = 0;
   std::array<double, Teams> TeamOffered{};
-  std::array<double, Teams> TeamKept{};
+  std::array<double, Teams> TeamInTime{};
   std::uint64_t Violations = 0;
 
   /// Joins the runs of several seeds.
-  void add(const CellResult &Other);
+  void merge(const CellResult &Other);
   /// Seconds; 0 when there is none. \p Part in [0, 1].
   double percentile(std::size_t Bucket, double Part) const;
   /// Jain's index of the parts kept of what equal teams offered.
--- a/tests/bench/RoutingTable.cpp
+++ b/tests/bench/RoutingTable.cpp
@@ -57,7 +57,7 @@
                        rowName(Row.Options));
     for (std::size_t Each = 0; Each < LengthBuckets.size(); ++Each)
       Out << fmt::format(",{},{},{:.4f},{:.4f},{:.4f}", Got.Offered[Each],
-                         Got.Kept[Each], Got.percentile(Each, 0.5),
+                         Got.InTime[Each], Got.percentile(Each, 0.5),
                          Got.percentile(Each, 0.95),
                          Got.percentile(Each, 0.99));
     Out << fmt::format(",{:.3f},{},{},{},{},{},{:.0f},{:.4f},{:.4f},{}\n",
--- a/tests/bench/Workload.cpp
+++ b/tests/bench/Workload.cpp
@@ -57,9 +57,9 @@
   return Mix[0];
 }
 
-std::uint32_t drawTeam(Random &Numbers) {
+std::uint32_t drawTeam(Random &Rng) {
   const std::uint64_t All = LargeTeams * LargeTeamWeight + (Teams - LargeTeams);
-  const std::uint64_t Drawn = Numbers.below(All);
+  const std::uint64_t Drawn = Rng.below(All);
   if (Drawn < LargeTeams * LargeTeamWeight)
     return static_cast<std::uint32_t>(Drawn / LargeTeamWeight);
   return static_cast<std::uint32_t>(LargeTeams + Drawn -
@@ -67,7 +67,7 @@
 }
 
 /// Lets the request go on from an earlier one of its team and class.
-void reuse(Arrival &Of, const std::vector<Arrival> &Earlier, Random &Numbers) {
+void reuse(Arrival &Of, const std::vector<Arrival> &Earlier, Random &Rng) {
   constexpr std::size_t LookedAt = 200;
   const std::size_t First =
       Earlier.size() > LookedAt ? Earlier.size() - LookedAt : 0;
@@ -77,8 +77,8 @@
       Fitting.push_back(&Earlier[Each]);
   if (Fitting.empty())
     return;
-  const Arrival &From = *Fitting[Numbers.below(Fitting.size())];
-  Of.PrefixOf = From.Content;
+  const Arrival &From = *Fitting[Rng.below(Fitting.size())];
+  Of.PrefixContent = From.Content;
   Of.PrefixTokens = std::min(From.PromptTokens, Of.PromptTokens) * 3 / 4;
 }
 
@@ -107,29 +107,29 @@
 
 std::vector<Arrival> makeWorkload(const DeploymentShape &Shape, double Load,
                                   Duration Length, std::uint64_t Seed,
-                                  bool WithLong) {
-  Random Numbers(Seed);
+                                  bool WithLongPrompts) {
+  Random Rng(Seed);
   const double Rate = Load * saturation(Shape);
   std::vector<Arrival> Result;
   double At = 0;
   while (true) {
-    At += -std::log(1 - Numbers.fraction()) / Rate;
+    At += -std::log(1 - Rng.fraction()) / Rate;
     if (At > inSeconds(Length))
       return Result;
-    const MixPart &Part = drawPart(Numbers.fraction());
+    const MixPart &Part = drawPart(Rng.fraction());
     Arrival New;
     New.At = fromSeconds(At);
-    New.Team = drawTeam(Numbers);
-    New.Zone = static_cast<std::uint32_t>(Numbers.below(Zones));
+    New.Team = drawTeam(Rng);
+    New.Zone = static_cast<std::uint32_t>(Rng.below(Zones));
     New.Class = Part.Class;
     New.PromptTokens =
-        static_cast<std::uint64_t>(drawLength(Part, Numbers.fraction()));
+        static_cast<std::uint64_t>(drawLength(Part, Rng.fraction()));
     New.OutputTokens =
-        Part.OutputTokens / 2 + Numbers.below(Part.OutputTokens / 2 + 1);
-    New.Content = Numbers.below(~std::uint64_t(0));
-    if (Numbers.fraction() < ReuseShare)
-      reuse(New, Result, Numbers);
-    if (WithLong || !Part.Steep)
+        Part.OutputTokens / 2 + Rng.below(Part.OutputTokens / 2 + 1);
+    New.Content = Rng.below(~std::uint64_t(0));
+    if (Rng.fraction() < ReuseShare)
+      reuse(New, Result, Rng);
+    if (WithLongPrompts || !Part.Steep)
       Result.push_back(std::move(New));
   }
 }
--- a/tests/bench/Workload.h
+++ b/tests/bench/Workload.h
@@ -37,7 +37,8 @@
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
   std::uint64_t Content = 0;
-  std::uint64_t PrefixOf = 0; ///< Content whose first blocks it shares; or 0.
+  std::uint64_t PrefixContent =
+      0; ///< Content whose first blocks it shares; or 0.
   std::uint64_t PrefixTokens = 0;
 };
 
@@ -48,6 +49,6 @@
 /// all others are the same.
 std::vector<Arrival> makeWorkload(const DeploymentShape &Shape, double Load,
                                   Duration Length, std::uint64_t Seed,
-                                  bool WithLong);
+                                  bool WithLongPrompts);
 
 } // namespace banyanpick
--- a/tests/bench/relay/RelayBench.cpp
+++ b/tests/bench/relay/RelayBench.cpp
@@ -29,8 +29,8 @@
 struct Samples {
   std::vector<double> Chunks;      ///< Engine's write to caller's read.
   std::vector<double> FirstChunks; ///< Request's start to first chunk.
-  std::uint64_t Whole = 0;
-  std::uint64_t Others = 0;
+  std::uint64_t Complete = 0;
+  std::uint64_t Failed = 0;
 };
 
 double quantile(std::vector<double> Values, double Part) {
@@ -43,7 +43,7 @@
 }
 
 /// Where requests go and what they carry.
-struct Path {
+struct RequestPath {
   Address At;
   ClientRequest Request;
 };
@@ -51,7 +51,7 @@
 void take(const ServerEvent &Each, std::int64_t Start, bool &First,
           Samples &Into) {
   if (Each.Type == "end")
-    ++Into.Whole;
+    ++Into.Complete;
   if (!Each.Type.empty())
     return;
   const std::int64_t Now = nowNs();
@@ -63,7 +63,7 @@
   First = false;
 }
 
-Task<void> runOne(const Path &Way, Samples &Into) {
+Task<void> runOne(const RequestPath &Way, Samples &Into) {
   const net::any_io_executor Executor = co_await net::this_coro::executor;
   ClientStream Stream(Executor, 65536);
   const std::int64_t Start = nowNs();
@@ -71,7 +71,7 @@
   const auto Failure =
       co_await Stream.open(Way.At, std::move(Request), seconds(5), seconds(60));
   if (Failure || Stream.status() != 200) {
-    ++Into.Others;
+    ++Into.Failed;
     co_return;
   }
   bool First = true;
@@ -86,7 +86,7 @@
 }
 
 /// Sends requests at the given rate for one turn, and waits for their ends.
-void runTurn(const Path &Way, Samples &Into) {
+void runTurn(const RequestPath &Way, Samples &Into) {
   net::io_context Io(1);
   const auto Pause =
       std::chrono::nanoseconds(1'000'000'000) / FLAGS_requests_per_second;
@@ -112,7 +112,7 @@
 }
 
 /// How the process grows by one open stream over the path.
-double bytesPerStream(const Path &Way) {
+double bytesPerStream(const RequestPath &Way) {
   net::io_context Io(1);
   Samples Ignored;
   const double Before = residentBytes();
@@ -132,8 +132,8 @@
   return dumpJson(Body);
 }
 
-Path pathTo(const Address &At, bool Direct, std::uint64_t Chunks) {
-  Path Result;
+RequestPath pathTo(const Address &At, bool Direct, std::uint64_t Chunks) {
+  RequestPath Result;
   Result.At = At;
   Result.Request.Method = http::verb::post;
   Result.Request.Target = "/v1/completions";
@@ -145,7 +145,7 @@
 
 void print(const char *Name, const Samples &Of) {
   fmt::print("{:<12} {:>9} {:>7} {:>10.0f} {:>10.0f} {:>12.0f} {:>12.0f}\n",
-             Name, Of.Whole, Of.Others, quantile(Of.Chunks, 0.5),
+             Name, Of.Complete, Of.Failed, quantile(Of.Chunks, 0.5),
              quantile(Of.Chunks, 0.99), quantile(Of.FirstChunks, 0.5),
              quantile(Of.FirstChunks, 0.99));
 }
@@ -155,8 +155,8 @@
   Host.Platform.ChunkMs = static_cast<int>(FLAGS_chunk_ms);
   Host.Platform.Stamps = true;
   const Address Engine = Host.Platform.engineAt();
-  const Path Direct = pathTo(Engine, true, FLAGS_chunks);
-  const Path Relayed = pathTo(Host.callers(), false, FLAGS_chunks);
+  const RequestPath Direct = pathTo(Engine, true, FLAGS_chunks);
+  const RequestPath Relayed = pathTo(Host.callers(), false, FLAGS_chunks);
   Samples OfDirect;
   Samples OfRelayed;
   for (std::uint64_t Turn = 0; Turn < FLAGS_turns; ++Turn) {
@@ -180,7 +180,7 @@
   fmt::print("memory of an open stream: {:.1f} KB in the entry host ({:.1f} KB "
              "with caller and engine, {:.1f} KB of them alone)\n",
              (ByRelayed - ByDirect) / 1024, ByRelayed / 1024, ByDirect / 1024);
-  return OfRelayed.Whole > 0 ? 0 : 1;
+  return OfRelayed.Complete > 0 ? 0 : 1;
 }
 
 } // namespace
--- a/tests/bench/slopes/BenchWorld.cpp
+++ b/tests/bench/slopes/BenchWorld.cpp
@@ -24,7 +24,7 @@
   return fmt::format("team-{:05}", Number);
 }
 
-std::vector<Change> catalogueOf(const WorldSize &Size) {
+std::vector<Change> catalogueOf(const DeploymentSize &Size) {
   std::vector<std::string> Teams;
   for (std::uint32_t Number = 0; Number < Size.Teams; ++Number)
     Teams.push_back(teamName(Number));
@@ -35,25 +35,25 @@
   return All;
 }
 
-std::unique_ptr<VirtualDeployment> makeWorld(const WorldSize &Size) {
+std::unique_ptr<VirtualDeployment> makeDeployment(const DeploymentSize &Size) {
   DeploymentOptions Options;
   Options.CheckEveryEvent = false;
-  auto World = std::make_unique<VirtualDeployment>(Options);
+  auto Deployed = std::make_unique<VirtualDeployment>(Options);
   for (std::uint32_t Number = 0; Number < Size.Engines; ++Number) {
     EngineShape Shape;
     Shape.Id = UpstreamId(fmt::format("engine-{:04}", Number));
     Shape.Models = {ModelId(modelName(Number % Size.Models))};
-    World->addEngine(Shape, zoneOf(Number));
+    Deployed->addEngine(Shape, zoneOf(Number));
   }
-  World->seedCatalogue(catalogueOf(Size));
+  Deployed->seedCatalogue(catalogueOf(Size));
   for (std::uint32_t Number = 0; Number < Size.Hosts; ++Number)
-    World->addHost(fmt::format("host-{:03}", Number), zoneOf(Number));
-  World->runFor(seconds(5));
-  return World;
+    Deployed->addHost(fmt::format("host-{:03}", Number), zoneOf(Number));
+  Deployed->runFor(seconds(5));
+  return Deployed;
 }
 
-Kernel &firstKernel(VirtualDeployment &World) {
-  return World.hosts().begin()->second->kernel();
+Kernel &firstKernel(VirtualDeployment &Deployed) {
+  return Deployed.hosts().begin()->second->kernel();
 }
 
 } // namespace banyanpick
--- a/tests/bench/slopes/BenchWorld.h
+++ b/tests/bench/slopes/BenchWorld.h
@@ -9,7 +9,7 @@
 namespace banyanpick {
 
 /// How much of everything there is.
-struct WorldSize {
+struct DeploymentSize {
   std::uint32_t Hosts = 1;
   std::uint32_t Engines = 10;
   std::uint32_t Teams = 10;
@@ -17,13 +17,13 @@
 };
 
 /// A catalogue of this many teams and models, in one change set.
-std::vector<Change> catalogueOf(const WorldSize &Size);
+std::vector<Change> catalogueOf(const DeploymentSize &Size);
 
 /// Hosts, engines and the catalogue; run long enough for all to be known.
-std::unique_ptr<VirtualDeployment> makeWorld(const WorldSize &Size);
+std::unique_ptr<VirtualDeployment> makeDeployment(const DeploymentSize &Size);
 
 /// The kernel of the first host.
-Kernel &firstKernel(VirtualDeployment &World);
+Kernel &firstKernel(VirtualDeployment &Deployed);
 
 /// The name of the numbered team.
 std::string teamName(std::uint32_t Number);
--- a/tests/bench/slopes/DecisionSlopes.cpp
+++ b/tests/bench/slopes/DecisionSlopes.cpp
@@ -24,9 +24,9 @@
 
 /// What requests cost, in microseconds each.
 struct DecisionCost {
-  double Arrival = 0; ///< Median: admission and choice of the engine.
-  double Whole = 0;   ///< Median: arrival, first token and end.
-  double Slow = 0;    ///< 99th percentile of the arrival.
+  double ArrivalP50 = 0; ///< Median: admission and choice of the engine.
+  double Total = 0;      ///< Median: arrival, first token and end.
+  double ArrivalP99 = 0; ///< 99th percentile of the arrival.
   std::uint32_t Routed = 0;
 };
 
@@ -46,12 +46,13 @@
 }
 
 /// Sends requests to a kernel whose world stands still but for the time.
-DecisionCost measureDecisions(VirtualDeployment &World, std::uint32_t Teams) {
-  Kernel &Decider = firstKernel(World);
+DecisionCost measureDecisions(VirtualDeployment &Deployed,
+                              std::uint32_t Teams) {
+  Kernel &Decider = firstKernel(Deployed);
   std::vector<double> Arrivals;
   std::vector<double> Wholes;
   DecisionCost Cost;
-  Time Now = World.now();
+  Time Now = Deployed.now();
   for (std::uint32_t Number = 0; Number < RequestsMeasured; ++Number) {
     Now += Duration(100);
     RequestHead Head =
@@ -66,19 +67,19 @@
     Decider.handle(AttemptEnded{Try, AttemptComplete{32, ""}}, Now);
     Wholes.push_back(microsecondsSince(Begin));
   }
-  Cost.Arrival = quantile(Arrivals, 0.5);
-  Cost.Slow = quantile(Arrivals, 0.99);
-  Cost.Whole = quantile(Wholes, 0.5);
+  Cost.ArrivalP50 = quantile(Arrivals, 0.5);
+  Cost.ArrivalP99 = quantile(Arrivals, 0.99);
+  Cost.Total = quantile(Wholes, 0.5);
   return Cost;
 }
 
 DecisionCost decisionCost(std::uint32_t Engines, std::uint32_t Teams) {
-  const auto World = makeWorld({1, Engines, Teams, 1});
-  const DecisionCost Cost = measureDecisions(*World, Teams);
+  const auto Deployed = makeDeployment({1, Engines, Teams, 1});
+  const DecisionCost Cost = measureDecisions(*Deployed, Teams);
   fmt::print("engines={} teams={} arrival_p50={:.2f}us arrival_p99={:.2f}us "
              "whole_p50={:.2f}us routed={} of {}\n",
-             Engines, Teams, Cost.Arrival, Cost.Slow, Cost.Whole, Cost.Routed,
-             RequestsMeasured);
+             Engines, Teams, Cost.ArrivalP50, Cost.ArrivalP99, Cost.Total,
+             Cost.Routed, RequestsMeasured);
   return Cost;
 }
 
@@ -88,14 +89,14 @@
   SlopeTable Table{
       "Decision time against engines", "engines", "us/arrival", {}};
   for (const std::uint32_t Engines : {10, 30, 100, 300, 1000})
-    Table.add(Engines, decisionCost(Engines, 10).Arrival);
+    Table.add(Engines, decisionCost(Engines, 10).ArrivalP50);
   Table.print();
 }
 
 void measureDecisionAgainstTeams() {
   SlopeTable Table{"Decision time against teams", "teams", "us/arrival", {}};
   for (const std::uint32_t Teams : {10, 100, 1000, 10000, 36000})
-    Table.add(Teams, decisionCost(100, Teams).Arrival);
+    Table.add(Teams, decisionCost(100, Teams).ArrivalP50);
   Table.print();
 }
 
@@ -104,9 +105,9 @@
       "Idle control time against engines", "engines", "% of a core", {}};
   constexpr Duration Span = seconds(20);
   for (const std::uint32_t Engines : {10, 50, 143, 300}) {
-    const auto World = makeWorld({1, Engines, 10, 1});
+    const auto Deployed = makeDeployment({1, Engines, 10, 1});
     const auto Begin = Clock::now();
-    World->runFor(Span);
+    Deployed->runFor(Span);
     const double Spent = microsecondsSince(Begin) / 1e6;
     Table.add(Engines, 100 * Spent / inSeconds(Span));
   }
--- a/tests/bench/slopes/PeerSlopes.cpp
+++ b/tests/bench/slopes/PeerSlopes.cpp
@@ -19,28 +19,28 @@
 /// Bytes a second sent by each host, and by kind of message over all.
 struct Traffic {
   double Mean = 0;
-  double Most = 0;
+  double Max = 0;
   std::map<std::size_t, double> ByKind;
 };
 
-Traffic trafficOf(const WorldSize &Size) {
-  const auto World = makeWorld(Size);
+Traffic trafficOf(const DeploymentSize &Size) {
+  const auto Deployed = makeDeployment(Size);
   std::map<std::string, double> Sent;
   Traffic Result;
-  World->OnPeerMessage = [&](const PeerMessage &Message) {
+  Deployed->OnPeerMessage = [&](const PeerMessage &Message) {
     const auto Bytes = static_cast<double>(encodePeerMessage(Message).size() +
                                            ZeroMqFrameBytes);
     Sent[Message.From.Value] += Bytes;
     Result.ByKind[Message.Body.index()] += Bytes;
   };
-  World->runFor(Span);
+  Deployed->runFor(Span);
   for (const auto &[Host, Bytes] : Sent) {
     const double Rate = Bytes / inSeconds(Span);
     Result.Mean += Rate / Size.Hosts;
-    Result.Most = std::max(Result.Most, Rate);
+    Result.Max = std::max(Result.Max, Rate);
   }
   fmt::print("hosts={} engines={} mean={:.0f}B/s most={:.0f}B/s kinds:",
-             Size.Hosts, Size.Engines, Result.Mean, Result.Most);
+             Size.Hosts, Size.Engines, Result.Mean, Result.Max);
   for (const auto &[Kind, Bytes] : Result.ByKind)
     fmt::print(" {}:{:.0f}", Kind, Bytes / inSeconds(Span) / Size.Hosts);
   fmt::print("\n");
@@ -48,9 +48,9 @@
 }
 
 /// The lowest catalogue offset in force on any host.
-LogOffset lowestInForce(VirtualDeployment &World) {
+LogOffset lowestInForce(VirtualDeployment &Deployed) {
   LogOffset Lowest = ~LogOffset(0);
-  for (const auto &[Name, Host] : World.hosts()) {
+  for (const auto &[Name, Host] : Deployed.hosts()) {
     auto &View = Host->kernel().services().get<CatalogueView>();
     Lowest = std::min(Lowest, View.catalogue().offset());
   }
@@ -58,14 +58,15 @@
 }
 
 Duration timeToForce(std::uint32_t Hosts) {
-  const auto World = makeWorld({Hosts, 10, 10, 1});
-  const LogOffset Before = lowestInForce(*World);
-  World->seedCatalogue({declared(EntryKind::Team, "new", testTeam("new"))});
-  const Time Begin = World->now();
+  const auto Deployed = makeDeployment({Hosts, 10, 10, 1});
+  const LogOffset Before = lowestInForce(*Deployed);
+  Deployed->seedCatalogue({declared(EntryKind::Team, "new", testTeam("new"))});
+  const Time Begin = Deployed->now();
   constexpr Duration Step = milliseconds(1);
-  while (lowestInForce(*World) == Before && World->now() < Begin + seconds(60))
-    World->runFor(Step);
-  return World->now() - Begin;
+  while (lowestInForce(*Deployed) == Before &&
+         Deployed->now() < Begin + seconds(60))
+    Deployed->runFor(Step);
+  return Deployed->now() - Begin;
 }
 
 } // namespace
--- a/tests/bench/slopes/SlopesBench.cpp
+++ b/tests/bench/slopes/SlopesBench.cpp
@@ -33,7 +33,7 @@
   }
   if (wanted("appends")) {
     banyanpick::measureAppends();
-    banyanpick::measureGathering();
+    banyanpick::measureAppendsOfManyHosts();
   }
   if (wanted("force"))
     banyanpick::measureInForceAgainstHosts();
--- a/tests/bench/slopes/StateSlopes.cpp
+++ b/tests/bench/slopes/StateSlopes.cpp
@@ -62,10 +62,10 @@
   return fmt::format("host-{:03}", Number);
 }
 
-double meanAnswer(VirtualDeployment &World) {
+double meanAnswer(VirtualDeployment &Deployed) {
   double Sum = 0;
   std::size_t Count = 0;
-  for (const CallerRecord &Each : World.callers()) {
+  for (const CallerRecord &Each : Deployed.callers()) {
     if (!Each.EndedAt)
       continue;
     Sum += inSeconds(*Each.EndedAt - Each.SentAt) * 1000;
@@ -77,25 +77,25 @@
 AppendCost appendsAt(std::uint32_t CallsPerSecond, std::uint32_t Hosts) {
   DeploymentOptions Options;
   Options.CheckEveryEvent = false;
-  VirtualDeployment World(Options);
-  World.addApplication("booking-1", TestService, "zone-0");
-  World.seedCatalogue(testCatalogue({"t"}));
+  VirtualDeployment Deployed(Options);
+  Deployed.addApplication("booking-1", TestService, "zone-0");
+  Deployed.seedCatalogue(testCatalogue({"t"}));
   for (std::uint32_t Number = 0; Number < Hosts; ++Number)
-    World.addHost(hostName(Number), "zone-0");
-  World.runFor(seconds(15));
+    Deployed.addHost(hostName(Number), "zone-0");
+  Deployed.runFor(seconds(15));
   constexpr std::uint32_t Seconds = 5;
-  const LogOffset Before = World.log().end();
+  const LogOffset Before = Deployed.log().end();
   for (std::uint32_t Call = 0; Call < CallsPerSecond * Seconds; ++Call) {
-    World.runFor(Duration(1'000'000 / CallsPerSecond));
+    Deployed.runFor(Duration(1'000'000 / CallsPerSecond));
     RequestHead Head = testRequest("t", "confirm", 100, Call);
     Head.Streamed = false;
-    Head.Operation = World.makeOperationKey();
-    World.send(hostName(Call % Hosts), Head);
+    Head.Operation = Deployed.makeOperationKey();
+    Deployed.send(hostName(Call % Hosts), Head);
   }
   AppendCost Cost;
-  Cost.PerSecond = static_cast<double>(World.log().end() - Before) / Seconds;
-  World.runFor(seconds(5));
-  Cost.MeanAnswer = meanAnswer(World);
+  Cost.PerSecond = static_cast<double>(Deployed.log().end() - Before) / Seconds;
+  Deployed.runFor(seconds(5));
+  Cost.MeanAnswer = meanAnswer(Deployed);
   return Cost;
 }
 
@@ -140,7 +140,7 @@
   Table.print();
 }
 
-void measureGathering() {
+void measureAppendsOfManyHosts() {
   constexpr std::uint32_t Calls = 370;
   SlopeTable Appends{"Log appends with 370 calls/s", "hosts", "appends/s", {}};
   SlopeTable Answers{
--- a/tests/bench/slopes/StateSlopes.h
+++ b/tests/bench/slopes/StateSlopes.h
@@ -11,6 +11,6 @@
 /// Appends a second of one host, against non-idempotent calls a second.
 void measureAppends();
 /// The same of many hosts together, and what their callers wait.
-void measureGathering();
+void measureAppendsOfManyHosts();
 
 } // namespace banyanpick
