--- a/tests/bench/RoutingBench.cpp
+++ b/tests/bench/RoutingBench.cpp
@@ -28,7 +28,7 @@
 namespace banyanpick {
 namespace {
 
-std::vector<std::string> listed(const std::string &Text) {
+std::vector<std::string> splitList(const std::string &Text) {
   std::vector<std::string> Result;
   std::istringstream In(Text);
   for (std::string Item; std::getline(In, Item, ',');)
@@ -36,7 +36,7 @@
   return Result;
 }
 
-DeploymentShape shapeNamed(const std::string &Name) {
+DeploymentShape deploymentShape(const std::string &Name) {
   if (Name == "auction")
     return {Name, 14, 7, milliseconds(2)};
   return {Name, 16, 8, milliseconds(1)};
@@ -49,25 +49,25 @@
   CellResult Result;
 };
 
-std::vector<TableRow> wantedRows() {
+std::vector<TableRow> makeRows() {
   std::vector<std::pair<std::string, std::string>> Policies;
-  for (const std::string &Each : listed(FLAGS_policies))
+  for (const std::string &Each : splitList(FLAGS_policies))
     Policies.emplace_back(Each, "nothing");
-  for (const std::string &Each : listed(FLAGS_without))
+  for (const std::string &Each : splitList(FLAGS_without))
     Policies.emplace_back("predicted", Each);
   std::vector<TableRow> Rows;
-  for (const std::string &Deployment : listed(FLAGS_deployments))
-    for (const std::string &Scenario : listed(FLAGS_scenarios))
-      for (const std::string &Load : listed(FLAGS_loads))
+  for (const std::string &Deployment : splitList(FLAGS_deployments))
+    for (const std::string &Scenario : splitList(FLAGS_scenarios))
+      for (const std::string &Load : splitList(FLAGS_loads))
         for (const auto &[Policy, Without] : Policies) {
           CellOptions Options;
-          Options.Shape = shapeNamed(Deployment);
+          Options.Shape = deploymentShape(Deployment);
           Options.Policy = Policy;
           Options.Without = Without;
           Options.Scenario = Scenario;
           Options.Load = std::stod(Load) / 100;
           Options.Length = seconds(FLAGS_length);
-          Options.Settings = listed(FLAGS_set);
+          Options.Settings = splitList(FLAGS_set);
           Rows.push_back({Options, {}, 0});
         }
   return Rows;
@@ -92,28 +92,27 @@
   std::vector<std::thread> Workers;
   for (int Each = 0; Each < std::min(FLAGS_threads, 4); ++Each)
     Workers.emplace_back([&Jobs, &Next] {
-      for (std::size_t Mine = Next++; Mine < Jobs.size(); Mine = Next++)
-        Jobs[Mine].Result = runCell(Jobs[Mine].Options);
+      for (std::size_t Index = Next++; Index < Jobs.size(); Index = Next++)
+        Jobs[Index].Result = runCell(Jobs[Index].Options);
     });
   for (std::thread &Each : Workers)
     Each.join();
 }
 
 void collect(const std::vector<Job> &Jobs, std::vector<TableRow> &Rows) {
-  std::vector<CellResult> WithoutLong(Rows.size());
+  std::vector<CellResult> Baseline(Rows.size());
   for (const Job &Each : Jobs)
-    (Each.Options.WithLongPrompts ? Rows[Each.Row].Result
-                                  : WithoutLong[Each.Row])
+    (Each.Options.WithLongPrompts ? Rows[Each.Row].Result : Baseline[Each.Row])
         .merge(Each.Result);
   for (std::size_t Row = 0; Row < Rows.size(); ++Row) {
-    const double Alone = WithoutLong[Row].percentile(0, 0.95);
-    if (Alone > 0)
-      Rows[Row].Slowdown = Rows[Row].Result.percentile(0, 0.95) / Alone;
+    const double BaselineP95 = Baseline[Row].percentile(0, 0.95);
+    if (BaselineP95 > 0)
+      Rows[Row].Slowdown = Rows[Row].Result.percentile(0, 0.95) / BaselineP95;
   }
 }
 
 int measure() {
-  std::vector<TableRow> Rows = wantedRows();
+  std::vector<TableRow> Rows = makeRows();
   std::vector<Job> Jobs = jobsFor(Rows);
   runAll(Jobs);
   collect(Jobs, Rows);
--- a/tests/bench/RoutingCell.cpp
+++ b/tests/bench/RoutingCell.cpp
@@ -12,12 +12,12 @@
 
 /// The deployment finds itself before the first request, and the first
 /// requests are not measured.
-constexpr Duration Settling = seconds(5);
-constexpr Duration WarmUp = seconds(10);
+constexpr Duration SettleTime = seconds(5);
+constexpr Duration WarmUpTime = seconds(10);
 /// Beyond the longest promise.
-constexpr Duration Drain = seconds(150);
+constexpr Duration DrainTime = seconds(150);
 /// Ways of a caller to its host and back.
-constexpr Duration CallerWays = milliseconds(10);
+constexpr Duration CallerRoundTrip = milliseconds(10);
 
 std::string teamName(std::uint32_t Team) {
   return "team-" + std::to_string(Team);
@@ -26,8 +26,8 @@
   return "zone-" + std::to_string(Zone);
 }
 
-ClassEntry promise(std::uint64_t MaxPrompt, std::uint32_t Urgency,
-                   Duration Base) {
+ClassEntry makeClass(std::uint64_t MaxPrompt, std::uint32_t Urgency,
+                     Duration Base) {
   ClassEntry Class = testClass(TargetKind::Model, MaxPrompt, Urgency);
   Class.FirstTokenBase = Base;
   Class.FirstTokenPerThousandTokens = milliseconds(100);
@@ -38,9 +38,9 @@
 
 const std::map<std::string, ClassEntry> &classes() {
   static const std::map<std::string, ClassEntry> All = {
-      {"short", promise(4'000, 9, seconds(2))},
-      {"long", promise(100'000, 5, seconds(5))},
-      {"review", promise(1'000'000, 2, seconds(20))},
+      {"short", makeClass(4'000, 9, seconds(2))},
+      {"long", makeClass(100'000, 5, seconds(5))},
+      {"review", makeClass(1'000'000, 2, seconds(20))},
   };
   return All;
 }
@@ -84,15 +84,16 @@
 
   CellResult run() {
     this->build();
-    this->Deployed.runFor(Settling);
-    const auto Work = makeWorkload(
-        this->Options.Shape, this->Options.Load, WarmUp + this->Options.Length,
-        this->Options.Seed, this->Options.WithLongPrompts);
+    this->Deployed.runFor(SettleTime);
+    const auto Arrivals =
+        makeWorkload(this->Options.Shape, this->Options.Load,
+                     WarmUpTime + this->Options.Length, this->Options.Seed,
+                     this->Options.WithLongPrompts);
     this->scheduleFault();
-    for (const Arrival &Each : Work)
+    for (const Arrival &Each : Arrivals)
       this->Deployed.queue().after(Each.At, [this, Each] { this->send(Each); });
-    this->Deployed.runFor(WarmUp + this->Options.Length + Drain);
-    return this->judge();
+    this->Deployed.runFor(WarmUpTime + this->Options.Length + DrainTime);
+    return this->evaluate();
   }
 
 private:
@@ -111,7 +112,7 @@
   }
 
   void scheduleFault() {
-    const Duration When = WarmUp + this->Options.Length / 3;
+    const Duration When = WarmUpTime + this->Options.Length / 3;
     EventQueue &Queue = this->Deployed.queue();
     if (this->Options.Scenario == "engine-death") {
       Queue.after(When, [this] { this->Deployed.killUpstream("engine-0"); });
@@ -127,40 +128,40 @@
         Engine.LoadLag = seconds(2);
   }
 
-  void send(const Arrival &From) {
-    RequestHead Head = testRequest(teamName(From.Team), From.Class,
-                                   From.PromptTokens, From.Content);
-    Head.MaxOutputTokens = From.OutputTokens;
-    const std::uint64_t Shared = From.PrefixTokens / PromptBlockTokens;
-    const RequestHead Prefix =
-        testRequest("", From.Class, From.PrefixTokens, From.PrefixContent);
-    std::copy_n(Prefix.Blocks.begin(), Shared, Head.Blocks.begin());
-    const std::size_t Caller = this->Deployed.send(this->host(From), Head);
-    this->Sent.emplace_back(Caller, From);
+  void send(const Arrival &Arrived) {
+    RequestHead Head = testRequest(teamName(Arrived.Team), Arrived.Class,
+                                   Arrived.PromptTokens, Arrived.Content);
+    Head.MaxOutputTokens = Arrived.OutputTokens;
+    const std::uint64_t SharedBlocks = Arrived.PrefixTokens / PromptBlockTokens;
+    const RequestHead Prefix = testRequest(
+        "", Arrived.Class, Arrived.PrefixTokens, Arrived.PrefixContent);
+    std::copy_n(Prefix.Blocks.begin(), SharedBlocks, Head.Blocks.begin());
+    const std::size_t Caller = this->Deployed.send(this->host(Arrived), Head);
+    this->Sent.emplace_back(Caller, Arrived);
   }
 
   /// A live host of the caller's zone, or of any other.
-  std::string host(const Arrival &From) {
-    std::vector<std::string> Near;
+  std::string host(const Arrival &Arrived) {
+    std::vector<std::string> SameZone;
     std::vector<std::string> All;
     for (const auto &[Name, Host] : this->Deployed.hosts()) {
       if (!Host->isRunning())
         continue;
       All.push_back(Name);
-      if (Host->listing().Zone.Value == zoneName(From.Zone))
-        Near.push_back(Name);
+      if (Host->listing().Zone.Value == zoneName(Arrived.Zone))
+        SameZone.push_back(Name);
     }
-    const auto &Choice = Near.empty() ? All : Near;
+    const auto &Choice = SameZone.empty() ? All : SameZone;
     return Choice[this->Rng.below(Choice.size())];
   }
 
-  CellResult judge() {
+  CellResult evaluate() {
     CellResult Result;
     Result.Seconds = inSeconds(this->Options.Length);
     Result.Violations = this->Deployed.violations().size();
-    for (const auto &[Caller, From] : this->Sent)
-      if (From.At >= WarmUp)
-        this->judgeOne(this->Deployed.callers()[Caller], From, Result);
+    for (const auto &[Caller, Arrived] : this->Sent)
+      if (Arrived.At >= WarmUpTime)
+        this->evaluateCall(this->Deployed.callers()[Caller], Arrived, Result);
     for (const auto &[Name, Engine] : this->Deployed.engines()) {
       Result.Prefilled += static_cast<double>(Engine.Model.prefilledTokens());
       Result.Wasted += static_cast<double>(Engine.Model.wastedPrefillTokens());
@@ -168,44 +169,46 @@
     return Result;
   }
 
-  static bool isInTime(const CallerRecord &Seen, const Arrival &From) {
-    const ClassEntry &Class = classes().at(From.Class);
-    const Time FirstBy =
-        Seen.SentAt + CallerWays + Class.FirstTokenBase +
+  static bool isInTime(const CallerRecord &Record, const Arrival &Arrived) {
+    const ClassEntry &Class = classes().at(Arrived.Class);
+    const Time FirstTokenDeadline =
+        Record.SentAt + CallerRoundTrip + Class.FirstTokenBase +
         Duration(Class.FirstTokenPerThousandTokens.count() *
-                 static_cast<Duration::rep>(From.PromptTokens) / 1000);
-    const Time EndBy =
-        FirstBy + Class.AnswerBase +
-        Class.AnswerPerToken * static_cast<Duration::rep>(From.OutputTokens);
-    return Seen.FirstTokenAt && *Seen.FirstTokenAt <= FirstBy && Seen.EndedAt &&
-           *Seen.EndedAt <= EndBy;
+                 static_cast<Duration::rep>(Arrived.PromptTokens) / 1000);
+    const Time EndDeadline =
+        FirstTokenDeadline + Class.AnswerBase +
+        Class.AnswerPerToken * static_cast<Duration::rep>(Arrived.OutputTokens);
+    return Record.FirstTokenAt && *Record.FirstTokenAt <= FirstTokenDeadline &&
+           Record.EndedAt && *Record.EndedAt <= EndDeadline;
   }
 
-  static void judgeOne(const CallerRecord &Seen, const Arrival &From,
-                       CellResult &Result) {
-    const std::size_t Bucket = bucketOf(From.PromptTokens);
+  static void evaluateCall(const CallerRecord &Record, const Arrival &Arrived,
+                           CellResult &Result) {
+    const std::size_t Bucket = bucketOf(Arrived.PromptTokens);
     ++Result.Sent;
     ++Result.Offered[Bucket];
-    ++Result.TeamOffered[From.Team];
+    ++Result.TeamOffered[Arrived.Team];
     // Without a first token, an admitted request counts with what it waited.
-    const auto Waited = Seen.FirstTokenAt ? Seen.FirstTokenAt : Seen.EndedAt;
-    if (Seen.AcceptedAt && Waited)
-      Result.FirstToken[Bucket].push_back(inSeconds(*Waited - Seen.SentAt));
-    const bool Whole =
-        Seen.Answer && std::holds_alternative<CompleteAnswer>(*Seen.Answer);
-    const bool NotRunAtAll =
-        Seen.Answer && std::holds_alternative<NotRun>(*Seen.Answer);
-    if (Seen.ConnectionLost) {
+    const auto WaitedUntil =
+        Record.FirstTokenAt ? Record.FirstTokenAt : Record.EndedAt;
+    if (Record.AcceptedAt && WaitedUntil)
+      Result.FirstToken[Bucket].push_back(
+          inSeconds(*WaitedUntil - Record.SentAt));
+    const bool IsComplete =
+        Record.Answer && std::holds_alternative<CompleteAnswer>(*Record.Answer);
+    const bool IsNotRun =
+        Record.Answer && std::holds_alternative<NotRun>(*Record.Answer);
+    if (Record.ConnectionLost) {
       ++Result.Lost;
-    } else if (!Seen.AcceptedAt) {
+    } else if (!Record.AcceptedAt) {
       ++Result.Refused;
-    } else if (Whole && isInTime(Seen, From)) {
+    } else if (IsComplete && isInTime(Record, Arrived)) {
       ++Result.InTime[Bucket];
-      ++Result.TeamInTime[From.Team];
+      ++Result.TeamInTime[Arrived.Team];
       Result.GoodTokens +=
-          static_cast<double>(From.PromptTokens + From.OutputTokens);
+          static_cast<double>(Arrived.PromptTokens + Arrived.OutputTokens);
     } else {
-      ++(NotRunAtAll ? Result.RefusedLate : Result.Missed);
+      ++(IsNotRun ? Result.RefusedLate : Result.Missed);
     }
   }
 
--- a/tests/bench/RoutingTable.cpp
+++ b/tests/bench/RoutingTable.cpp
@@ -12,7 +12,7 @@
   return Of.Without == "nothing" ? "ours" : "ours, no " + Of.Without;
 }
 
-double share(double Part, double Whole) { return Whole > 0 ? Part / Whole : 0; }
+double share(double Part, double Total) { return Total > 0 ? Part / Total : 0; }
 
 double goodput(const CellResult &Of) { return Of.GoodTokens / Of.Seconds; }
 
@@ -24,21 +24,22 @@
   Out << "   p95   p99 | 32k:p95 100k:p95 400k:p95  1M:p95 | slowdn missed "
          "late-ref refused  lost  goodput  Jain wasted\n";
   for (const TableRow &Row : Rows) {
-    const CellResult &Got = Row.Result;
-    const auto Sent = static_cast<double>(Got.Sent);
+    const CellResult &Measured = Row.Result;
+    const auto Sent = static_cast<double>(Measured.Sent);
     Out << fmt::format(
         "{:9} {:13} {:4.0f}% {:20} {:8.3f} {:6.3f} {:6.3f}| {:7.2f} {:8.2f} "
         "{:8.2f} {:7.2f} | {:6.2f} {:6.4f} {:8.4f} {:7.3f} {:5} {:8.0f} "
         "{:5.3f} {:6.3f}\n",
         Row.Options.Shape.Name, Row.Options.Scenario, Row.Options.Load * 100,
-        rowName(Row.Options), Got.percentile(0, 0.5), Got.percentile(0, 0.95),
-        Got.percentile(0, 0.99), Got.percentile(1, 0.95),
-        Got.percentile(2, 0.95), Got.percentile(3, 0.95),
-        Got.percentile(4, 0.95), Row.Slowdown,
-        share(static_cast<double>(Got.Missed), Sent),
-        share(static_cast<double>(Got.RefusedLate), Sent),
-        share(static_cast<double>(Got.Refused), Sent), Got.Lost, goodput(Got),
-        Got.fairness(), share(Got.Wasted, Got.Prefilled));
+        rowName(Row.Options), Measured.percentile(0, 0.5),
+        Measured.percentile(0, 0.95), Measured.percentile(0, 0.99),
+        Measured.percentile(1, 0.95), Measured.percentile(2, 0.95),
+        Measured.percentile(3, 0.95), Measured.percentile(4, 0.95),
+        Row.Slowdown, share(static_cast<double>(Measured.Missed), Sent),
+        share(static_cast<double>(Measured.RefusedLate), Sent),
+        share(static_cast<double>(Measured.Refused), Sent), Measured.Lost,
+        goodput(Measured), Measured.fairness(),
+        share(Measured.Wasted, Measured.Prefilled));
   }
 }
 
@@ -51,19 +52,20 @@
   Out << ",short_slowdown,sent,refused,refused_late,missed,lost,"
          "goodput_tokens_per_second,fairness,wasted_prefill,violations\n";
   for (const TableRow &Row : Rows) {
-    const CellResult &Got = Row.Result;
+    const CellResult &Measured = Row.Result;
     Out << fmt::format("{},{},{},\"{}\"", Row.Options.Shape.Name,
                        Row.Options.Scenario, Row.Options.Load,
                        rowName(Row.Options));
     for (std::size_t Each = 0; Each < LengthBuckets.size(); ++Each)
-      Out << fmt::format(",{},{},{:.4f},{:.4f},{:.4f}", Got.Offered[Each],
-                         Got.InTime[Each], Got.percentile(Each, 0.5),
-                         Got.percentile(Each, 0.95),
-                         Got.percentile(Each, 0.99));
-    Out << fmt::format(",{:.3f},{},{},{},{},{},{:.0f},{:.4f},{:.4f},{}\n",
-                       Row.Slowdown, Got.Sent, Got.Refused, Got.RefusedLate,
-                       Got.Missed, Got.Lost, goodput(Got), Got.fairness(),
-                       share(Got.Wasted, Got.Prefilled), Got.Violations);
+      Out << fmt::format(",{},{},{:.4f},{:.4f},{:.4f}", Measured.Offered[Each],
+                         Measured.InTime[Each], Measured.percentile(Each, 0.5),
+                         Measured.percentile(Each, 0.95),
+                         Measured.percentile(Each, 0.99));
+    Out << fmt::format(
+        ",{:.3f},{},{},{},{},{},{:.0f},{:.4f},{:.4f},{}\n", Row.Slowdown,
+        Measured.Sent, Measured.Refused, Measured.RefusedLate, Measured.Missed,
+        Measured.Lost, goodput(Measured), Measured.fairness(),
+        share(Measured.Wasted, Measured.Prefilled), Measured.Violations);
   }
 }
 
--- a/tests/bench/Workload.cpp
+++ b/tests/bench/Workload.cpp
@@ -33,7 +33,7 @@
 constexpr double ReuseShare = 0.3;
 constexpr std::uint64_t LargeTeamWeight = 4;
 
-double drawLength(const MixPart &Part, double Fraction) {
+double promptLength(const MixPart &Part, double Fraction) {
   if (!Part.Steep)
     return Part.Shortest * std::pow(Part.Longest / Part.Shortest, Fraction);
   const double Low = 1 / Part.Shortest;
@@ -44,11 +44,11 @@
   constexpr int Points = 1000;
   double Sum = 0;
   for (int Each = 0; Each < Points; ++Each)
-    Sum += drawLength(Part, (Each + 0.5) / Points);
+    Sum += promptLength(Part, (Each + 0.5) / Points);
   return Sum / Points;
 }
 
-const MixPart &drawPart(double Fraction) {
+const MixPart &pickPart(double Fraction) {
   for (const MixPart &Each : Mix) {
     if (Fraction < Each.Share)
       return Each;
@@ -57,9 +57,10 @@
   return Mix[0];
 }
 
-std::uint32_t drawTeam(Random &Rng) {
-  const std::uint64_t All = LargeTeams * LargeTeamWeight + (Teams - LargeTeams);
-  const std::uint64_t Drawn = Rng.below(All);
+std::uint32_t pickTeam(Random &Rng) {
+  const std::uint64_t TotalWeight =
+      LargeTeams * LargeTeamWeight + (Teams - LargeTeams);
+  const std::uint64_t Drawn = Rng.below(TotalWeight);
   if (Drawn < LargeTeams * LargeTeamWeight)
     return static_cast<std::uint32_t>(Drawn / LargeTeamWeight);
   return static_cast<std::uint32_t>(LargeTeams + Drawn -
@@ -67,19 +68,22 @@
 }
 
 /// Lets the request go on from an earlier one of its team and class.
-void reuse(Arrival &Of, const std::vector<Arrival> &Earlier, Random &Rng) {
-  constexpr std::size_t LookedAt = 200;
+void reusePrefix(Arrival &Target, const std::vector<Arrival> &Earlier,
+                 Random &Rng) {
+  constexpr std::size_t MaxConsidered = 200;
   const std::size_t First =
-      Earlier.size() > LookedAt ? Earlier.size() - LookedAt : 0;
-  std::vector<const Arrival *> Fitting;
+      Earlier.size() > MaxConsidered ? Earlier.size() - MaxConsidered : 0;
+  std::vector<const Arrival *> Candidates;
   for (std::size_t Each = First; Each < Earlier.size(); ++Each)
-    if (Earlier[Each].Team == Of.Team && Earlier[Each].Class == Of.Class)
-      Fitting.push_back(&Earlier[Each]);
-  if (Fitting.empty())
+    if (Earlier[Each].Team == Target.Team &&
+        Earlier[Each].Class == Target.Class)
+      Candidates.push_back(&Earlier[Each]);
+  if (Candidates.empty())
     return;
-  const Arrival &From = *Fitting[Rng.below(Fitting.size())];
-  Of.PrefixContent = From.Content;
-  Of.PrefixTokens = std::min(From.PromptTokens, Of.PromptTokens) * 3 / 4;
+  const Arrival &Source = *Candidates[Rng.below(Candidates.size())];
+  Target.PrefixContent = Source.Content;
+  Target.PrefixTokens =
+      std::min(Source.PromptTokens, Target.PromptTokens) * 3 / 4;
 }
 
 } // namespace
@@ -116,19 +120,19 @@
     At += -std::log(1 - Rng.fraction()) / Rate;
     if (At > inSeconds(Length))
       return Result;
-    const MixPart &Part = drawPart(Rng.fraction());
+    const MixPart &Part = pickPart(Rng.fraction());
     Arrival New;
     New.At = fromSeconds(At);
-    New.Team = drawTeam(Rng);
+    New.Team = pickTeam(Rng);
     New.Zone = static_cast<std::uint32_t>(Rng.below(Zones));
     New.Class = Part.Class;
     New.PromptTokens =
-        static_cast<std::uint64_t>(drawLength(Part, Rng.fraction()));
+        static_cast<std::uint64_t>(promptLength(Part, Rng.fraction()));
     New.OutputTokens =
         Part.OutputTokens / 2 + Rng.below(Part.OutputTokens / 2 + 1);
     New.Content = Rng.below(~std::uint64_t(0));
     if (Rng.fraction() < ReuseShare)
-      reuse(New, Result, Rng);
+      reusePrefix(New, Result, Rng);
     if (WithLongPrompts || !Part.Steep)
       Result.push_back(std::move(New));
   }
--- a/tests/bench/relay/RelayBench.cpp
+++ b/tests/bench/relay/RelayBench.cpp
@@ -48,53 +48,53 @@
   ClientRequest Request;
 };
 
-void take(const ServerEvent &Each, std::int64_t Start, bool &First,
-          Samples &Into) {
-  if (Each.Type == "end")
-    ++Into.Complete;
-  if (!Each.Type.empty())
+void recordEvent(const ServerEvent &Event, std::int64_t Start, bool &IsFirst,
+                 Samples &Result) {
+  if (Event.Type == "end")
+    ++Result.Complete;
+  if (!Event.Type.empty())
     return;
   const std::int64_t Now = nowNs();
-  const auto Data = nlohmann::json::parse(Each.Data);
+  const auto Data = nlohmann::json::parse(Event.Data);
   const std::int64_t Sent = std::stoll(Data["text"].get<std::string>());
-  Into.Chunks.push_back(static_cast<double>(Now - Sent) / 1e3);
-  if (First)
-    Into.FirstChunks.push_back(static_cast<double>(Now - Start) / 1e3);
-  First = false;
+  Result.Chunks.push_back(static_cast<double>(Now - Sent) / 1e3);
+  if (IsFirst)
+    Result.FirstChunks.push_back(static_cast<double>(Now - Start) / 1e3);
+  IsFirst = false;
 }
 
-Task<void> runOne(const RequestPath &Way, Samples &Into) {
+Task<void> runOne(const RequestPath &Route, Samples &Result) {
   const net::any_io_executor Executor = co_await net::this_coro::executor;
   ClientStream Stream(Executor, 65536);
   const std::int64_t Start = nowNs();
-  ClientRequest Request = Way.Request;
-  const auto Failure =
-      co_await Stream.open(Way.At, std::move(Request), seconds(5), seconds(60));
+  ClientRequest Request = Route.Request;
+  const auto Failure = co_await Stream.open(Route.At, std::move(Request),
+                                            seconds(5), seconds(60));
   if (Failure || Stream.status() != 200) {
-    ++Into.Failed;
+    ++Result.Failed;
     co_return;
   }
-  bool First = true;
+  bool IsFirst = true;
   std::vector<ServerEvent> Events;
   auto State = ClientStream::ReadState::Open;
   while (State == ClientStream::ReadState::Open) {
     Events.clear();
     State = co_await Stream.readEvents(Events);
-    for (const ServerEvent &Each : Events)
-      take(Each, Start, First, Into);
+    for (const ServerEvent &Event : Events)
+      recordEvent(Event, Start, IsFirst, Result);
   }
 }
 
 /// Sends requests at the given rate for one turn, and waits for their ends.
-void runTurn(const RequestPath &Way, Samples &Into) {
+void runTurn(const RequestPath &Route, Samples &Result) {
   net::io_context Io(1);
   const auto Pause =
       std::chrono::nanoseconds(1'000'000'000) / FLAGS_requests_per_second;
   const auto Count = FLAGS_requests_per_second * FLAGS_seconds;
   const auto Arrivals = [&]() -> Task<void> {
     net::steady_timer Timer(Io, Steady::now());
-    for (std::uint64_t I = 0; I < Count; ++I) {
-      net::co_spawn(Io, runOne(Way, Into), net::detached);
+    for (std::uint64_t Index = 0; Index < Count; ++Index) {
+      net::co_spawn(Io, runOne(Route, Result), net::detached);
       Timer.expires_at(Timer.expiry() + Pause);
       co_await Timer.async_wait(net::use_awaitable);
     }
@@ -112,12 +112,12 @@
 }
 
 /// How the process grows by one open stream over the path.
-double bytesPerStream(const RequestPath &Way) {
+double bytesPerStream(const RequestPath &Route) {
   net::io_context Io(1);
   Samples Ignored;
   const double Before = residentBytes();
-  for (std::uint64_t I = 0; I < FLAGS_open_streams; ++I)
-    net::co_spawn(Io, runOne(Way, Ignored), net::detached);
+  for (std::uint64_t Index = 0; Index < FLAGS_open_streams; ++Index)
+    net::co_spawn(Io, runOne(Route, Ignored), net::detached);
   Io.run_for(seconds(3));
   return (residentBytes() - Before) / static_cast<double>(FLAGS_open_streams);
 }
@@ -143,11 +143,12 @@
   return Result;
 }
 
-void print(const char *Name, const Samples &Of) {
+void print(const char *Name, const Samples &Measured) {
   fmt::print("{:<12} {:>9} {:>7} {:>10.0f} {:>10.0f} {:>12.0f} {:>12.0f}\n",
-             Name, Of.Complete, Of.Failed, quantile(Of.Chunks, 0.5),
-             quantile(Of.Chunks, 0.99), quantile(Of.FirstChunks, 0.5),
-             quantile(Of.FirstChunks, 0.99));
+             Name, Measured.Complete, Measured.Failed,
+             quantile(Measured.Chunks, 0.5), quantile(Measured.Chunks, 0.99),
+             quantile(Measured.FirstChunks, 0.5),
+             quantile(Measured.FirstChunks, 0.99));
 }
 
 int measure() {
@@ -157,30 +158,33 @@
   const Address Engine = Host.Platform.engineAt();
   const RequestPath Direct = pathTo(Engine, true, FLAGS_chunks);
   const RequestPath Relayed = pathTo(Host.callers(), false, FLAGS_chunks);
-  Samples OfDirect;
-  Samples OfRelayed;
+  Samples DirectSamples;
+  Samples RelayedSamples;
   for (std::uint64_t Turn = 0; Turn < FLAGS_turns; ++Turn) {
-    runTurn(Direct, OfDirect);
-    runTurn(Relayed, OfRelayed);
+    runTurn(Direct, DirectSamples);
+    runTurn(Relayed, RelayedSamples);
   }
   fmt::print("{} requests/s, {} chunks/s, microseconds\n"
              "path             whole  others  chunk p50  chunk p99  first p50  "
              "  first p99\n",
              FLAGS_requests_per_second,
              FLAGS_requests_per_second * FLAGS_chunks);
-  print("direct", OfDirect);
-  print("entry host", OfRelayed);
+  print("direct", DirectSamples);
+  print("entry host", RelayedSamples);
   fmt::print("added p50: {:.0f} us a chunk, {:.0f} us a request\n",
-             quantile(OfRelayed.Chunks, 0.5) - quantile(OfDirect.Chunks, 0.5),
-             quantile(OfRelayed.FirstChunks, 0.5) -
-                 quantile(OfDirect.FirstChunks, 0.5));
+             quantile(RelayedSamples.Chunks, 0.5) -
+                 quantile(DirectSamples.Chunks, 0.5),
+             quantile(RelayedSamples.FirstChunks, 0.5) -
+                 quantile(DirectSamples.FirstChunks, 0.5));
   Host.Platform.ChunkMs = 1000;
-  const double ByDirect = bytesPerStream(pathTo(Engine, true, 100));
-  const double ByRelayed = bytesPerStream(pathTo(Host.callers(), false, 100));
+  const double DirectBytes = bytesPerStream(pathTo(Engine, true, 100));
+  const double RelayedBytes =
+      bytesPerStream(pathTo(Host.callers(), false, 100));
   fmt::print("memory of an open stream: {:.1f} KB in the entry host ({:.1f} KB "
              "with caller and engine, {:.1f} KB of them alone)\n",
-             (ByRelayed - ByDirect) / 1024, ByRelayed / 1024, ByDirect / 1024);
-  return OfRelayed.Complete > 0 ? 0 : 1;
+             (RelayedBytes - DirectBytes) / 1024, RelayedBytes / 1024,
+             DirectBytes / 1024);
+  return RelayedSamples.Complete > 0 ? 0 : 1;
 }
 
 } // namespace
--- a/tests/bench/slopes/DecisionSlopes.cpp
+++ b/tests/bench/slopes/DecisionSlopes.cpp
@@ -38,8 +38,8 @@
   return *At;
 }
 
-AttemptId attemptIn(const std::vector<Action> &Wanted) {
-  for (const Action &Each : Wanted)
+AttemptId attemptIn(const std::vector<Action> &Actions) {
+  for (const Action &Each : Actions)
     if (const auto *Sent = std::get_if<DispatchAttempt>(&Each))
       return Sent->Attempt;
   return {};
@@ -48,9 +48,9 @@
 /// Sends requests to a kernel whose world stands still but for the time.
 DecisionCost measureDecisions(VirtualDeployment &Deployed,
                               std::uint32_t Teams) {
-  Kernel &Decider = firstKernel(Deployed);
+  Kernel &Measured = firstKernel(Deployed);
   std::vector<double> Arrivals;
-  std::vector<double> Wholes;
+  std::vector<double> Totals;
   DecisionCost Cost;
   Time Now = Deployed.now();
   for (std::uint32_t Number = 0; Number < RequestsMeasured; ++Number) {
@@ -59,17 +59,17 @@
         testRequest(teamName(Number % Teams), "short", 2000, Number);
     Head.Id = RequestId(FirstRequestId + Number);
     const auto Begin = Clock::now();
-    const AttemptId Try =
-        attemptIn(Decider.handle(RequestArrived{std::move(Head)}, Now));
+    const AttemptId Attempt =
+        attemptIn(Measured.handle(RequestArrived{std::move(Head)}, Now));
     Arrivals.push_back(microsecondsSince(Begin));
-    Cost.Routed += Try == AttemptId{} ? 0 : 1;
-    Decider.handle(AttemptProgressed{Try, 1}, Now);
-    Decider.handle(AttemptEnded{Try, AttemptComplete{32, ""}}, Now);
-    Wholes.push_back(microsecondsSince(Begin));
+    Cost.Routed += Attempt == AttemptId{} ? 0 : 1;
+    Measured.handle(AttemptProgressed{Attempt, 1}, Now);
+    Measured.handle(AttemptEnded{Attempt, AttemptComplete{32, ""}}, Now);
+    Totals.push_back(microsecondsSince(Begin));
   }
   Cost.ArrivalP50 = quantile(Arrivals, 0.5);
   Cost.ArrivalP99 = quantile(Arrivals, 0.99);
-  Cost.Total = quantile(Wholes, 0.5);
+  Cost.Total = quantile(Totals, 0.5);
   return Cost;
 }
 
--- a/tests/bench/slopes/LineFit.cpp
+++ b/tests/bench/slopes/LineFit.cpp
@@ -20,23 +20,23 @@
 
 LineFit fitLine(std::span<const Point> Points) {
   const Point Mean = meanOf(Points);
-  double Spread = 0;
-  double Shared = 0;
+  double SumOfSquares = 0;
+  double SumOfProducts = 0;
   for (const Point &Each : Points) {
-    Spread += (Each.Size - Mean.Size) * (Each.Size - Mean.Size);
-    Shared += (Each.Size - Mean.Size) * (Each.Cost - Mean.Cost);
+    SumOfSquares += (Each.Size - Mean.Size) * (Each.Size - Mean.Size);
+    SumOfProducts += (Each.Size - Mean.Size) * (Each.Cost - Mean.Cost);
   }
   LineFit Fit;
-  Fit.Slope = Shared / Spread;
+  Fit.Slope = SumOfProducts / SumOfSquares;
   Fit.Base = Mean.Cost - Fit.Slope * Mean.Size;
   double Residual = 0;
   for (const Point &Each : Points) {
-    const double Off = Each.Cost - Fit.Base - Fit.Slope * Each.Size;
-    Residual += Off * Off;
+    const double Deviation = Each.Cost - Fit.Base - Fit.Slope * Each.Size;
+    Residual += Deviation * Deviation;
   }
-  const double Freedom = static_cast<double>(Points.size()) - 2;
-  if (Freedom > 0)
-    Fit.SlopeError = std::sqrt(Residual / Freedom / Spread);
+  const double DegreesOfFreedom = static_cast<double>(Points.size()) - 2;
+  if (DegreesOfFreedom > 0)
+    Fit.SlopeError = std::sqrt(Residual / DegreesOfFreedom / SumOfSquares);
   return Fit;
 }
 
--- a/tests/bench/slopes/PeerSlopes.cpp
+++ b/tests/bench/slopes/PeerSlopes.cpp
@@ -57,7 +57,7 @@
   return Lowest;
 }
 
-Duration timeToForce(std::uint32_t Hosts) {
+Duration timeUntilInForce(std::uint32_t Hosts) {
   const auto Deployed = makeDeployment({Hosts, 10, 10, 1});
   const LogOffset Before = lowestInForce(*Deployed);
   Deployed->seedCatalogue({declared(EntryKind::Team, "new", testTeam("new"))});
@@ -92,7 +92,7 @@
 void measureInForceAgainstHosts() {
   SlopeTable Table{"A change in force on all hosts", "hosts", "ms", {}};
   for (const std::uint32_t Hosts : {3, 10, 40, 100, 320})
-    Table.add(Hosts, inSeconds(timeToForce(Hosts)) * 1000);
+    Table.add(Hosts, inSeconds(timeUntilInForce(Hosts)) * 1000);
   Table.print();
 }
 
--- a/tests/bench/slopes/SlopesBench.cpp
+++ b/tests/bench/slopes/SlopesBench.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-bool wanted(const std::string &Part) {
+bool isSelected(const std::string &Part) {
   return FLAGS_only.empty() || FLAGS_only == Part;
 }
 
@@ -21,23 +21,23 @@
 
 int main(int Count, char **Arguments) {
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
-  if (wanted("decision")) {
+  if (isSelected("decision")) {
     banyanpick::measureDecisionAgainstEngines();
     banyanpick::measureDecisionAgainstTeams();
   }
-  if (wanted("idle"))
+  if (isSelected("idle"))
     banyanpick::measureIdleAgainstEngines();
-  if (wanted("state")) {
+  if (isSelected("state")) {
     banyanpick::measureCatalogueMemory();
     banyanpick::measureRecovery();
   }
-  if (wanted("appends")) {
+  if (isSelected("appends")) {
     banyanpick::measureAppends();
     banyanpick::measureAppendsOfManyHosts();
   }
-  if (wanted("force"))
+  if (isSelected("force"))
     banyanpick::measureInForceAgainstHosts();
-  if (wanted("traffic")) {
+  if (isSelected("traffic")) {
     banyanpick::measureTrafficAgainstHosts();
     banyanpick::measureTrafficAgainstEngines();
   }
--- a/tests/bench/slopes/StateSlopes.cpp
+++ b/tests/bench/slopes/StateSlopes.cpp
@@ -40,14 +40,15 @@
 }
 
 /// Decodes and folds every record; returns the bytes read.
-std::size_t recover(const std::vector<std::string> &Stored, Catalogue &Into) {
+std::size_t recoverCatalogue(const std::vector<std::string> &Stored,
+                             Catalogue &Target) {
   std::size_t Bytes = 0;
   LogOffset Offset = 0;
   for (const std::string &Each : Stored) {
     Bytes += Each.size();
     ++Offset;
     for (const LogRecord &Record : decodeLogBatch(Each))
-      Into.fold(std::get<ConfigurationRecord>(Record.Body).Set, Offset);
+      Target.fold(std::get<ConfigurationRecord>(Record.Body).Set, Offset);
   }
   return Bytes;
 }
@@ -55,14 +56,14 @@
 /// What the hosts append together, and what their callers wait.
 struct AppendCost {
   double PerSecond = 0;
-  double MeanAnswer = 0; ///< Milliseconds to the final answer.
+  double MeanAnswerMs = 0; ///< Milliseconds to the final answer.
 };
 
 std::string hostName(std::uint32_t Number) {
   return fmt::format("host-{:03}", Number);
 }
 
-double meanAnswer(VirtualDeployment &Deployed) {
+double meanAnswerTime(VirtualDeployment &Deployed) {
   double Sum = 0;
   std::size_t Count = 0;
   for (const CallerRecord &Each : Deployed.callers()) {
@@ -95,7 +96,7 @@
   AppendCost Cost;
   Cost.PerSecond = static_cast<double>(Deployed.log().end() - Before) / Seconds;
   Deployed.runFor(seconds(5));
-  Cost.MeanAnswer = meanAnswer(Deployed);
+  Cost.MeanAnswerMs = meanAnswerTime(Deployed);
   return Cost;
 }
 
@@ -124,7 +125,7 @@
       Stored.push_back(encodeLogBatch(std::span(&Each, 1)));
     Catalogue Recovered;
     const auto Begin = Clock::now();
-    const std::size_t Bytes = recover(Stored, Recovered);
+    const std::size_t Bytes = recoverCatalogue(Stored, Recovered);
     Times.add(Count, millisecondsSince(Begin));
     Sizes.add(Count, static_cast<double>(Bytes));
   }
@@ -148,7 +149,7 @@
   for (const std::uint32_t Hosts : {1, 9, 40, 100, 320}) {
     const AppendCost Cost = appendsAt(Calls, Hosts);
     Appends.add(Hosts, Cost.PerSecond);
-    Answers.add(Hosts, Cost.MeanAnswer);
+    Answers.add(Hosts, Cost.MeanAnswerMs);
   }
   Appends.print();
   Answers.print();
