--- a/tests/bench/RoutingBench.cpp
+++ b/tests/bench/RoutingBench.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Measures routing under load; docs/MEASURING.md says how to read it.
+/// Measures routing under load. docs/MEASURING.md explains the figures.
 #include "bench/RoutingTable.h"
 
 #include <gflags/gflags.h>
@@ -42,7 +42,7 @@
   return {Name, 16, 8, milliseconds(1)};
 }
 
-/// One run: which row, and whether it is the one without long prompts.
+/// One run for a row of the table, with or without long prompts.
 struct Job {
   std::size_t Row = 0;
   CellOptions Options;
@@ -51,10 +51,10 @@
 
 std::vector<TableRow> makeRows() {
   std::vector<std::pair<std::string, std::string>> Policies;
-  for (const std::string &Each : splitList(FLAGS_policies))
-    Policies.emplace_back(Each, "nothing");
-  for (const std::string &Each : splitList(FLAGS_without))
-    Policies.emplace_back("predicted", Each);
+  for (const std::string &Policy : splitList(FLAGS_policies))
+    Policies.emplace_back(Policy, "nothing");
+  for (const std::string &Without : splitList(FLAGS_without))
+    Policies.emplace_back("predicted", Without);
   std::vector<TableRow> Rows;
   for (const std::string &Deployment : splitList(FLAGS_deployments))
     for (const std::string &Scenario : splitList(FLAGS_scenarios))
@@ -90,20 +90,21 @@
 void runAll(std::vector<Job> &Jobs) {
   std::atomic<std::size_t> Next = 0;
   std::vector<std::thread> Workers;
-  for (int Each = 0; Each < std::min(FLAGS_threads, 4); ++Each)
+  for (int Worker = 0; Worker < std::min(FLAGS_threads, 4); ++Worker)
     Workers.emplace_back([&Jobs, &Next] {
       for (std::size_t Index = Next++; Index < Jobs.size(); Index = Next++)
         Jobs[Index].Result = runCell(Jobs[Index].Options);
     });
-  for (std::thread &Each : Workers)
-    Each.join();
+  for (std::thread &Worker : Workers)
+    Worker.join();
 }
 
 void collect(const std::vector<Job> &Jobs, std::vector<TableRow> &Rows) {
   std::vector<CellResult> Baseline(Rows.size());
-  for (const Job &Each : Jobs)
-    (Each.Options.WithLongPrompts ? Rows[Each.Row].Result : Baseline[Each.Row])
-        .merge(Each.Result);
+  for (const Job &Finished : Jobs)
+    (Finished.Options.WithLongPrompts ? Rows[Finished.Row].Result
+                                      : Baseline[Finished.Row])
+        .merge(Finished.Result);
   for (std::size_t Row = 0; Row < Rows.size(); ++Row) {
     const double BaselineP95 = Baseline[Row].percentile(0, 0.95);
     if (BaselineP95 > 0)
--- a/tests/bench/RoutingCell.cpp
+++ b/tests/bench/RoutingCell.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// The deployment finds itself before the first request, and the first
-/// requests are not measured.
+/// Time for the hosts and engines to discover each other before the first
+/// request, and time at the start of the load that is not measured.
 constexpr Duration SettleTime = seconds(5);
 constexpr Duration WarmUpTime = seconds(10);
-/// Beyond the longest promise.
+/// Longer than the longest latency target of a class.
 constexpr Duration DrainTime = seconds(150);
-/// Ways of a caller to its host and back.
+/// Network time from a caller to its host and back.
 constexpr Duration CallerRoundTrip = milliseconds(10);
 
 std::string teamName(std::uint32_t Team) {
@@ -65,17 +65,17 @@
   Result.CheckEveryEvent = false;
   Result.Settings = {{"routing", "policy", Options.Policy},
                      {"routing", "without", Options.Without}};
-  for (const std::string &Each : Options.Settings) {
-    const std::size_t Dot = Each.find('.');
-    const std::size_t Equals = Each.find('=');
-    Result.Settings.push_back({Each.substr(0, Dot),
-                               Each.substr(Dot + 1, Equals - Dot - 1),
-                               Each.substr(Equals + 1)});
+  for (const std::string &Setting : Options.Settings) {
+    const std::size_t Dot = Setting.find('.');
+    const std::size_t Equals = Setting.find('=');
+    Result.Settings.push_back({Setting.substr(0, Dot),
+                               Setting.substr(Dot + 1, Equals - Dot - 1),
+                               Setting.substr(Equals + 1)});
   }
   return Result;
 }
 
-/// A deployment with its callers.
+/// Runs a simulated deployment with its callers.
 class CellRun {
 public:
   explicit CellRun(const CellOptions &Options)
@@ -90,8 +90,8 @@
                      WarmUpTime + this->Options.Length, this->Options.Seed,
                      this->Options.WithLongPrompts);
     this->scheduleFault();
-    for (const Arrival &Each : Arrivals)
-      this->Deployed.queue().after(Each.At, [this, Each] { this->send(Each); });
+    for (const Arrival &Next : Arrivals)
+      this->Deployed.queue().after(Next.At, [this, Next] { this->send(Next); });
     this->Deployed.runFor(WarmUpTime + this->Options.Length + DrainTime);
     return this->evaluate();
   }
@@ -99,15 +99,16 @@
 private:
   void build() {
     this->Deployed.network().Far = this->Options.Shape.Far;
-    for (std::uint32_t Each = 0; Each < this->Options.Shape.Engines; ++Each) {
+    for (std::uint32_t Number = 0; Number < this->Options.Shape.Engines;
+         ++Number) {
       EngineShape Shape;
-      Shape.Id = UpstreamId("engine-" + std::to_string(Each));
+      Shape.Id = UpstreamId("engine-" + std::to_string(Number));
       Shape.Models = {ModelId(TestModel)};
-      this->Deployed.addEngine(Shape, zoneName(Each % Zones));
+      this->Deployed.addEngine(Shape, zoneName(Number % Zones));
     }
-    for (std::uint32_t Each = 0; Each < this->Options.Shape.Hosts; ++Each)
-      this->Deployed.addHost("host-" + std::to_string(Each),
-                             zoneName(Each % Zones));
+    for (std::uint32_t Number = 0; Number < this->Options.Shape.Hosts; ++Number)
+      this->Deployed.addHost("host-" + std::to_string(Number),
+                             zoneName(Number % Zones));
     this->Deployed.seedCatalogue(catalogue());
   }
 
@@ -140,7 +141,8 @@
     this->Sent.emplace_back(Caller, Arrived);
   }
 
-  /// A live host of the caller's zone, or of any other.
+  /// Returns a random live host of the caller's zone, or of any zone if there
+  /// is none.
   std::string host(const Arrival &Arrived) {
     std::vector<std::string> SameZone;
     std::vector<std::string> All;
@@ -188,7 +190,7 @@
     ++Result.Sent;
     ++Result.Offered[Bucket];
     ++Result.TeamOffered[Arrived.Team];
-    // Without a first token, an admitted request counts with what it waited.
+    // An admitted request without a first token counts with its waiting time.
     const auto WaitedUntil =
         Record.FirstTokenAt ? Record.FirstTokenAt : Record.EndedAt;
     if (Record.AcceptedAt && WaitedUntil)
@@ -225,12 +227,12 @@
 }
 
 void CellResult::merge(const CellResult &Other) {
-  for (std::size_t Each = 0; Each < LengthBuckets.size(); ++Each) {
-    this->FirstToken[Each].insert(this->FirstToken[Each].end(),
-                                  Other.FirstToken[Each].begin(),
-                                  Other.FirstToken[Each].end());
-    this->Offered[Each] += Other.Offered[Each];
-    this->InTime[Each] += Other.InTime[Each];
+  for (std::size_t Index = 0; Index < LengthBuckets.size(); ++Index) {
+    this->FirstToken[Index].insert(this->FirstToken[Index].end(),
+                                   Other.FirstToken[Index].begin(),
+                                   Other.FirstToken[Index].end());
+    this->Offered[Index] += Other.Offered[Index];
+    this->InTime[Index] += Other.InTime[Index];
   }
   this->Sent += Other.Sent;
   this->Refused += Other.Refused;
@@ -242,9 +244,9 @@
   this->Prefilled += Other.Prefilled;
   this->Wasted += Other.Wasted;
   this->Violations += Other.Violations;
-  for (std::size_t Each = 0; Each < Teams; ++Each) {
-    this->TeamOffered[Each] += Other.TeamOffered[Each];
-    this->TeamInTime[Each] += Other.TeamInTime[Each];
+  for (std::size_t Index = 0; Index < Teams; ++Index) {
+    this->TeamOffered[Index] += Other.TeamOffered[Index];
+    this->TeamInTime[Index] += Other.TeamInTime[Index];
   }
 }
 
@@ -261,9 +263,9 @@
 double CellResult::fairness() const {
   double Sum = 0;
   double Squares = 0;
-  for (std::size_t Each = LargeTeams; Each < Teams; ++Each) {
+  for (std::size_t Team = LargeTeams; Team < Teams; ++Team) {
     const double Part =
-        this->TeamInTime[Each] / std::max(this->TeamOffered[Each], 1.0);
+        this->TeamInTime[Team] / std::max(this->TeamOffered[Team], 1.0);
     Sum += Part;
     Squares += Part * Part;
   }
--- a/tests/bench/RoutingTable.cpp
+++ b/tests/bench/RoutingTable.cpp
@@ -6,15 +6,17 @@
 
 namespace {
 
-std::string rowName(const CellOptions &Of) {
-  if (Of.Policy != "predicted")
-    return Of.Policy;
-  return Of.Without == "nothing" ? "ours" : "ours, no " + Of.Without;
+std::string rowName(const CellOptions &Options) {
+  if (Options.Policy != "predicted")
+    return Options.Policy;
+  return Options.Without == "nothing" ? "ours" : "ours, no " + Options.Without;
 }
 
 double share(double Part, double Total) { return Total > 0 ? Part / Total : 0; }
 
-double goodput(const CellResult &Of) { return Of.GoodTokens / Of.Seconds; }
+double goodput(const CellResult &Result) {
+  return Result.GoodTokens / Result.Seconds;
+}
 
 } // namespace
 
@@ -56,11 +58,11 @@
     Out << fmt::format("{},{},{},\"{}\"", Row.Options.Shape.Name,
                        Row.Options.Scenario, Row.Options.Load,
                        rowName(Row.Options));
-    for (std::size_t Each = 0; Each < LengthBuckets.size(); ++Each)
-      Out << fmt::format(",{},{},{:.4f},{:.4f},{:.4f}", Measured.Offered[Each],
-                         Measured.InTime[Each], Measured.percentile(Each, 0.5),
-                         Measured.percentile(Each, 0.95),
-                         Measured.percentile(Each, 0.99));
+    for (std::size_t Index = 0; Index < LengthBuckets.size(); ++Index)
+      Out << fmt::format(
+          ",{},{},{:.4f},{:.4f},{:.4f}", Measured.Offered[Index],
+          Measured.InTime[Index], Measured.percentile(Index, 0.5),
+          Measured.percentile(Index, 0.95), Measured.percentile(Index, 0.99));
     Out << fmt::format(
         ",{:.3f},{},{},{},{},{},{:.0f},{:.4f},{:.4f},{}\n", Row.Slowdown,
         Measured.Sent, Measured.Refused, Measured.RefusedLate, Measured.Missed,
--- a/tests/bench/RoutingTable.h
+++ b/tests/bench/RoutingTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// The result of a measurement as a table and as CSV.
+/// Prints the results of a measurement as a table and as CSV.
 #pragma once
 
 #include "bench/RoutingCell.h"
@@ -10,12 +10,12 @@
 
 namespace banyanpick {
 
-/// One row: the runs of all seeds together.
+/// One row of the table: the merged runs of all seeds.
 struct TableRow {
   CellOptions Options;
   CellResult Result;
-  /// p95 of short requests against the same runs without the long ones; 0
-  /// when not measured.
+  /// Ratio of the p95 time to first token of short requests to the p95 of the
+  /// same runs without long prompts; 0 if not measured.
   double Slowdown = 0;
 };
 
--- a/tests/bench/Workload.cpp
+++ b/tests/bench/Workload.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// A part of the mix: prompts between two lengths with density 1/x, or 1/x^2
-/// for the longest.
+/// A part of the mix: prompt lengths between two bounds with density 1/x, or
+/// 1/x^2 if Steep is set.
 struct MixPart {
   double Share;
   double Shortest;
@@ -28,8 +28,8 @@
     {0.02, 100e3, 1e6, true, "review", 256},
 };
 
-/// Requests that go on from an earlier prompt of their team, and the part of
-/// that prompt which they share.
+/// Share of the requests that start with the prefix of an earlier prompt of
+/// their team.
 constexpr double ReuseShare = 0.3;
 constexpr std::uint64_t LargeTeamWeight = 4;
 
@@ -43,16 +43,16 @@
 double meanLength(const MixPart &Part) {
   constexpr int Points = 1000;
   double Sum = 0;
-  for (int Each = 0; Each < Points; ++Each)
-    Sum += promptLength(Part, (Each + 0.5) / Points);
+  for (int Point = 0; Point < Points; ++Point)
+    Sum += promptLength(Part, (Point + 0.5) / Points);
   return Sum / Points;
 }
 
 const MixPart &pickPart(double Fraction) {
-  for (const MixPart &Each : Mix) {
-    if (Fraction < Each.Share)
-      return Each;
-    Fraction -= Each.Share;
+  for (const MixPart &Part : Mix) {
+    if (Fraction < Part.Share)
+      return Part;
+    Fraction -= Part.Share;
   }
   return Mix[0];
 }
@@ -67,17 +67,18 @@
                                     LargeTeams * LargeTeamWeight);
 }
 
-/// Lets the request go on from an earlier one of its team and class.
+/// Lets the request share a prefix with an earlier one of its team and class:
+/// three quarters of the shorter prompt.
 void reusePrefix(Arrival &Target, const std::vector<Arrival> &Earlier,
                  Random &Rng) {
   constexpr std::size_t MaxConsidered = 200;
   const std::size_t First =
       Earlier.size() > MaxConsidered ? Earlier.size() - MaxConsidered : 0;
   std::vector<const Arrival *> Candidates;
-  for (std::size_t Each = First; Each < Earlier.size(); ++Each)
-    if (Earlier[Each].Team == Target.Team &&
-        Earlier[Each].Class == Target.Class)
-      Candidates.push_back(&Earlier[Each]);
+  for (std::size_t Index = First; Index < Earlier.size(); ++Index)
+    if (Earlier[Index].Team == Target.Team &&
+        Earlier[Index].Class == Target.Class)
+      Candidates.push_back(&Earlier[Index]);
   if (Candidates.empty())
     return;
   const Arrival &Source = *Candidates[Rng.below(Candidates.size())];
@@ -95,18 +96,18 @@
 }
 
 double saturation(const DeploymentShape &Shape) {
-  // With prefill always to do, each step prefills one chunk beside a decode
-  // step of a batch of DecodingBeside requests.
+  // Under constant prefill load, each step prefills one chunk and decodes a
+  // batch of DecodingBeside requests.
   constexpr int DecodingBeside = 20;
   const EngineShape Engine;
   const auto Chunk = static_cast<double>(Engine.PrefillChunkTokens);
   const double Step =
       Chunk / Engine.PrefillTokensPerSecond +
       inSeconds(Engine.StepBase + DecodingBeside * Engine.StepPerRequest);
-  double Mean = 0;
-  for (const MixPart &Each : Mix)
-    Mean += Each.Share * meanLength(Each);
-  return Shape.Engines * Chunk / Step / Mean;
+  double MeanTokens = 0;
+  for (const MixPart &Part : Mix)
+    MeanTokens += Part.Share * meanLength(Part);
+  return Shape.Engines * Chunk / Step / MeanTokens;
 }
 
 std::vector<Arrival> makeWorkload(const DeploymentShape &Shape, double Load,
--- a/tests/bench/Workload.h
+++ b/tests/bench/Workload.h
@@ -1,6 +1,6 @@
 /// \file
-/// The requests offered to a measured deployment; docs/MEASURING.md explains
-/// the mix.
+/// The requests sent to a measured deployment. docs/MEASURING.md explains the
+/// mix.
 #pragma once
 
 #include "base/Time.h"
@@ -12,15 +12,15 @@
 
 namespace banyanpick {
 
-/// The deployments of the two users.
+/// The size of the deployment of one of the two users.
 struct DeploymentShape {
   std::string Name;
   std::uint32_t Engines = 0;
   std::uint32_t Hosts = 0;
-  Duration Far{}; ///< One way between two data centres.
+  Duration Far{}; ///< One-way delay between data centres.
 };
 
-/// Prompts are reported by length: at most this many tokens.
+/// Upper bounds in tokens of the prompt lengths by which results are reported.
 inline constexpr std::array<std::uint64_t, 5> LengthBuckets = {
     4'000, 32'000, 100'000, 400'000, 1'000'000};
 std::size_t bucketOf(std::uint64_t PromptTokens);
@@ -29,6 +29,7 @@
 inline constexpr std::uint32_t LargeTeams = 2; ///< The first ones.
 inline constexpr std::uint32_t Zones = 3;
 
+/// One request of the workload.
 struct Arrival {
   Duration At{};
   std::uint32_t Team = 0;
@@ -37,16 +38,16 @@
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
   std::uint64_t Content = 0;
-  std::uint64_t PrefixContent =
-      0; ///< Content whose first blocks it shares; or 0.
+  /// Content whose first blocks the prompt shares, or 0.
+  std::uint64_t PrefixContent = 0;
   std::uint64_t PrefixTokens = 0;
 };
 
-/// Requests a second that just saturate the engines.
+/// Returns the requests per second that just saturate the engines.
 double saturation(const DeploymentShape &Shape);
 
-/// Poisson arrivals at \p Load times the saturation. Without the long ones,
-/// all others are the same.
+/// Returns Poisson arrivals at \p Load times the saturation. \p WithLongPrompts
+/// only removes the longest prompts; all other arrivals stay the same.
 std::vector<Arrival> makeWorkload(const DeploymentShape &Shape, double Load,
                                   Duration Length, std::uint64_t Seed,
                                   bool WithLongPrompts);
--- a/tests/bench/relay/RelayBench.cpp
+++ b/tests/bench/relay/RelayBench.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// What the entry host adds to a stream: the time of a chunk and of a request
-/// from engine to caller, directly and through the host in turns of one run,
-/// and the memory of an open stream. docs/MEASURING.md explains the figures.
+/// Measures the overhead of the entry host: the latency of a chunk and of a
+/// request between engine and caller, and the memory of an open stream. One run
+/// alternates direct turns with turns through the host. docs/MEASURING.md
+/// explains the figures.
 #include "auto/daemon/LocalHost.h"
 #include "http/ClientStream.h"
 
@@ -25,10 +26,10 @@
 
 std::int64_t nowNs() { return Steady::now().time_since_epoch().count(); }
 
-/// Latencies of one kind of path, in microseconds.
+/// Latencies of one kind of path in microseconds, with counts of requests.
 struct Samples {
-  std::vector<double> Chunks;      ///< Engine's write to caller's read.
-  std::vector<double> FirstChunks; ///< Request's start to first chunk.
+  std::vector<double> Chunks;      ///< From write by engine to read by caller.
+  std::vector<double> FirstChunks; ///< From request start to first chunk.
   std::uint64_t Complete = 0;
   std::uint64_t Failed = 0;
 };
@@ -42,7 +43,7 @@
   return Values[static_cast<std::size_t>(At)];
 }
 
-/// Where requests go and what they carry.
+/// The address and the content of requests.
 struct RequestPath {
   Address At;
   ClientRequest Request;
@@ -85,7 +86,8 @@
   }
 }
 
-/// Sends requests at the given rate for one turn, and waits for their ends.
+/// Sends requests at the given rate for one turn and waits until all have
+/// ended.
 void runTurn(const RequestPath &Route, Samples &Result) {
   net::io_context Io(1);
   const auto Pause =
@@ -111,7 +113,7 @@
   return Resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/// How the process grows by one open stream over the path.
+/// Returns the growth of the process in bytes per open stream.
 double bytesPerStream(const RequestPath &Route) {
   net::io_context Io(1);
   Samples Ignored;
--- a/tests/bench/slopes/BenchWorld.h
+++ b/tests/bench/slopes/BenchWorld.h
@@ -1,5 +1,5 @@
 /// \file
-/// A virtual deployment of a given size for the slope measurements.
+/// A simulated deployment of a given size for the slope measurements.
 #pragma once
 
 #include "harness/VirtualDeployment.h"
@@ -8,7 +8,7 @@
 
 namespace banyanpick {
 
-/// How much of everything there is.
+/// The number of hosts, engines, teams and models.
 struct DeploymentSize {
   std::uint32_t Hosts = 1;
   std::uint32_t Engines = 10;
@@ -16,16 +16,17 @@
   std::uint32_t Models = 1;
 };
 
-/// A catalogue of this many teams and models, in one change set.
+/// Returns one change set with the teams and models of \p Size.
 std::vector<Change> catalogueOf(const DeploymentSize &Size);
 
-/// Hosts, engines and the catalogue; run long enough for all to be known.
+/// Returns a deployment that has run until its hosts know all engines and the
+/// catalogue.
 std::unique_ptr<VirtualDeployment> makeDeployment(const DeploymentSize &Size);
 
-/// The kernel of the first host.
+/// Returns the kernel of the first host.
 Kernel &firstKernel(VirtualDeployment &Deployed);
 
-/// The name of the numbered team.
+/// Returns the name of a team.
 std::string teamName(std::uint32_t Number);
 
 } // namespace banyanpick
--- a/tests/bench/slopes/DecisionSlopes.cpp
+++ b/tests/bench/slopes/DecisionSlopes.cpp
@@ -22,11 +22,11 @@
       .count();
 }
 
-/// What requests cost, in microseconds each.
+/// The processing time of a request in microseconds.
 struct DecisionCost {
-  double ArrivalP50 = 0; ///< Median: admission and choice of the engine.
-  double Total = 0;      ///< Median: arrival, first token and end.
-  double ArrivalP99 = 0; ///< 99th percentile of the arrival.
+  double ArrivalP50 = 0; ///< Median of admission and routing.
+  double Total = 0;      ///< Median of arrival, first token and end.
+  double ArrivalP99 = 0; ///< 99th percentile of admission and routing.
   std::uint32_t Routed = 0;
 };
 
@@ -39,13 +39,14 @@
 }
 
 AttemptId attemptIn(const std::vector<Action> &Actions) {
-  for (const Action &Each : Actions)
-    if (const auto *Sent = std::get_if<DispatchAttempt>(&Each))
+  for (const Action &Candidate : Actions)
+    if (const auto *Sent = std::get_if<DispatchAttempt>(&Candidate))
       return Sent->Attempt;
   return {};
 }
 
-/// Sends requests to a kernel whose world stands still but for the time.
+/// Sends requests to a kernel. Apart from the time, its environment does not
+/// change.
 DecisionCost measureDecisions(VirtualDeployment &Deployed,
                               std::uint32_t Teams) {
   Kernel &Measured = firstKernel(Deployed);
--- a/tests/bench/slopes/DecisionSlopes.h
+++ b/tests/bench/slopes/DecisionSlopes.h
@@ -1,12 +1,13 @@
 /// \file
-/// What one request costs the kernel, against engines known and teams.
+/// Processing time of one request in the kernel, by number of engines and
+/// teams.
 #pragma once
 
 namespace banyanpick {
 
 void measureDecisionAgainstEngines();
 void measureDecisionAgainstTeams();
-/// Processor time a second of a host that serves nothing, against engines.
+/// Processor time per second of an idle host, by number of engines.
 void measureIdleAgainstEngines();
 
 } // namespace banyanpick
--- a/tests/bench/slopes/LineFit.cpp
+++ b/tests/bench/slopes/LineFit.cpp
@@ -8,9 +8,9 @@
 
 Point meanOf(std::span<const Point> Points) {
   Point Sum;
-  for (const Point &Each : Points) {
-    Sum.Size += Each.Size;
-    Sum.Cost += Each.Cost;
+  for (const Point &Measured : Points) {
+    Sum.Size += Measured.Size;
+    Sum.Cost += Measured.Cost;
   }
   const auto Count = static_cast<double>(Points.size());
   return {Sum.Size / Count, Sum.Cost / Count};
@@ -22,16 +22,17 @@
   const Point Mean = meanOf(Points);
   double SumOfSquares = 0;
   double SumOfProducts = 0;
-  for (const Point &Each : Points) {
-    SumOfSquares += (Each.Size - Mean.Size) * (Each.Size - Mean.Size);
-    SumOfProducts += (Each.Size - Mean.Size) * (Each.Cost - Mean.Cost);
+  for (const Point &Measured : Points) {
+    SumOfSquares += (Measured.Size - Mean.Size) * (Measured.Size - Mean.Size);
+    SumOfProducts += (Measured.Size - Mean.Size) * (Measured.Cost - Mean.Cost);
   }
   LineFit Fit;
   Fit.Slope = SumOfProducts / SumOfSquares;
   Fit.Base = Mean.Cost - Fit.Slope * Mean.Size;
   double Residual = 0;
-  for (const Point &Each : Points) {
-    const double Deviation = Each.Cost - Fit.Base - Fit.Slope * Each.Size;
+  for (const Point &Measured : Points) {
+    const double Deviation =
+        Measured.Cost - Fit.Base - Fit.Slope * Measured.Size;
     Residual += Deviation * Deviation;
   }
   const double DegreesOfFreedom = static_cast<double>(Points.size()) - 2;
--- a/tests/bench/slopes/LineFit.h
+++ b/tests/bench/slopes/LineFit.h
@@ -1,12 +1,12 @@
 /// \file
-/// A straight line through measured points, by least squares.
+/// Least-squares fit of a line to measured points.
 #pragma once
 
 #include <span>
 
 namespace banyanpick {
 
-/// One measured point.
+/// One measurement.
 struct Point {
   double Size = 0;
   double Cost = 0;
@@ -19,7 +19,7 @@
   double SlopeError = 0; ///< Standard error of the slope.
 };
 
-/// Fits at least two points of different size.
+/// Fits a line. Needs at least two points of different size.
 LineFit fitLine(std::span<const Point> Points);
 
 } // namespace banyanpick
--- a/tests/bench/slopes/PeerSlopes.cpp
+++ b/tests/bench/slopes/PeerSlopes.cpp
@@ -14,9 +14,10 @@
 namespace {
 
 constexpr Duration Span = seconds(10);
-constexpr std::size_t ZeroMqFrameBytes = 9; ///< Of a long frame (ZMTP 3.1).
+constexpr std::size_t ZeroMqFrameBytes =
+    9; ///< Header of a long frame (ZMTP 3.1).
 
-/// Bytes a second sent by each host, and by kind of message over all.
+/// Bytes per second sent by a host, and total bytes by kind of message.
 struct Traffic {
   double Mean = 0;
   double Max = 0;
@@ -47,7 +48,7 @@
   return Result;
 }
 
-/// The lowest catalogue offset in force on any host.
+/// Returns the lowest catalogue offset in force on any host.
 LogOffset lowestInForce(VirtualDeployment &Deployed) {
   LogOffset Lowest = ~LogOffset(0);
   for (const auto &[Name, Host] : Deployed.hosts()) {
--- a/tests/bench/slopes/PeerSlopes.h
+++ b/tests/bench/slopes/PeerSlopes.h
@@ -1,14 +1,16 @@
 /// \file
-/// What entry hosts send each other, against their number.
+/// Traffic between entry hosts, by number of hosts.
 #pragma once
 
 namespace banyanpick {
 
-/// Encoded bytes a second that one host sends, against hosts.
+/// Encoded bytes per second that one host sends, by number of hosts.
 void measureTrafficAgainstHosts();
-/// The same of a region's hosts, against the region's engines.
+/// Encoded bytes per second that one host of a region sends, by number of
+/// engines in the region.
 void measureTrafficAgainstEngines();
-/// From a change's place in the log to its being in force on the last host.
+/// Time from the append of a change to the log until the change is in force on
+/// the last host.
 void measureInForceAgainstHosts();
 
 } // namespace banyanpick
--- a/tests/bench/slopes/SlopeTable.cpp
+++ b/tests/bench/slopes/SlopeTable.cpp
@@ -7,8 +7,8 @@
 void SlopeTable::print() const {
   fmt::print("\n### {}\n\n| {} | {} |\n| ---: | ---: |\n", this->Title,
              this->SizeName, this->CostName);
-  for (const Point &Each : this->Points)
-    fmt::print("| {:g} | {:.4g} |\n", Each.Size, Each.Cost);
+  for (const Point &Measured : this->Points)
+    fmt::print("| {:g} | {:.4g} |\n", Measured.Size, Measured.Cost);
   if (this->Points.size() < 2)
     return;
   const LineFit Fit = fitLine(this->Points);
--- a/tests/bench/slopes/SlopeTable.h
+++ b/tests/bench/slopes/SlopeTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Prints one measured slope: its points and the line through them.
+/// Prints measured points and the line fitted to them.
 #pragma once
 
 #include "LineFit.h"
@@ -9,15 +9,15 @@
 
 namespace banyanpick {
 
-/// One dependence, such as decision time on engines known.
+/// Points of a cost by size, such as decision time by number of engines.
 struct SlopeTable {
   std::string Title;
-  std::string SizeName; ///< With its unit.
-  std::string CostName; ///< With its unit.
+  std::string SizeName; ///< With the unit.
+  std::string CostName; ///< With the unit.
   std::vector<Point> Points;
 
   void add(double Size, double Cost) { this->Points.push_back({Size, Cost}); }
-  /// To standard output, in Markdown.
+  /// Prints the table in Markdown to standard output.
   void print() const;
 };
 
--- a/tests/bench/slopes/SlopesBench.cpp
+++ b/tests/bench/slopes/SlopesBench.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Measures the slopes from which docs/CAPACITY.md is worked out.
+/// Measures the slopes from which docs/CAPACITY.md is calculated.
 #include "DecisionSlopes.h"
 #include "PeerSlopes.h"
 #include "StateSlopes.h"
--- a/tests/bench/slopes/StateSlopes.cpp
+++ b/tests/bench/slopes/StateSlopes.cpp
@@ -23,7 +23,7 @@
       .count();
 }
 
-/// A log of so many changes of one team's weight.
+/// Returns a log of \p Count changes to the weight of one team.
 std::vector<LogRecord> changesOfOneTeam(std::uint32_t Count) {
   std::vector<LogRecord> Records;
   for (std::uint32_t Number = 0; Number < Count; ++Number) {
@@ -39,24 +39,24 @@
   return Records;
 }
 
-/// Decodes and folds every record; returns the bytes read.
+/// Decodes and folds every record. Returns the number of bytes read.
 std::size_t recoverCatalogue(const std::vector<std::string> &Stored,
                              Catalogue &Target) {
   std::size_t Bytes = 0;
   LogOffset Offset = 0;
-  for (const std::string &Each : Stored) {
-    Bytes += Each.size();
+  for (const std::string &Batch : Stored) {
+    Bytes += Batch.size();
     ++Offset;
-    for (const LogRecord &Record : decodeLogBatch(Each))
+    for (const LogRecord &Record : decodeLogBatch(Batch))
       Target.fold(std::get<ConfigurationRecord>(Record.Body).Set, Offset);
   }
   return Bytes;
 }
 
-/// What the hosts append together, and what their callers wait.
+/// The append rate of all hosts together and the waiting time of their callers.
 struct AppendCost {
   double PerSecond = 0;
-  double MeanAnswerMs = 0; ///< Milliseconds to the final answer.
+  double MeanAnswerMs = 0; ///< Milliseconds until the final answer.
 };
 
 std::string hostName(std::uint32_t Number) {
@@ -66,10 +66,10 @@
 double meanAnswerTime(VirtualDeployment &Deployed) {
   double Sum = 0;
   std::size_t Count = 0;
-  for (const CallerRecord &Each : Deployed.callers()) {
-    if (!Each.EndedAt)
+  for (const CallerRecord &Caller : Deployed.callers()) {
+    if (!Caller.EndedAt)
       continue;
-    Sum += inSeconds(*Each.EndedAt - Each.SentAt) * 1000;
+    Sum += inSeconds(*Caller.EndedAt - Caller.SentAt) * 1000;
     ++Count;
   }
   return Count == 0 ? 0 : Sum / static_cast<double>(Count);
@@ -121,8 +121,8 @@
   SlopeTable Sizes{"Bytes read in a recovery", "records", "bytes", {}};
   for (const std::uint32_t Count : {100, 1000, 3500, 10000}) {
     std::vector<std::string> Stored;
-    for (const LogRecord &Each : changesOfOneTeam(Count))
-      Stored.push_back(encodeLogBatch(std::span(&Each, 1)));
+    for (const LogRecord &Record : changesOfOneTeam(Count))
+      Stored.push_back(encodeLogBatch(std::span(&Record, 1)));
     Catalogue Recovered;
     const auto Begin = Clock::now();
     const std::size_t Bytes = recoverCatalogue(Stored, Recovered);
--- a/tests/bench/slopes/StateSlopes.h
+++ b/tests/bench/slopes/StateSlopes.h
@@ -1,16 +1,18 @@
 /// \file
-/// Memory, recovery and log appends, against what there is to keep.
+/// Memory, recovery and log appends, by the amount of stored state.
 #pragma once
 
 namespace banyanpick {
 
-/// Bytes of the catalogue a team, to 36,000 teams and 36 models.
+/// Bytes of the catalogue per team, with up to 36,000 teams and 36 models.
 void measureCatalogueMemory();
-/// Time and bytes of a new host's recovery, against records in the log.
+/// Time and bytes of the recovery of a new host, by number of records in the
+/// log.
 void measureRecovery();
-/// Appends a second of one host, against non-idempotent calls a second.
+/// Appends per second of one host, by non-idempotent calls per second.
 void measureAppends();
-/// The same of many hosts together, and what their callers wait.
+/// Appends per second of many hosts together, with the waiting time of their
+/// callers.
 void measureAppendsOfManyHosts();
 
 } // namespace banyanpick
