--- a/src/app/ActionRouter.cpp
+++ b/src/app/ActionRouter.cpp
@@ -7,25 +7,27 @@
 
 ActionRouter::ActionRouter(
     std::span<const std::unique_ptr<TrafficThread>> ThreadsGiven,
-    PeerNetwork &Peers, Metrics &Measured, const ProcessClock &Clock,
+    PeerNetwork &Peers, Metrics &HostMetrics, const ProcessClock &Clock,
     std::function<void()> OnStopGiven)
-    : Peers(Peers), Measured(Measured), Clock(Clock),
+    : Peers(Peers), HostMetrics(HostMetrics), Clock(Clock),
       OnStop(std::move(OnStopGiven)) {
-  for (const auto &Each : ThreadsGiven)
-    this->Threads.push_back(Each.get());
+  for (const auto &Thread : ThreadsGiven)
+    this->Threads.push_back(Thread.get());
 }
 
 void ActionRouter::perform(std::vector<Action> Wanted) {
-  for (Action &Each : Wanted)
-    std::visit([this](auto &What) { this->perform(std::move(What)); }, Each);
+  for (Action &NextAction : Wanted)
+    std::visit(
+        [this](auto &Alternative) { this->perform(std::move(Alternative)); },
+        NextAction);
 }
 
 TrafficThread &ActionRouter::threadOf(std::uint64_t Number) const {
   return *this->Threads[Number % this->Threads.size()];
 }
 
-template <class Each>
-void ActionRouter::postTo(std::uint64_t Number, Each Wanted) {
+template <class ActionType>
+void ActionRouter::postTo(std::uint64_t Number, ActionType Wanted) {
   TrafficThread &Thread = this->threadOf(Number);
   Thread.post([&Thread, Wanted = std::move(Wanted)]() mutable {
     Thread.perform(std::move(Wanted));
@@ -33,7 +35,8 @@
 }
 
 /// Calls to one upstream share a thread, and so its kept connections.
-template <class ToUpstream> void ActionRouter::perform(ToUpstream Wanted) {
+template <class UpstreamAction>
+void ActionRouter::perform(UpstreamAction Wanted) {
   const std::size_t Number = std::hash<UpstreamId>()(Wanted.Upstream);
   this->postTo(Number, std::move(Wanted));
 }
@@ -107,7 +110,7 @@
 }
 
 void ActionRouter::perform(const RecordMeasurement &Wanted) {
-  this->Measured.record(Wanted);
+  this->HostMetrics.record(Wanted);
 }
 
 void ActionRouter::perform(const GatewayAction &) {
--- a/src/app/ActionRouter.h
+++ b/src/app/ActionRouter.h
@@ -17,8 +17,8 @@
 public:
   /// \p OnStop is called when the process may end.
   ActionRouter(std::span<const std::unique_ptr<TrafficThread>> Threads,
-               PeerNetwork &Peers, Metrics &Measured, const ProcessClock &Clock,
-               std::function<void()> OnStop);
+               PeerNetwork &Peers, Metrics &HostMetrics,
+               const ProcessClock &Clock, std::function<void()> OnStop);
 
   /// Carries them out in their order; those that concern one request reach
   /// its thread in that order.
@@ -44,17 +44,18 @@
   void perform(const RecordMeasurement &Wanted);
   void perform(StopNow Wanted);
   void perform(const GatewayAction &Wanted);
-  template <class ToUpstream> void perform(ToUpstream Wanted);
+  template <class UpstreamAction> void perform(UpstreamAction Wanted);
   void perform(ReadHostList Wanted) { this->postTo(0, Wanted); }
   void perform(ReadLog Wanted) { this->postTo(0, Wanted); }
   void perform(AppendToLog Wanted) { this->postTo(0, std::move(Wanted)); }
 
-  template <class Each> void postTo(std::uint64_t Number, Each Wanted);
+  template <class ActionType>
+  void postTo(std::uint64_t Number, ActionType Wanted);
   TrafficThread &threadOf(std::uint64_t Number) const;
 
   std::vector<TrafficThread *> Threads;
   PeerNetwork &Peers;
-  Metrics &Measured;
+  Metrics &HostMetrics;
   const ProcessClock &Clock;
   std::function<void()> OnStop;
   /// The thread number of each running try.
--- a/src/app/AttemptTable.cpp
+++ b/src/app/AttemptTable.cpp
@@ -5,8 +5,8 @@
 class AttemptTable::EngineRun final : public AttemptTable::Run {
 public:
   EngineRun(const net::any_io_executor &Executor, DispatchAttempt Wanted,
-            const TrafficContext &Uses)
-      : Try(Executor, std::move(Wanted), Uses.Self.Host, Uses.Platform) {}
+            const TrafficContext &Context)
+      : Try(Executor, std::move(Wanted), Context.Self.Host, Context.Platform) {}
 
   void drop() override { this->Try.cancel(); }
   AttemptId streamId() const override { return this->Try.streamId(); }
@@ -17,8 +17,8 @@
 class AttemptTable::ServiceRun final : public AttemptTable::Run {
 public:
   ServiceRun(const net::any_io_executor &Executor, DispatchAttempt Wanted,
-             const TrafficContext &Uses)
-      : Try(Executor, std::move(Wanted), Uses.Self.Host, Uses.Platform) {}
+             const TrafficContext &Context)
+      : Try(Executor, std::move(Wanted), Context.Self.Host, Context.Platform) {}
 
   void drop() override { this->Try.cancel(); }
   AttemptId streamId() const override { return this->Id; }
@@ -45,14 +45,16 @@
   // What came of the answer already stands here, newer than control knows.
   Wanted.NextIndex = Entry->chunks().end();
   if (ToEngine) {
-    auto Each = std::make_shared<EngineRun>(this->Executor, Wanted, this->Uses);
+    auto Each =
+        std::make_shared<EngineRun>(this->Executor, Wanted, this->Context);
     Each->Entry = std::move(Entry);
     this->start(Each, Wanted);
     net::co_spawn(this->Executor, this->runEngine(std::move(Each)),
                   net::detached);
     return;
   }
-  auto Each = std::make_shared<ServiceRun>(this->Executor, Wanted, this->Uses);
+  auto Each =
+      std::make_shared<ServiceRun>(this->Executor, Wanted, this->Context);
   Each->Entry = std::move(Entry);
   this->start(Each, Wanted);
   net::co_spawn(this->Executor, this->runService(std::move(Each)),
@@ -74,11 +76,11 @@
     co_return;
   }
   AttemptOutcome Outcome = co_await Each->Try.run(
-      Each->Entry->content().Text, *Each, this->Uses.Clock.now());
+      Each->Entry->content().Text, *Each, this->Context.Clock.now());
   if (Each->Try.dropped() > 0)
-    this->Uses.Measured.record({RecordMeasurement::Kind::Count,
-                                "chunks_dropped", Each->Upstream.Value,
-                                static_cast<double>(Each->Try.dropped())});
+    this->Context.HostMetrics.record(
+        {RecordMeasurement::Kind::Count, "chunks_dropped", Each->Upstream.Value,
+         static_cast<double>(Each->Try.dropped())});
   this->ended(*Each, std::move(Outcome));
 }
 
@@ -89,7 +91,7 @@
   }
   const RequestContent &Content = Each->Entry->content();
   AttemptOutcome Outcome = co_await Each->Try.run(
-      Content.OperationKey, Content.Text, this->Uses.Clock.now());
+      Content.OperationKey, Content.Text, this->Context.Clock.now());
   this->ended(*Each, std::move(Outcome));
 }
 
@@ -97,7 +99,7 @@
   if (this->Cancelled || Index != this->Entry->chunks().end())
     co_return;
   this->Entry->append(std::move(Text));
-  if (this->Taken++ % this->Owner->Uses.Traffic.ProgressChunks == 0)
+  if (this->Taken++ % this->Owner->Context.Traffic.ProgressChunks == 0)
     this->Owner->progressed(*this);
   if (this->Entry->isTooLarge()) {
     this->TooLarge = true;
@@ -110,7 +112,7 @@
 
 void AttemptTable::progressed(const Run &Each) const {
   const ChunkBuffer &Chunks = Each.Entry->chunks();
-  this->Uses.Events.send(
+  this->Context.Events.send(
       AttemptProgressed{Each.Id, std::min(Chunks.delivered(), Chunks.end())});
 }
 
@@ -129,7 +131,7 @@
         this->tellUpstream({Each.Id, Each.Upstream, Each.At}, Each.streamId()),
         net::detached);
   }
-  this->Uses.Events.send(AttemptEnded{Each.Id, std::move(Outcome)});
+  this->Context.Events.send(AttemptEnded{Each.Id, std::move(Outcome)});
 }
 
 void AttemptTable::cancel(CancelAttempt Wanted) {
@@ -149,12 +151,12 @@
 
 Task<void> AttemptTable::tellUpstream(CancelAttempt Wanted, AttemptId Stream) {
   Event Answer = co_await this->Client.cancel(std::move(Wanted), Stream);
-  this->Uses.Events.send(std::move(Answer));
+  this->Context.Events.send(std::move(Answer));
 }
 
 void AttemptTable::reportUnsent(const AttemptId &Id,
                                 AttemptOutcome Outcome) const {
-  this->Uses.Events.send(AttemptEnded{Id, std::move(Outcome)});
+  this->Context.Events.send(AttemptEnded{Id, std::move(Outcome)});
 }
 
 } // namespace banyanpick
--- a/src/app/AttemptTable.h
+++ b/src/app/AttemptTable.h
@@ -21,16 +21,17 @@
   TrafficSettings Traffic;
   PlatformSettings Platform;
   EventSink &Events;
-  Metrics &Measured;
+  Metrics &HostMetrics;
   ProcessClock Clock;
 };
 
 /// Used on one thread, that of its executor.
 class AttemptTable {
 public:
-  AttemptTable(const net::any_io_executor &Executor, const TrafficContext &Uses)
-      : Executor(Executor), Uses(Uses),
-        Client(Executor, Uses.Self.Host, Uses.Platform) {}
+  AttemptTable(const net::any_io_executor &Executor,
+               const TrafficContext &Context)
+      : Executor(Executor), Context(Context),
+        Client(Executor, Context.Self.Host, Context.Platform) {}
 
   /// Runs the try for the entry; its end is an event unless it is cancelled.
   void dispatch(DispatchAttempt Wanted, std::shared_ptr<RelayEntry> Entry);
@@ -69,7 +70,7 @@
   void reportUnsent(const AttemptId &Id, AttemptOutcome Outcome) const;
 
   net::any_io_executor Executor;
-  const TrafficContext &Uses;
+  const TrafficContext &Context;
   UpstreamClient Client;
   std::unordered_map<AttemptId, std::shared_ptr<Run>> Live;
 };
--- a/src/app/CallerService.cpp
+++ b/src/app/CallerService.cpp
@@ -200,7 +200,7 @@
                                        TrafficThread &Thread) {
   const std::uint64_t Id = Thread.relays().takeId();
   this->Events.send(resolveQuestion(Each, Id));
-  const auto Answer = co_await Thread.resolves().wait(Id, ResolveTimeout);
+  const auto Answer = co_await Thread.resolveAnswers().wait(Id, ResolveTimeout);
   if (!Answer)
     throw Error(ErrorKind::Unavailable, "no answer within 5 s",
                 "ask another entry host");
--- a/src/app/Daemon.cpp
+++ b/src/app/Daemon.cpp
@@ -15,8 +15,8 @@
 std::vector<net::io_context *>
 contextsOf(std::span<const std::unique_ptr<TrafficThread>> Threads) {
   std::vector<net::io_context *> Result;
-  for (const auto &Each : Threads)
-    Result.push_back(&Each->context());
+  for (const auto &Thread : Threads)
+    Result.push_back(&Thread->context());
   return Result;
 }
 
@@ -27,7 +27,7 @@
                                    trafficSettings(Values),
                                    platformSettings(Values),
                                    this->Events,
-                                   this->Measured,
+                                   this->HostMetrics,
                                    this->Clock} {
   const HttpSettings Http = httpSettings(Values);
   const std::uint64_t Count = this->Context.Traffic.Threads;
@@ -37,12 +37,12 @@
   const Identity &Self = this->Context.Self;
   this->Peers = std::make_unique<PeerNetwork>(
       Self.Host, Life, Self.Peers, peerSettings(Values),
-      peerEvents(this->Events, this->Measured, this->Clock));
-  this->Router = std::make_unique<ActionRouter>(this->Threads, *this->Peers,
-                                                this->Measured, this->Clock,
-                                                [this] { this->End.allow(); });
+      peerEvents(this->Events, this->HostMetrics, this->Clock));
+  this->Router = std::make_unique<ActionRouter>(
+      this->Threads, *this->Peers, this->HostMetrics, this->Clock,
+      [this] { this->Shutdown.allow(); });
   this->Handler = std::make_unique<Routes>(this->Threads, this->Events,
-                                           this->State, this->Measured);
+                                           this->State, this->HostMetrics);
   this->Tls = makeTlsContext(Http);
   const auto Contexts = contextsOf(this->Threads);
   this->Server = std::make_unique<HttpServer>(Contexts, Self.Callers, Http,
@@ -50,8 +50,8 @@
   this->Events.start(std::make_unique<Kernel>(Self, Values, Seed),
                      *this->Router, this->State);
   this->waitForSignals();
-  for (const auto &Each : this->Threads)
-    Each->start();
+  for (const auto &Thread : this->Threads)
+    Thread->start();
   writeLogLine(logEvent(events::Started)
                    .with("host", Self.Host.Value)
                    .with("zone", Self.Zone.Value)
@@ -63,8 +63,8 @@
 
 Daemon::~Daemon() {
   this->Peers.reset(); // Ends its thread, which sends events.
-  for (const auto &Each : this->Threads)
-    Each->stop();
+  for (const auto &Thread : this->Threads)
+    Thread->stop();
   this->Events.stop();
 }
 
@@ -75,20 +75,20 @@
     if (Failure)
       return;
     writeLogLine(logEvent(events::Stopping).build(), this->Clock.now());
-    this->askToStop();
+    this->requestStop();
   });
 }
 
 void Daemon::run() {
-  this->End.wait(this->Clock, this->Context.Traffic.FlushAtStop,
-                 [this] { return this->unsent(); });
+  this->Shutdown.wait(this->Clock, this->Context.Traffic.FlushAtStop,
+                      [this] { return this->unsentAnswers(); });
 }
 
-std::size_t Daemon::unsent() {
+std::size_t Daemon::unsentAnswers() {
   std::size_t Count = 0;
-  for (const auto &Each : this->Threads) {
+  for (const auto &Thread : this->Threads) {
     std::promise<std::size_t> Size;
-    Each->post([&] { Size.set_value(Each->relays().unsent()); });
+    Thread->post([&] { Size.set_value(Thread->relays().unsentAnswers()); });
     Count += Size.get_future().get();
   }
   return Count;
--- a/src/app/Daemon.h
+++ b/src/app/Daemon.h
@@ -4,7 +4,7 @@
 
 #include "app/ActionRouter.h"
 #include "app/Control.h"
-#include "app/GracefulEnd.h"
+#include "app/GracefulShutdown.h"
 #include "app/Routes.h"
 #include "http/HttpServer.h"
 
@@ -29,15 +29,15 @@
   std::uint16_t peersPort() const { return this->Peers->port(); }
 
   /// Starts the graceful stop, as SIGTERM does.
-  void askToStop() { this->Events.send(StopRequest{}); }
+  void requestStop() { this->Events.send(StopRequest{}); }
 
 private:
   void waitForSignals();
   /// Answers that are not written yet.
-  std::size_t unsent();
+  std::size_t unsentAnswers();
 
   ProcessClock Clock;
-  Metrics Measured;
+  Metrics HostMetrics;
   HostState State;
   Control Events;
   TrafficContext Context;
@@ -48,7 +48,7 @@
   std::unique_ptr<net::ssl::context> Tls;
   std::unique_ptr<HttpServer> Server;
   std::unique_ptr<net::signal_set> Signals;
-  GracefulEnd End;
+  GracefulShutdown Shutdown;
 };
 
 } // namespace banyanpick
--- a/src/app/GatewayDaemon.cpp
+++ b/src/app/GatewayDaemon.cpp
@@ -23,9 +23,9 @@
 } // namespace
 
 GatewayRouter::GatewayRouter(GatewayTraffic &Traffic, PeerNetwork &Peers,
-                             Metrics &Measured, const ProcessClock &Clock,
+                             Metrics &HostMetrics, const ProcessClock &Clock,
                              std::function<void()> OnStopGiven)
-    : Traffic(Traffic), Peers(Peers), Measured(Measured), Clock(Clock),
+    : Traffic(Traffic), Peers(Peers), HostMetrics(HostMetrics), Clock(Clock),
       OnStop(std::move(OnStopGiven)) {}
 
 void GatewayRouter::perform(std::vector<Action> Wanted) {
@@ -36,7 +36,7 @@
         [&](SendToPeer &Is) { this->Peers.send(Is.To, std::move(Is.Body)); },
         [&](ConnectPeers &Is) { this->Peers.connect(std::move(Is.Peers)); },
         [&](WriteLogLine &Is) { writeLogLine(Is.Line, this->Clock.now()); },
-        [&](RecordMeasurement &Is) { this->Measured.record(Is); },
+        [&](RecordMeasurement &Is) { this->HostMetrics.record(Is); },
         [&](StopNow &) { this->OnStop(); },
         [&](auto &Is) { ForTraffic.emplace_back(std::move(Is)); });
   if (!ForTraffic.empty())
@@ -51,9 +51,9 @@
               gatewaySettings(Values),
               *this->Protocol,
               this->Events,
-              this->Measured,
+              this->HostMetrics,
               this->Clock},
-      Traffic(this->Context), Pages(this->State, this->Measured),
+      Traffic(this->Context), Pages(this->State, this->HostMetrics),
       RelayHandler(
           [this](HttpExchange &Each) { return this->Traffic.relay(Each); }),
       DirectoryHandler(
@@ -65,10 +65,10 @@
   const Identity &Self = this->Context.Self;
   this->Peers = std::make_unique<PeerNetwork>(
       Self.Host, Life, Self.Peers, peerSettings(Values),
-      peerEvents(this->Events, this->Measured, this->Clock));
-  this->Router = std::make_unique<GatewayRouter>(this->Traffic, *this->Peers,
-                                                 this->Measured, this->Clock,
-                                                 [this] { this->End.allow(); });
+      peerEvents(this->Events, this->HostMetrics, this->Clock));
+  this->Router = std::make_unique<GatewayRouter>(
+      this->Traffic, *this->Peers, this->HostMetrics, this->Clock,
+      [this] { this->Shutdown.allow(); });
   this->openPorts(Values);
   this->Watch = std::make_unique<SettingsWatch>(
       this->Traffic.context(), std::move(File),
@@ -124,7 +124,7 @@
       return;
     }
     writeLogLine(logEvent(events::Stopping).build(), this->Clock.now());
-    this->askToStop();
+    this->requestStop();
     this->waitForSignals();
   });
 }
@@ -151,11 +151,11 @@
 }
 
 void GatewayDaemon::run() {
-  this->End.wait(this->Clock, this->Context.Values.FlushAtStop,
-                 [this] { return this->unsent(); });
+  this->Shutdown.wait(this->Clock, this->Context.Values.FlushAtStop,
+                      [this] { return this->unsentAnswers(); });
 }
 
-std::size_t GatewayDaemon::unsent() {
+std::size_t GatewayDaemon::unsentAnswers() {
   std::promise<std::size_t> Size;
   this->Traffic.run([&] { Size.set_value(this->Traffic.open()); });
   return Size.get_future().get();
--- a/src/app/GatewayDaemon.h
+++ b/src/app/GatewayDaemon.h
@@ -4,7 +4,7 @@
 
 #include "app/Control.h"
 #include "app/GatewayTraffic.h"
-#include "app/GracefulEnd.h"
+#include "app/GracefulShutdown.h"
 #include "app/ProcessPages.h"
 #include "app/SettingsWatch.h"
 #include "peers/PeerNetwork.h"
@@ -16,15 +16,16 @@
 /// Carries the kernel's actions to where they are done.
 class GatewayRouter : public ActionPerformer {
 public:
-  GatewayRouter(GatewayTraffic &Traffic, PeerNetwork &Peers, Metrics &Measured,
-                const ProcessClock &Clock, std::function<void()> OnStop);
+  GatewayRouter(GatewayTraffic &Traffic, PeerNetwork &Peers,
+                Metrics &HostMetrics, const ProcessClock &Clock,
+                std::function<void()> OnStop);
 
   void perform(std::vector<Action> Wanted) override;
 
 private:
   GatewayTraffic &Traffic;
   PeerNetwork &Peers;
-  Metrics &Measured;
+  Metrics &HostMetrics;
   const ProcessClock &Clock;
   std::function<void()> OnStop;
 };
@@ -57,7 +58,7 @@
   std::uint16_t callersPort() const { return this->Callers->port(); }
 
   /// Starts the graceful stop, as SIGTERM does.
-  void askToStop() { this->Events.send(StopRequest{}); }
+  void requestStop() { this->Events.send(StopRequest{}); }
 
 private:
   void openPorts(const Settings &Values);
@@ -66,10 +67,10 @@
   Task<void> serveReadiness(HttpExchange &Each);
   Task<void> serveMetrics(HttpExchange &Each);
   /// Answers that are not written yet.
-  std::size_t unsent();
+  std::size_t unsentAnswers();
 
   ProcessClock Clock;
-  Metrics Measured;
+  Metrics HostMetrics;
   HostState State;
   Control Events;
   std::unique_ptr<GatewayProtocol> Protocol;
@@ -88,7 +89,7 @@
   std::unique_ptr<HttpServer> MetricsPage;
   std::unique_ptr<SettingsWatch> Watch;
   std::unique_ptr<net::signal_set> Signals;
-  GracefulEnd End;
+  GracefulShutdown Shutdown;
 };
 
 } // namespace banyanpick
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -26,14 +26,14 @@
 
 } // namespace
 
-GatewayTraffic::GatewayTraffic(const GatewayContext &Uses)
-    : Uses(Uses), Io(1), Work(net::make_work_guard(this->Io)),
-      Store(
-          Uses.Protocol.openStore(this->Io.get_executor(), Uses.Values.Store)),
+GatewayTraffic::GatewayTraffic(const GatewayContext &Context)
+    : Context(Context), Io(1), Work(net::make_work_guard(this->Io)),
+      Store(Context.Protocol.openStore(this->Io.get_executor(),
+                                       Context.Values.Store)),
       Client(this->Io.get_executor(), LargestReport),
-      Links(this->Io.get_executor(), Uses.Values.LinkIdle,
-            Uses.Values.LinksPerUpstream),
-      Resolves(this->Io.get_executor()) {}
+      Links(this->Io.get_executor(), Context.Values.LinkIdle,
+            Context.Values.LinksPerUpstream),
+      ResolveAnswers(this->Io.get_executor()) {}
 
 GatewayTraffic::~GatewayTraffic() { this->stop(); }
 
@@ -43,7 +43,7 @@
   this->followEngines();
   net::co_spawn(this->Io, this->announce(true), net::detached);
   this->Thread =
-      std::thread([this] { runTraffic(this->Io, this->Uses.Clock); });
+      std::thread([this] { runTrafficLoop(this->Io, this->Context.Clock); });
 }
 
 void GatewayTraffic::stop() {
@@ -62,7 +62,9 @@
 void GatewayTraffic::perform(const Action &Wanted) {
   match(
       Wanted, [&](const GatewayAction &Is) { this->perform(Is); },
-      [&](const AnswerResolve &Is) { this->Resolves.answer(Is.Id.Value, Is); },
+      [&](const AnswerResolve &Is) {
+        this->ResolveAnswers.answer(Is.Id.Value, Is);
+      },
       [&](const ReadHostList &) {
         net::co_spawn(this->Io, this->readHosts(), net::detached);
       },
@@ -79,7 +81,7 @@
       },
       [&](const RefuseRelay &Is) {
         if (const auto Side = this->caller(Is.Request))
-          Side->refuse(this->Uses.Protocol.callers().answerTo(Is));
+          Side->refuse(this->Context.Protocol.callers().answerTo(Is));
       },
       [&](const DeliverFailure &Is) {
         if (const auto Side = this->caller(Is.Request))
@@ -118,32 +120,33 @@
 }
 
 Task<void> GatewayTraffic::relay(HttpExchange &Each) {
-  RelayHead Head = this->Uses.Protocol.callers().readHead(Each.request());
+  RelayHead Head = this->Context.Protocol.callers().readHead(Each.request());
   Head.Id = RequestId(++this->LastId);
   const RequestId Id = Head.Id;
   const auto Side = std::make_shared<CallerSide>(Each, Id);
   this->Callers[Id] = Side;
   Each.onDisconnect([this, Id] {
-    this->Uses.Events.send(CallerDisconnected{Id});
+    this->Context.Events.send(CallerDisconnected{Id});
     if (const auto Gone = this->caller(Id))
       Gone->disconnected();
   });
-  this->Uses.Events.send(GatewayEvent(RelayArrived{std::move(Head)}));
+  this->Context.Events.send(GatewayEvent(RelayArrived{std::move(Head)}));
   co_await Side->waitUntilFinished();
   this->Callers.erase(Id);
   co_await Side->sendFinalAnswer();
 }
 
 Task<void> GatewayTraffic::resolve(HttpExchange &Each) {
-  ResolveRequest Asked = this->Uses.Protocol.callers().readResolveRequest(Each);
+  ResolveRequest Asked =
+      this->Context.Protocol.callers().readResolveRequest(Each);
   Asked.Id = ResolveRequestId(++this->LastId);
   const std::uint64_t Id = Asked.Id.Value;
-  this->Uses.Events.send(std::move(Asked));
-  const auto Answer = co_await this->Resolves.wait(Id, ResolveTimeout);
+  this->Context.Events.send(std::move(Asked));
+  const auto Answer = co_await this->ResolveAnswers.wait(Id, ResolveTimeout);
   if (!Answer || Answer->Hosts.empty())
     throw Error(ErrorKind::Unavailable, "no host is known that takes requests",
                 "ask another host, or again in a moment");
-  HttpAnswer Given = this->Uses.Protocol.callers().answerTo(*Answer);
+  HttpAnswer Given = this->Context.Protocol.callers().answerTo(*Answer);
   co_await Each.respond(std::move(Given));
 }
 
@@ -151,37 +154,37 @@
   const auto Side = this->caller(Order.Request);
   if (!Side) {
     // The caller has its answer or is gone; control learns that, too.
-    this->Uses.Events.send(
+    this->Context.Events.send(
         GatewayEvent(RelayEnded{Order.Attempt, RelayDelivered{}}));
     return;
   }
   auto Run = std::make_shared<EngineRun>(
       this->Io.get_executor(), Order, Side, this->Links,
-      this->Uses.Protocol.engines(), this->Uses.Values.Runs);
+      this->Context.Protocol.engines(), this->Context.Values.Runs);
   this->Runs[Order.Attempt] = Run;
   net::co_spawn(this->Io, this->runTry(std::move(Run), Order), net::detached);
 }
 
 Task<void> GatewayTraffic::runTry(std::shared_ptr<EngineRun> Run,
                                   DispatchRelay Order) {
-  const Time SentAt = this->Uses.Clock.now();
+  const Time SentAt = this->Context.Clock.now();
   EngineRunListener Tell;
   Tell.OnSignals = [this, Engine = Order.Engine,
                     SentAt](const AnswerSignals &Signals) {
     this->hear(Engine, SentAt, Signals);
   };
   Tell.OnFirstEvent = [this, Id = Order.Attempt] {
-    this->Uses.Events.send(GatewayEvent(RelayBegan{Id}));
+    this->Context.Events.send(GatewayEvent(RelayBegan{Id}));
   };
   Tell.MaySend = [this, Engine = Order.Engine] {
-    return !this->Rests.isBackingOff(Engine, this->Uses.Clock.now());
+    return !this->Rests.isBackingOff(Engine, this->Context.Clock.now());
   };
   RelayOutcome Outcome =
       co_await Run->run(Order.Deadline - SentAt, std::move(Tell));
   this->Runs.erase(Order.Attempt);
   this->noteUnknownHeaders(*Run, Order.Engine);
   if (!Run->isCancelled())
-    this->Uses.Events.send(
+    this->Context.Events.send(
         GatewayEvent(RelayEnded{Order.Attempt, std::move(Outcome)}));
 }
 
@@ -189,10 +192,10 @@
                           const AnswerSignals &Signals) {
   if (Signals == AnswerSignals())
     return;
-  const Time Now = this->Uses.Clock.now();
+  const Time Now = this->Context.Clock.now();
   this->Rests.age(Now);
   this->Rests.take(Engine, Now + backoffLength(Signals.Backoff), Now);
-  this->Uses.Events.send(
+  this->Context.Events.send(
       GatewayEvent(EngineSignalsReceived{Engine, SentAt, Signals}));
 }
 
@@ -200,7 +203,7 @@
                           const ClientResult &Result) {
   if (const auto *Answer = std::get_if<ClientAnswer>(&Result))
     this->hear(Engine, SentAt,
-               this->Uses.Protocol.engines().signalsOf(Answer->Head));
+               this->Context.Protocol.engines().signalsOf(Answer->Head));
 }
 
 void GatewayTraffic::noteUnknownHeaders(const EngineRun &Of,
@@ -214,17 +217,17 @@
                        .with("header", Name)
                        .with("engine", Engine.Value)
                        .build(),
-                   this->Uses.Clock.now());
+                   this->Context.Clock.now());
   }
 }
 
 void GatewayTraffic::decode(const std::string &Document,
                             ConfigurationSource From) {
   try {
-    this->Uses.Events.send(GatewayEvent(ConfigurationRead{
-        this->Uses.Protocol.documents().readConfiguration(Document), From}));
+    this->Context.Events.send(GatewayEvent(ConfigurationRead{
+        this->Context.Protocol.documents().readConfiguration(Document), From}));
   } catch (const Error &Failure) {
-    this->Uses.Events.send(
+    this->Context.Events.send(
         GatewayEvent(ConfigurationUnreadable{Failure.what()}));
   }
 }
@@ -235,16 +238,16 @@
                           LogOffset) {
     for (const KeyedRecord &Each : Records)
       if (Each.Value &&
-          this->Uses.Protocol.documents().isConfiguration(Each.Key))
+          this->Context.Protocol.documents().isConfiguration(Each.Key))
         this->decode(*Each.Value, ConfigurationSource::Store);
   };
   Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
-    this->Uses.Events.send(
+    this->Context.Events.send(
         GatewayEvent(seen(StoreObserved::Part::Configuration, Reachable, Why)));
   };
   this->Declarations = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Declarations,
-      this->Uses.Values.Declarations, std::move(Tell));
+      this->Context.Values.Declarations, std::move(Tell));
   this->Declarations->start();
 }
 
@@ -255,12 +258,12 @@
     this->takeEngines(Records, Complete, UpTo);
   };
   Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
-    this->Uses.Events.send(
+    this->Context.Events.send(
         GatewayEvent(seen(StoreObserved::Part::Engines, Reachable, Why)));
   };
   this->Engines = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Engines,
-      this->Uses.Values.Engines, std::move(Tell));
+      this->Context.Values.Engines, std::move(Tell));
   this->Engines->start();
 }
 
@@ -281,8 +284,8 @@
         throw Error(ErrorKind::BadInput, "a record has no key",
                     "have its writer mend it");
       if (Each.Value) {
-        Change.Engine =
-            this->Uses.Protocol.documents().readEngine(Each.Key, *Each.Value);
+        Change.Engine = this->Context.Protocol.documents().readEngine(
+            Each.Key, *Each.Value);
         Change.Removed = false;
       }
     } catch (const Error &Failure) {
@@ -292,24 +295,24 @@
                        .with("offset", Each.Offset)
                        .with("why", Failure.what())
                        .build(),
-                   this->Uses.Clock.now());
+                   this->Context.Clock.now());
     }
     Read.Changes.push_back(std::move(Change));
   }
-  this->Uses.Events.send(GatewayEvent(std::move(Read)));
+  this->Context.Events.send(GatewayEvent(std::move(Read)));
 }
 
 Task<void> GatewayTraffic::askReport(AskReport Wanted) {
-  const EngineProtocol &Protocol = this->Uses.Protocol.engines();
-  const Time SentAt = this->Uses.Clock.now();
+  const EngineProtocol &Protocol = this->Context.Protocol.engines();
+  const Time SentAt = this->Context.Clock.now();
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, Protocol.reportRequest(), this->Uses.Values.ReportTimeout);
+      Wanted.At, Protocol.reportRequest(), this->Context.Values.ReportTimeout);
   this->hear(Wanted.Engine, SentAt, Result);
   const auto *Answer = std::get_if<ClientAnswer>(&Result);
   constexpr unsigned Ok = 200;
   try {
     if (Answer && Answer->Status == Ok) {
-      this->Uses.Events.send(GatewayEvent(
+      this->Context.Events.send(GatewayEvent(
           EngineReported{Protocol.readReport(Wanted.Engine, Answer->Body)}));
       co_return;
     }
@@ -319,18 +322,18 @@
                      .with("engine", Wanted.Engine.Value)
                      .with("why", Failure.what())
                      .build(),
-                 this->Uses.Clock.now());
+                 this->Context.Clock.now());
   }
-  this->Uses.Events.send(GatewayEvent(EngineReportFailed{Wanted.Engine}));
+  this->Context.Events.send(GatewayEvent(EngineReportFailed{Wanted.Engine}));
 }
 
 Task<void> GatewayTraffic::reserve(ReserveMemory Wanted) {
-  const EngineProtocol &Protocol = this->Uses.Protocol.engines();
-  const Time SentAt = this->Uses.Clock.now();
+  const EngineProtocol &Protocol = this->Context.Protocol.engines();
+  const Time SentAt = this->Context.Clock.now();
   // An order over a connection that closes meanwhile is lost without a sign.
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, Protocol.requestFor(Wanted), this->Uses.Values.ReportTimeout,
-      HttpClient::Reuse::No);
+      Wanted.At, Protocol.requestFor(Wanted),
+      this->Context.Values.ReportTimeout, HttpClient::Reuse::No);
   this->hear(Wanted.Engine, SentAt, Result);
   ReservationAnswered Answered{Wanted.Engine, Wanted.Name,
                                ReservationResult::Unknown};
@@ -338,14 +341,14 @@
     Answered.Result = Protocol.readReservation(*Answer);
   else if (wasNotSent(std::get<ClientFailure>(Result)))
     Answered.Result = ReservationResult::Refused;
-  this->Uses.Events.send(GatewayEvent(std::move(Answered)));
+  this->Context.Events.send(GatewayEvent(std::move(Answered)));
 }
 
 Task<void> GatewayTraffic::release(ReleaseMemory Wanted) {
-  const Time SentAt = this->Uses.Clock.now();
+  const Time SentAt = this->Context.Clock.now();
   const ClientResult Result = co_await this->Client.call(
-      Wanted.At, this->Uses.Protocol.engines().requestFor(Wanted),
-      this->Uses.Values.ReportTimeout, HttpClient::Reuse::No);
+      Wanted.At, this->Context.Protocol.engines().requestFor(Wanted),
+      this->Context.Values.ReportTimeout, HttpClient::Reuse::No);
   this->hear(Wanted.Engine, SentAt, Result);
   this->count("releases", std::holds_alternative<ClientAnswer>(Result)
                               ? "answered"
@@ -359,7 +362,7 @@
     NewestResult Result =
         co_await this->Store->newest(StoreTopic::Hosts, After);
     if (std::holds_alternative<StoreFailure>(Result)) {
-      this->Uses.Events.send(HostListReadFailed{});
+      this->Context.Events.send(HostListReadFailed{});
       co_return;
     }
     const NewestPage &Page = std::get<NewestPage>(Result);
@@ -370,13 +373,13 @@
     if (More)
       After = Page.Records.back().Key;
   }
-  this->Uses.Events.send(std::move(Read));
+  this->Context.Events.send(std::move(Read));
 }
 
 Task<void> GatewayTraffic::announce(bool Present) {
-  const Identity &Self = this->Uses.Self;
+  const Identity &Self = this->Context.Self;
   net::steady_timer Pause(this->Io);
-  Duration Retry = this->Uses.Values.Engines.InitialRetryDelay;
+  Duration Retry = this->Context.Values.Engines.InitialRetryDelay;
   for (;;) {
     KeyedRecord Record = writeHostRecord({Self.Host, Self.Zone, Self.Callers,
                                           Self.Peers, false, Self.Processor});
@@ -391,14 +394,14 @@
     if (std::holds_alternative<AppendAccepted>(Result) || !Present)
       co_return;
     Pause.expires_after(Retry);
-    Retry = std::min(Retry * 2, this->Uses.Values.Engines.MaxRetryDelay);
+    Retry = std::min(Retry * 2, this->Context.Values.Engines.MaxRetryDelay);
     ErrorCode Ignored;
     co_await Pause.async_wait(into(Ignored));
   }
 }
 
 void GatewayTraffic::count(std::string_view Name, std::string_view Label) {
-  this->Uses.Measured.record(
+  this->Context.HostMetrics.record(
       {RecordMeasurement::Kind::Count, Name, std::string(Label), 1});
 }
 
--- a/src/app/GatewayTraffic.h
+++ b/src/app/GatewayTraffic.h
@@ -4,8 +4,8 @@
 
 #include "app/EventSink.h"
 #include "app/GatewaySettings.h"
+#include "app/PendingAnswers.h"
 #include "app/ProcessClock.h"
-#include "app/QuestionTable.h"
 #include "gateway/EngineBackoffs.h"
 #include "http/HttpClient.h"
 #include "http/HttpServer.h"
@@ -23,14 +23,14 @@
   GatewaySettings Values;
   const GatewayProtocol &Protocol;
   EventSink &Events;
-  Metrics &Measured;
+  Metrics &HostMetrics;
   const ProcessClock &Clock;
 };
 
 /// Relays requests, reads the store and talks to upstreams, on one thread.
 class GatewayTraffic {
 public:
-  explicit GatewayTraffic(const GatewayContext &Uses);
+  explicit GatewayTraffic(const GatewayContext &Context);
   ~GatewayTraffic();
   GatewayTraffic(const GatewayTraffic &) = delete;
   GatewayTraffic &operator=(const GatewayTraffic &) = delete;
@@ -53,8 +53,8 @@
   std::size_t open() const { return this->Callers.size(); }
 
   /// Runs \p What on the thread. On any thread.
-  template <class Function> void run(Function What) {
-    net::post(this->Io, std::move(What));
+  template <class Function> void run(Function Callback) {
+    net::post(this->Io, std::move(Callback));
   }
 
 private:
@@ -81,7 +81,7 @@
   void count(std::string_view Name, std::string_view Label);
   std::shared_ptr<CallerSide> caller(const RequestId &Id) const;
 
-  const GatewayContext &Uses;
+  const GatewayContext &Context;
   net::io_context Io;
   net::executor_work_guard<net::io_context::executor_type> Work;
   HttpServer *Server = nullptr;
@@ -92,7 +92,7 @@
   EngineLinkPool Links;
   /// What was chosen before an upstream asked for rest is not sent after it.
   EngineBackoffs Rests;
-  QuestionTable<AnswerResolve> Resolves;
+  PendingAnswers<AnswerResolve> ResolveAnswers;
   std::map<RequestId, std::shared_ptr<CallerSide>> Callers;
   std::map<AttemptId, std::shared_ptr<EngineRun>> Runs;
   std::set<std::string> UnknownHeaders; ///< That were told of.
--- a/src/app/GracefulEnd.cpp
+++ b/src/app/GracefulShutdown.cpp
@@ -1,4 +1,4 @@
-#include "app/GracefulEnd.h"
+#include "app/GracefulShutdown.h"
 
 #include "base/EventNumbers.h"
 #include "logging/LineLog.h"
@@ -10,20 +10,20 @@
 namespace {
 
 /// How often a stopping host looks whether all answers are written.
-constexpr milliseconds FlushPause(10);
+constexpr milliseconds FlushPollInterval(10);
 
 } // namespace
 
-void GracefulEnd::allow() {
+void GracefulShutdown::allow() {
   std::call_once(this->Once, [this] { this->Allowed.set_value(); });
 }
 
-void GracefulEnd::wait(const ProcessClock &Clock, Duration FlushFor,
-                       const std::function<std::size_t()> &Unsent) {
+void GracefulShutdown::wait(const ProcessClock &Clock, Duration FlushFor,
+                            const std::function<std::size_t()> &Unsent) {
   this->Allowed.get_future().wait();
   const Time Until = Clock.now() + FlushFor;
   while (Clock.now() < Until && Unsent() > 0)
-    std::this_thread::sleep_for(FlushPause);
+    std::this_thread::sleep_for(FlushPollInterval);
   writeLogLine(logEvent(events::Stopped).build(), Clock.now());
 }
 
--- a/src/app/GracefulEnd.h
+++ b/src/app/GracefulShutdown.h
@@ -12,7 +12,7 @@
 namespace banyanpick {
 
 /// Control says that the host may end; the main thread waits for that.
-class GracefulEnd {
+class GracefulShutdown {
 public:
   /// May be called again, and from any thread.
   void allow();
--- a/src/app/OperatorService.cpp
+++ b/src/app/OperatorService.cpp
@@ -56,8 +56,7 @@
   Asked.Question = operatorQuestionFrom(Each);
   const bool IsChange = std::holds_alternative<ApplyChanges>(Asked.Question);
   this->Events.send(std::move(Asked));
-  const auto Answer =
-      co_await Thread.operatorQuestions().wait(Id, AnswerTimeout);
+  const auto Answer = co_await Thread.operatorAnswers().wait(Id, AnswerTimeout);
   if (Answer) {
     HttpAnswer Given = answerTo(*Answer);
     co_await Each.respond(std::move(Given));
--- a/src/app/PeerEvents.cpp
+++ b/src/app/PeerEvents.cpp
@@ -13,19 +13,19 @@
 
 } // namespace
 
-PeerNetwork::Listener peerEvents(Control &Events, Metrics &Measured,
+PeerNetwork::Listener peerEvents(Control &Events, Metrics &HostMetrics,
                                  const ProcessClock &Clock) {
   return {
-      [&Events, &Measured](PeerMessage Message) {
+      [&Events, &HostMetrics](PeerMessage Message) {
         if (Events.waiting() >= MostWaiting) {
-          Measured.record(
+          HostMetrics.record(
               {RecordMeasurement::Kind::Count, "peer_messages_dropped", "", 1});
           return;
         }
         Events.send(PeerMessageReceived{std::move(Message)});
       },
-      [&Measured, &Clock](std::string_view Why) {
-        Measured.record(
+      [&HostMetrics, &Clock](std::string_view Why) {
+        HostMetrics.record(
             {RecordMeasurement::Kind::Count, "peer_messages_malformed", "", 1});
         writeLogLine(logEvent(events::BadPeerMessage).with("why", Why).build(),
                      Clock.now());
--- a/src/app/PeerEvents.h
+++ b/src/app/PeerEvents.h
@@ -10,7 +10,7 @@
 
 /// Passes messages on to \p Events; malformed ones are counted and logged. All
 /// must outlive the peer network.
-PeerNetwork::Listener peerEvents(Control &Events, Metrics &Measured,
+PeerNetwork::Listener peerEvents(Control &Events, Metrics &HostMetrics,
                                  const ProcessClock &Clock);
 
 } // namespace banyanpick
--- a/src/app/ProcessPages.cpp
+++ b/src/app/ProcessPages.cpp
@@ -23,7 +23,7 @@
   if (Path == "/ready")
     return this->ready();
   if (Path == "/metrics")
-    return plainText(this->Measured.prometheusText(),
+    return plainText(this->HostMetrics.prometheusText(),
                      "text/plain; version=0.0.4");
   return std::nullopt;
 }
--- a/src/app/ProcessPages.h
+++ b/src/app/ProcessPages.h
@@ -11,8 +11,8 @@
 /// Safe from any thread.
 class ProcessPages {
 public:
-  ProcessPages(const HostState &State, const Metrics &Measured)
-      : State(State), Measured(Measured) {}
+  ProcessPages(const HostState &State, const Metrics &HostMetrics)
+      : State(State), HostMetrics(HostMetrics) {}
 
   /// The page of that path, or nothing.
   std::optional<HttpAnswer> find(std::string_view Path) const;
@@ -21,7 +21,7 @@
   HttpAnswer ready() const;
 
   const HostState &State;
-  const Metrics &Measured;
+  const Metrics &HostMetrics;
 };
 
 } // namespace banyanpick
--- a/src/app/RelayTable.cpp
+++ b/src/app/RelayTable.cpp
@@ -40,7 +40,7 @@
   return Found == this->Entries.end() ? nullptr : Found->second;
 }
 
-std::size_t RelayTable::unsent() const {
+std::size_t RelayTable::unsentAnswers() const {
   return static_cast<std::size_t>(std::count_if(
       this->Entries.begin(), this->Entries.end(), [](const auto &Each) {
         const RelayEntry &Entry = *Each.second;
--- a/src/app/RelayTable.h
+++ b/src/app/RelayTable.h
@@ -43,7 +43,7 @@
   void removeLater(const RequestId &Id);
 
   /// Entries whose caller reads them or waits for a whole answer.
-  std::size_t unsent() const;
+  std::size_t unsentAnswers() const;
 
 private:
   std::shared_ptr<RelayEntry> add(const RequestId &Id, bool Streamed,
--- a/src/app/Routes.h
+++ b/src/app/Routes.h
@@ -12,12 +12,12 @@
 class Routes : public HttpHandler {
 public:
   Routes(std::span<const std::unique_ptr<TrafficThread>> Threads,
-         EventSink &Events, const HostState &State, const Metrics &Measured);
+         EventSink &Events, const HostState &State, const Metrics &HostMetrics);
 
-  Task<void> serve(HttpExchange &Each) override;
+  Task<void> serve(HttpExchange &Exchange) override;
 
 private:
-  TrafficThread &threadOf(const HttpExchange &Each) const;
+  TrafficThread &threadOf(const HttpExchange &Exchange) const;
 
   std::vector<TrafficThread *> Threads;
   CallerService Callers;
--- a/src/app/TrafficLoop.cpp
+++ b/src/app/TrafficLoop.cpp
@@ -5,7 +5,7 @@
 
 namespace banyanpick {
 
-void runTraffic(net::io_context &Io, const ProcessClock &Clock) {
+void runTrafficLoop(net::io_context &Io, const ProcessClock &Clock) {
   while (!Io.stopped()) {
     try {
       Io.run();
--- a/src/app/TrafficLoop.h
+++ b/src/app/TrafficLoop.h
@@ -9,6 +9,6 @@
 
 /// Runs until the context is stopped. What throws is lost and logged; the other
 /// connections of the thread go on.
-void runTraffic(net::io_context &Io, const ProcessClock &Clock);
+void runTrafficLoop(net::io_context &Io, const ProcessClock &Clock);
 
 } // namespace banyanpick
--- a/src/app/TrafficThread.cpp
+++ b/src/app/TrafficThread.cpp
@@ -5,20 +5,21 @@
 namespace banyanpick {
 
 TrafficThread::TrafficThread(std::uint64_t Index, std::uint64_t Count,
-                             const TrafficContext &Uses)
-    : Uses(Uses), Io(1), Work(net::make_work_guard(this->Io)),
-      Relays(this->Io.get_executor(), Uses.Events, Uses.Traffic.Relay,
-             Uses.Traffic.KeepEnded, Count + Index, Count),
-      Attempts(this->Io.get_executor(), Uses),
-      Resolves(this->Io.get_executor()), Operators(this->Io.get_executor()),
-      Upstreams(this->Io.get_executor(), Uses.Self.Host, Uses.Platform),
-      Platform(this->Io.get_executor(), Uses.Platform) {}
+                             const TrafficContext &Context)
+    : Context(Context), Io(1), Work(net::make_work_guard(this->Io)),
+      Relays(this->Io.get_executor(), Context.Events, Context.Traffic.Relay,
+             Context.Traffic.KeepEnded, Count + Index, Count),
+      Attempts(this->Io.get_executor(), Context),
+      ResolveAnswers(this->Io.get_executor()),
+      OperatorAnswers(this->Io.get_executor()),
+      Upstreams(this->Io.get_executor(), Context.Self.Host, Context.Platform),
+      Platform(this->Io.get_executor(), Context.Platform) {}
 
 TrafficThread::~TrafficThread() { this->stop(); }
 
 void TrafficThread::start() {
   this->Thread =
-      std::thread([this] { runTraffic(this->Io, this->Uses.Clock); });
+      std::thread([this] { runTrafficLoop(this->Io, this->Context.Clock); });
 }
 
 void TrafficThread::stop() {
@@ -60,11 +61,11 @@
 
 void TrafficThread::perform(AnswerResolve Wanted) {
   const std::uint64_t Id = Wanted.Id.Value;
-  this->Resolves.answer(Id, std::move(Wanted));
+  this->ResolveAnswers.answer(Id, std::move(Wanted));
 }
 
 void TrafficThread::perform(AnswerOperator Wanted) {
-  this->Operators.answer(Wanted.Id.Value, std::move(Wanted.Answer));
+  this->OperatorAnswers.answer(Wanted.Id.Value, std::move(Wanted.Answer));
 }
 
 void TrafficThread::perform(PollLoad Wanted) {
@@ -86,7 +87,7 @@
 }
 
 void TrafficThread::perform(OrderUpstream Wanted) {
-  const Time Now = this->Uses.Clock.now();
+  const Time Now = this->Context.Clock.now();
   this->report(this->Upstreams.order(std::move(Wanted), Now));
 }
 
@@ -108,14 +109,14 @@
 
 Task<void> TrafficThread::reportWhenDone(Task<Event> Call) {
   Event Result = co_await std::move(Call);
-  this->Uses.Events.send(std::move(Result));
+  this->Context.Events.send(std::move(Result));
 }
 
 Task<void> TrafficThread::reportCacheEvents(PollCacheEvents Wanted) {
   std::optional<Event> Result =
       co_await this->Upstreams.pollCacheEvents(std::move(Wanted));
   if (Result)
-    this->Uses.Events.send(std::move(*Result));
+    this->Context.Events.send(std::move(*Result));
 }
 
 } // namespace banyanpick
--- a/src/app/TrafficThread.h
+++ b/src/app/TrafficThread.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "app/AttemptTable.h"
-#include "app/QuestionTable.h"
+#include "app/PendingAnswers.h"
 #include "app/RelayTable.h"
 #include "native/LogClient.h"
 
@@ -16,7 +16,7 @@
 public:
   /// \p Index of \p Count threads.
   TrafficThread(std::uint64_t Index, std::uint64_t Count,
-                const TrafficContext &Uses);
+                const TrafficContext &Context);
   ~TrafficThread();
   TrafficThread(const TrafficThread &) = delete;
   TrafficThread &operator=(const TrafficThread &) = delete;
@@ -28,8 +28,8 @@
   net::io_context &context() { return this->Io; }
 
   /// Runs \p What on the thread. Safe from any thread.
-  template <class Function> void post(Function What) {
-    net::post(this->Io, std::move(What));
+  template <class Function> void post(Function Callback) {
+    net::post(this->Io, std::move(Callback));
   }
 
   // --- on the thread only
@@ -53,8 +53,12 @@
   void perform(AppendToLog Wanted);
 
   RelayTable &relays() { return this->Relays; }
-  QuestionTable<AnswerResolve> &resolves() { return this->Resolves; }
-  QuestionTable<OperatorAnswer> &operatorQuestions() { return this->Operators; }
+  PendingAnswers<AnswerResolve> &resolveAnswers() {
+    return this->ResolveAnswers;
+  }
+  PendingAnswers<OperatorAnswer> &operatorAnswers() {
+    return this->OperatorAnswers;
+  }
 
 private:
   /// Runs a call and hands in the event that it ends with.
@@ -62,13 +66,13 @@
   Task<void> reportWhenDone(Task<Event> Call);
   Task<void> reportCacheEvents(PollCacheEvents Wanted);
 
-  const TrafficContext &Uses;
+  const TrafficContext &Context;
   net::io_context Io;
   net::executor_work_guard<net::io_context::executor_type> Work;
   RelayTable Relays;
   AttemptTable Attempts;
-  QuestionTable<AnswerResolve> Resolves;
-  QuestionTable<OperatorAnswer> Operators;
+  PendingAnswers<AnswerResolve> ResolveAnswers;
+  PendingAnswers<OperatorAnswer> OperatorAnswers;
   UpstreamClient Upstreams;
   LogClient Platform;
   std::thread Thread;
--- a/tests/auto/daemon/DaemonTest.cpp
+++ b/tests/auto/daemon/DaemonTest.cpp
@@ -128,7 +128,7 @@
 
 TEST(Daemon, StopsGracefully) {
   auto Own = std::make_unique<LocalHost>();
-  Own->Process.askToStop();
+  Own->Process.requestStop();
   Own->Process.run(); // Hangs if it never stops.
 }
 
