--- a/src/app/Control.cpp
+++ b/src/app/Control.cpp
@@ -10,8 +10,8 @@
 using StopAtom = caf::atom_constant<caf::atom("stop")>;
 
 /// What the actor holds. Used on its thread only.
-struct ControlParts {
-  std::unique_ptr<Kernel> Owned;
+struct ActorData {
+  std::unique_ptr<Kernel> HostKernel;
   ActionPerformer &Router;
   HostState &State;
   const ProcessClock &Clock;
@@ -22,25 +22,25 @@
   /// number would only grow.
   Time WakeAt = Never;
 
-  void handle(const Event &What) {
-    this->Router.perform(this->Owned->handle(What, this->Clock.now()));
-    if (const auto *Ended = std::get_if<AttemptEnded>(&What))
+  void handle(const Event &Incoming) {
+    this->Router.perform(this->HostKernel->handle(Incoming, this->Clock.now()));
+    if (const auto *Ended = std::get_if<AttemptEnded>(&Incoming))
       this->Router.forget(Ended->Attempt);
   }
 
-  void noteDelay(Time SentAt) {
+  void recordDelay(Time SentAt) {
     const Time Now = this->Clock.now();
     Actions Out;
-    this->Delay.note(Now - SentAt, --this->Waiting, Now, Out);
+    this->Delay.record(Now - SentAt, --this->Waiting, Now, Out);
     if (!Out.items().empty())
       this->Router.perform(Out.take());
   }
 
   void publish() {
-    const Services &Offered = this->Owned->services();
-    const auto *Catalogue = Offered.find<CatalogueView>();
-    const auto *Drain = Offered.find<DrainView>();
-    const auto *InForce = Offered.find<InForceView>();
+    const Services &KernelServices = this->HostKernel->services();
+    const auto *Catalogue = KernelServices.find<CatalogueView>();
+    const auto *Drain = KernelServices.find<DrainView>();
+    const auto *InForce = KernelServices.find<InForceView>();
     this->State.Ready =
         InForce ? InForce->isReady() : Catalogue && Catalogue->isReady();
     this->State.Current = Catalogue && Catalogue->isCurrent(this->Clock.now());
@@ -49,39 +49,39 @@
 };
 
 /// The shortest sleep between two ticks.
-constexpr milliseconds ShortestSleep(1);
+constexpr milliseconds MinSleep(1);
 
-void planWake(caf::event_based_actor *Self, ControlParts &Parts) {
-  const Time Wanted = Parts.Owned->nextWake();
-  if (Wanted == Never || Wanted >= Parts.WakeAt)
+void scheduleWake(caf::event_based_actor *Self, ActorData &Data) {
+  const Time WakeTime = Data.HostKernel->nextWake();
+  if (WakeTime == Never || WakeTime >= Data.WakeAt)
     return;
   const Duration Sleep =
-      std::max<Duration>(Wanted - Parts.Clock.now(), ShortestSleep);
-  Parts.WakeAt = Parts.Clock.now() + Sleep;
+      std::max<Duration>(WakeTime - Data.Clock.now(), MinSleep);
+  Data.WakeAt = Data.Clock.now() + Sleep;
   Self->delayed_send(Self, Sleep, WakeAtom::value,
-                     Parts.WakeAt.time_since_epoch().count());
+                     Data.WakeAt.time_since_epoch().count());
 }
 
-void take(caf::event_based_actor *Self, ControlParts &Parts,
-          const Event &What) {
-  Parts.handle(What);
-  Parts.publish();
-  planWake(Self, Parts);
+void handleEvent(caf::event_based_actor *Self, ActorData &Data,
+                 const Event &Incoming) {
+  Data.handle(Incoming);
+  Data.publish();
+  scheduleWake(Self, Data);
 }
 
 caf::behavior runControl(caf::event_based_actor *Self,
-                         const std::shared_ptr<ControlParts> &Parts) {
-  take(Self, *Parts, Tick{});
+                         const std::shared_ptr<ActorData> &Data) {
+  handleEvent(Self, *Data, Tick{});
   return {
-      [=](const ControlEvent &Given) {
-        Parts->noteDelay(Given.SentAt);
-        take(Self, *Parts, Given.What);
+      [=](const ControlEvent &Message) {
+        Data->recordDelay(Message.SentAt);
+        handleEvent(Self, *Data, Message.Payload);
       },
       [=](WakeAtom, Duration::rep PlannedFor) {
-        if (PlannedFor != Parts->WakeAt.time_since_epoch().count())
+        if (PlannedFor != Data->WakeAt.time_since_epoch().count())
           return;
-        Parts->WakeAt = Never;
-        take(Self, *Parts, Tick{});
+        Data->WakeAt = Never;
+        handleEvent(Self, *Data, Tick{});
       },
       [=](StopAtom) { Self->quit(); },
   };
@@ -98,12 +98,17 @@
 
 Control::~Control() { this->stop(); }
 
-void Control::start(std::unique_ptr<Kernel> Owned, ActionPerformer &Router,
+void Control::start(std::unique_ptr<Kernel> HostKernel, ActionPerformer &Router,
                     HostState &State) {
   this->System = std::make_unique<caf::actor_system>(this->Config);
-  auto Parts = std::make_shared<ControlParts>(ControlParts{
-      std::move(Owned), Router, State, this->Clock, this->Waiting, {}, Never});
-  this->Actor = this->System->spawn<caf::detached>(runControl, Parts);
+  auto Data = std::make_shared<ActorData>(ActorData{std::move(HostKernel),
+                                                    Router,
+                                                    State,
+                                                    this->Clock,
+                                                    this->Waiting,
+                                                    {},
+                                                    Never});
+  this->Actor = this->System->spawn<caf::detached>(runControl, Data);
 }
 
 void Control::stop() {
@@ -115,12 +120,13 @@
   this->System.reset();
 }
 
-void Control::send(Event What) {
+void Control::send(Event Incoming) {
   // What is lost is not waited for.
   if (!this->Actor)
     return;
   ++this->Waiting;
-  caf::anon_send(this->Actor, ControlEvent{std::move(What), this->Clock.now()});
+  caf::anon_send(this->Actor,
+                 ControlEvent{std::move(Incoming), this->Clock.now()});
 }
 
 } // namespace banyanpick
--- a/src/app/Control.h
+++ b/src/app/Control.h
@@ -16,7 +16,7 @@
 
 /// An event on its way to the actor.
 struct ControlEvent {
-  Event What;
+  Event Payload;
   Time SentAt{};
 };
 
@@ -33,12 +33,12 @@
   ~Control() override;
 
   /// Makes the actor, which takes the kernel over.
-  void start(std::unique_ptr<Kernel> Owned, ActionPerformer &Router,
+  void start(std::unique_ptr<Kernel> HostKernel, ActionPerformer &Router,
              HostState &State);
   /// Ends the actor and waits for its thread.
   void stop();
 
-  void send(Event What) override;
+  void send(Event Incoming) override;
   /// Events that wait to be taken in.
   std::size_t waiting() const { return this->Waiting; }
 
--- a/src/app/ControlDelay.cpp
+++ b/src/app/ControlDelay.cpp
@@ -9,36 +9,36 @@
 
 namespace {
 
-constexpr seconds ToldEvery(1);
+constexpr seconds ReportInterval(1);
 
 /// Peers wait some hundred milliseconds for an answer before they doubt.
-constexpr milliseconds LateFrom(100);
+constexpr milliseconds LateThreshold(100);
 
 } // namespace
 
-void ControlDelay::note(Duration Waited, std::size_t Waiting, Time Now,
-                        Actions &Out) {
-  this->Longest = std::max(this->Longest, Waited);
-  this->Most = std::max(this->Most, Waiting);
-  if (Now >= this->Since + Duration(ToldEvery))
-    this->tell(Now, Out);
+void ControlDelay::record(Duration Waited, std::size_t Waiting, Time Now,
+                          Actions &Out) {
+  this->MaxDelay = std::max(this->MaxDelay, Waited);
+  this->MaxWaiting = std::max(this->MaxWaiting, Waiting);
+  if (Now >= this->IntervalStart + Duration(ReportInterval))
+    this->report(Now, Out);
 }
 
-void ControlDelay::tell(Time Now, Actions &Out) {
+void ControlDelay::report(Time Now, Actions &Out) {
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Gauge,
                             "control_longest_delay_seconds", "",
-                            inSeconds(this->Longest)});
+                            inSeconds(this->MaxDelay)});
   Out.add(RecordMeasurement{RecordMeasurement::Kind::Gauge,
                             "control_most_waiting", "",
-                            static_cast<double>(this->Most)});
-  if (this->Longest >= Duration(LateFrom))
+                            static_cast<double>(this->MaxWaiting)});
+  if (this->MaxDelay >= Duration(LateThreshold))
     Out.log(logEvent(events::DecisionsLate)
-                .with("late_us", this->Longest.count())
-                .with("most_waiting", this->Most)
+                .with("late_us", this->MaxDelay.count())
+                .with("most_waiting", this->MaxWaiting)
                 .build());
-  this->Since = Now;
-  this->Longest = Duration(0);
-  this->Most = 0;
+  this->IntervalStart = Now;
+  this->MaxDelay = Duration(0);
+  this->MaxWaiting = 0;
 }
 
 } // namespace banyanpick
--- a/src/app/ControlDelay.h
+++ b/src/app/ControlDelay.h
@@ -12,14 +12,14 @@
 public:
   /// \p Waited: how long the event was on its way. \p Waiting: events that are
   /// there still.
-  void note(Duration Waited, std::size_t Waiting, Time Now, Actions &Out);
+  void record(Duration Waited, std::size_t Waiting, Time Now, Actions &Out);
 
 private:
-  void tell(Time Now, Actions &Out);
+  void report(Time Now, Actions &Out);
 
-  Time Since{}; ///< What follows was seen since then.
-  Duration Longest{};
-  std::size_t Most = 0; ///< Events waiting at once.
+  Time IntervalStart{}; ///< What follows was seen since then.
+  Duration MaxDelay{};
+  std::size_t MaxWaiting = 0; ///< Events waiting at once.
 };
 
 } // namespace banyanpick
--- a/src/app/EventSink.h
+++ b/src/app/EventSink.h
@@ -10,7 +10,7 @@
 class EventSink {
 public:
   virtual ~EventSink() = default;
-  virtual void send(Event What) = 0;
+  virtual void send(Event Occurred) = 0;
 };
 
 } // namespace banyanpick
--- a/src/app/PeerEvents.cpp
+++ b/src/app/PeerEvents.cpp
@@ -9,7 +9,7 @@
 
 /// A host that runs so late takes nothing more from peers: they repeat what
 /// matters, and what waited for seconds is worth less than the memory.
-constexpr std::size_t MostWaiting = 4096;
+constexpr std::size_t MaxWaitingEvents = 4096;
 
 } // namespace
 
@@ -17,7 +17,7 @@
                                  const ProcessClock &Clock) {
   return {
       [&Events, &HostMetrics](PeerMessage Message) {
-        if (Events.waiting() >= MostWaiting) {
+        if (Events.waiting() >= MaxWaitingEvents) {
           HostMetrics.record(
               {RecordMeasurement::Kind::Count, "peer_messages_dropped", "", 1});
           return;
