--- a/src/app/AnswerJson.cpp
+++ b/src/app/AnswerJson.cpp
@@ -29,65 +29,65 @@
   }
 }
 
-unsigned statusOf(const FinalAnswer &Given) {
+unsigned statusOf(const FinalAnswer &Answer) {
   return match(
-      Given, [](const CompleteAnswer &) { return 200U; },
+      Answer, [](const CompleteAnswer &) { return 200U; },
       [](const NotRun &Refusal) { return statusOf(Refusal.Reason); },
       [](const FailedAnswer &) { return 502U; },
       [](const OutcomeUnknown &) { return 504U; },
       [](const InProgress &) { return 409U; });
 }
 
-Duration comeBackAfter(const FinalAnswer &Given) {
+Duration retryAfter(const FinalAnswer &Answer) {
   return match(
-      Given, [](const CompleteAnswer &) { return Duration(0); },
+      Answer, [](const CompleteAnswer &) { return Duration(0); },
       [](const auto &Other) { return Other.RetryAfter; });
 }
 
-json withComeBack(std::string_view Kind, Duration After) {
+json answerWithRetry(std::string_view Kind, Duration After) {
   return {{"answer", Kind}, {"come_back_after_ms", inMilliseconds(After)}};
 }
 
 } // namespace
 
-json toJson(const FinalAnswer &Given) {
+json toJson(const FinalAnswer &Answer) {
   return match(
-      Given,
-      [](const CompleteAnswer &Whole) {
-        return json{{"answer", "whole"}, {"count", Whole.Count}};
+      Answer,
+      [](const CompleteAnswer &Complete) {
+        return json{{"answer", "whole"}, {"count", Complete.Count}};
       },
       [](const NotRun &Refusal) {
-        json Result = withComeBack("not-run", Refusal.RetryAfter);
+        json Result = answerWithRetry("not-run", Refusal.RetryAfter);
         Result["reason"] = name(Refusal.Reason);
         Result["message"] = Refusal.Message;
         return Result;
       },
       [](const FailedAnswer &Failed) {
-        json Result = withComeBack("failed", Failed.RetryAfter);
+        json Result = answerWithRetry("failed", Failed.RetryAfter);
         Result["message"] = Failed.Message;
         return Result;
       },
       [](const OutcomeUnknown &Unknown) {
-        json Result = withComeBack("outcome-unknown", Unknown.RetryAfter);
+        json Result = answerWithRetry("outcome-unknown", Unknown.RetryAfter);
         Result["message"] = Unknown.Message;
         return Result;
       },
       [](const InProgress &Running) {
-        return withComeBack("in-progress", Running.RetryAfter);
+        return answerWithRetry("in-progress", Running.RetryAfter);
       });
 }
 
-HttpAnswer answerTo(const FinalAnswer &Given, const std::string *Text) {
-  json Body = toJson(Given);
-  const auto *Whole = std::get_if<CompleteAnswer>(&Given);
-  if (Whole && Text)
+HttpAnswer answerTo(const FinalAnswer &Answer, const std::string *Text) {
+  json Body = toJson(Answer);
+  const auto *Complete = std::get_if<CompleteAnswer>(&Answer);
+  if (Complete && Text)
     Body["text"] = *Text;
-  if (Whole && !Whole->Result.empty())
-    Body["result"] = json::parse(Whole->Result, nullptr, false);
+  if (Complete && !Complete->Result.empty())
+    Body["result"] = json::parse(Complete->Result, nullptr, false);
   HttpAnswer Result;
-  Result.Status = statusOf(Given);
+  Result.Status = statusOf(Answer);
   Result.Body = dumpJson(Body);
-  Result.RetryAfter = comeBackAfter(Given);
+  Result.RetryAfter = retryAfter(Answer);
   return Result;
 }
 
--- a/src/app/AnswerJson.h
+++ b/src/app/AnswerJson.h
@@ -10,11 +10,11 @@
 namespace banyanpick {
 
 /// The members of a final answer; without `text` and `result`.
-nlohmann::json toJson(const FinalAnswer &Given);
+nlohmann::json toJson(const FinalAnswer &Answer);
 
 /// The final answer as a whole HTTP answer. \p Text is the text of a
 /// completion that was not streamed.
-HttpAnswer answerTo(const FinalAnswer &Given, const std::string *Text);
+HttpAnswer answerTo(const FinalAnswer &Answer, const std::string *Text);
 
 /// The data of one chunk's event.
 std::string chunkData(std::uint64_t Index, const std::string &Text);
--- a/src/app/AttemptTable.cpp
+++ b/src/app/AttemptTable.cpp
@@ -2,28 +2,32 @@
 
 namespace banyanpick {
 
-class AttemptTable::EngineRun final : public AttemptTable::Run {
+class AttemptTable::ActiveEngineAttempt final
+    : public AttemptTable::ActiveAttempt {
 public:
-  EngineRun(const net::any_io_executor &Executor, DispatchAttempt Wanted,
-            const TrafficContext &Context)
-      : Try(Executor, std::move(Wanted), Context.Self.Host, Context.Platform) {}
+  ActiveEngineAttempt(const net::any_io_executor &Executor,
+                      DispatchAttempt Wanted, const TrafficContext &Context)
+      : Execution(Executor, std::move(Wanted), Context.Self.Host,
+                  Context.Platform) {}
 
-  void drop() override { this->Try.cancel(); }
-  AttemptId streamId() const override { return this->Try.streamId(); }
+  void abort() override { this->Execution.cancel(); }
+  AttemptId streamId() const override { return this->Execution.streamId(); }
 
-  EngineAttempt Try;
+  EngineAttempt Execution;
 };
 
-class AttemptTable::ServiceRun final : public AttemptTable::Run {
+class AttemptTable::ActiveServiceCall final
+    : public AttemptTable::ActiveAttempt {
 public:
-  ServiceRun(const net::any_io_executor &Executor, DispatchAttempt Wanted,
-             const TrafficContext &Context)
-      : Try(Executor, std::move(Wanted), Context.Self.Host, Context.Platform) {}
+  ActiveServiceCall(const net::any_io_executor &Executor,
+                    DispatchAttempt Wanted, const TrafficContext &Context)
+      : Execution(Executor, std::move(Wanted), Context.Self.Host,
+                  Context.Platform) {}
 
-  void drop() override { this->Try.cancel(); }
+  void abort() override { this->Execution.cancel(); }
   AttemptId streamId() const override { return this->Id; }
 
-  ServiceCall Try;
+  ServiceCall Execution;
 };
 
 void AttemptTable::dispatch(DispatchAttempt Wanted,
@@ -34,7 +38,7 @@
   }
   const bool ToEngine = Wanted.Kind == UpstreamKind::Engine;
   const bool IsCompletion =
-      Entry->content().What == RequestContent::Kind::Completion;
+      Entry->content().Type == RequestContent::Kind::Completion;
   if (ToEngine != IsCompletion) {
     this->reportUnsent(
         Wanted.Attempt,
@@ -45,111 +49,115 @@
   // What came of the answer already stands here, newer than control knows.
   Wanted.NextIndex = Entry->chunks().end();
   if (ToEngine) {
-    auto Each =
-        std::make_shared<EngineRun>(this->Executor, Wanted, this->Context);
-    Each->Entry = std::move(Entry);
-    this->start(Each, Wanted);
-    net::co_spawn(this->Executor, this->runEngine(std::move(Each)),
+    auto Active = std::make_shared<ActiveEngineAttempt>(this->Executor, Wanted,
+                                                        this->Context);
+    Active->Entry = std::move(Entry);
+    this->start(Active, Wanted);
+    net::co_spawn(this->Executor, this->runEngine(std::move(Active)),
                   net::detached);
     return;
   }
-  auto Each =
-      std::make_shared<ServiceRun>(this->Executor, Wanted, this->Context);
-  Each->Entry = std::move(Entry);
-  this->start(Each, Wanted);
-  net::co_spawn(this->Executor, this->runService(std::move(Each)),
+  auto Active = std::make_shared<ActiveServiceCall>(this->Executor, Wanted,
+                                                    this->Context);
+  Active->Entry = std::move(Entry);
+  this->start(Active, Wanted);
+  net::co_spawn(this->Executor, this->runService(std::move(Active)),
                 net::detached);
 }
 
-void AttemptTable::start(std::shared_ptr<Run> Each,
+void AttemptTable::start(std::shared_ptr<ActiveAttempt> Active,
                          const DispatchAttempt &Wanted) {
-  Each->Owner = this;
-  Each->Id = Wanted.Attempt;
-  Each->Upstream = Wanted.Upstream;
-  Each->At = Wanted.At;
-  this->Live[Wanted.Attempt] = std::move(Each);
+  Active->Owner = this;
+  Active->Id = Wanted.Attempt;
+  Active->Upstream = Wanted.Upstream;
+  Active->At = Wanted.At;
+  this->ActiveAttempts[Wanted.Attempt] = std::move(Active);
 }
 
-Task<void> AttemptTable::runEngine(std::shared_ptr<EngineRun> Each) {
-  if (Each->Cancelled || Each->Entry->isEnded()) {
-    this->ended(*Each, AttemptNeverSent{});
+Task<void>
+AttemptTable::runEngine(std::shared_ptr<ActiveEngineAttempt> Active) {
+  if (Active->Cancelled || Active->Entry->isEnded()) {
+    this->finish(*Active, AttemptNeverSent{});
     co_return;
   }
-  AttemptOutcome Outcome = co_await Each->Try.run(
-      Each->Entry->content().Text, *Each, this->Context.Clock.now());
-  if (Each->Try.dropped() > 0)
+  AttemptOutcome Outcome = co_await Active->Execution.run(
+      Active->Entry->content().Text, *Active, this->Context.Clock.now());
+  if (Active->Execution.dropped() > 0)
     this->Context.HostMetrics.record(
-        {RecordMeasurement::Kind::Count, "chunks_dropped", Each->Upstream.Value,
-         static_cast<double>(Each->Try.dropped())});
-  this->ended(*Each, std::move(Outcome));
+        {RecordMeasurement::Kind::Count, "chunks_dropped",
+         Active->Upstream.Value,
+         static_cast<double>(Active->Execution.dropped())});
+  this->finish(*Active, std::move(Outcome));
 }
 
-Task<void> AttemptTable::runService(std::shared_ptr<ServiceRun> Each) {
-  if (Each->Cancelled || Each->Entry->isEnded()) {
-    this->ended(*Each, AttemptNeverSent{});
+Task<void> AttemptTable::runService(std::shared_ptr<ActiveServiceCall> Active) {
+  if (Active->Cancelled || Active->Entry->isEnded()) {
+    this->finish(*Active, AttemptNeverSent{});
     co_return;
   }
-  const RequestContent &Content = Each->Entry->content();
-  AttemptOutcome Outcome = co_await Each->Try.run(
+  const RequestContent &Content = Active->Entry->content();
+  AttemptOutcome Outcome = co_await Active->Execution.run(
       Content.OperationKey, Content.Text, this->Context.Clock.now());
-  this->ended(*Each, std::move(Outcome));
+  this->finish(*Active, std::move(Outcome));
 }
 
-Task<void> AttemptTable::Run::take(std::uint64_t Index, std::string Text) {
+Task<void> AttemptTable::ActiveAttempt::take(std::uint64_t Index,
+                                             std::string Text) {
   if (this->Cancelled || Index != this->Entry->chunks().end())
     co_return;
   this->Entry->append(std::move(Text));
-  if (this->Taken++ % this->Owner->Context.Traffic.ProgressChunks == 0)
-    this->Owner->progressed(*this);
+  if (this->ChunkCount++ % this->Owner->Context.Traffic.ProgressChunks == 0)
+    this->Owner->reportProgress(*this);
   if (this->Entry->isTooLarge()) {
     this->TooLarge = true;
-    this->drop();
+    this->abort();
     co_return;
   }
   while (!this->Cancelled && this->Entry->isFull())
     co_await this->Entry->changed();
 }
 
-void AttemptTable::progressed(const Run &Each) const {
-  const ChunkBuffer &Chunks = Each.Entry->chunks();
+void AttemptTable::reportProgress(const ActiveAttempt &Active) const {
+  const ChunkBuffer &Chunks = Active.Entry->chunks();
   this->Context.Events.send(
-      AttemptProgressed{Each.Id, std::min(Chunks.delivered(), Chunks.end())});
+      AttemptProgressed{Active.Id, std::min(Chunks.delivered(), Chunks.end())});
 }
 
-void AttemptTable::ended(Run &Each, AttemptOutcome Outcome) {
-  if (Each.Cancelled)
+void AttemptTable::finish(ActiveAttempt &Active, AttemptOutcome Outcome) {
+  if (Active.Cancelled)
     return;
-  this->Live.erase(Each.Id);
-  const ChunkBuffer &Chunks = Each.Entry->chunks();
+  this->ActiveAttempts.erase(Active.Id);
+  const ChunkBuffer &Chunks = Active.Entry->chunks();
   if (auto *Broken = std::get_if<AttemptBroken>(&Outcome))
     Broken->NextIndex = std::min(Chunks.delivered(), Chunks.end());
-  if (Each.TooLarge) {
+  if (Active.TooLarge) {
     Outcome = AttemptFailed{"the answer is larger than this host keeps; ask "
                             "for it as a stream"};
-    net::co_spawn(
-        this->Executor,
-        this->tellUpstream({Each.Id, Each.Upstream, Each.At}, Each.streamId()),
-        net::detached);
+    net::co_spawn(this->Executor,
+                  this->cancelUpstream({Active.Id, Active.Upstream, Active.At},
+                                       Active.streamId()),
+                  net::detached);
   }
-  this->Context.Events.send(AttemptEnded{Each.Id, std::move(Outcome)});
+  this->Context.Events.send(AttemptEnded{Active.Id, std::move(Outcome)});
 }
 
 void AttemptTable::cancel(CancelAttempt Wanted) {
   AttemptId Stream = Wanted.Attempt;
-  const auto Found = this->Live.find(Wanted.Attempt);
-  if (Found != this->Live.end()) {
-    const std::shared_ptr<Run> Each = std::move(Found->second);
-    this->Live.erase(Found);
-    Stream = Each->streamId();
-    Each->Cancelled = true;
-    Each->drop();
-    Each->Entry->wakeAll();
+  const auto Found = this->ActiveAttempts.find(Wanted.Attempt);
+  if (Found != this->ActiveAttempts.end()) {
+    const std::shared_ptr<ActiveAttempt> Active = std::move(Found->second);
+    this->ActiveAttempts.erase(Found);
+    Stream = Active->streamId();
+    Active->Cancelled = true;
+    Active->abort();
+    Active->Entry->wakeAll();
   }
-  net::co_spawn(this->Executor, this->tellUpstream(std::move(Wanted), Stream),
+  net::co_spawn(this->Executor, this->cancelUpstream(std::move(Wanted), Stream),
                 net::detached);
 }
 
-Task<void> AttemptTable::tellUpstream(CancelAttempt Wanted, AttemptId Stream) {
+Task<void> AttemptTable::cancelUpstream(CancelAttempt Wanted,
+                                        AttemptId Stream) {
   Event Answer = co_await this->Client.cancel(std::move(Wanted), Stream);
   this->Context.Events.send(std::move(Answer));
 }
--- a/src/app/AttemptTable.h
+++ b/src/app/AttemptTable.h
@@ -39,13 +39,13 @@
   /// Drops the try if it runs here, and tells the upstream.
   void cancel(CancelAttempt Wanted);
 
-  std::size_t size() const { return this->Live.size(); }
+  std::size_t size() const { return this->ActiveAttempts.size(); }
 
 private:
   /// One running try. Chunks of a cancelled one go nowhere.
-  class Run : public ChunkSink {
+  class ActiveAttempt : public ChunkSink {
   public:
-    virtual void drop() = 0;
+    virtual void abort() = 0;
     virtual AttemptId streamId() const = 0;
     Task<void> take(std::uint64_t Index, std::string Text) override;
 
@@ -54,25 +54,26 @@
     UpstreamId Upstream;
     Address At;
     std::shared_ptr<RelayEntry> Entry;
-    std::uint64_t Taken = 0;
+    std::uint64_t ChunkCount = 0;
     bool Cancelled = false;
     bool TooLarge = false;
   };
-  class EngineRun;
-  class ServiceRun;
+  class ActiveEngineAttempt;
+  class ActiveServiceCall;
 
-  Task<void> runEngine(std::shared_ptr<EngineRun> Each);
-  Task<void> runService(std::shared_ptr<ServiceRun> Each);
-  void start(std::shared_ptr<Run> Each, const DispatchAttempt &Wanted);
-  void ended(Run &Each, AttemptOutcome Outcome);
-  void progressed(const Run &Each) const;
-  Task<void> tellUpstream(CancelAttempt Wanted, AttemptId Stream);
+  Task<void> runEngine(std::shared_ptr<ActiveEngineAttempt> Active);
+  Task<void> runService(std::shared_ptr<ActiveServiceCall> Active);
+  void start(std::shared_ptr<ActiveAttempt> Active,
+             const DispatchAttempt &Wanted);
+  void finish(ActiveAttempt &Active, AttemptOutcome Outcome);
+  void reportProgress(const ActiveAttempt &Active) const;
+  Task<void> cancelUpstream(CancelAttempt Wanted, AttemptId Stream);
   void reportUnsent(const AttemptId &Id, AttemptOutcome Outcome) const;
 
   net::any_io_executor Executor;
   const TrafficContext &Context;
   UpstreamClient Client;
-  std::unordered_map<AttemptId, std::shared_ptr<Run>> Live;
+  std::unordered_map<AttemptId, std::shared_ptr<ActiveAttempt>> ActiveAttempts;
 };
 
 } // namespace banyanpick
--- a/src/app/CallerRequest.h
+++ b/src/app/CallerRequest.h
@@ -10,7 +10,7 @@
 /// The content of a request, kept until its final answer is known so that it
 /// can be sent again.
 struct RequestContent {
-  enum class Kind { Completion, Call } What = Kind::Completion;
+  enum class Kind { Completion, Call } Type = Kind::Completion;
   std::string Text; ///< The prompt, or the JSON text of a call's body.
   std::string OperationKey;
 };
@@ -21,10 +21,10 @@
 };
 
 /// `TEAM.SECRET` out of the Authorization header; empty when there is none.
-std::string bearerKey(const HttpExchange &Each);
+std::string bearerKey(const HttpExchange &Exchange);
 
 /// Throw Error(BadInput) when the body is not as docs/PROTOCOLS.md says.
-CallerRequest completionFrom(const HttpExchange &Each);
-CallerRequest callFrom(const HttpExchange &Each);
+CallerRequest completionFrom(const HttpExchange &Exchange);
+CallerRequest callFrom(const HttpExchange &Exchange);
 
 } // namespace banyanpick
--- a/src/app/CallerService.cpp
+++ b/src/app/CallerService.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t LongestRequestId = 128;
-constexpr std::size_t LongestToken = 256;
+constexpr std::size_t MaxRequestIdBytes = 128;
+constexpr std::size_t MaxTokenBytes = 256;
 constexpr seconds ResolveTimeout(5);
 
 /// Runs \p Work on the executor given and comes back to the own one.
@@ -26,15 +26,15 @@
 }
 
 /// Echoes the caller's request id. Throws when it is malformed.
-void echoRequestId(HttpExchange &Each) {
-  const std::string_view Given = Each.header("X-Request-Id");
-  const bool Printable = std::all_of(Given.begin(), Given.end(),
+void echoRequestId(HttpExchange &Exchange) {
+  const std::string_view HeaderValue = Exchange.header("X-Request-Id");
+  const bool Printable = std::all_of(HeaderValue.begin(), HeaderValue.end(),
                                      [](char C) { return C > ' ' && C < 127; });
-  if (Given.size() > LongestRequestId || !Printable)
+  if (HeaderValue.size() > MaxRequestIdBytes || !Printable)
     throw Error(ErrorKind::BadInput, "X-Request-Id is malformed",
                 "give at most 128 printable characters without blanks");
-  if (!Given.empty())
-    Each.addHeader("X-Request-Id", Given);
+  if (!HeaderValue.empty())
+    Exchange.addHeader("X-Request-Id", HeaderValue);
 }
 
 std::string acceptedEvent(const RequestId &Id, const std::string &Token) {
@@ -42,12 +42,12 @@
       "accepted", dumpJson({{"request", Id.Value}, {"resume_token", Token}}));
 }
 
-HttpAnswer resolveAnswer(const AnswerResolve &Given) {
+HttpAnswer resolveAnswer(const AnswerResolve &Answer) {
   json Hosts = json::array();
-  for (const Address &Host : Given.Hosts)
+  for (const Address &Host : Answer.Hosts)
     Hosts.push_back(text(Host));
   const auto TtlMs =
-      std::chrono::duration_cast<milliseconds>(Given.TimeToLive).count();
+      std::chrono::duration_cast<milliseconds>(Answer.TimeToLive).count();
   HttpAnswer Result;
   Result.Body = dumpJson({{"hosts", std::move(Hosts)}, {"ttl_ms", TtlMs}});
   return Result;
@@ -58,11 +58,12 @@
                      "the resume token is unknown here; send the request anew");
 }
 
-ResolveRequest resolveQuestion(const HttpExchange &Each, std::uint64_t Id) {
+ResolveRequest resolveRequestFrom(const HttpExchange &Exchange,
+                                  std::uint64_t Id) {
   ResolveRequest Result;
   Result.Id = ResolveRequestId(Id);
-  Result.Team.Value = Each.target().value("team").value_or("");
-  Result.Zone.Value = Each.target().value("zone").value_or("");
+  Result.Team.Value = Exchange.target().value("team").value_or("");
+  Result.Zone.Value = Exchange.target().value("zone").value_or("");
   return Result;
 }
 
@@ -72,121 +73,124 @@
 }
 
 /// Takes the entry out of its table when the caller's side ends.
-class Registration {
+class EntryGuard {
 public:
-  Registration(RelayTable &Table, RequestId Id) : Table(Table), Id(Id) {}
-  ~Registration() {
-    if (!this->Kept)
+  EntryGuard(RelayTable &Table, RequestId Id) : Table(Table), Id(Id) {}
+  ~EntryGuard() {
+    if (!this->IsKept)
       this->Table.remove(this->Id);
   }
-  Registration(const Registration &) = delete;
-  Registration &operator=(const Registration &) = delete;
+  EntryGuard(const EntryGuard &) = delete;
+  EntryGuard &operator=(const EntryGuard &) = delete;
 
   /// Leaves it there for a caller that may come back.
-  void keep() { this->Kept = true; }
+  void keep() { this->IsKept = true; }
 
 private:
   RelayTable &Table;
   RequestId Id;
-  bool Kept = false;
+  bool IsKept = false;
 };
 
 } // namespace
 
-Task<void> CallerService::serveRequest(HttpExchange &Each,
+Task<void> CallerService::serveRequest(HttpExchange &Exchange,
                                        TrafficThread &Thread) {
-  echoRequestId(Each);
-  const bool IsCall = Each.target().Path == "/v1/calls";
-  CallerRequest Asked = IsCall ? callFrom(Each) : completionFrom(Each);
-  Each.dropBody();
-  const Entry Opened = Thread.relays().open(std::move(Asked));
-  Registration Here(Thread.relays(), Opened->id());
-  if (!Opened->isStreamed()) {
-    co_await this->serveWhole(Each, Opened);
+  echoRequestId(Exchange);
+  const bool IsCall = Exchange.target().Path == "/v1/calls";
+  CallerRequest Req = IsCall ? callFrom(Exchange) : completionFrom(Exchange);
+  Exchange.dropBody();
+  const Entry Relay = Thread.relays().open(std::move(Req));
+  EntryGuard Guard(Thread.relays(), Relay->id());
+  if (!Relay->isStreamed()) {
+    co_await this->serveUnstreamed(Exchange, Relay);
     co_return;
   }
-  co_await this->serveStreamed(Each, Opened);
-  if (Opened->isAccepted())
-    Here.keep();
-  if (Opened->isEnded())
-    Thread.relays().removeLater(Opened->id());
+  co_await this->serveStreamed(Exchange, Relay);
+  if (Relay->isAccepted())
+    Guard.keep();
+  if (Relay->isEnded())
+    Thread.relays().removeLater(Relay->id());
 }
 
-Task<void> CallerService::serveWhole(HttpExchange &Each, Entry Asked) {
-  Each.onDisconnect(
-      [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
-  const FinalAnswer Answer = co_await Asked->finalAnswer();
+Task<void> CallerService::serveUnstreamed(HttpExchange &Exchange, Entry Relay) {
+  Exchange.onDisconnect(
+      [this, Id = Relay->id()] { this->Events.send(CallerDisconnected{Id}); });
+  const FinalAnswer Answer = co_await Relay->finalAnswer();
   const bool IsCompletion =
-      Asked->content().What == RequestContent::Kind::Completion;
-  const std::string Text = Asked->chunks().joined();
-  HttpAnswer Given = answerTo(Answer, IsCompletion ? &Text : nullptr);
-  co_await Each.respond(std::move(Given));
+      Relay->content().Type == RequestContent::Kind::Completion;
+  const std::string Text = Relay->chunks().joined();
+  HttpAnswer Response = answerTo(Answer, IsCompletion ? &Text : nullptr);
+  co_await Exchange.respond(std::move(Response));
 }
 
-Task<void> CallerService::serveStreamed(HttpExchange &Each, Entry Asked) {
-  Each.onDisconnect(
-      [this, Id = Asked->id()] { this->Events.send(CallerDisconnected{Id}); });
-  const RelayEntry::Opening Begins = co_await Asked->opening();
-  if (Begins.Answer && !Begins.Accepted) {
-    HttpAnswer Given = answerTo(*Begins.Answer, nullptr);
-    co_await Each.respond(std::move(Given));
+Task<void> CallerService::serveStreamed(HttpExchange &Exchange, Entry Relay) {
+  Exchange.onDisconnect(
+      [this, Id = Relay->id()] { this->Events.send(CallerDisconnected{Id}); });
+  const RelayEntry::Opening Start = co_await Relay->opening();
+  if (Start.Answer && !Start.Accepted) {
+    HttpAnswer Response = answerTo(*Start.Answer, nullptr);
+    co_await Exchange.respond(std::move(Response));
     co_return;
   }
-  if (!co_await Each.beginEvents())
-    co_return this->Events.send(CallerDisconnected{Asked->id()});
-  const std::string Accepted = acceptedEvent(Asked->id(), Begins.ResumeToken);
-  if (!co_await Each.sendEvents(Accepted))
-    co_return this->Events.send(CallerDisconnected{Asked->id()});
-  co_await this->sendStream(Each, Asked, 0);
+  if (!co_await Exchange.beginEvents())
+    co_return this->Events.send(CallerDisconnected{Relay->id()});
+  const std::string Accepted = acceptedEvent(Relay->id(), Start.ResumeToken);
+  if (!co_await Exchange.sendEvents(Accepted))
+    co_return this->Events.send(CallerDisconnected{Relay->id()});
+  co_await this->sendStream(Exchange, Relay, 0);
 }
 
-Task<void> CallerService::serveResume(HttpExchange &Each,
+Task<void> CallerService::serveResume(HttpExchange &Exchange,
                                       TrafficThread &Thread) {
-  echoRequestId(Each);
-  const std::string Token = Each.target().value("token").value_or("");
-  if (Token.empty() || Token.size() > LongestToken)
+  echoRequestId(Exchange);
+  const std::string Token = Exchange.target().value("token").value_or("");
+  if (Token.empty() || Token.size() > MaxTokenBytes)
     throw Error(ErrorKind::BadInput, "token is missing or malformed",
                 "give the resume token of the accepted event");
-  const std::uint64_t Index = Each.target().number("index", 0);
-  const Entry Asked = Thread.relays().openResume(bearerKey(Each), Token, Index);
-  const Registration Here(Thread.relays(), Asked->id());
-  const RelayEntry::Opening Begins = co_await Asked->opening();
-  if (!Begins.Joined) {
-    HttpAnswer Unknown = unknownToken();
-    co_await Each.respond(std::move(Unknown));
+  const std::uint64_t Index = Exchange.target().number("index", 0);
+  const Entry Relay =
+      Thread.relays().openResume(bearerKey(Exchange), Token, Index);
+  const EntryGuard Guard(Thread.relays(), Relay->id());
+  const RelayEntry::Opening Start = co_await Relay->opening();
+  if (!Start.Joined) {
+    HttpAnswer NotFound = unknownToken();
+    co_await Exchange.respond(std::move(NotFound));
     co_return;
   }
-  const Entry Stream = Begins.Joined;
+  const Entry Stream = Start.Joined;
   const std::string Accepted = acceptedEvent(Stream->id(), Token);
-  if (!co_await Each.beginEvents())
+  if (!co_await Exchange.beginEvents())
     co_return this->Events.send(CallerDisconnected{Stream->id()});
-  if (!co_await Each.sendEvents(Accepted))
+  if (!co_await Exchange.sendEvents(Accepted))
     co_return this->Events.send(CallerDisconnected{Stream->id()});
-  co_await this->sendStream(Each, Stream, Begins.JoinedIndex);
+  co_await this->sendStream(Exchange, Stream, Start.JoinedIndex);
 }
 
-Task<bool> CallerService::sendStream(HttpExchange &Each, Entry Stream,
+Task<bool> CallerService::sendStream(HttpExchange &Exchange, Entry Stream,
                                      std::uint64_t Index) {
   const std::uint64_t Writer = ++this->Writers;
-  const net::any_io_executor Home = Stream->executor();
+  const net::any_io_executor StreamExecutor = Stream->executor();
   const bool Attached =
-      co_await onExecutor(Home, attach(*Stream, Writer, Index));
+      co_await onExecutor(StreamExecutor, attach(*Stream, Writer, Index));
   if (!Attached)
     co_return false;
-  Each.onDisconnect([this, Stream, Writer] { this->detach(Stream, Writer); });
-  RelayEntry::Delivery Piece;
-  Piece.NextIndex = Index;
-  while (!Piece.Last) {
-    Piece = co_await onExecutor(Home, Stream->next(Writer, Piece.NextIndex));
-    if (Piece.Replaced)
+  Exchange.onDisconnect(
+      [this, Stream, Writer] { this->detach(Stream, Writer); });
+  RelayEntry::Delivery Batch;
+  Batch.NextIndex = Index;
+  while (!Batch.Last) {
+    Batch = co_await onExecutor(StreamExecutor,
+                                Stream->next(Writer, Batch.NextIndex));
+    if (Batch.Replaced)
       co_return false;
-    const bool Sent = co_await Each.sendEvents(Piece.Events);
+    const bool Sent = co_await Exchange.sendEvents(Batch.Events);
     if (!Sent) {
       this->detach(Stream, Writer);
       co_return false;
     }
   }
-  co_return co_await Each.endEvents();
+  co_return co_await Exchange.endEvents();
 }
 
 void CallerService::detach(const Entry &Stream, std::uint64_t Writer) {
@@ -196,16 +200,16 @@
   });
 }
 
-Task<void> CallerService::serveResolve(HttpExchange &Each,
+Task<void> CallerService::serveResolve(HttpExchange &Exchange,
                                        TrafficThread &Thread) {
   const std::uint64_t Id = Thread.relays().takeId();
-  this->Events.send(resolveQuestion(Each, Id));
+  this->Events.send(resolveRequestFrom(Exchange, Id));
   const auto Answer = co_await Thread.resolveAnswers().wait(Id, ResolveTimeout);
   if (!Answer)
     throw Error(ErrorKind::Unavailable, "no answer within 5 s",
                 "ask another entry host");
   HttpAnswer Result = resolveAnswer(*Answer);
-  co_await Each.respond(std::move(Result));
+  co_await Exchange.respond(std::move(Result));
 }
 
 } // namespace banyanpick
--- a/src/app/CallerService.h
+++ b/src/app/CallerService.h
@@ -13,19 +13,20 @@
   explicit CallerService(EventSink &Events) : Events(Events) {}
 
   /// /v1/completions and /v1/calls.
-  Task<void> serveRequest(HttpExchange &Each, TrafficThread &Thread);
+  Task<void> serveRequest(HttpExchange &Exchange, TrafficThread &Thread);
   /// /v1/resume.
-  Task<void> serveResume(HttpExchange &Each, TrafficThread &Thread);
+  Task<void> serveResume(HttpExchange &Exchange, TrafficThread &Thread);
   /// /v1/resolve.
-  Task<void> serveResolve(HttpExchange &Each, TrafficThread &Thread);
+  Task<void> serveResolve(HttpExchange &Exchange, TrafficThread &Thread);
 
 private:
   using Entry = std::shared_ptr<RelayEntry>;
 
-  Task<void> serveWhole(HttpExchange &Each, Entry Asked);
-  Task<void> serveStreamed(HttpExchange &Each, Entry Asked);
+  Task<void> serveUnstreamed(HttpExchange &Exchange, Entry Relay);
+  Task<void> serveStreamed(HttpExchange &Exchange, Entry Relay);
   /// Sends the stream from \p Index on; true when it was sent to its end.
-  Task<bool> sendStream(HttpExchange &Each, Entry Stream, std::uint64_t Index);
+  Task<bool> sendStream(HttpExchange &Exchange, Entry Stream,
+                        std::uint64_t Index);
   /// The caller hung up while \p Writer read for it.
   void detach(const Entry &Stream, std::uint64_t Writer);
 
--- a/src/app/ChunkBuffer.cpp
+++ b/src/app/ChunkBuffer.cpp
@@ -34,8 +34,8 @@
 
 std::string ChunkBuffer::joined() const {
   std::string Result;
-  for (const std::string &Each : this->Chunks)
-    Result += Each;
+  for (const std::string &Chunk : this->Chunks)
+    Result += Chunk;
   return Result;
 }
 
--- a/src/app/ContentHash.cpp
+++ b/src/app/ContentHash.cpp
@@ -12,10 +12,10 @@
   constexpr std::size_t BlockBytes = PromptBlockTokens * BytesPerToken;
   std::vector<BlockHash> Result;
   Result.reserve(Prompt.size() / BlockBytes);
-  BlockHash Before = 0;
+  BlockHash Previous = 0;
   while (Prompt.size() >= BlockBytes) {
-    Before = XXH64(Prompt.data(), BlockBytes, Before);
-    Result.push_back(Before);
+    Previous = XXH64(Prompt.data(), BlockBytes, Previous);
+    Result.push_back(Previous);
     Prompt.remove_prefix(BlockBytes);
   }
   return Result;
--- a/src/app/OperatorService.cpp
+++ b/src/app/OperatorService.cpp
@@ -27,12 +27,12 @@
 
 } // namespace
 
-OperatorQuestion operatorQuestionFrom(const HttpExchange &Each) {
-  const HttpTarget &Target = Each.target();
+OperatorQuestion operatorQuestionFrom(const HttpExchange &Exchange) {
+  const HttpTarget &Target = Exchange.target();
   const std::string Name = Target.afterPrefix(Root).value_or("");
-  const bool IsGet = Each.method() == http::verb::get;
-  if (Name == "changes" && Each.method() == http::verb::post)
-    return ApplyChanges{changeSetFromJson(parseBoundedJson(Each.body()))};
+  const bool IsGet = Exchange.method() == http::verb::get;
+  if (Name == "changes" && Exchange.method() == http::verb::post)
+    return ApplyChanges{changeSetFromJson(parseBoundedJson(Exchange.body()))};
   if (IsGet && Name == "catalogue")
     return ShowCatalogue{};
   if (IsGet && Name == "history")
@@ -43,23 +43,24 @@
   if (IsGet && Name.starts_with(Changes))
     return QueryVerdict{ChangeId(Name.substr(Changes.size()))};
   constexpr std::string_view Quarantine = "quarantine/";
-  if (Each.method() == http::verb::delete_ && Name.starts_with(Quarantine))
+  if (Exchange.method() == http::verb::delete_ && Name.starts_with(Quarantine))
     return ReleaseQuarantine{fingerprintFrom(Name.substr(Quarantine.size()))};
   throwNoSuchTarget();
 }
 
-Task<void> OperatorService::serve(HttpExchange &Each, TrafficThread &Thread) {
-  OperatorRequest Asked;
+Task<void> OperatorService::serve(HttpExchange &Exchange,
+                                  TrafficThread &Thread) {
+  OperatorRequest Req;
   const std::uint64_t Id = Thread.relays().takeId();
-  Asked.Id = OperatorRequestId(Id);
-  Asked.OperatorKey = bearerKey(Each);
-  Asked.Question = operatorQuestionFrom(Each);
-  const bool IsChange = std::holds_alternative<ApplyChanges>(Asked.Question);
-  this->Events.send(std::move(Asked));
+  Req.Id = OperatorRequestId(Id);
+  Req.OperatorKey = bearerKey(Exchange);
+  Req.Question = operatorQuestionFrom(Exchange);
+  const bool IsChange = std::holds_alternative<ApplyChanges>(Req.Question);
+  this->Events.send(std::move(Req));
   const auto Answer = co_await Thread.operatorAnswers().wait(Id, AnswerTimeout);
   if (Answer) {
-    HttpAnswer Given = answerTo(*Answer);
-    co_await Each.respond(std::move(Given));
+    HttpAnswer Response = answerTo(*Answer);
+    co_await Exchange.respond(std::move(Response));
     co_return;
   }
   if (!IsChange)
@@ -67,7 +68,7 @@
                 "ask another entry host");
   HttpAnswer Pending = answerTo(
       VerdictPending{"no verdict within 30 s; ask for it by the change id"});
-  co_await Each.respond(std::move(Pending));
+  co_await Exchange.respond(std::move(Pending));
 }
 
 } // namespace banyanpick
--- a/src/app/OperatorService.h
+++ b/src/app/OperatorService.h
@@ -12,13 +12,13 @@
 public:
   explicit OperatorService(EventSink &Events) : Events(Events) {}
 
-  Task<void> serve(HttpExchange &Each, TrafficThread &Thread);
+  Task<void> serve(HttpExchange &Exchange, TrafficThread &Thread);
 
 private:
   EventSink &Events;
 };
 
 /// The question that the exchange asks. Throws Error(BadInput).
-OperatorQuestion operatorQuestionFrom(const HttpExchange &Each);
+OperatorQuestion operatorQuestionFrom(const HttpExchange &Exchange);
 
 } // namespace banyanpick
--- a/src/app/RelayEntry.cpp
+++ b/src/app/RelayEntry.cpp
@@ -20,20 +20,20 @@
                        std::uint64_t FirstIndex, const RelayLimits &Limits)
     : Id(IdGiven), Executor(Executor), Streamed(Streamed),
       Content(std::move(ContentGiven)), Limits(Limits),
-      Chunks(FirstIndex, Limits.KeepDeliveredBytes), News(Executor) {}
+      Chunks(FirstIndex, Limits.KeepDeliveredBytes), Changes(Executor) {}
 
 void RelayEntry::accept(std::string Token) {
   this->Accepted = true;
   this->ResumeToken = std::move(Token);
-  this->News.notify();
+  this->Changes.notify();
 }
 
-void RelayEntry::answer(FinalAnswer Given) {
+void RelayEntry::answer(FinalAnswer NewAnswer) {
   if (this->isEnded())
     return;
-  this->Answer = std::move(Given);
+  this->Answer = std::move(NewAnswer);
   this->Content.Text = std::string();
-  this->News.notify();
+  this->Changes.notify();
 }
 
 void RelayEntry::redirect(RedirectCaller To) {
@@ -41,19 +41,19 @@
     return;
   this->Redirect = std::move(To);
   this->Content.Text = std::string();
-  this->News.notify();
+  this->Changes.notify();
 }
 
 void RelayEntry::join(std::shared_ptr<RelayEntry> Stream,
                       std::uint64_t NextIndex) {
   this->Joined = std::move(Stream);
   this->JoinedIndex = NextIndex;
-  this->News.notify();
+  this->Changes.notify();
 }
 
 void RelayEntry::append(std::string Text) {
   this->Chunks.append(std::move(Text));
-  this->News.notify();
+  this->Changes.notify();
 }
 
 bool RelayEntry::isFull() const {
@@ -68,7 +68,7 @@
 
 Task<RelayEntry::Opening> RelayEntry::opening() {
   while (!this->Accepted && !this->isEnded() && !this->Joined)
-    co_await this->News.wait();
+    co_await this->Changes.wait();
   Opening Result;
   Result.Accepted = this->Accepted;
   Result.ResumeToken = this->ResumeToken;
@@ -83,7 +83,7 @@
   if (Index < this->Chunks.first())
     return false;
   this->Writer = WriterGiven;
-  this->News.notify();
+  this->Changes.notify();
   return true;
 }
 
@@ -91,11 +91,11 @@
   if (this->Writer != WriterGiven)
     return false;
   this->Writer = 0;
-  this->News.notify();
+  this->Changes.notify();
   return true;
 }
 
-bool RelayEntry::hasSomethingFor(std::uint64_t Index) const {
+bool RelayEntry::hasEventsFrom(std::uint64_t Index) const {
   return this->isEnded() || this->Chunks.end() > Index;
 }
 
@@ -105,10 +105,10 @@
     const bool WasFull = this->isFull();
     this->Chunks.markDelivered(Index);
     if (WasFull)
-      this->News.notify();
+      this->Changes.notify();
   }
-  while (this->Writer == WriterGiven && !this->hasSomethingFor(Index))
-    co_await this->News.wait();
+  while (this->Writer == WriterGiven && !this->hasEventsFrom(Index))
+    co_await this->Changes.wait();
   Delivery Result;
   Result.NextIndex = Index;
   const bool IsLost = Index < this->Chunks.first();
@@ -137,7 +137,7 @@
 
 Task<FinalAnswer> RelayEntry::finalAnswer() {
   while (!this->isEnded())
-    co_await this->News.wait();
+    co_await this->Changes.wait();
   if (!this->Answer)
     co_return FailedAnswer{"handed over to another host; ask again there", {}};
   co_return *this->Answer;
--- a/src/app/RelayEntry.h
+++ b/src/app/RelayEntry.h
@@ -37,7 +37,7 @@
   // --- from control
 
   void accept(std::string ResumeToken);
-  void answer(FinalAnswer Given);
+  void answer(FinalAnswer NewAnswer);
   void redirect(RedirectCaller To);
   /// This connection reads the stream of another request.
   void join(std::shared_ptr<RelayEntry> Stream, std::uint64_t NextIndex);
@@ -51,8 +51,8 @@
   /// Whether an answer that is not streamed grew past its bound.
   bool isTooLarge() const;
   /// Ends when something has changed; look again then.
-  Task<void> changed() { return this->News.wait(); }
-  void wakeAll() { this->News.notify(); }
+  Task<void> changed() { return this->Changes.wait(); }
+  void wakeAll() { this->Changes.notify(); }
 
   // --- to the caller
 
@@ -93,7 +93,7 @@
   bool isAccepted() const { return this->Accepted; }
 
 private:
-  bool hasSomethingFor(std::uint64_t Index) const;
+  bool hasEventsFrom(std::uint64_t Index) const;
   void addLastEvent(Delivery &To) const;
 
   RequestId Id;
@@ -102,7 +102,7 @@
   RequestContent Content;
   RelayLimits Limits;
   ChunkBuffer Chunks;
-  ChangeNotifier News;
+  ChangeNotifier Changes;
   bool Accepted = false;
   std::string ResumeToken;
   std::optional<FinalAnswer> Answer;
--- a/src/app/RelayTable.cpp
+++ b/src/app/RelayTable.cpp
@@ -10,11 +10,11 @@
   return Result;
 }
 
-std::shared_ptr<RelayEntry> RelayTable::open(CallerRequest Asked) {
-  Asked.Head.Id = RequestId(this->takeId());
-  auto Result = this->add(Asked.Head.Id, Asked.Head.Streamed,
-                          std::move(Asked.Content), 0);
-  this->Events.send(RequestArrived{std::move(Asked.Head)});
+std::shared_ptr<RelayEntry> RelayTable::open(CallerRequest Req) {
+  Req.Head.Id = RequestId(this->takeId());
+  auto Result =
+      this->add(Req.Head.Id, Req.Head.Streamed, std::move(Req.Content), 0);
+  this->Events.send(RequestArrived{std::move(Req.Head)});
   return Result;
 }
 
@@ -42,8 +42,8 @@
 
 std::size_t RelayTable::unsentAnswers() const {
   return static_cast<std::size_t>(std::count_if(
-      this->Entries.begin(), this->Entries.end(), [](const auto &Each) {
-        const RelayEntry &Entry = *Each.second;
+      this->Entries.begin(), this->Entries.end(), [](const auto &Item) {
+        const RelayEntry &Entry = *Item.second;
         return !Entry.isStreamed() || Entry.hasWriter();
       }));
 }
--- a/src/app/RelayTable.h
+++ b/src/app/RelayTable.h
@@ -22,7 +22,7 @@
   std::uint64_t takeId();
 
   /// Registers a caller's request and tells control.
-  std::shared_ptr<RelayEntry> open(CallerRequest Asked);
+  std::shared_ptr<RelayEntry> open(CallerRequest Req);
 
   /// Registers a connection that asks to go on with a stream.
   std::shared_ptr<RelayEntry> openResume(std::string TeamKey,
--- a/src/app/StatusJson.cpp
+++ b/src/app/StatusJson.cpp
@@ -5,12 +5,12 @@
 
 namespace banyanpick {
 
-HttpAnswer answerTo(const OperatorAnswer &Given) {
+HttpAnswer answerTo(const OperatorAnswer &Answer) {
   constexpr unsigned Forbidden = 403;
-  if (const auto *Refused = std::get_if<OperatorRefused>(&Given))
+  if (const auto *Refused = std::get_if<OperatorRefused>(&Answer))
     return errorAnswer(Forbidden, ErrorKind::NotAllowed, Refused->Message);
   HttpAnswer Result;
-  Result.Body = dumpJson(toJson(Given));
+  Result.Body = dumpJson(toJson(Answer));
   return Result;
 }
 
--- a/src/app/StatusJson.h
+++ b/src/app/StatusJson.h
@@ -8,6 +8,6 @@
 namespace banyanpick {
 
 /// The whole HTTP answer.
-HttpAnswer answerTo(const OperatorAnswer &Given);
+HttpAnswer answerTo(const OperatorAnswer &Answer);
 
 } // namespace banyanpick
