--- a/src/app/GatewayDaemon.cpp
+++ b/src/app/GatewayDaemon.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-HttpAnswer notHere() {
+HttpAnswer noSuchTarget() {
   return errorAnswer(404, ErrorKind::BadInput,
                      "no such target; see docs/PROTOCOLS.md");
 }
@@ -30,15 +30,17 @@
 
 void GatewayRouter::perform(std::vector<Action> Wanted) {
   std::vector<Action> ForTraffic;
-  for (Action &Each : Wanted)
+  for (Action &NextAction : Wanted)
     match(
-        Each,
-        [&](SendToPeer &Is) { this->Peers.send(Is.To, std::move(Is.Body)); },
-        [&](ConnectPeers &Is) { this->Peers.connect(std::move(Is.Peers)); },
-        [&](WriteLogLine &Is) { writeLogLine(Is.Line, this->Clock.now()); },
-        [&](RecordMeasurement &Is) { this->HostMetrics.record(Is); },
+        NextAction,
+        [&](SendToPeer &Item) {
+          this->Peers.send(Item.To, std::move(Item.Body));
+        },
+        [&](ConnectPeers &Item) { this->Peers.connect(std::move(Item.Peers)); },
+        [&](WriteLogLine &Item) { writeLogLine(Item.Line, this->Clock.now()); },
+        [&](RecordMeasurement &Item) { this->HostMetrics.record(Item); },
         [&](StopNow &) { this->OnStop(); },
-        [&](auto &Is) { ForTraffic.emplace_back(std::move(Is)); });
+        [&](auto &Item) { ForTraffic.emplace_back(std::move(Item)); });
   if (!ForTraffic.empty())
     this->Traffic.post(std::move(ForTraffic));
 }
@@ -54,14 +56,18 @@
               this->HostMetrics,
               this->Clock},
       Traffic(this->Context), Pages(this->State, this->HostMetrics),
-      RelayHandler(
-          [this](HttpExchange &Each) { return this->Traffic.relay(Each); }),
-      DirectoryHandler(
-          [this](HttpExchange &Each) { return this->Traffic.resolve(Each); }),
-      ReadinessHandler(
-          [this](HttpExchange &Each) { return this->serveReadiness(Each); }),
-      MetricsHandler(
-          [this](HttpExchange &Each) { return this->serveMetrics(Each); }) {
+      RelayHandler([this](HttpExchange &Exchange) {
+        return this->Traffic.relay(Exchange);
+      }),
+      DirectoryHandler([this](HttpExchange &Exchange) {
+        return this->Traffic.resolve(Exchange);
+      }),
+      ReadinessHandler([this](HttpExchange &Exchange) {
+        return this->serveReadiness(Exchange);
+      }),
+      MetricsHandler([this](HttpExchange &Exchange) {
+        return this->serveMetrics(Exchange);
+      }) {
   const Identity &Self = this->Context.Self;
   this->Peers = std::make_unique<PeerNetwork>(
       Self.Host, Life, Self.Peers, peerSettings(Values),
@@ -72,9 +78,9 @@
   this->openPorts(Values);
   this->Watch = std::make_unique<SettingsWatch>(
       this->Traffic.context(), std::move(File),
-      this->Context.Values.SettingsLook, this->Clock,
+      this->Context.Values.SettingsCheckInterval, this->Clock,
       [this](std::shared_ptr<const Settings> Changed) {
-        this->takeSettings(std::move(Changed));
+        this->applySettings(std::move(Changed));
       });
   this->Events.start(
       std::make_unique<Kernel>(Self, Values, Seed, ServingMode::Gateway),
@@ -104,12 +110,12 @@
   const auto Open = [&](const Address &At, HttpHandler &Handler) {
     return std::make_unique<HttpServer>(Thread, At, Http, Handler, nullptr);
   };
-  const GatewaySettings &Places = this->Context.Values;
+  const GatewaySettings &Ports = this->Context.Values;
   this->Callers = Open(this->Context.Self.Callers, this->RelayHandler);
-  this->Directory = Open(Places.Directory, this->DirectoryHandler);
-  this->Readiness = Open(Places.Readiness, this->ReadinessHandler);
-  if (Places.Metrics)
-    this->MetricsPage = Open(*Places.Metrics, this->MetricsHandler);
+  this->Directory = Open(Ports.Directory, this->DirectoryHandler);
+  this->Readiness = Open(Ports.Readiness, this->ReadinessHandler);
+  if (Ports.Metrics)
+    this->MetricsPage = Open(*Ports.Metrics, this->MetricsHandler);
 }
 
 void GatewayDaemon::waitForSignals() {
@@ -119,7 +125,7 @@
     if (Failure)
       return;
     if (Number == SIGHUP) {
-      this->Watch->look();
+      this->Watch->check();
       this->waitForSignals();
       return;
     }
@@ -129,25 +135,26 @@
   });
 }
 
-void GatewayDaemon::takeSettings(std::shared_ptr<const Settings> Values) {
+void GatewayDaemon::applySettings(std::shared_ptr<const Settings> Values) {
   this->Events.send(GatewayEvent(SettingsReloaded{std::move(Values)}));
 }
 
-Task<void> GatewayDaemon::serveReadiness(HttpExchange &Each) {
-  if (!this->Protocol->callers().isReadinessCheck(Each.target())) {
-    co_await Each.respond(notHere());
+Task<void> GatewayDaemon::serveReadiness(HttpExchange &Exchange) {
+  if (!this->Protocol->callers().isReadinessCheck(Exchange.target())) {
+    co_await Exchange.respond(noSuchTarget());
     co_return;
   }
-  HttpAnswer Given;
+  HttpAnswer Response;
   const bool Ready = this->State.Ready && !this->State.Leaving;
-  Given.Status = Ready ? 200 : 503;
-  Given.Body = Ready ? R"({"ready":true})" : R"({"ready":false})";
-  co_await Each.respond(std::move(Given));
+  Response.Status = Ready ? 200 : 503;
+  Response.Body = Ready ? R"({"ready":true})" : R"({"ready":false})";
+  co_await Exchange.respond(std::move(Response));
 }
 
-Task<void> GatewayDaemon::serveMetrics(HttpExchange &Each) {
-  HttpAnswer Page = this->Pages.find(Each.target().Path).value_or(notHere());
-  co_await Each.respond(std::move(Page));
+Task<void> GatewayDaemon::serveMetrics(HttpExchange &Exchange) {
+  HttpAnswer Page =
+      this->Pages.find(Exchange.target().Path).value_or(noSuchTarget());
+  co_await Exchange.respond(std::move(Page));
 }
 
 void GatewayDaemon::run() {
@@ -157,7 +164,7 @@
 
 std::size_t GatewayDaemon::unsentAnswers() {
   std::promise<std::size_t> Size;
-  this->Traffic.run([&] { Size.set_value(this->Traffic.open()); });
+  this->Traffic.run([&] { Size.set_value(this->Traffic.openRequests()); });
   return Size.get_future().get();
 }
 
--- a/src/app/GatewayDaemon.h
+++ b/src/app/GatewayDaemon.h
@@ -35,7 +35,9 @@
 public:
   using Function = std::function<Task<void>(HttpExchange &)>;
   explicit GatewayHandler(Function Serve) : Serve(std::move(Serve)) {}
-  Task<void> serve(HttpExchange &Each) override { return this->Serve(Each); }
+  Task<void> serve(HttpExchange &Exchange) override {
+    return this->Serve(Exchange);
+  }
 
 private:
   Function Serve;
@@ -63,9 +65,9 @@
 private:
   void openPorts(const Settings &Values);
   void waitForSignals();
-  void takeSettings(std::shared_ptr<const Settings> Values);
-  Task<void> serveReadiness(HttpExchange &Each);
-  Task<void> serveMetrics(HttpExchange &Each);
+  void applySettings(std::shared_ptr<const Settings> Values);
+  Task<void> serveReadiness(HttpExchange &Exchange);
+  Task<void> serveMetrics(HttpExchange &Exchange);
   /// Answers that are not written yet.
   std::size_t unsentAnswers();
 
--- a/src/app/GatewaySettings.cpp
+++ b/src/app/GatewaySettings.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view Section = "gateway";
 
-Address neededAddress(const Settings &Values, std::string_view Key) {
+Address requiredAddress(const Settings &Values, std::string_view Key) {
   const std::string Text = Values.text(Section, Key);
   if (Text.empty())
     throw Error(ErrorKind::BadInput,
@@ -27,7 +27,7 @@
   constexpr auto Text = SettingKind::Text;
   constexpr double KB = 1024;
   constexpr double Hour = 3600e6;
-  const std::string In(Section);
+  const std::string SectionName(Section);
   return {
       {.Section = "host",
        .Key = "serving",
@@ -36,49 +36,49 @@
        .Help = "Whether the host serves classes of its own catalogue, or as a "
                "gateway that relays requests whole by declared routes.",
        .Choices = {"catalogue", "gateway"}},
-      {In, "protocol", Text, "platform",
+      {SectionName, "protocol", Text, "platform",
        "Which protocol callers, upstreams and the store of a gateway speak."},
-      {In, "directory", Text, "",
+      {SectionName, "directory", Text, "",
        "Where callers ask for hosts to connect to (ip:port)."},
-      {In, "readiness", Text, "",
+      {SectionName, "readiness", Text, "",
        "Where the operator asks whether this host takes requests (ip:port)."},
-      {In, "metrics", Text, "",
+      {SectionName, "metrics", Text, "",
        "Where metrics are served (ip:port); empty: nowhere else than at the "
        "callers' address of a catalogue host."},
-      {In, "connect_timeout", Span, "400ms",
+      {SectionName, "connect_timeout", Span, "400ms",
        "How long a connection to an upstream may take: many times the way "
        "within a region, and shorter than the first repeat of a lost packet.",
        1e3, Hour},
-      {In, "whole_answer_bytes", Size, "1MB",
+      {SectionName, "whole_answer_bytes", Size, "1MB",
        "Largest answer that is not a stream; such answers are kept until they "
        "are whole.",
        KB, KB * KB * KB},
-      {In, "event_bytes", Size, "256KB",
+      {SectionName, "event_bytes", Size, "256KB",
        "Largest event of a stream; half events are not passed on.", KB,
        KB * KB * KB},
-      {In, "declarations_wait", Span, "2s",
+      {SectionName, "declarations_wait", Span, "2s",
        "How long one read for declarations waits for a change; hosts that do "
        "not read hear at its end that nothing changed.",
        0, Hour},
-      {In, "engines_interval", Span, "200ms",
+      {SectionName, "engines_interval", Span, "200ms",
        "The registry is read no more often, as any renewal ends a waiting "
        "read.",
        1e3, Hour},
-      {In, "engines_wait", Span, "2s",
+      {SectionName, "engines_wait", Span, "2s",
        "How long one read of the registry waits for a change.", 0, Hour},
-      {In, "retry_first", Span, "100ms",
+      {SectionName, "retry_first", Span, "100ms",
        "How soon a store that failed is asked again, at first.", 1e3, Hour},
-      {In, "retry_most", Span, "800ms",
+      {SectionName, "retry_most", Span, "800ms",
        "How seldom a store that fails is asked, at most.", 1e3, Hour},
-      {In, "link_idle", Span, "3s",
+      {SectionName, "link_idle", Span, "3s",
        "How long a connection to an upstream is kept without a request.", 0,
        Hour},
-      {In, "links_per_upstream", SettingKind::Whole, "8",
+      {SectionName, "links_per_upstream", SettingKind::Whole, "8",
        "Connections kept to one upstream.", 0, 1000},
-      {In, "report_timeout", Span, "500ms",
+      {SectionName, "report_timeout", Span, "500ms",
        "How long an upstream may take to tell its state or set memory aside.",
        1e3, Hour},
-      {In, "settings_look", Span, "1s",
+      {SectionName, "settings_look", Span, "1s",
        "How often the settings file is looked at for changes.", 10e3, Hour},
   };
 }
@@ -91,14 +91,15 @@
 GatewaySettings gatewaySettings(const Settings &Values) {
   GatewaySettings Result;
   Result.Protocol = Values.text(Section, "protocol");
-  Result.Directory = neededAddress(Values, "directory");
-  Result.Readiness = neededAddress(Values, "readiness");
+  Result.Directory = requiredAddress(Values, "directory");
+  Result.Readiness = requiredAddress(Values, "readiness");
   if (!Values.text(Section, "metrics").empty())
-    Result.Metrics = neededAddress(Values, "metrics");
+    Result.Metrics = requiredAddress(Values, "metrics");
   Result.Store = platformSettings(Values).Log;
-  Result.Runs.ConnectTimeout = Values.span(Section, "connect_timeout");
-  Result.Runs.WholeAnswerBytes = Values.size(Section, "whole_answer_bytes");
-  Result.Runs.EventBytes = Values.size(Section, "event_bytes");
+  Result.RunLimits.ConnectTimeout = Values.span(Section, "connect_timeout");
+  Result.RunLimits.WholeAnswerBytes =
+      Values.size(Section, "whole_answer_bytes");
+  Result.RunLimits.EventBytes = Values.size(Section, "event_bytes");
   const Duration InitialRetryDelay = Values.span(Section, "retry_first");
   const Duration MaxRetryDelay = Values.span(Section, "retry_most");
   Result.Declarations = {Duration(0), Values.span(Section, "declarations_wait"),
@@ -109,7 +110,7 @@
   Result.LinkIdle = Values.span(Section, "link_idle");
   Result.LinksPerUpstream = Values.whole(Section, "links_per_upstream");
   Result.ReportTimeout = Values.span(Section, "report_timeout");
-  Result.SettingsLook = Values.span(Section, "settings_look");
+  Result.SettingsCheckInterval = Values.span(Section, "settings_look");
   Result.FlushAtStop = Values.span("traffic", "flush_at_stop");
   return Result;
 }
--- a/src/app/GatewaySettings.h
+++ b/src/app/GatewaySettings.h
@@ -18,13 +18,13 @@
   Address Readiness;
   std::optional<Address> Metrics;
   Address Store;
-  EngineRunLimits Runs;
+  EngineRunLimits RunLimits;
   FollowOptions Declarations;
   FollowOptions Engines;
   Duration LinkIdle{};
   std::size_t LinksPerUpstream = 0;
   Duration ReportTimeout{};
-  Duration SettingsLook{};
+  Duration SettingsCheckInterval{};
   Duration FlushAtStop{};
 };
 
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -14,14 +14,14 @@
 constexpr milliseconds ResolveTimeout(900);
 
 /// Reports and answers to orders are small; a larger one is not read.
-constexpr std::size_t LargestReport = 256ULL * 1024;
+constexpr std::size_t MaxReportBytes = 256ULL * 1024;
 
 /// Names of unknown headers that are told of; others are only counted.
-constexpr std::size_t MostUnknownHeaders = 32;
+constexpr std::size_t MaxUnknownHeaders = 32;
 
-StoreObserved seen(StoreObserved::Part Of, bool Reachable,
-                   std::string_view Why) {
-  return {Of, Reachable, std::string(Why)};
+StoreObserved storeObserved(StoreObserved::Part Part, bool Reachable,
+                            std::string_view Why) {
+  return {Part, Reachable, std::string(Why)};
 }
 
 } // namespace
@@ -30,7 +30,7 @@
     : Context(Context), Io(1), Work(net::make_work_guard(this->Io)),
       Store(Context.Protocol.openStore(this->Io.get_executor(),
                                        Context.Values.Store)),
-      Client(this->Io.get_executor(), LargestReport),
+      Client(this->Io.get_executor(), MaxReportBytes),
       Links(this->Io.get_executor(), Context.Values.LinkIdle,
             Context.Values.LinksPerUpstream),
       ResolveAnswers(this->Io.get_executor()) {}
@@ -54,16 +54,16 @@
 
 void GatewayTraffic::post(std::vector<Action> Wanted) {
   net::post(this->Io, [this, Wanted = std::move(Wanted)] {
-    for (const Action &Each : Wanted)
-      this->perform(Each);
+    for (const Action &NextAction : Wanted)
+      this->perform(NextAction);
   });
 }
 
 void GatewayTraffic::perform(const Action &Wanted) {
   match(
-      Wanted, [&](const GatewayAction &Is) { this->perform(Is); },
-      [&](const AnswerResolve &Is) {
-        this->ResolveAnswers.answer(Is.Id.Value, Is);
+      Wanted, [&](const GatewayAction &Item) { this->perform(Item); },
+      [&](const AnswerResolve &Item) {
+        this->ResolveAnswers.answer(Item.Id.Value, Item);
       },
       [&](const ReadHostList &) {
         net::co_spawn(this->Io, this->readHosts(), net::detached);
@@ -73,44 +73,44 @@
 
 void GatewayTraffic::perform(const GatewayAction &Wanted) {
   match(
-      Wanted, [&](const DispatchRelay &Is) { this->dispatch(Is); },
-      [&](const CancelRelay &Is) {
-        const auto Found = this->Runs.find(Is.Attempt);
+      Wanted, [&](const DispatchRelay &Item) { this->dispatch(Item); },
+      [&](const CancelRelay &Item) {
+        const auto Found = this->Runs.find(Item.Attempt);
         if (Found != this->Runs.end())
           Found->second->cancel();
       },
-      [&](const RefuseRelay &Is) {
-        if (const auto Side = this->caller(Is.Request))
-          Side->refuse(this->Context.Protocol.callers().answerTo(Is));
+      [&](const RefuseRelay &Item) {
+        if (const auto Side = this->caller(Item.Request))
+          Side->refuse(this->Context.Protocol.callers().answerTo(Item));
       },
-      [&](const DeliverFailure &Is) {
-        if (const auto Side = this->caller(Is.Request))
-          Side->deliverFailure(Is.Attempt);
+      [&](const DeliverFailure &Item) {
+        if (const auto Side = this->caller(Item.Request))
+          Side->deliverFailure(Item.Attempt);
       },
-      [&](const BreakRelay &Is) {
-        if (const auto Side = this->caller(Is.Request))
+      [&](const BreakRelay &Item) {
+        if (const auto Side = this->caller(Item.Request))
           Side->abort();
       },
-      [&](const DecodeConfiguration &Is) {
-        this->decode(Is.Document, ConfigurationSource::Peer);
+      [&](const DecodeConfiguration &Item) {
+        this->decode(Item.Document, ConfigurationSource::Peer);
       },
-      [&](const LimitCallers &Is) { this->Server->setLimits(Is.Limits); },
-      [&](const AskReport &Is) {
-        net::co_spawn(this->Io, this->askReport(Is), net::detached);
+      [&](const LimitCallers &Item) { this->Server->setLimits(Item.Limits); },
+      [&](const AskReport &Item) {
+        net::co_spawn(this->Io, this->requestReport(Item), net::detached);
       },
-      [&](const ReserveMemory &Is) {
-        net::co_spawn(this->Io, this->reserve(Is), net::detached);
+      [&](const ReserveMemory &Item) {
+        net::co_spawn(this->Io, this->reserve(Item), net::detached);
       },
-      [&](const ReleaseMemory &Is) {
-        net::co_spawn(this->Io, this->release(Is), net::detached);
+      [&](const ReleaseMemory &Item) {
+        net::co_spawn(this->Io, this->release(Item), net::detached);
       },
       [&](const CloseCallers &) { this->Server->closeAfterAnswers(); },
-      [&](const FollowStore &Is) {
-        this->Declarations->setFollowing(Is.Enabled);
-        this->Engines->setFollowing(Is.Enabled);
+      [&](const FollowStore &Item) {
+        this->Declarations->setFollowing(Item.Enabled);
+        this->Engines->setFollowing(Item.Enabled);
       },
-      [&](const AnnounceHost &Is) {
-        net::co_spawn(this->Io, this->announce(Is.Present), net::detached);
+      [&](const AnnounceHost &Item) {
+        net::co_spawn(this->Io, this->announce(Item.Present), net::detached);
       });
 }
 
@@ -119,16 +119,17 @@
   return Found == this->Callers.end() ? nullptr : Found->second;
 }
 
-Task<void> GatewayTraffic::relay(HttpExchange &Each) {
-  RelayHead Head = this->Context.Protocol.callers().readHead(Each.request());
+Task<void> GatewayTraffic::relay(HttpExchange &Exchange) {
+  RelayHead Head =
+      this->Context.Protocol.callers().readHead(Exchange.request());
   Head.Id = RequestId(++this->LastId);
   const RequestId Id = Head.Id;
-  const auto Side = std::make_shared<CallerSide>(Each, Id);
+  const auto Side = std::make_shared<CallerSide>(Exchange, Id);
   this->Callers[Id] = Side;
-  Each.onDisconnect([this, Id] {
+  Exchange.onDisconnect([this, Id] {
     this->Context.Events.send(CallerDisconnected{Id});
-    if (const auto Gone = this->caller(Id))
-      Gone->disconnected();
+    if (const auto Disconnected = this->caller(Id))
+      Disconnected->disconnected();
   });
   this->Context.Events.send(GatewayEvent(RelayArrived{std::move(Head)}));
   co_await Side->waitUntilFinished();
@@ -136,18 +137,18 @@
   co_await Side->sendFinalAnswer();
 }
 
-Task<void> GatewayTraffic::resolve(HttpExchange &Each) {
-  ResolveRequest Asked =
-      this->Context.Protocol.callers().readResolveRequest(Each);
-  Asked.Id = ResolveRequestId(++this->LastId);
-  const std::uint64_t Id = Asked.Id.Value;
-  this->Context.Events.send(std::move(Asked));
+Task<void> GatewayTraffic::resolve(HttpExchange &Exchange) {
+  ResolveRequest Req =
+      this->Context.Protocol.callers().readResolveRequest(Exchange);
+  Req.Id = ResolveRequestId(++this->LastId);
+  const std::uint64_t Id = Req.Id.Value;
+  this->Context.Events.send(std::move(Req));
   const auto Answer = co_await this->ResolveAnswers.wait(Id, ResolveTimeout);
   if (!Answer || Answer->Hosts.empty())
     throw Error(ErrorKind::Unavailable, "no host is known that takes requests",
                 "ask another host, or again in a moment");
-  HttpAnswer Given = this->Context.Protocol.callers().answerTo(*Answer);
-  co_await Each.respond(std::move(Given));
+  HttpAnswer Response = this->Context.Protocol.callers().answerTo(*Answer);
+  co_await Exchange.respond(std::move(Response));
 }
 
 void GatewayTraffic::dispatch(const DispatchRelay &Order) {
@@ -160,57 +161,59 @@
   }
   auto Run = std::make_shared<EngineRun>(
       this->Io.get_executor(), Order, Side, this->Links,
-      this->Context.Protocol.engines(), this->Context.Values.Runs);
+      this->Context.Protocol.engines(), this->Context.Values.RunLimits);
   this->Runs[Order.Attempt] = Run;
-  net::co_spawn(this->Io, this->runTry(std::move(Run), Order), net::detached);
+  net::co_spawn(this->Io, this->runAttempt(std::move(Run), Order),
+                net::detached);
 }
 
-Task<void> GatewayTraffic::runTry(std::shared_ptr<EngineRun> Run,
-                                  DispatchRelay Order) {
+Task<void> GatewayTraffic::runAttempt(std::shared_ptr<EngineRun> Run,
+                                      DispatchRelay Order) {
   const Time SentAt = this->Context.Clock.now();
-  EngineRunListener Tell;
-  Tell.OnSignals = [this, Engine = Order.Engine,
-                    SentAt](const AnswerSignals &Signals) {
-    this->hear(Engine, SentAt, Signals);
+  EngineRunListener Callbacks;
+  Callbacks.OnSignals = [this, Engine = Order.Engine,
+                         SentAt](const AnswerSignals &Signals) {
+    this->reportSignals(Engine, SentAt, Signals);
   };
-  Tell.OnFirstEvent = [this, Id = Order.Attempt] {
+  Callbacks.OnFirstEvent = [this, Id = Order.Attempt] {
     this->Context.Events.send(GatewayEvent(RelayBegan{Id}));
   };
-  Tell.MaySend = [this, Engine = Order.Engine] {
-    return !this->Rests.isBackingOff(Engine, this->Context.Clock.now());
+  Callbacks.MaySend = [this, Engine = Order.Engine] {
+    return !this->Backoffs.isBackingOff(Engine, this->Context.Clock.now());
   };
   RelayOutcome Outcome =
-      co_await Run->run(Order.Deadline - SentAt, std::move(Tell));
+      co_await Run->run(Order.Deadline - SentAt, std::move(Callbacks));
   this->Runs.erase(Order.Attempt);
-  this->noteUnknownHeaders(*Run, Order.Engine);
+  this->reportUnknownHeaders(*Run, Order.Engine);
   if (!Run->isCancelled())
     this->Context.Events.send(
         GatewayEvent(RelayEnded{Order.Attempt, std::move(Outcome)}));
 }
 
-void GatewayTraffic::hear(const UpstreamId &Engine, Time SentAt,
-                          const AnswerSignals &Signals) {
+void GatewayTraffic::reportSignals(const UpstreamId &Engine, Time SentAt,
+                                   const AnswerSignals &Signals) {
   if (Signals == AnswerSignals())
     return;
   const Time Now = this->Context.Clock.now();
-  this->Rests.age(Now);
-  this->Rests.take(Engine, Now + backoffLength(Signals.Backoff), Now);
+  this->Backoffs.age(Now);
+  this->Backoffs.take(Engine, Now + backoffLength(Signals.Backoff), Now);
   this->Context.Events.send(
       GatewayEvent(EngineSignalsReceived{Engine, SentAt, Signals}));
 }
 
-void GatewayTraffic::hear(const UpstreamId &Engine, Time SentAt,
-                          const ClientResult &Result) {
+void GatewayTraffic::reportSignals(const UpstreamId &Engine, Time SentAt,
+                                   const ClientResult &Result) {
   if (const auto *Answer = std::get_if<ClientAnswer>(&Result))
-    this->hear(Engine, SentAt,
-               this->Context.Protocol.engines().signalsOf(Answer->Head));
+    this->reportSignals(
+        Engine, SentAt,
+        this->Context.Protocol.engines().signalsOf(Answer->Head));
 }
 
-void GatewayTraffic::noteUnknownHeaders(const EngineRun &Of,
-                                        const UpstreamId &Engine) {
-  for (const std::string &Name : Of.unknownHeaders()) {
+void GatewayTraffic::reportUnknownHeaders(const EngineRun &Run,
+                                          const UpstreamId &Engine) {
+  for (const std::string &Name : Run.unknownHeaders()) {
     this->count("answer_headers_unknown", Name);
-    const bool IsNew = this->UnknownHeaders.size() < MostUnknownHeaders &&
+    const bool IsNew = this->UnknownHeaders.size() < MaxUnknownHeaders &&
                        this->UnknownHeaders.insert(Name).second;
     if (IsNew)
       writeLogLine(logEvent(events::AnswerHeaderUnknown)
@@ -233,37 +236,37 @@
 }
 
 void GatewayTraffic::followDeclarations() {
-  KeyedFollower::Listener Tell;
-  Tell.OnRecords = [this](std::span<const KeyedRecord> Records, bool,
-                          LogOffset) {
-    for (const KeyedRecord &Each : Records)
-      if (Each.Value &&
-          this->Context.Protocol.documents().isConfiguration(Each.Key))
-        this->decode(*Each.Value, ConfigurationSource::Store);
+  KeyedFollower::Listener Callbacks;
+  Callbacks.OnRecords = [this](std::span<const KeyedRecord> Records, bool,
+                               LogOffset) {
+    for (const KeyedRecord &Record : Records)
+      if (Record.Value &&
+          this->Context.Protocol.documents().isConfiguration(Record.Key))
+        this->decode(*Record.Value, ConfigurationSource::Store);
   };
-  Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
-    this->Context.Events.send(
-        GatewayEvent(seen(StoreObserved::Part::Configuration, Reachable, Why)));
+  Callbacks.OnReachable = [this](bool Reachable, std::string_view Why) {
+    this->Context.Events.send(GatewayEvent(
+        storeObserved(StoreObserved::Part::Configuration, Reachable, Why)));
   };
   this->Declarations = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Declarations,
-      this->Context.Values.Declarations, std::move(Tell));
+      this->Context.Values.Declarations, std::move(Callbacks));
   this->Declarations->start();
 }
 
 void GatewayTraffic::followEngines() {
-  KeyedFollower::Listener Tell;
-  Tell.OnRecords = [this](std::span<const KeyedRecord> Records, bool Complete,
-                          LogOffset UpTo) {
+  KeyedFollower::Listener Callbacks;
+  Callbacks.OnRecords = [this](std::span<const KeyedRecord> Records,
+                               bool Complete, LogOffset UpTo) {
     this->takeEngines(Records, Complete, UpTo);
   };
-  Tell.OnReachable = [this](bool Reachable, std::string_view Why) {
-    this->Context.Events.send(
-        GatewayEvent(seen(StoreObserved::Part::Engines, Reachable, Why)));
+  Callbacks.OnReachable = [this](bool Reachable, std::string_view Why) {
+    this->Context.Events.send(GatewayEvent(
+        storeObserved(StoreObserved::Part::Engines, Reachable, Why)));
   };
   this->Engines = std::make_shared<KeyedFollower>(
       this->Io.get_executor(), *this->Store, StoreTopic::Engines,
-      this->Context.Values.Engines, std::move(Tell));
+      this->Context.Values.Engines, std::move(Callbacks));
   this->Engines->start();
 }
 
@@ -272,27 +275,27 @@
   EnginesRead Read;
   Read.Complete = Complete;
   Read.UpTo = UpTo;
-  for (const KeyedRecord &Each : Records) {
+  for (const KeyedRecord &Record : Records) {
     EngineChange Change;
-    Change.Offset = Each.Offset;
+    Change.Offset = Record.Offset;
     // What cannot be read names no engine to use, so the key's engine counts as
     // removed until it registers anew.
     Change.Removed = true;
-    Change.Engine.Id = UpstreamId(Each.Key);
+    Change.Engine.Id = UpstreamId(Record.Key);
     try {
-      if (Each.Key.empty())
+      if (Record.Key.empty())
         throw Error(ErrorKind::BadInput, "a record has no key",
                     "have its writer mend it");
-      if (Each.Value) {
+      if (Record.Value) {
         Change.Engine = this->Context.Protocol.documents().readEngine(
-            Each.Key, *Each.Value);
+            Record.Key, *Record.Value);
         Change.Removed = false;
       }
     } catch (const Error &Failure) {
       this->count("registrations_malformed", "");
       writeLogLine(logEvent(events::RegistrationUnreadable)
-                       .with("engine", Each.Key)
-                       .with("offset", Each.Offset)
+                       .with("engine", Record.Key)
+                       .with("offset", Record.Offset)
                        .with("why", Failure.what())
                        .build(),
                    this->Context.Clock.now());
@@ -302,12 +305,12 @@
   this->Context.Events.send(GatewayEvent(std::move(Read)));
 }
 
-Task<void> GatewayTraffic::askReport(AskReport Wanted) {
+Task<void> GatewayTraffic::requestReport(AskReport Wanted) {
   const EngineProtocol &Protocol = this->Context.Protocol.engines();
   const Time SentAt = this->Context.Clock.now();
   const ClientResult Result = co_await this->Client.call(
       Wanted.At, Protocol.reportRequest(), this->Context.Values.ReportTimeout);
-  this->hear(Wanted.Engine, SentAt, Result);
+  this->reportSignals(Wanted.Engine, SentAt, Result);
   const auto *Answer = std::get_if<ClientAnswer>(&Result);
   constexpr unsigned Ok = 200;
   try {
@@ -334,7 +337,7 @@
   const ClientResult Result = co_await this->Client.call(
       Wanted.At, Protocol.requestFor(Wanted),
       this->Context.Values.ReportTimeout, HttpClient::Reuse::No);
-  this->hear(Wanted.Engine, SentAt, Result);
+  this->reportSignals(Wanted.Engine, SentAt, Result);
   ReservationAnswered Answered{Wanted.Engine, Wanted.Name,
                                ReservationResult::Unknown};
   if (const auto *Answer = std::get_if<ClientAnswer>(&Result))
@@ -349,7 +352,7 @@
   const ClientResult Result = co_await this->Client.call(
       Wanted.At, this->Context.Protocol.engines().requestFor(Wanted),
       this->Context.Values.ReportTimeout, HttpClient::Reuse::No);
-  this->hear(Wanted.Engine, SentAt, Result);
+  this->reportSignals(Wanted.Engine, SentAt, Result);
   this->count("releases", std::holds_alternative<ClientAnswer>(Result)
                               ? "answered"
                               : "unanswered");
@@ -366,8 +369,8 @@
       co_return;
     }
     const NewestPage &Page = std::get<NewestPage>(Result);
-    for (const KeyedRecord &Each : Page.Records)
-      if (auto Host = readHostRecord(Each))
+    for (const KeyedRecord &Record : Page.Records)
+      if (auto Host = readHostRecord(Record))
         Read.Hosts.push_back(std::move(*Host));
     More = Page.More && !Page.Records.empty();
     if (More)
--- a/src/app/GatewayTraffic.h
+++ b/src/app/GatewayTraffic.h
@@ -47,10 +47,10 @@
   // --- on the thread only
 
   /// Serves one request of a caller to its end.
-  Task<void> relay(HttpExchange &Each);
+  Task<void> relay(HttpExchange &Exchange);
   /// Answers one question for hosts.
-  Task<void> resolve(HttpExchange &Each);
-  std::size_t open() const { return this->Callers.size(); }
+  Task<void> resolve(HttpExchange &Exchange);
+  std::size_t openRequests() const { return this->Callers.size(); }
 
   /// Runs \p What on the thread. On any thread.
   template <class Function> void run(Function Callback) {
@@ -61,15 +61,16 @@
   void perform(const Action &Wanted);
   void perform(const GatewayAction &Wanted);
   void dispatch(const DispatchRelay &Order);
-  Task<void> runTry(std::shared_ptr<EngineRun> Run, DispatchRelay Order);
+  Task<void> runAttempt(std::shared_ptr<EngineRun> Run, DispatchRelay Order);
   /// Tells of headers that the protocol does not know, of each name once.
-  void noteUnknownHeaders(const EngineRun &Of, const UpstreamId &Engine);
+  void reportUnknownHeaders(const EngineRun &Run, const UpstreamId &Engine);
   /// Passes on what an answer said of its upstream, if anything.
-  void hear(const UpstreamId &Engine, Time SentAt,
-            const AnswerSignals &Signals);
-  void hear(const UpstreamId &Engine, Time SentAt, const ClientResult &Result);
+  void reportSignals(const UpstreamId &Engine, Time SentAt,
+                     const AnswerSignals &Signals);
+  void reportSignals(const UpstreamId &Engine, Time SentAt,
+                     const ClientResult &Result);
   void decode(const std::string &Document, ConfigurationSource From);
-  Task<void> askReport(AskReport Wanted);
+  Task<void> requestReport(AskReport Wanted);
   Task<void> reserve(ReserveMemory Wanted);
   Task<void> release(ReleaseMemory Wanted);
   Task<void> readHosts();
@@ -91,7 +92,7 @@
   HttpClient Client;
   EngineLinkPool Links;
   /// What was chosen before an upstream asked for rest is not sent after it.
-  EngineBackoffs Rests;
+  EngineBackoffs Backoffs;
   PendingAnswers<AnswerResolve> ResolveAnswers;
   std::map<RequestId, std::shared_ptr<CallerSide>> Callers;
   std::map<AttemptId, std::shared_ptr<EngineRun>> Runs;
--- a/src/app/SettingsWatch.cpp
+++ b/src/app/SettingsWatch.cpp
@@ -26,20 +26,20 @@
     : Timer(Context), File(std::move(FileGiven)), Interval(Interval),
       Clock(Clock), OnChange(std::move(OnChangeGiven)),
       LastText(textOf(this->File)) {
-  this->plan();
+  this->scheduleCheck();
 }
 
-void SettingsWatch::plan() {
+void SettingsWatch::scheduleCheck() {
   this->Timer.expires_after(this->Interval);
   this->Timer.async_wait([this](const ErrorCode &Failure) {
     if (Failure)
       return;
-    this->look();
-    this->plan();
+    this->check();
+    this->scheduleCheck();
   });
 }
 
-void SettingsWatch::look() {
+void SettingsWatch::check() {
   std::string Text = textOf(this->File);
   // A file that is being replaced may be empty or missing for a moment.
   if (Text.empty() || Text == this->LastText)
--- a/src/app/SettingsWatch.h
+++ b/src/app/SettingsWatch.h
@@ -23,10 +23,10 @@
                 const ProcessClock &Clock, Listener OnChange);
 
   /// Reads the file now.
-  void look();
+  void check();
 
 private:
-  void plan();
+  void scheduleCheck();
 
   net::steady_timer Timer;
   std::string File;
