--- a/tests/auto/daemon/DaemonTest.cpp
+++ b/tests/auto/daemon/DaemonTest.cpp
@@ -13,8 +13,8 @@
 using nlohmann::json;
 
 LocalHost &host() {
-  static LocalHost Only;
-  return Only;
+  static LocalHost Instance;
+  return Instance;
 }
 
 /// The texts of the chunks in a streamed answer, and its last event.
@@ -28,10 +28,10 @@
     Parser.feed(Answer.substr(At, Length), Events);
     At += Length + 2;
   }
-  for (const ServerEvent &Each : Events)
-    Text += Each.Type.empty()
-                ? json::parse(Each.Data)["text"].get<std::string>()
-                : Each.Type + " ";
+  for (const ServerEvent &Event : Events)
+    Text += Event.Type.empty()
+                ? json::parse(Event.Data)["text"].get<std::string>()
+                : Event.Type + " ";
   return Text;
 }
 
@@ -72,11 +72,11 @@
     Caller.send(LocalHost::head("POST", "/v1/completions", "t.key") +
                 "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" +
                 Body);
-    std::string Got;
-    while (Got.find("t9 ") == std::string::npos)
-      Got += Caller.readSome();
-    const std::size_t At = Got.find("resume_token\":\"") + 15;
-    Token = Got.substr(At, Got.find('"', At) - At);
+    std::string Received;
+    while (Received.find("t9 ") == std::string::npos)
+      Received += Caller.readSome();
+    const std::size_t At = Received.find("resume_token\":\"") + 15;
+    Token = Received.substr(At, Received.find('"', At) - At);
   }
   const std::string Target = "/v1/resume?index=10&token=" + Token;
   EXPECT_NE(host().get(Target, "t.wrong").find("404"), std::string::npos);
@@ -127,9 +127,9 @@
 }
 
 TEST(Daemon, StopsGracefully) {
-  auto Own = std::make_unique<LocalHost>();
-  Own->Process.requestStop();
-  Own->Process.run(); // Hangs if it never stops.
+  auto Host = std::make_unique<LocalHost>();
+  Host->Process.requestStop();
+  Host->Process.run(); // Hangs if it never stops.
 }
 
 } // namespace
--- a/tests/auto/daemon/FakePlatform.h
+++ b/tests/auto/daemon/FakePlatform.h
@@ -15,16 +15,25 @@
 class FakePlatform {
 public:
   FakePlatform()
-      : Service([this](HttpExchange &Each) { return this->serveService(Each); },
-                limits()),
+      : Service(
+            [this](HttpExchange &Exchange) {
+              return this->serveService(Exchange);
+            },
+            limits()),
         Engine(
-            [this](HttpExchange &Each) { return this->serveEngine(Each, "e"); },
+            [this](HttpExchange &Exchange) {
+              return this->serveEngine(Exchange, "e");
+            },
+            limits()),
+        Other(
+            [this](HttpExchange &Exchange) {
+              return this->serveEngine(Exchange, "e2");
+            },
             limits()),
-        Other([this](
-                  HttpExchange &Each) { return this->serveEngine(Each, "e2"); },
-              limits()),
         Platform(
-            [this](HttpExchange &Each) { return this->servePlatform(Each); },
+            [this](HttpExchange &Exchange) {
+              return this->servePlatform(Exchange);
+            },
             limits()) {}
 
   Address at() const { return this->Platform.at(); }
@@ -35,7 +44,7 @@
   /// Completions that the engine cuts before the end mark.
   std::atomic<int> CutsLeft = 0;
   /// Chunks are the steady clock's nanoseconds instead of their index.
-  std::atomic<bool> Stamps = false;
+  std::atomic<bool> SendsTimestamps = false;
 
 private:
   using json = nlohmann::json;
@@ -55,20 +64,20 @@
     return Result;
   }
 
-  Task<void> servePlatform(HttpExchange &Each) {
-    HttpAnswer Answer = this->platformAnswer(Each);
-    co_await Each.respond(std::move(Answer));
+  Task<void> servePlatform(HttpExchange &Exchange) {
+    HttpAnswer Answer = this->platformAnswer(Exchange);
+    co_await Exchange.respond(std::move(Answer));
   }
 
-  HttpAnswer platformAnswer(const HttpExchange &Each) {
-    if (Each.target().Path == "/hosts")
+  HttpAnswer platformAnswer(const HttpExchange &Exchange) {
+    if (Exchange.target().Path == "/hosts")
       return answerWith(this->hostList());
-    if (Each.method() == http::verb::post) {
-      this->Log.push_back(Each.body());
+    if (Exchange.method() == http::verb::post) {
+      this->Log.push_back(Exchange.body());
       return answerWith({{"offset", this->Log.size()}});
     }
     json Records = json::array();
-    const auto From = Each.target().number("from", 1);
+    const auto From = Exchange.target().number("from", 1);
     for (std::uint64_t I = std::max<std::uint64_t>(From, 1);
          I <= this->Log.size(); ++I)
       Records.push_back({{"offset", I}, {"bytes", toBase64(this->Log[I - 1])}});
@@ -92,28 +101,30 @@
                       upstreamJson("s", "application", this->Service.at())})}};
   }
 
-  Task<void> serveEngine(HttpExchange &Each, const char *Id) {
-    if (Each.target().Path == "/v1/completions") {
-      co_await this->complete(Each);
+  Task<void> serveEngine(HttpExchange &Exchange, const char *Id) {
+    if (Exchange.target().Path == "/v1/completions") {
+      co_await this->complete(Exchange);
       co_return;
     }
-    HttpAnswer Answer = upstreamAnswer(Each, Id);
-    co_await Each.respond(std::move(Answer));
+    HttpAnswer Answer = upstreamAnswer(Exchange, Id);
+    co_await Exchange.respond(std::move(Answer));
   }
 
-  Task<void> serveService(HttpExchange &Each) {
-    HttpAnswer Answer = upstreamAnswer(Each, "s");
-    co_await Each.respond(std::move(Answer));
+  Task<void> serveService(HttpExchange &Exchange) {
+    HttpAnswer Answer = upstreamAnswer(Exchange, "s");
+    co_await Exchange.respond(std::move(Answer));
   }
 
-  static HttpAnswer upstreamAnswer(const HttpExchange &Each, const char *Id) {
-    if (Each.target().Path == "/load")
+  static HttpAnswer upstreamAnswer(const HttpExchange &Exchange,
+                                   const char *Id) {
+    if (Exchange.target().Path == "/load")
       return answerWith(loadJson(Id));
-    if (Each.target().Path == "/cache-events")
+    if (Exchange.target().Path == "/cache-events")
       return answerWith({{"life", "e"}, {"events", json::array()}});
-    if (Each.target().Path == "/run")
-      return answerWith({{"attempt", Each.header("X-Attempt")},
-                         {"result", parseBoundedJson(Each.body())["body"]}});
+    if (Exchange.target().Path == "/run")
+      return answerWith(
+          {{"attempt", Exchange.header("X-Attempt")},
+           {"result", parseBoundedJson(Exchange.body())["body"]}});
     return answerWith(json::object());
   }
 
@@ -138,34 +149,34 @@
 
   std::string chunkEvent(const std::string &Attempt, std::uint64_t Index) {
     const auto Now = std::chrono::steady_clock::now().time_since_epoch();
-    const std::string Text =
-        this->Stamps ? std::to_string(Now.count()) : fmt::format("t{} ", Index);
+    const std::string Text = this->SendsTimestamps ? std::to_string(Now.count())
+                                                   : fmt::format("t{} ", Index);
     return fmt::format(
         "data: {{\"attempt\":\"{}\",\"index\":{},\"text\":\"{}\"}}\n\n",
         Attempt, Index, Text);
   }
 
-  Task<void> complete(HttpExchange &Each) {
-    const json Asked = parseBoundedJson(Each.body());
-    const std::string Attempt(Each.header("X-Attempt"));
-    const auto Count = Asked["max_tokens"].get<std::uint64_t>();
-    const bool Cuts = this->CutsLeft > 0 && this->CutsLeft-- > 0;
-    co_await Each.beginEvents();
-    net::steady_timer Timer(Each.executor());
-    for (auto Index = Asked["start_index"].get<std::uint64_t>(); Index < Count;
+  Task<void> complete(HttpExchange &Exchange) {
+    const json Body = parseBoundedJson(Exchange.body());
+    const std::string Attempt(Exchange.header("X-Attempt"));
+    const auto Count = Body["max_tokens"].get<std::uint64_t>();
+    const bool IsCut = this->CutsLeft > 0 && this->CutsLeft-- > 0;
+    co_await Exchange.beginEvents();
+    net::steady_timer Timer(Exchange.executor());
+    for (auto Index = Body["start_index"].get<std::uint64_t>(); Index < Count;
          ++Index) {
       Timer.expires_after(milliseconds(this->ChunkMs));
       co_await Timer.async_wait(net::use_awaitable);
       const std::string Event = this->chunkEvent(Attempt, Index);
-      co_await Each.sendEvents(Event);
-      if (Cuts && Index >= Count / 2)
+      co_await Exchange.sendEvents(Event);
+      if (IsCut && Index >= Count / 2)
         co_return; // Without an end: the connection is closed.
     }
     const std::string End =
         fmt::format("event: end\ndata: {{\"attempt\":\"{}\",\"count\":{}}}\n\n",
                     Attempt, Count);
-    co_await Each.sendEvents(End);
-    co_await Each.endEvents();
+    co_await Exchange.sendEvents(End);
+    co_await Exchange.endEvents();
   }
 
   std::vector<std::string> Log; ///< Of the platform's thread.
--- a/tests/auto/daemon/LocalHost.h
+++ b/tests/auto/daemon/LocalHost.h
@@ -25,9 +25,9 @@
 inline Settings settingsFor(const Address &Platform) {
   std::vector<SettingsProblem> Problems;
   auto Result = readDaemonSettings(settingsText(Platform), Problems);
-  for (const SettingsProblem &Each : Problems)
-    throw std::runtime_error(Each.Section + " " + Each.Key + " " +
-                             Each.Message);
+  for (const SettingsProblem &Problem : Problems)
+    throw std::runtime_error(Problem.Section + " " + Problem.Key + " " +
+                             Problem.Message);
   return std::move(*Result);
 }
 
@@ -51,10 +51,10 @@
   Result.Id.Value = "00000000000000000000000000000001";
   Result.Author = Root;
   const auto Declare = [&](EntryKind Kind, const char *Name, EntryBody Body) {
-    Change &Each = Result.Changes.emplace_back();
-    Each.Key = {Kind, Name};
-    Each.Owner = Root;
-    Each.Body = std::move(Body);
+    Change &Entry = Result.Changes.emplace_back();
+    Entry.Key = {Kind, Name};
+    Entry.Owner = Root;
+    Entry.Body = std::move(Body);
   };
   Declare(EntryKind::Model, "m", Model);
   Declare(EntryKind::Class, "short", Short);
@@ -67,9 +67,9 @@
 class LocalHost {
 public:
   LocalHost() : Process(settingsFor(this->Platform.at()), Incarnation(1), 1) {
-    const std::string Set = dumpJson(toJson(catalogue()));
+    const std::string ChangesJson = dumpJson(toJson(catalogue()));
     this->repeatUntil("accepted", [&] {
-      return this->post("/v1/operator/changes", "root.secret", Set);
+      return this->post("/v1/operator/changes", "root.secret", ChangesJson);
     });
     this->repeatUntil("whole",
                       [&] { return this->complete(R"("max_tokens":1)"); });
@@ -77,11 +77,11 @@
 
   /// Throws when no answer within a minute has the text.
   void repeatUntil(std::string_view Text,
-                   const std::function<std::string()> &Ask) {
-    constexpr int MostTries = 1200;
+                   const std::function<std::string()> &SendRequest) {
+    constexpr int MaxAttempts = 1200;
     std::string Answer;
-    for (int Try = 0; Try < MostTries; ++Try) {
-      Answer = Ask();
+    for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+      Answer = SendRequest();
       if (Answer.find(Text) != std::string::npos)
         return;
       std::this_thread::sleep_for(milliseconds(50));
--- a/tests/auto/daemon/PartsTest.cpp
+++ b/tests/auto/daemon/PartsTest.cpp
@@ -58,9 +58,11 @@
                                        Problems);
   EXPECT_FALSE(Read);
   const auto Has = [&](int Line, std::string_view Key) {
-    return std::any_of(Problems.begin(), Problems.end(), [&](const auto &Each) {
-      return Each.Line == Line && Each.Key == Key && !Each.Message.empty();
-    });
+    return std::any_of(Problems.begin(), Problems.end(),
+                       [&](const auto &Problem) {
+                         return Problem.Line == Line && Problem.Key == Key &&
+                                !Problem.Message.empty();
+                       });
   };
   EXPECT_TRUE(Has(3, "bogus"));
   EXPECT_TRUE(Has(5, "threads"));
--- a/tests/auto/daemon/PeerNetworkTest.cpp
+++ b/tests/auto/daemon/PeerNetworkTest.cpp
@@ -16,37 +16,37 @@
 public:
   PeerNetwork::Listener listener() {
     return {[this](PeerMessage Message) {
-              const std::lock_guard Lock(this->Guard);
+              const std::lock_guard Lock(this->Mutex);
               this->Received.push_back(std::move(Message));
-              this->Came.notify_all();
+              this->Arrived.notify_all();
             },
             [this](std::string_view) {
-              const std::lock_guard Lock(this->Guard);
-              ++this->Malformed;
-              this->Came.notify_all();
+              const std::lock_guard Lock(this->Mutex);
+              ++this->MalformedCount;
+              this->Arrived.notify_all();
             }};
   }
 
-  bool waitForMessage(std::chrono::milliseconds Most) {
-    std::unique_lock Lock(this->Guard);
-    return this->Came.wait_for(Lock, Most,
-                               [this] { return !this->Received.empty(); });
+  bool waitForMessage(std::chrono::milliseconds Timeout) {
+    std::unique_lock Lock(this->Mutex);
+    return this->Arrived.wait_for(Lock, Timeout,
+                                  [this] { return !this->Received.empty(); });
   }
 
-  bool waitForMalformed(std::chrono::milliseconds Most) {
-    std::unique_lock Lock(this->Guard);
-    return this->Came.wait_for(Lock, Most,
-                               [this] { return this->Malformed > 0; });
+  bool waitForMalformed(std::chrono::milliseconds Timeout) {
+    std::unique_lock Lock(this->Mutex);
+    return this->Arrived.wait_for(Lock, Timeout,
+                                  [this] { return this->MalformedCount > 0; });
   }
 
-  std::mutex Guard;
-  std::condition_variable Came;
+  std::mutex Mutex;
+  std::condition_variable Arrived;
   std::vector<PeerMessage> Received;
-  int Malformed = 0;
+  int MalformedCount = 0;
 };
 
 /// For networks that only send.
-PeerNetwork::Listener deaf() {
+PeerNetwork::Listener ignoringListener() {
   return {[](const PeerMessage &) {}, [](std::string_view) {}};
 }
 
@@ -57,8 +57,8 @@
 }
 
 const Address AnyPort{"127.0.0.1", 0};
-constexpr std::chrono::milliseconds Long(20'000);
-constexpr std::chrono::milliseconds Short(300);
+constexpr std::chrono::milliseconds LongTimeout(20'000);
+constexpr std::chrono::milliseconds ShortTimeout(300);
 
 HostListing listingOf(const std::string &Name, const PeerNetwork &At) {
   HostListing Result;
@@ -69,9 +69,9 @@
 
 /// Sends until something came or \p Most has passed: what is sent before the
 /// connection stands is lost.
-bool reaches(PeerNetwork &From, const std::string &To, Inbox &At,
-             std::chrono::milliseconds Most) {
-  const auto Until = std::chrono::steady_clock::now() + Most;
+bool sendUntilReceived(PeerNetwork &From, const std::string &To, Inbox &At,
+                       std::chrono::milliseconds Timeout) {
+  const auto Until = std::chrono::steady_clock::now() + Timeout;
   while (std::chrono::steady_clock::now() < Until) {
     From.send(HostId(To), RecordsRequest{7});
     if (At.waitForMessage(std::chrono::milliseconds(20)))
@@ -84,12 +84,12 @@
   const CurveKeyPair Keys = makeCurveKeyPair();
   Inbox InboxOfB;
   PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, settingsWith(Keys, ""),
-                deaf());
+                ignoringListener());
   PeerNetwork B(HostId("b"), Incarnation(2), AnyPort, settingsWith(Keys, ""),
                 InboxOfB.listener());
   A.connect({listingOf("b", B)});
-  ASSERT_TRUE(reaches(A, "b", InboxOfB, Long));
-  const std::lock_guard Lock(InboxOfB.Guard);
+  ASSERT_TRUE(sendUntilReceived(A, "b", InboxOfB, LongTimeout));
+  const std::lock_guard Lock(InboxOfB.Mutex);
   EXPECT_EQ(InboxOfB.Received.front(),
             (PeerMessage{HostId("a"), Incarnation(1), RecordsRequest{7}}));
 }
@@ -97,23 +97,26 @@
 TEST(PeerNetwork, HostsWithoutEncryptionTalk) {
   PeerSettings Plain{{}, {}, 65536, 100, false};
   Inbox InboxOfB;
-  PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, Plain, deaf());
+  PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, Plain,
+                ignoringListener());
   PeerNetwork B(HostId("b"), Incarnation(2), AnyPort, Plain,
                 InboxOfB.listener());
   A.connect({listingOf("b", B)});
-  EXPECT_TRUE(reaches(A, "b", InboxOfB, Long));
+  EXPECT_TRUE(sendUntilReceived(A, "b", InboxOfB, LongTimeout));
 }
 
 TEST(PeerNetwork, TheMessageThatOpensAConnectionArrives) {
   PeerSettings Plain{{}, {}, 65536, 100, false};
   Inbox InboxOfB;
-  PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, Plain, deaf());
+  PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, Plain,
+                ignoringListener());
   PeerNetwork B(HostId("b"), Incarnation(2), AnyPort, Plain,
                 InboxOfB.listener());
   A.connect({listingOf("b", B)});
   A.send(HostId("b"), RecordsRequest{7});
-  ASSERT_TRUE(InboxOfB.waitForMessage(Long)) << "sent once, and kept for it";
-  const std::lock_guard Lock(InboxOfB.Guard);
+  ASSERT_TRUE(InboxOfB.waitForMessage(LongTimeout))
+      << "sent once, and kept for it";
+  const std::lock_guard Lock(InboxOfB.Mutex);
   EXPECT_EQ(InboxOfB.Received.front().Body, PeerMessageBody(RecordsRequest{7}));
 }
 
@@ -125,9 +128,10 @@
   // It knows B's key, but B does not know its own.
   PeerNetwork Stranger(
       HostId("a"), Incarnation(1), AnyPort,
-      settingsWith(makeCurveKeyPair(), "b " + KeysOfB.PublicKey), deaf());
+      settingsWith(makeCurveKeyPair(), "b " + KeysOfB.PublicKey),
+      ignoringListener());
   Stranger.connect({listingOf("b", B)});
-  EXPECT_FALSE(reaches(Stranger, "b", InboxOfB, Short));
+  EXPECT_FALSE(sendUntilReceived(Stranger, "b", InboxOfB, ShortTimeout));
 }
 
 TEST(PeerNetwork, AKeyOfOneHostIsNoGoodForAnother) {
@@ -138,7 +142,8 @@
                 settingsWith(KeysOfB, "a " + KeysOfA.PublicKey),
                 InboxOfB.listener());
   PeerNetwork A(HostId("someone-else"), Incarnation(1), AnyPort,
-                settingsWith(KeysOfA, "b " + KeysOfB.PublicKey), deaf());
+                settingsWith(KeysOfA, "b " + KeysOfB.PublicKey),
+                ignoringListener());
   A.connect({listingOf("b", B)});
   while (!InboxOfB.waitForMalformed(std::chrono::milliseconds(20)))
     A.send(HostId("b"), RecordsRequest{7});
@@ -155,7 +160,7 @@
   A.connect({Wrong});
   // A peer is connected to when there is something to tell it.
   A.send(HostId("b"), RecordsRequest{7});
-  EXPECT_TRUE(InboxOfA.waitForMalformed(Long));
+  EXPECT_TRUE(InboxOfA.waitForMalformed(LongTimeout));
 }
 
 TEST(PeerNetwork, MalformedKeysAreRefused) {
--- a/tests/bench/relay/RelayBench.cpp
+++ b/tests/bench/relay/RelayBench.cpp
@@ -156,7 +156,7 @@
 int measure() {
   LocalHost Host;
   Host.Platform.ChunkMs = static_cast<int>(FLAGS_chunk_ms);
-  Host.Platform.Stamps = true;
+  Host.Platform.SendsTimestamps = true;
   const Address Engine = Host.Platform.engineAt();
   const RequestPath Direct = pathTo(Engine, true, FLAGS_chunks);
   const RequestPath Relayed = pathTo(Host.callers(), false, FLAGS_chunks);
