--- a/src/app/ActionPerformer.h
+++ b/src/app/ActionPerformer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who carries out what a kernel asks for.
+/// The interface that executes the actions of a kernel.
 #pragma once
 
 #include "kernel/Action.h"
@@ -8,13 +8,13 @@
 
 namespace banyanpick {
 
-/// Used on the control thread only.
+/// Executes actions. Used on the control thread only.
 class ActionPerformer {
 public:
   virtual ~ActionPerformer() = default;
-  /// Carries them out in their order.
+  /// Executes the actions in the given order.
   virtual void perform(std::vector<Action> Wanted) = 0;
-  /// The try ended by itself.
+  /// Called when an attempt ended without being cancelled.
   virtual void forget(const AttemptId &) {}
 };
 
--- a/src/app/ActionRouter.cpp
+++ b/src/app/ActionRouter.cpp
@@ -34,7 +34,7 @@
   });
 }
 
-/// Calls to one upstream share a thread, and so its kept connections.
+/// Calls to one upstream run on one thread and reuse its open connections.
 template <class UpstreamAction>
 void ActionRouter::perform(UpstreamAction Wanted) {
   const std::size_t Number = std::hash<UpstreamId>()(Wanted.Upstream);
@@ -114,7 +114,7 @@
 }
 
 void ActionRouter::perform(const GatewayAction &) {
-  // No plug-in of a gateway is part of a kernel that serves a catalogue.
+  // A kernel that serves a catalogue contains no gateway plug-in.
   writeLogLine(logEvent(events::InvariantBroken)
                    .with("invariant", "only a gateway relays")
                    .build(),
--- a/src/app/ActionRouter.h
+++ b/src/app/ActionRouter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries the kernel's actions to the threads that do them.
+/// Routes the kernel's actions to the threads that execute them.
 #pragma once
 
 #include "app/ActionPerformer.h"
@@ -12,7 +12,8 @@
 
 namespace banyanpick {
 
-/// Used on the control thread only.
+/// Routes actions to traffic threads, the peer network, the log and the
+/// metrics. Used on the control thread only.
 class ActionRouter : public ActionPerformer {
 public:
   /// \p OnStop is called when the process may end.
@@ -20,11 +21,11 @@
                PeerNetwork &Peers, Metrics &HostMetrics,
                const ProcessClock &Clock, std::function<void()> OnStop);
 
-  /// Carries them out in their order; those that concern one request reach
-  /// its thread in that order.
+  /// Executes the actions in the given order. Actions of one request reach its
+  /// thread in that order.
   void perform(std::vector<Action> Wanted) override;
 
-  /// The try ended by itself.
+  /// Called when an attempt ended without being cancelled.
   void forget(const AttemptId &Attempt) override {
     this->Attempts.erase(Attempt);
   }
@@ -58,7 +59,7 @@
   Metrics &HostMetrics;
   const ProcessClock &Clock;
   std::function<void()> OnStop;
-  /// The thread number of each running try.
+  /// The thread number of each running attempt.
   std::unordered_map<AttemptId, std::uint64_t> Attempts;
 };
 
--- a/src/app/AnswerJson.h
+++ b/src/app/AnswerJson.h
@@ -1,5 +1,5 @@
 /// \file
-/// Final answers as callers get them.
+/// Formats final answers for callers.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -9,14 +9,14 @@
 
 namespace banyanpick {
 
-/// The members of a final answer; without `text` and `result`.
+/// Returns the members of a final answer, without `text` and `result`.
 nlohmann::json toJson(const FinalAnswer &Answer);
 
-/// The final answer as a whole HTTP answer. \p Text is the text of a
-/// completion that was not streamed.
+/// Returns the complete HTTP answer. \p Text is the text of a completion that
+/// was not streamed.
 HttpAnswer answerTo(const FinalAnswer &Answer, const std::string *Text);
 
-/// The data of one chunk's event.
+/// Returns the data field of the event for one chunk.
 std::string chunkData(std::uint64_t Index, const std::string &Text);
 
 } // namespace banyanpick
--- a/src/app/AttemptTable.cpp
+++ b/src/app/AttemptTable.cpp
@@ -46,7 +46,7 @@
                       "go to models, calls to application services"});
     return;
   }
-  // What came of the answer already stands here, newer than control knows.
+  // The chunks received here are more recent than the index known to control.
   Wanted.NextIndex = Entry->chunks().end();
   if (ToEngine) {
     auto Active = std::make_shared<ActiveEngineAttempt>(this->Executor, Wanted,
--- a/src/app/AttemptTable.h
+++ b/src/app/AttemptTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// The tries that run on one traffic thread.
+/// The attempts that run on one traffic thread.
 #pragma once
 
 #include "app/EventSink.h"
@@ -15,7 +15,7 @@
 
 namespace banyanpick {
 
-/// What all traffic threads share.
+/// The objects and settings shared by all traffic threads.
 struct TrafficContext {
   Identity Self;
   TrafficSettings Traffic;
@@ -25,7 +25,8 @@
   ProcessClock Clock;
 };
 
-/// Used on one thread, that of its executor.
+/// Runs attempts against engines and services. Used on the thread of its
+/// executor only.
 class AttemptTable {
 public:
   AttemptTable(const net::any_io_executor &Executor,
@@ -33,16 +34,18 @@
       : Executor(Executor), Context(Context),
         Client(Executor, Context.Self.Host, Context.Platform) {}
 
-  /// Runs the try for the entry; its end is an event unless it is cancelled.
+  /// Runs the attempt for the entry. Sends AttemptEnded when it ends, unless it
+  /// is cancelled.
   void dispatch(DispatchAttempt Wanted, std::shared_ptr<RelayEntry> Entry);
 
-  /// Drops the try if it runs here, and tells the upstream.
+  /// Aborts the attempt if it runs here and sends the cancellation to the
+  /// upstream.
   void cancel(CancelAttempt Wanted);
 
   std::size_t size() const { return this->ActiveAttempts.size(); }
 
 private:
-  /// One running try. Chunks of a cancelled one go nowhere.
+  /// One running attempt. Chunks of a cancelled attempt are discarded.
   class ActiveAttempt : public ChunkSink {
   public:
     virtual void abort() = 0;
--- a/src/app/CallerRequest.cpp
+++ b/src/app/CallerRequest.cpp
@@ -20,7 +20,7 @@
               "member '" + std::string(Member) + "' is wrong", Remedy);
 }
 
-/// The text of a member; empty when absent.
+/// Returns the text of a member, or an empty string when it is absent.
 std::string textMember(const json &Object, const char *Name) {
   const auto Found = Object.find(Name);
   if (Found == Object.end())
@@ -58,7 +58,7 @@
   return Root;
 }
 
-/// What calls and completions share.
+/// Reads the members that calls and completions have in common.
 RequestHead headFrom(const HttpExchange &Exchange, const json &Root) {
   RequestHead Result;
   Result.TeamKey = bearerKey(Exchange);
--- a/src/app/CallerRequest.h
+++ b/src/app/CallerRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// What callers send, out of HTTP and JSON.
+/// Parses the requests of callers from HTTP and JSON.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -7,8 +7,8 @@
 
 namespace banyanpick {
 
-/// The content of a request, kept until its final answer is known so that it
-/// can be sent again.
+/// The content of a request. It is kept until the final answer is known, so
+/// that a further attempt can send it again.
 struct RequestContent {
   enum class Kind { Completion, Call } Type = Kind::Completion;
   std::string Text; ///< The prompt, or the JSON text of a call's body.
@@ -16,14 +16,14 @@
 };
 
 struct CallerRequest {
-  RequestHead Head; ///< Its Id is not set.
+  RequestHead Head; ///< Without Id.
   RequestContent Content;
 };
 
-/// `TEAM.SECRET` out of the Authorization header; empty when there is none.
+/// Returns `TEAM.SECRET` from the Authorization header, or an empty string.
 std::string bearerKey(const HttpExchange &Exchange);
 
-/// Throw Error(BadInput) when the body is not as docs/PROTOCOLS.md says.
+/// Throw Error(BadInput) when the body does not conform to docs/PROTOCOLS.md.
 CallerRequest completionFrom(const HttpExchange &Exchange);
 CallerRequest callFrom(const HttpExchange &Exchange);
 
--- a/src/app/CallerService.cpp
+++ b/src/app/CallerService.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t MaxTokenBytes = 256;
 constexpr seconds ResolveTimeout(5);
 
-/// Runs \p Work on the executor given and comes back to the own one.
+/// Runs \p Work on \p Executor and resumes on the caller's executor.
 template <class Value>
 Task<Value> onExecutor(net::any_io_executor Executor, Task<Value> Work) {
   const net::any_io_executor Own = co_await net::this_coro::executor;
@@ -72,7 +72,7 @@
   co_return Stream.attach(Writer, Index);
 }
 
-/// Takes the entry out of its table when the caller's side ends.
+/// Removes the entry from its table on destruction, unless keep() was called.
 class EntryGuard {
 public:
   EntryGuard(RelayTable &Table, RequestId Id) : Table(Table), Id(Id) {}
@@ -83,7 +83,7 @@
   EntryGuard(const EntryGuard &) = delete;
   EntryGuard &operator=(const EntryGuard &) = delete;
 
-  /// Leaves it there for a caller that may come back.
+  /// Leaves the entry in the table for a caller that may resume the stream.
   void keep() { this->IsKept = true; }
 
 private:
--- a/src/app/CallerService.h
+++ b/src/app/CallerService.h
@@ -7,7 +7,8 @@
 
 namespace banyanpick {
 
-/// One object for all threads; holds no state of requests.
+/// Serves the HTTP requests of callers. One object serves all threads; it holds
+/// no state of requests.
 class CallerService {
 public:
   explicit CallerService(EventSink &Events) : Events(Events) {}
@@ -24,10 +25,10 @@
 
   Task<void> serveUnstreamed(HttpExchange &Exchange, Entry Relay);
   Task<void> serveStreamed(HttpExchange &Exchange, Entry Relay);
-  /// Sends the stream from \p Index on; true when it was sent to its end.
+  /// Sends the stream from \p Index on. Returns true when all of it was sent.
   Task<bool> sendStream(HttpExchange &Exchange, Entry Stream,
                         std::uint64_t Index);
-  /// The caller hung up while \p Writer read for it.
+  /// Called when the caller disconnected while \p Writer sent the stream to it.
   void detach(const Entry &Stream, std::uint64_t Writer);
 
   EventSink &Events;
--- a/src/app/ChunkBuffer.h
+++ b/src/app/ChunkBuffer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chunks of one answer between upstream and caller, bounded in bytes.
+/// A buffer for the chunks of one answer between upstream and caller.
 #pragma once
 
 #include <cstdint>
@@ -8,40 +8,41 @@
 
 namespace banyanpick {
 
-/// Keeps every chunk not yet delivered, and of those delivered as many as fit
-/// into a bound, for a caller whose connection was cut.
+/// Keeps every undelivered chunk, and as many of the newest delivered chunks as
+/// fit into a bound in bytes. A caller whose connection was lost resumes from
+/// the delivered chunks.
 class ChunkBuffer {
 public:
-  /// \p FirstIndex is the index of the first chunk to come.
+  /// \p FirstIndex is the index of the first chunk that will be appended.
   ChunkBuffer(std::uint64_t FirstIndex, std::size_t KeepDeliveredBytes)
       : First(FirstIndex), Delivered(FirstIndex),
         KeepDeliveredBytes(KeepDeliveredBytes) {}
 
   void append(std::string Text);
 
-  /// Chunks before \p Index were handed to the caller's connection.
+  /// Marks the chunks before \p Index as written to the caller's connection.
   void markDelivered(std::uint64_t Index);
 
-  /// The oldest chunk kept.
+  /// The index of the oldest chunk kept.
   std::uint64_t first() const { return this->First; }
-  /// One past the newest chunk.
+  /// One past the index of the newest chunk.
   std::uint64_t end() const { return this->First + this->Chunks.size(); }
-  /// The first chunk not handed to the caller's connection; may lie past
-  /// end() when the caller said that it has more.
+  /// The index of the first undelivered chunk. Exceeds end() when the caller
+  /// resumed from an index beyond the newest chunk here.
   std::uint64_t delivered() const { return this->Delivered; }
 
-  /// The chunk of that index, in [first(), end()).
+  /// Returns the chunk at \p Index, which must be in [first(), end()).
   const std::string &at(std::uint64_t Index) const {
     return this->Chunks[Index - this->First];
   }
 
-  /// Bytes of chunks not delivered, with what the program needs for each.
+  /// Bytes of undelivered chunks, including the overhead of each string.
   std::size_t undeliveredBytes() const {
     return this->Bytes - this->DeliveredBytes;
   }
   std::size_t bytes() const { return this->Bytes; }
 
-  /// All chunks in one text; for answers that are not streamed.
+  /// Returns all chunks as one text, for answers that are not streamed.
   std::string joined() const;
 
 private:
--- a/src/app/ContentHash.h
+++ b/src/app/ContentHash.h
@@ -1,5 +1,5 @@
 /// \file
-/// Hashes of what callers send, by xxhash64.
+/// Hashes of the content of requests, computed with xxhash64.
 #pragma once
 
 #include "kernel/Request.h"
@@ -9,16 +9,17 @@
 
 namespace banyanpick {
 
-/// Tokens are estimated as one for each so many bytes.
+/// Bytes per token, for the estimate of token counts.
 inline constexpr std::uint64_t BytesPerToken = 4;
 
 std::uint64_t estimateTokens(std::string_view Text);
 
-/// One hash for each full block of PromptBlockTokens, chained over those
-/// before it. Engines name cached blocks the same way.
+/// Returns one hash for each full block of PromptBlockTokens. Each hash
+/// includes all blocks before it. Engines identify cached blocks in the same
+/// way.
 std::vector<BlockHash> promptBlocks(std::string_view Prompt);
 
-/// Equal for equal class and content.
+/// Returns a hash of the class and the content.
 Fingerprint contentFingerprint(const ClassId &Class, std::string_view Content);
 
 } // namespace banyanpick
--- a/src/app/Control.cpp
+++ b/src/app/Control.cpp
@@ -9,17 +9,17 @@
 using WakeAtom = caf::atom_constant<caf::atom("wake")>;
 using StopAtom = caf::atom_constant<caf::atom("stop")>;
 
-/// What the actor holds. Used on its thread only.
+/// The state of the actor. Used on its thread only.
 struct ActorData {
   std::unique_ptr<Kernel> HostKernel;
   ActionPerformer &Router;
   HostState &State;
   const ProcessClock &Clock;
-  std::atomic<std::size_t> &Waiting; ///< Events on their way here.
+  std::atomic<std::size_t> &Waiting; ///< Number of queued events.
   ControlDelay Delay;
-  /// When the wake message that counts will come. Those planned earlier for a
-  /// later time still come; taken as wakes, each would plan one more, and their
-  /// number would only grow.
+  /// When the current wake message arrives. Wake messages scheduled earlier for
+  /// a later time still arrive and are ignored. If they were handled, each
+  /// would schedule another message, and their number would only grow.
   Time WakeAt = Never;
 
   void handle(const Event &Incoming) {
@@ -48,7 +48,7 @@
   }
 };
 
-/// The shortest sleep between two ticks.
+/// The minimum delay between two ticks.
 constexpr milliseconds MinSleep(1);
 
 void scheduleWake(caf::event_based_actor *Self, ActorData &Data) {
@@ -91,8 +91,8 @@
 
 ControlSystemConfig::ControlSystemConfig() {
   this->set("scheduler.max-threads", 1U);
-  // The actor has a thread of its own, so the scheduler's has nothing to do;
-  // the default policy has it look for work a hundred times a second.
+  // The actor runs on its own thread, so the scheduler's thread is idle. With
+  // the default policy the idle thread polls for work 100 times per second.
   this->set("scheduler.policy", caf::atom("sharing"));
 }
 
@@ -121,7 +121,7 @@
 }
 
 void Control::send(Event Incoming) {
-  // What is lost is not waited for.
+  // Lost events do not count as queued.
   if (!this->Actor)
     return;
   ++this->Waiting;
--- a/src/app/Control.h
+++ b/src/app/Control.h
@@ -1,5 +1,5 @@
 /// \file
-/// The control actor: one CAF actor on a thread of its own that owns the
+/// The control actor: one CAF actor that runs on its own thread and owns the
 /// kernel.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace banyanpick {
 
-/// An event on its way to the actor.
+/// An event that is queued for the actor.
 struct ControlEvent {
   Event Payload;
   Time SentAt{};
@@ -26,25 +26,26 @@
   ControlSystemConfig();
 };
 
-/// The events' way in. Events that come before the actor is started are lost.
+/// Passes events to the control actor. Events sent before the actor is started
+/// are lost.
 class Control : public EventSink {
 public:
   explicit Control(const ProcessClock &Clock) : Clock(Clock) {}
   ~Control() override;
 
-  /// Makes the actor, which takes the kernel over.
+  /// Starts the actor, which takes ownership of the kernel.
   void start(std::unique_ptr<Kernel> HostKernel, ActionPerformer &Router,
              HostState &State);
-  /// Ends the actor and waits for its thread.
+  /// Stops the actor and waits for its thread.
   void stop();
 
   void send(Event Incoming) override;
-  /// Events that wait to be taken in.
+  /// Returns the number of queued events.
   std::size_t waiting() const { return this->Waiting; }
 
 private:
   const ProcessClock &Clock;
-  std::atomic<std::size_t> Waiting = 0; ///< Events on their way.
+  std::atomic<std::size_t> Waiting = 0; ///< Number of queued events.
   ControlSystemConfig Config;
   std::unique_ptr<caf::actor_system> System;
   caf::actor Actor;
--- a/src/app/ControlDelay.cpp
+++ b/src/app/ControlDelay.cpp
@@ -11,7 +11,7 @@
 
 constexpr seconds ReportInterval(1);
 
-/// Peers wait some hundred milliseconds for an answer before they doubt.
+/// Peers suspect a host that does not answer for a few hundred milliseconds.
 constexpr milliseconds LateThreshold(100);
 
 } // namespace
--- a/src/app/ControlDelay.h
+++ b/src/app/ControlDelay.h
@@ -1,25 +1,26 @@
 /// \file
-/// How late the control thread takes in what happens.
+/// Measures how long events wait for the control thread.
 #pragma once
 
 #include "kernel/Action.h"
 
 namespace banyanpick {
 
-/// Looks at each event's way to the control thread; once a second it tells the
-/// longest wait, as a gauge, and in a log line where decisions came late.
+/// Records the queueing delay of each event. Once per second it reports the
+/// longest delay and the longest queue as gauges, and writes a log line when
+/// the delay exceeds a threshold.
 class ControlDelay {
 public:
-  /// \p Waited: how long the event was on its way. \p Waiting: events that are
-  /// there still.
+  /// \p Waited is the queueing delay of the event. \p Waiting is the number of
+  /// events that are still queued.
   void record(Duration Waited, std::size_t Waiting, Time Now, Actions &Out);
 
 private:
   void report(Time Now, Actions &Out);
 
-  Time IntervalStart{}; ///< What follows was seen since then.
+  Time IntervalStart{}; ///< When the current measuring interval began.
   Duration MaxDelay{};
-  std::size_t MaxWaiting = 0; ///< Events waiting at once.
+  std::size_t MaxWaiting = 0; ///< Longest queue, in events.
 };
 
 } // namespace banyanpick
--- a/src/app/Daemon.cpp
+++ b/src/app/Daemon.cpp
@@ -62,7 +62,7 @@
 }
 
 Daemon::~Daemon() {
-  this->Peers.reset(); // Ends its thread, which sends events.
+  this->Peers.reset(); // Stops its thread, which sends events.
   for (const auto &Thread : this->Threads)
     Thread->stop();
   this->Events.stop();
--- a/src/app/Daemon.h
+++ b/src/app/Daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// The entry host's process, put together.
+/// The process of an entry host.
 #pragma once
 
 #include "app/ActionRouter.h"
@@ -12,28 +12,28 @@
 
 namespace banyanpick {
 
-/// Runs one entry host.
+/// Owns and connects all parts of one entry host.
 class Daemon {
 public:
-  /// Opens all ports and starts all threads. Throws Error when the settings
-  /// can't be used or a port is taken.
+  /// Opens all ports and starts all threads. Throws Error when the settings are
+  /// invalid or a port is in use.
   Daemon(const Settings &Values, Incarnation Life, std::uint64_t Seed);
   ~Daemon();
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Returns when the host has stopped gracefully.
+  /// Blocks until the graceful shutdown is complete.
   void run();
 
   std::uint16_t callersPort() const { return this->Server->port(); }
   std::uint16_t peersPort() const { return this->Peers->port(); }
 
-  /// Starts the graceful stop, as SIGTERM does.
+  /// Starts the graceful shutdown, like SIGTERM.
   void requestStop() { this->Events.send(StopRequest{}); }
 
 private:
   void waitForSignals();
-  /// Answers that are not written yet.
+  /// Returns the number of answers that are not yet written to their callers.
   std::size_t unsentAnswers();
 
   ProcessClock Clock;
--- a/src/app/EventSink.h
+++ b/src/app/EventSink.h
@@ -1,12 +1,12 @@
 /// \file
-/// Where the traffic threads hand in what happened.
+/// The interface through which the traffic threads send events to control.
 #pragma once
 
 #include "kernel/Event.h"
 
 namespace banyanpick {
 
-/// Safe from any thread; returns at once.
+/// Receives events. send() is thread-safe and does not block.
 class EventSink {
 public:
   virtual ~EventSink() = default;
--- a/src/app/GatewayDaemon.cpp
+++ b/src/app/GatewayDaemon.cpp
@@ -98,7 +98,7 @@
 }
 
 GatewayDaemon::~GatewayDaemon() {
-  this->Peers.reset(); // Ends its thread, which sends events.
+  this->Peers.reset(); // Stops its thread, which sends events.
   this->Traffic.stop();
   this->Events.stop();
 }
--- a/src/app/GatewayDaemon.h
+++ b/src/app/GatewayDaemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// The process of an entry host that serves as a gateway, put together.
+/// The process of an entry host that serves as a gateway.
 #pragma once
 
 #include "app/Control.h"
@@ -13,7 +13,8 @@
 
 namespace banyanpick {
 
-/// Carries the kernel's actions to where they are done.
+/// Routes the kernel's actions to the traffic thread, the peer network, the log
+/// and the metrics.
 class GatewayRouter : public ActionPerformer {
 public:
   GatewayRouter(GatewayTraffic &Traffic, PeerNetwork &Peers,
@@ -30,7 +31,7 @@
   std::function<void()> OnStop;
 };
 
-/// Answers the requests that come to one port.
+/// Serves the requests that arrive at one port.
 class GatewayHandler : public HttpHandler {
 public:
   using Function = std::function<Task<void>(HttpExchange &)>;
@@ -43,23 +44,23 @@
   Function Serve;
 };
 
-/// Runs one gateway host.
+/// Owns and connects all parts of one gateway host.
 class GatewayDaemon {
 public:
-  /// Opens all ports and starts all threads. Throws Error when the settings
-  /// can't be used or a port is taken. \p File is looked at for changes.
+  /// Opens all ports and starts all threads. Throws Error when the settings are
+  /// invalid or a port is in use. The settings \p File is polled for changes.
   GatewayDaemon(const Settings &Values, std::string File, Incarnation Life,
                 std::uint64_t Seed);
   ~GatewayDaemon();
   GatewayDaemon(const GatewayDaemon &) = delete;
   GatewayDaemon &operator=(const GatewayDaemon &) = delete;
 
-  /// Returns when the host has stopped gracefully.
+  /// Blocks until the graceful shutdown is complete.
   void run();
 
   std::uint16_t callersPort() const { return this->Callers->port(); }
 
-  /// Starts the graceful stop, as SIGTERM does.
+  /// Starts the graceful shutdown, like SIGTERM.
   void requestStop() { this->Events.send(StopRequest{}); }
 
 private:
@@ -68,7 +69,7 @@
   void applySettings(std::shared_ptr<const Settings> Values);
   Task<void> serveReadiness(HttpExchange &Exchange);
   Task<void> serveMetrics(HttpExchange &Exchange);
-  /// Answers that are not written yet.
+  /// Returns the number of answers that are not yet written to their callers.
   std::size_t unsentAnswers();
 
   ProcessClock Clock;
--- a/src/app/GatewaySettings.cpp
+++ b/src/app/GatewaySettings.cpp
@@ -15,7 +15,7 @@
   if (Text.empty())
     throw Error(ErrorKind::BadInput,
                 "[gateway] " + std::string(Key) + " is missing",
-                "give ip:port, as [host] serving is gateway");
+                "give ip:port; [host] serving = gateway requires it");
   return addressFromText(Text);
 }
 
--- a/src/app/GatewaySettings.h
+++ b/src/app/GatewaySettings.h
@@ -28,10 +28,10 @@
   Duration FlushAtStop{};
 };
 
-/// The settings of section [gateway].
+/// Returns the declarations of [gateway] and of [host] serving.
 std::vector<SettingDeclaration> gatewaySettingDeclarations();
 
-/// How the host serves, by [host] serving.
+/// Returns the serving mode that [host] serving selects.
 ServingMode servingFrom(const Settings &Values);
 
 /// Throws Error(BadInput) when an address is missing or malformed.
--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -10,13 +10,15 @@
 
 namespace {
 
-/// How long a question for hosts may take; callers wait a second.
+/// Time limit for resolve requests. Callers wait one second.
 constexpr milliseconds ResolveTimeout(900);
 
-/// Reports and answers to orders are small; a larger one is not read.
+/// Upper bound of reports and of answers to orders, which are small. A larger
+/// body is not read.
 constexpr std::size_t MaxReportBytes = 256ULL * 1024;
 
-/// Names of unknown headers that are told of; others are only counted.
+/// How many names of unknown headers are logged. Further names are only
+/// counted.
 constexpr std::size_t MaxUnknownHeaders = 32;
 
 StoreObserved storeObserved(StoreObserved::Part Part, bool Reachable,
@@ -154,7 +156,8 @@
 void GatewayTraffic::dispatch(const DispatchRelay &Order) {
   const auto Side = this->caller(Order.Request);
   if (!Side) {
-    // The caller has its answer or is gone; control learns that, too.
+    // The caller has its answer or has disconnected. Control is notified in
+    // either case.
     this->Context.Events.send(
         GatewayEvent(RelayEnded{Order.Attempt, RelayDelivered{}}));
     return;
@@ -278,14 +281,14 @@
   for (const KeyedRecord &Record : Records) {
     EngineChange Change;
     Change.Offset = Record.Offset;
-    // What cannot be read names no engine to use, so the key's engine counts as
-    // removed until it registers anew.
+    // A malformed record describes no usable engine, so the engine of this key
+    // counts as removed until it registers again.
     Change.Removed = true;
     Change.Engine.Id = UpstreamId(Record.Key);
     try {
       if (Record.Key.empty())
         throw Error(ErrorKind::BadInput, "a record has no key",
-                    "have its writer mend it");
+                    "correct the program that writes it");
       if (Record.Value) {
         Change.Engine = this->Context.Protocol.documents().readEngine(
             Record.Key, *Record.Value);
@@ -333,7 +336,8 @@
 Task<void> GatewayTraffic::reserve(ReserveMemory Wanted) {
   const EngineProtocol &Protocol = this->Context.Protocol.engines();
   const Time SentAt = this->Context.Clock.now();
-  // An order over a connection that closes meanwhile is lost without a sign.
+  // Does not reuse a connection: an order sent over a connection that is being
+  // closed is lost without an error.
   const ClientResult Result = co_await this->Client.call(
       Wanted.At, Protocol.requestFor(Wanted),
       this->Context.Values.ReportTimeout, HttpClient::Reuse::No);
@@ -393,7 +397,8 @@
     this->count("announcements", std::holds_alternative<AppendAccepted>(Result)
                                      ? "taken"
                                      : "failed");
-    // A host that stops is found dead by its peers if this is lost.
+    // A lost withdrawal is not retried: peers detect the death of a host that
+    // stops.
     if (std::holds_alternative<AppendAccepted>(Result) || !Present)
       co_return;
     Pause.expires_after(Retry);
--- a/src/app/GatewayTraffic.h
+++ b/src/app/GatewayTraffic.h
@@ -17,7 +17,7 @@
 
 namespace banyanpick {
 
-/// What the traffic thread of a gateway uses.
+/// The objects and settings that the traffic thread of a gateway uses.
 struct GatewayContext {
   Identity Self;
   GatewaySettings Values;
@@ -27,7 +27,7 @@
   const ProcessClock &Clock;
 };
 
-/// Relays requests, reads the store and talks to upstreams, on one thread.
+/// Relays requests, reads the store and calls upstreams, on one thread.
 class GatewayTraffic {
 public:
   explicit GatewayTraffic(const GatewayContext &Context);
@@ -36,23 +36,24 @@
   GatewayTraffic &operator=(const GatewayTraffic &) = delete;
 
   net::io_context &context() { return this->Io; }
-  /// \p Callers is told new bounds.
+  /// Starts the thread. Changed limits for callers are applied to \p Callers.
   void start(HttpServer &Callers);
-  /// Ends the thread; what runs is dropped. On another thread.
+  /// Stops the thread and drops what runs on it. Must be called on another
+  /// thread.
   void stop();
 
-  /// Carries them out in their order. On any thread.
+  /// Executes the actions in the given order. Thread-safe.
   void post(std::vector<Action> Wanted);
 
-  // --- on the thread only
+  // --- called on the traffic thread only
 
-  /// Serves one request of a caller to its end.
+  /// Serves one request of a caller until its answer is complete.
   Task<void> relay(HttpExchange &Exchange);
-  /// Answers one question for hosts.
+  /// Answers one request for the addresses of entry hosts.
   Task<void> resolve(HttpExchange &Exchange);
   std::size_t openRequests() const { return this->Callers.size(); }
 
-  /// Runs \p What on the thread. On any thread.
+  /// Runs \p Callback on the traffic thread. Thread-safe.
   template <class Function> void run(Function Callback) {
     net::post(this->Io, std::move(Callback));
   }
@@ -62,9 +63,10 @@
   void perform(const GatewayAction &Wanted);
   void dispatch(const DispatchRelay &Order);
   Task<void> runAttempt(std::shared_ptr<EngineRun> Run, DispatchRelay Order);
-  /// Tells of headers that the protocol does not know, of each name once.
+  /// Counts headers that the protocol does not know, and logs each name once.
   void reportUnknownHeaders(const EngineRun &Run, const UpstreamId &Engine);
-  /// Passes on what an answer said of its upstream, if anything.
+  /// Sends the signals that an answer carries about its upstream, if any, to
+  /// control.
   void reportSignals(const UpstreamId &Engine, Time SentAt,
                      const AnswerSignals &Signals);
   void reportSignals(const UpstreamId &Engine, Time SentAt,
@@ -91,12 +93,13 @@
   std::shared_ptr<KeyedFollower> Engines;
   HttpClient Client;
   EngineLinkPool Links;
-  /// What was chosen before an upstream asked for rest is not sent after it.
+  /// Prevents a relay that was dispatched before an upstream requested a
+  /// backoff from being sent after the request.
   EngineBackoffs Backoffs;
   PendingAnswers<AnswerResolve> ResolveAnswers;
   std::map<RequestId, std::shared_ptr<CallerSide>> Callers;
   std::map<AttemptId, std::shared_ptr<EngineRun>> Runs;
-  std::set<std::string> UnknownHeaders; ///< That were told of.
+  std::set<std::string> UnknownHeaders; ///< Names that were logged.
   std::uint64_t LastId = 0;
   std::thread Thread;
 };
--- a/src/app/GracefulShutdown.cpp
+++ b/src/app/GracefulShutdown.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often a stopping host looks whether all answers are written.
+/// How often a stopping host checks whether all answers are written.
 constexpr milliseconds FlushPollInterval(10);
 
 } // namespace
--- a/src/app/GracefulShutdown.h
+++ b/src/app/GracefulShutdown.h
@@ -1,5 +1,5 @@
 /// \file
-/// The end of a host.
+/// The graceful shutdown of a host.
 #pragma once
 
 #include "app/ProcessClock.h"
@@ -11,14 +11,14 @@
 
 namespace banyanpick {
 
-/// Control says that the host may end; the main thread waits for that.
+/// Control allows the host to exit; the main thread waits for the permission.
 class GracefulShutdown {
 public:
-  /// May be called again, and from any thread.
+  /// Permits the exit. Thread-safe; may be called repeatedly.
   void allow();
 
-  /// Waits until it is allowed, and then at most \p FlushFor until \p Unsent
-  /// gives zero answers that are not written yet.
+  /// Waits for the permission, and then until \p Unsent returns zero unwritten
+  /// answers, but no longer than \p FlushFor.
   void wait(const ProcessClock &Clock, Duration FlushFor,
             const std::function<std::size_t()> &Unsent);
 
--- a/src/app/HostRecord.cpp
+++ b/src/app/HostRecord.cpp
@@ -23,7 +23,7 @@
   HostListing Result;
   In >> Callers >> Peers >> Result.Zone.Value;
   std::uint32_t Thousandths = 0;
-  // Absent in records of earlier versions.
+  // Earlier versions do not write this field.
   if (In >> Thousandths && Thousandths > 0)
     Result.Processor.Thousandths = Thousandths;
   try {
--- a/src/app/HostRecord.h
+++ b/src/app/HostRecord.h
@@ -1,6 +1,6 @@
 /// \file
-/// The word that an entry host leaves of itself in the store, for hosts that
-/// start while none of their seeds answers.
+/// The record through which an entry host advertises itself in the store. Hosts
+/// that start while none of their seeds answers read it.
 #pragma once
 
 #include "kernel/Upstream.h"
@@ -12,7 +12,7 @@
 
 KeyedRecord writeHostRecord(const HostListing &Host);
 
-/// Nothing when the record is malformed or withdrawn.
+/// Returns nothing when the record is malformed or was withdrawn.
 std::optional<HostListing> readHostRecord(const KeyedRecord &Record);
 
 } // namespace banyanpick
--- a/src/app/HostState.h
+++ b/src/app/HostState.h
@@ -1,5 +1,5 @@
 /// \file
-/// What control lets the other threads know of itself.
+/// The state of control that other threads may read.
 #pragma once
 
 #include <atomic>
@@ -9,8 +9,8 @@
 /// Written by the control thread after each event.
 struct HostState {
   std::atomic<bool> Ready = false;   ///< A catalogue is known.
-  std::atomic<bool> Current = false; ///< It is known to be current.
-  std::atomic<bool> Leaving = false; ///< A stop was asked.
+  std::atomic<bool> Current = false; ///< The catalogue is known to be current.
+  std::atomic<bool> Leaving = false; ///< A stop was requested.
 };
 
 } // namespace banyanpick
--- a/src/app/Main.cpp
+++ b/src/app/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// banyanpickd: the entry host's process.
+/// The main program of the entry host, banyanpickd.
 #include "app/Daemon.h"
 #include "app/GatewayDaemon.h"
 #include "app/SettingsFile.h"
--- a/src/app/OperatorService.h
+++ b/src/app/OperatorService.h
@@ -1,5 +1,5 @@
 /// \file
-/// Serves operators: the HTTP behind the command line.
+/// The HTTP interface for operators, which the command-line tool uses.
 #pragma once
 
 #include "app/TrafficThread.h"
@@ -7,7 +7,7 @@
 
 namespace banyanpick {
 
-/// One object for all threads.
+/// Serves the HTTP requests of operators. One object serves all threads.
 class OperatorService {
 public:
   explicit OperatorService(EventSink &Events) : Events(Events) {}
@@ -18,7 +18,7 @@
   EventSink &Events;
 };
 
-/// The question that the exchange asks. Throws Error(BadInput).
+/// Parses the request of an operator. Throws Error(BadInput).
 OperatorQuestion operatorQuestionFrom(const HttpExchange &Exchange);
 
 } // namespace banyanpick
--- a/src/app/PeerEvents.cpp
+++ b/src/app/PeerEvents.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A host that runs so late takes nothing more from peers: they repeat what
-/// matters, and what waited for seconds is worth less than the memory.
+/// A host with more queued events drops the messages of peers. Peers repeat
+/// important messages, and messages that waited for seconds are not worth the
+/// memory.
 constexpr std::size_t MaxWaitingEvents = 4096;
 
 } // namespace
--- a/src/app/PeerEvents.h
+++ b/src/app/PeerEvents.h
@@ -1,5 +1,5 @@
 /// \file
-/// What peers say, as events for control.
+/// Forwards messages of peers to control as events.
 #pragma once
 
 #include "app/Control.h"
@@ -8,8 +8,8 @@
 
 namespace banyanpick {
 
-/// Passes messages on to \p Events; malformed ones are counted and logged. All
-/// must outlive the peer network.
+/// Returns a listener that forwards messages to \p Events, and counts and logs
+/// malformed messages. All arguments must outlive the peer network.
 PeerNetwork::Listener peerEvents(Control &Events, Metrics &HostMetrics,
                                  const ProcessClock &Clock);
 
--- a/src/app/PendingAnswers.h
+++ b/src/app/PendingAnswers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Questions that callers and operators wait to have answered by control.
+/// Requests of callers and operators that wait for an answer from control.
 #pragma once
 
 #include "base/Time.h"
@@ -10,14 +10,15 @@
 
 namespace banyanpick {
 
-/// Used on one thread, that of its executor.
+/// Matches answers with the coroutines that wait for them. Used on the thread
+/// of its executor only.
 template <class Answer> class PendingAnswers {
 public:
   explicit PendingAnswers(const net::any_io_executor &Executor)
       : Executor(Executor) {}
 
-  /// Waits for the answer to the question of that number; nothing when none
-  /// comes within \p Timeout. The question is open from the call on.
+  /// Waits for the answer to request \p Id. Returns nothing when none arrives
+  /// within \p Timeout. Answers are accepted from the call on.
   Task<std::optional<Answer>> wait(std::uint64_t Id, Duration Timeout) {
     PendingAnswer &Pending =
         this->Entries.try_emplace(Id, this->Executor).first->second;
@@ -29,7 +30,7 @@
     co_return Result;
   }
 
-  /// Ignored when nobody waits any more.
+  /// Delivers an answer. Ignored when nobody waits for it.
   void answer(std::uint64_t Id, Answer Value) {
     const auto Found = this->Entries.find(Id);
     if (Found == this->Entries.end() || Found->second.Value)
--- a/src/app/ProcessClock.h
+++ b/src/app/ProcessClock.h
@@ -1,5 +1,5 @@
 /// \file
-/// The daemon's clock: monotonic, mapped once onto the wall clock.
+/// The daemon's clock: monotonic, aligned with the wall clock at start.
 #pragma once
 
 #include "base/Time.h"
@@ -8,9 +8,9 @@
 
 namespace banyanpick {
 
-/// Never runs backwards, whatever is done to the wall clock meanwhile, and
-/// counts the time for which the machine was suspended: limits of requests and
-/// the age of what is known go on then. Safe from any thread.
+/// Returns monotonic time that does not follow later changes of the wall clock.
+/// Includes the time for which the machine was suspended, because deadlines of
+/// requests and the age of information advance meanwhile. Thread-safe.
 class ProcessClock {
 public:
   ProcessClock()
--- a/src/app/ProcessPages.h
+++ b/src/app/ProcessPages.h
@@ -1,5 +1,5 @@
 /// \file
-/// /health, /ready and /metrics.
+/// The pages /health, /ready and /metrics.
 #pragma once
 
 #include "app/HostState.h"
@@ -8,13 +8,13 @@
 
 namespace banyanpick {
 
-/// Safe from any thread.
+/// Serves the state and the metrics of the process. Thread-safe.
 class ProcessPages {
 public:
   ProcessPages(const HostState &State, const Metrics &HostMetrics)
       : State(State), HostMetrics(HostMetrics) {}
 
-  /// The page of that path, or nothing.
+  /// Returns the page at \p Path, or nothing.
   std::optional<HttpAnswer> find(std::string_view Path) const;
 
 private:
--- a/src/app/RelayEntry.cpp
+++ b/src/app/RelayEntry.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Events sent in one piece at most, so that one caller's backlog does not
-/// hold up the others of its thread.
+/// Maximum size of one write of events, so that the backlog of one caller does
+/// not delay the other callers of its thread.
 constexpr std::size_t BytesPerDelivery = 32ULL * 1024;
 
 } // namespace
--- a/src/app/RelayEntry.h
+++ b/src/app/RelayEntry.h
@@ -1,6 +1,6 @@
 /// \file
-/// One request on its traffic thread: its content, the chunks of its answer
-/// and who reads them.
+/// One request on its traffic thread: its content, the chunks of its answer and
+/// the connection that reads them.
 #pragma once
 
 #include "app/CallerRequest.h"
@@ -13,15 +13,19 @@
 
 namespace banyanpick {
 
-/// Bounds of what one request holds.
+/// Bounds of the memory that one request uses.
 struct RelayLimits {
-  std::size_t UndeliveredBytes = 0;   ///< Of a stream; then reading pauses.
-  std::size_t KeepDeliveredBytes = 0; ///< Of a stream, for a cut caller.
-  std::size_t WholeAnswerBytes = 0;   ///< Of an answer that is not streamed.
+  /// Of a stream. Reading from the upstream pauses above the bound.
+  std::size_t UndeliveredBytes = 0;
+  /// Of a stream, for a caller whose connection was lost.
+  std::size_t KeepDeliveredBytes = 0;
+  /// Of an answer that is not streamed.
+  std::size_t WholeAnswerBytes = 0;
 };
 
-/// Used on the thread of its executor only. The caller's side may live on
-/// another thread; it comes over by coroutine.
+/// Buffers the answer of one request between upstream and caller. Used on the
+/// thread of its executor only. Code that serves the caller on another thread
+/// switches to this executor in a coroutine.
 class RelayEntry {
 public:
   RelayEntry(const net::any_io_executor &Executor, RequestId Id, bool Streamed,
@@ -34,29 +38,30 @@
   bool isStreamed() const { return this->Streamed; }
   const ChunkBuffer &chunks() const { return this->Chunks; }
 
-  // --- from control
+  // --- called by control
 
   void accept(std::string ResumeToken);
   void answer(FinalAnswer NewAnswer);
   void redirect(RedirectCaller To);
-  /// This connection reads the stream of another request.
+  /// Makes this connection read the stream of another request.
   void join(std::shared_ptr<RelayEntry> Stream, std::uint64_t NextIndex);
 
-  // --- from the upstream
+  // --- called by the upstream side
 
-  /// Adds the chunk expected next.
+  /// Appends the next chunk.
   void append(std::string Text);
-  /// Whether the caller lags so far that reading should pause.
+  /// Returns whether the caller lags so far that reading must pause.
   bool isFull() const;
-  /// Whether an answer that is not streamed grew past its bound.
+  /// Returns whether an answer that is not streamed exceeds its bound.
   bool isTooLarge() const;
-  /// Ends when something has changed; look again then.
+  /// Waits for the next change of the entry.
   Task<void> changed() { return this->Changes.wait(); }
   void wakeAll() { this->Changes.notify(); }
 
-  // --- to the caller
+  // --- called by the caller side
 
-  /// What the caller's side should do first.
+  /// The first event for the caller side: acceptance, final answer, redirect or
+  /// join.
   struct Opening {
     bool Accepted = false;
     std::string ResumeToken;
@@ -65,25 +70,26 @@
     std::shared_ptr<RelayEntry> Joined;
     std::uint64_t JoinedIndex = 0;
   };
-  /// Waits for the acceptance, the final answer or a join.
+  /// Waits for the acceptance, the final answer, a redirect or a join.
   Task<Opening> opening();
 
-  /// Makes \p Writer the one that reads; whoever read before stops. False:
-  /// chunks before \p Index are wanted that are not kept any more.
+  /// Makes \p Writer the only reader; the previous reader stops. Returns false
+  /// when the chunk at \p Index is no longer kept.
   bool attach(std::uint64_t Writer, std::uint64_t Index);
-  /// True when it was the one that read.
+  /// Removes the reader. Returns false when \p Writer is not the current one.
   bool detach(std::uint64_t Writer);
   bool hasWriter() const { return this->Writer != 0; }
 
-  /// What a writer sends next.
+  /// The next data that a writer sends.
   struct Delivery {
     std::string Events; ///< Formatted; may be empty.
     std::uint64_t NextIndex = 0;
-    bool Replaced = false; ///< Another connection reads now; stop.
-    bool Last = false;     ///< Events end with the final one.
+    bool Replaced =
+        false;         ///< Another connection reads now, or chunks are lost.
+    bool Last = false; ///< Events include the final event.
   };
-  /// Waits for something to send from \p Index on. All before it counts as
-  /// delivered.
+  /// Waits for data to send from \p Index on. Marks the chunks before \p Index
+  /// as delivered.
   Task<Delivery> next(std::uint64_t Writer, std::uint64_t Index);
 
   /// Waits for the final answer of a request that is not streamed.
--- a/src/app/RelayTable.h
+++ b/src/app/RelayTable.h
@@ -9,7 +9,8 @@
 
 namespace banyanpick {
 
-/// Used on one thread, that of its executor.
+/// Holds the entries of one traffic thread by request id. Used on the thread of
+/// its executor only.
 class RelayTable {
 public:
   RelayTable(const net::any_io_executor &Executor, EventSink &Events,
@@ -18,31 +19,34 @@
       : Executor(Executor), Events(Events), Limits(Limits),
         KeepEnded(KeepEnded), NextId(FirstId), IdStep(IdStep) {}
 
-  /// The next number of this thread; the thread is found again by it.
+  /// Returns a new id. The thread can be derived from it.
   std::uint64_t takeId();
 
-  /// Registers a caller's request and tells control.
+  /// Registers a caller's request and notifies control.
   std::shared_ptr<RelayEntry> open(CallerRequest Req);
 
-  /// Registers a connection that asks to go on with a stream.
+  /// Registers a connection that requests to resume a stream, and notifies
+  /// control.
   std::shared_ptr<RelayEntry> openResume(std::string TeamKey,
                                          std::string ResumeToken,
                                          std::uint64_t NextIndex);
 
-  /// Registers a stream taken over from a peer; its caller comes later.
+  /// Registers a stream that was taken over from a peer. Its caller connects
+  /// later.
   std::shared_ptr<RelayEntry> adopt(const RequestId &Id,
                                     std::uint64_t NextIndex);
 
-  /// Null when unknown.
+  /// Returns null when the request is unknown.
   std::shared_ptr<RelayEntry> find(const RequestId &Id) const;
 
-  /// The caller's side is finished with the entry.
+  /// Removes the entry of a finished request.
   void remove(const RequestId &Id) { this->Entries.erase(Id); }
 
-  /// Removes an ended entry after a while, unless a caller reads it then.
+  /// Removes an ended entry after \c KeepEnded, unless a caller reads it then.
   void removeLater(const RequestId &Id);
 
-  /// Entries whose caller reads them or waits for a whole answer.
+  /// Returns the number of entries whose caller reads a stream or waits for an
+  /// unstreamed answer.
   std::size_t unsentAnswers() const;
 
 private:
--- a/src/app/Routes.cpp
+++ b/src/app/Routes.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Throws when the target is asked for with another method.
+/// Throws Error(BadInput) when the request has another method.
 void requireMethod(const HttpExchange &Exchange, http::verb Expected) {
   if (Exchange.method() == Expected)
     return;
--- a/src/app/Routes.h
+++ b/src/app/Routes.h
@@ -1,5 +1,6 @@
 /// \file
-/// All of an entry host's HTTP: callers', operators' and the process's own.
+/// The HTTP routes of an entry host: for callers, operators and the process
+/// pages.
 #pragma once
 
 #include "app/CallerService.h"
@@ -8,7 +9,7 @@
 
 namespace banyanpick {
 
-/// Finds the service of each target.
+/// Dispatches each request to the service of its target.
 class Routes : public HttpHandler {
 public:
   Routes(std::span<const std::unique_ptr<TrafficThread>> Threads,
--- a/src/app/SettingsFile.cpp
+++ b/src/app/SettingsFile.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Runs a check that throws; what it says becomes a problem.
+/// Runs a check and converts an Error that it throws into a problem.
 template <class Function>
 void check(Function Run, std::vector<SettingsProblem> &Problems) {
   try {
--- a/src/app/SettingsFile.h
+++ b/src/app/SettingsFile.h
@@ -9,11 +9,12 @@
 
 namespace banyanpick {
 
-/// Every wrong line is written to standard error as
-/// `FILE:LINE: [section] key ...`; nothing is returned then.
+/// Reads the file. Writes every invalid line to standard error as
+/// `FILE:LINE: [section] key ...` and returns nothing if there is any.
 std::optional<Settings> readSettingsFile(const std::string &File);
 
-/// The same of a text; what is wrong is added to \p Problems.
+/// Reads settings from a text. Adds every problem to \p Problems and returns
+/// nothing if there is any.
 std::optional<Settings>
 readDaemonSettings(std::string_view Text,
                    std::vector<SettingsProblem> &Problems);
--- a/src/app/SettingsWatch.cpp
+++ b/src/app/SettingsWatch.cpp
@@ -41,7 +41,7 @@
 
 void SettingsWatch::check() {
   std::string Text = textOf(this->File);
-  // A file that is being replaced may be empty or missing for a moment.
+  // A file that is being replaced may be temporarily empty or missing.
   if (Text.empty() || Text == this->LastText)
     return;
   this->LastText = std::move(Text);
--- a/src/app/SettingsWatch.h
+++ b/src/app/SettingsWatch.h
@@ -1,5 +1,5 @@
 /// \file
-/// Notices that the settings file has changed.
+/// Detects changes of the settings file.
 #pragma once
 
 #include "app/ProcessClock.h"
@@ -12,9 +12,9 @@
 
 namespace banyanpick {
 
-/// Looks at the file now and then, as it may change without a signal. A file
-/// that is wrong is logged and the old settings stay. Used on the thread of
-/// its context.
+/// Polls the file, because it may change without a signal. An invalid file is
+/// logged and the current settings stay in force. Used on the thread of its
+/// context.
 class SettingsWatch {
 public:
   using Listener = std::function<void(std::shared_ptr<const Settings>)>;
@@ -22,7 +22,7 @@
   SettingsWatch(net::io_context &Context, std::string File, Duration Interval,
                 const ProcessClock &Clock, Listener OnChange);
 
-  /// Reads the file now.
+  /// Reads the file and calls the listener if it changed.
   void check();
 
 private:
--- a/src/app/StatusJson.h
+++ b/src/app/StatusJson.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers to operators as HTTP answers.
+/// Formats answers to operators as HTTP answers.
 #pragma once
 
 #include "http/HttpExchange.h"
@@ -7,7 +7,7 @@
 
 namespace banyanpick {
 
-/// The whole HTTP answer.
+/// Returns the complete HTTP answer.
 HttpAnswer answerTo(const OperatorAnswer &Answer);
 
 } // namespace banyanpick
--- a/src/app/TrafficLoop.h
+++ b/src/app/TrafficLoop.h
@@ -1,5 +1,5 @@
 /// \file
-/// The loop of a traffic thread.
+/// The event loop of a traffic thread.
 #pragma once
 
 #include "app/ProcessClock.h"
@@ -7,8 +7,8 @@
 
 namespace banyanpick {
 
-/// Runs until the context is stopped. What throws is lost and logged; the other
-/// connections of the thread go on.
+/// Runs until the context is stopped. An exception of a handler is logged and
+/// ends that handler only; the other connections of the thread continue.
 void runTrafficLoop(net::io_context &Io, const ProcessClock &Clock);
 
 } // namespace banyanpick
--- a/src/app/TrafficSettings.h
+++ b/src/app/TrafficSettings.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settings of the daemon itself: who it is, and how its traffic runs.
+/// The daemon's own settings: its identity and its traffic threads.
 #pragma once
 
 #include "app/RelayEntry.h"
@@ -13,20 +13,21 @@
 struct TrafficSettings {
   std::uint64_t Threads = 0;
   std::uint64_t ProgressChunks = 0; ///< Between two reports to control.
-  Duration KeepEnded{};             ///< Ended streams not yet delivered.
+  Duration KeepEnded{};             ///< For ended streams without a reader.
   Duration FlushAtStop{};
   RelayLimits Relay;
 };
 
-/// The settings of sections [host] and [traffic].
+/// Returns the declarations of sections [host] and [traffic].
 std::vector<SettingDeclaration> trafficSettingDeclarations();
 
 TrafficSettings trafficSettings(const Settings &Values);
 
-/// Who this host is; its life is \p Life. Throws Error(BadInput).
+/// Returns the identity of this host in incarnation \p Life. Throws
+/// Error(BadInput).
 Identity identityFrom(const Settings &Values, Incarnation Life);
 
-/// Everything that a settings file may hold.
+/// Returns the declarations of all settings of the daemon.
 std::vector<SettingDeclaration> daemonSettingDeclarations();
 
 } // namespace banyanpick
--- a/src/app/TrafficThread.h
+++ b/src/app/TrafficThread.h
@@ -1,5 +1,5 @@
 /// \file
-/// One thread of traffic: its connections, requests and tries.
+/// One traffic thread with its connections, requests and attempts.
 #pragma once
 
 #include "app/AttemptTable.h"
@@ -11,10 +11,10 @@
 
 namespace banyanpick {
 
-/// Carries out the actions that concern requests, upstreams and platform.
+/// Executes the actions that concern requests, upstreams and the platform.
 class TrafficThread {
 public:
-  /// \p Index of \p Count threads.
+  /// \p Index is the number of this thread among \p Count threads.
   TrafficThread(std::uint64_t Index, std::uint64_t Count,
                 const TrafficContext &Context);
   ~TrafficThread();
@@ -22,17 +22,18 @@
   TrafficThread &operator=(const TrafficThread &) = delete;
 
   void start();
-  /// Ends the thread; what runs is dropped. On another thread.
+  /// Stops the thread and drops what runs on it. Must be called on another
+  /// thread.
   void stop();
 
   net::io_context &context() { return this->Io; }
 
-  /// Runs \p What on the thread. Safe from any thread.
+  /// Runs \p Callback on the thread. Thread-safe.
   template <class Function> void post(Function Callback) {
     net::post(this->Io, std::move(Callback));
   }
 
-  // --- on the thread only
+  // --- called on this thread only
 
   void perform(AcceptRequest Wanted);
   void perform(AnswerRequest Wanted);
@@ -61,7 +62,7 @@
   }
 
 private:
-  /// Runs a call and hands in the event that it ends with.
+  /// Runs a call and sends the resulting event to control.
   void report(Task<Event> Call);
   Task<void> reportWhenDone(Task<Event> Call);
   Task<void> reportCacheEvents(PollCacheEvents Wanted);
