--- a/tests/auto/daemon/DaemonTest.cpp
+++ b/tests/auto/daemon/DaemonTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The whole process over real connections: requests served, streams resumed,
-/// anything at all sent to its ports, and a graceful stop.
+/// Tests the whole process over real connections: requests, resumed streams,
+/// arbitrary input to its ports, and the graceful shutdown.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -17,7 +17,8 @@
   return Instance;
 }
 
-/// The texts of the chunks in a streamed answer, and its last event.
+/// Returns the texts of the chunks of a streamed answer, and the types of its
+/// other events.
 std::string textOfStream(const std::string &Answer) {
   std::string Text;
   EventParser Parser(100'000);
@@ -42,7 +43,7 @@
   return Result;
 }
 
-TEST(Daemon, ServesWholeAndStreamedAnswersAndCalls) {
+TEST(Daemon, ServesUnstreamedAndStreamedAnswersAndCalls) {
   EXPECT_TRUE(
       host()
           .complete(R"("max_tokens":3)")
@@ -55,14 +56,14 @@
           .ends_with(R"("result":{"a":[1]}})"));
 }
 
-TEST(Daemon, AStreamCutByTheEngineGoesOnWithoutGapOrRepeat) {
+TEST(Daemon, ContinuesAStreamCutByTheEngineWithoutGapOrRepeat) {
   host().Platform.CutsLeft = 1;
   EXPECT_EQ(textOfStream(host().complete(R"("max_tokens":20,"stream":true)")),
             "accepted " + chunksFrom(0, 20) + "end ");
   EXPECT_LE(host().Platform.CutsLeft, 0);
 }
 
-TEST(Daemon, ACallerCutOffResumesAtItsIndex) {
+TEST(Daemon, ResumesADisconnectedCallerAtItsIndex) {
   host().Platform.ChunkMs = 5;
   std::string Token;
   {
@@ -85,7 +86,7 @@
   host().Platform.ChunkMs = 0;
 }
 
-TEST(Daemon, WrongKeysAreRefusedAlike) {
+TEST(Daemon, RefusesAllWrongKeysIdentically) {
   const std::string Body = R"({"class":"short","prompt":"p"})";
   const auto Answer = [&](const std::string &Key) {
     std::string Text = host().post("/v1/completions", Key, Body);
@@ -98,7 +99,7 @@
             std::string::npos);
 }
 
-RC_GTEST_PROP(Daemon, AnyBytesToItsPortsLeaveItServing,
+RC_GTEST_PROP(Daemon, StaysHealthyAfterArbitraryBytesToItsPorts,
               (const std::string &Bytes)) {
   for (const Address &At : {host().callers(), host().peers()}) {
     RawPeer Peer(At);
@@ -107,8 +108,8 @@
   RC_ASSERT(host().isHealthy());
 }
 
-/// JSON that is nearly right.
-RC_GTEST_PROP(Daemon, AnyJsonIsAnsweredWithATypedAnswer, ()) {
+/// Sends JSON objects with known members and arbitrary values.
+RC_GTEST_PROP(Daemon, AnswersArbitraryJsonWithATypedAnswer, ()) {
   const auto Value = rc::gen::element<std::string>(
       "1", "-1", "1.5", "1e400", "\"short\"", "\"p\"", "null", "true", "[]",
       "{}", "\"\\ud800\"", "18446744073709551615");
--- a/tests/auto/daemon/FakePlatform.h
+++ b/tests/auto/daemon/FakePlatform.h
@@ -1,5 +1,6 @@
 /// \file
-/// The platform and its upstreams on loopback, for tests of the whole process.
+/// A simulated platform with upstreams on loopback, for tests of the whole
+/// process.
 #pragma once
 
 #include "auto/http/LocalServer.h"
@@ -39,11 +40,12 @@
   Address at() const { return this->Platform.at(); }
   Address engineAt() const { return this->Engine.at(); }
 
-  /// How long the engine takes for a chunk.
+  /// How long the engine takes for a chunk, in milliseconds.
   std::atomic<int> ChunkMs = 0;
-  /// Completions that the engine cuts before the end mark.
+  /// How many of the next completions the engine cuts before the end event.
   std::atomic<int> CutsLeft = 0;
-  /// Chunks are the steady clock's nanoseconds instead of their index.
+  /// Whether the text of a chunk is the steady clock's time in nanoseconds
+  /// instead of its index.
   std::atomic<bool> SendsTimestamps = false;
 
 private:
@@ -170,7 +172,7 @@
       const std::string Event = this->chunkEvent(Attempt, Index);
       co_await Exchange.sendEvents(Event);
       if (IsCut && Index >= Count / 2)
-        co_return; // Without an end: the connection is closed.
+        co_return; // Closes the connection without an end event.
     }
     const std::string End =
         fmt::format("event: end\ndata: {{\"attempt\":\"{}\",\"count\":{}}}\n\n",
@@ -179,7 +181,7 @@
     co_await Exchange.endEvents();
   }
 
-  std::vector<std::string> Log; ///< Of the platform's thread.
+  std::vector<std::string> Log; ///< Used on the platform's thread only.
   LocalServer Service;
   LocalServer Engine;
   LocalServer Other;
--- a/tests/auto/daemon/LocalHost.h
+++ b/tests/auto/daemon/LocalHost.h
@@ -1,5 +1,5 @@
 /// \file
-/// A whole entry host on loopback, for tests and measurements.
+/// A complete entry host on loopback, for tests and benchmarks.
 #pragma once
 
 #include "app/Daemon.h"
@@ -63,7 +63,7 @@
   return Result;
 }
 
-/// One daemon with its catalogue in force.
+/// Runs one daemon whose catalogue is in force.
 class LocalHost {
 public:
   LocalHost() : Process(settingsFor(this->Platform.at()), Incarnation(1), 1) {
@@ -75,7 +75,8 @@
                       [&] { return this->complete(R"("max_tokens":1)"); });
   }
 
-  /// Throws when no answer within a minute has the text.
+  /// Repeats the request until its answer contains \p Text. Throws after one
+  /// minute.
   void repeatUntil(std::string_view Text,
                    const std::function<std::string()> &SendRequest) {
     constexpr int MaxAttempts = 1200;
@@ -86,13 +87,13 @@
         return;
       std::this_thread::sleep_for(milliseconds(50));
     }
-    throw std::runtime_error("no such answer: " + Answer);
+    throw std::runtime_error("unexpected answer: " + Answer);
   }
 
   Address callers() const { return {"127.0.0.1", this->Process.callersPort()}; }
   Address peers() const { return {"127.0.0.1", this->Process.peersPort()}; }
 
-  /// The whole answer with its header.
+  /// Sends the request and returns the complete answer with its header.
   std::string ask(const std::string &Request) {
     RawPeer Peer(this->callers());
     Peer.send(Request);
--- a/tests/auto/daemon/PartsTest.cpp
+++ b/tests/auto/daemon/PartsTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Parts of the process that need no connection.
+/// Tests the parts of the process that need no connection.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-RC_GTEST_PROP(ChunkBuffer, KeepsWhatIsNotDeliveredAndBoundsTheRest, ()) {
+RC_GTEST_PROP(ChunkBuffer, KeepsUndeliveredAndBoundsDeliveredChunks, ()) {
   constexpr std::size_t Keep = 200;
   ChunkBuffer Chunks(5, Keep);
   std::uint64_t Next = 5;
@@ -40,7 +40,7 @@
             contentFingerprint(ClassId("b"), One));
 }
 
-TEST(AnswerJson, StatusesAndComeBack) {
+TEST(AnswerJson, FormatsStatusesAndRetryAfter) {
   const FinalAnswer Refusal =
       NotRun{RefusalReason::OverLimit, Duration(700'100), "m"};
   const HttpAnswer Answer = answerTo(Refusal, nullptr);
@@ -51,7 +51,7 @@
   EXPECT_EQ(chunkData(1, "\"\n"), R"({"index":1,"text":"\"\n"})");
 }
 
-TEST(DaemonSettings, EveryWrongLineIsReported) {
+TEST(DaemonSettings, ReportsEveryInvalidLine) {
   std::vector<SettingsProblem> Problems;
   const auto Read = readDaemonSettings("[host]\nname = h\nbogus = 1\n"
                                        "[traffic]\nthreads = none\n",
--- a/tests/auto/daemon/PeerNetworkTest.cpp
+++ b/tests/auto/daemon/PeerNetworkTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Entry hosts talk only to those whose keys they know.
+/// Tests that entry hosts exchange messages only with hosts whose keys they
+/// know.
 #include <gtest/gtest.h>
 
 #include "base/Error.h"
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Collects what a network receives.
+/// Collects the messages that a network receives.
 class Inbox {
 public:
   PeerNetwork::Listener listener() {
@@ -45,7 +46,7 @@
   int MalformedCount = 0;
 };
 
-/// For networks that only send.
+/// A listener for networks that only send.
 PeerNetwork::Listener ignoringListener() {
   return {[](const PeerMessage &) {}, [](std::string_view) {}};
 }
@@ -67,8 +68,8 @@
   return Result;
 }
 
-/// Sends until something came or \p Most has passed: what is sent before the
-/// connection stands is lost.
+/// Sends a message repeatedly until one is received or \p Timeout has passed.
+/// Messages sent before the connection is established may be lost.
 bool sendUntilReceived(PeerNetwork &From, const std::string &To, Inbox &At,
                        std::chrono::milliseconds Timeout) {
   const auto Until = std::chrono::steady_clock::now() + Timeout;
@@ -80,7 +81,7 @@
   return false;
 }
 
-TEST(PeerNetwork, HostsWithOneKeyPairTalk) {
+TEST(PeerNetwork, ConnectsHostsWithOneKeyPair) {
   const CurveKeyPair Keys = makeCurveKeyPair();
   Inbox InboxOfB;
   PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, settingsWith(Keys, ""),
@@ -105,7 +106,7 @@
   EXPECT_TRUE(sendUntilReceived(A, "b", InboxOfB, LongTimeout));
 }
 
-TEST(PeerNetwork, TheMessageThatOpensAConnectionArrives) {
+TEST(PeerNetwork, DeliversTheMessageThatOpensAConnection) {
   PeerSettings Plain{{}, {}, 65536, 100, false};
   Inbox InboxOfB;
   PeerNetwork A(HostId("a"), Incarnation(1), AnyPort, Plain,
@@ -115,17 +116,17 @@
   A.connect({listingOf("b", B)});
   A.send(HostId("b"), RecordsRequest{7});
   ASSERT_TRUE(InboxOfB.waitForMessage(LongTimeout))
-      << "sent once, and kept for it";
+      << "sent once, before the connection";
   const std::lock_guard Lock(InboxOfB.Mutex);
   EXPECT_EQ(InboxOfB.Received.front().Body, PeerMessageBody(RecordsRequest{7}));
 }
 
-TEST(PeerNetwork, AnUnknownKeyGetsNothing) {
+TEST(PeerNetwork, RejectsAnUnknownKey) {
   const CurveKeyPair KeysOfB = makeCurveKeyPair();
   Inbox InboxOfB;
   PeerNetwork B(HostId("b"), Incarnation(2), AnyPort, settingsWith(KeysOfB, ""),
                 InboxOfB.listener());
-  // It knows B's key, but B does not know its own.
+  // The stranger knows B's key, but B does not know the key of the stranger.
   PeerNetwork Stranger(
       HostId("a"), Incarnation(1), AnyPort,
       settingsWith(makeCurveKeyPair(), "b " + KeysOfB.PublicKey),
@@ -134,7 +135,7 @@
   EXPECT_FALSE(sendUntilReceived(Stranger, "b", InboxOfB, ShortTimeout));
 }
 
-TEST(PeerNetwork, AKeyOfOneHostIsNoGoodForAnother) {
+TEST(PeerNetwork, RejectsTheKeyOfAnotherHost) {
   const CurveKeyPair KeysOfA = makeCurveKeyPair();
   const CurveKeyPair KeysOfB = makeCurveKeyPair();
   Inbox InboxOfB;
@@ -150,7 +151,7 @@
   EXPECT_FALSE(InboxOfB.waitForMessage(std::chrono::milliseconds(0)));
 }
 
-TEST(PeerNetwork, AnAddressNobodyCanConnectToIsPassedOver) {
+TEST(PeerNetwork, ReportsAnInvalidAddress) {
   Inbox InboxOfA;
   PeerNetwork A(HostId("a"), Incarnation(1), AnyPort,
                 settingsWith(makeCurveKeyPair(), ""), InboxOfA.listener());
@@ -158,12 +159,12 @@
   Wrong.Id.Value = "b";
   Wrong.Peers = {"not an address", 1};
   A.connect({Wrong});
-  // A peer is connected to when there is something to tell it.
+  // The connection to a peer is opened by the first message to it.
   A.send(HostId("b"), RecordsRequest{7});
   EXPECT_TRUE(InboxOfA.waitForMalformed(LongTimeout));
 }
 
-TEST(PeerNetwork, MalformedKeysAreRefused) {
+TEST(PeerNetwork, RejectsMalformedKeys) {
   EXPECT_THROW(AllowedKeys::parse("short"), Error);
   EXPECT_THROW(AllowedKeys::parse("host " + std::string(40, ' ')), Error);
 }
