--- a/src/app/ActionRouter.cpp
+++ b/src/app/ActionRouter.cpp
@@ -49,9 +49,9 @@
 
 void ActionRouter::perform(CancelAttempt Wanted) {
   const auto Found = this->Attempts.find(Wanted.Attempt);
-  const bool Known = Found != this->Attempts.end();
-  const std::uint64_t Number = Known ? Found->second : 0;
-  if (Known)
+  const bool IsRunning = Found != this->Attempts.end();
+  const std::uint64_t Number = IsRunning ? Found->second : 0;
+  if (IsRunning)
     this->Attempts.erase(Found);
   this->postTo(Number, std::move(Wanted));
 }
--- a/src/app/HostRecord.cpp
+++ b/src/app/HostRecord.cpp
@@ -17,14 +17,14 @@
 std::optional<HostListing> readHostRecord(const KeyedRecord &Record) {
   if (!Record.Value)
     return std::nullopt;
-  std::istringstream In(*Record.Value);
+  std::istringstream Fields(*Record.Value);
   std::string Callers;
   std::string Peers;
   HostListing Result;
-  In >> Callers >> Peers >> Result.Zone.Value;
+  Fields >> Callers >> Peers >> Result.Zone.Value;
   std::uint32_t Thousandths = 0;
   // Earlier versions do not write this field.
-  if (In >> Thousandths && Thousandths > 0)
+  if (Fields >> Thousandths && Thousandths > 0)
     Result.Processor.Thousandths = Thousandths;
   try {
     Result.Id.Value = Record.Key;
--- a/src/app/SettingsFile.cpp
+++ b/src/app/SettingsFile.cpp
@@ -62,22 +62,22 @@
 }
 
 std::optional<Settings> readSettingsFile(const std::string &File) {
-  std::ifstream In(File);
-  if (!In) {
+  std::ifstream Stream(File);
+  if (!Stream) {
     fmt::print(stderr, "{}: can't be read; give --settings FILE\n",
                File.empty() ? "settings" : File);
     return std::nullopt;
   }
   std::ostringstream Text;
-  Text << In.rdbuf();
+  Text << Stream.rdbuf();
   std::vector<SettingsProblem> Problems;
   auto Result = readDaemonSettings(Text.str(), Problems);
   std::stable_sort(Problems.begin(), Problems.end(),
                    [](const auto &First, const auto &Second) {
                      return First.Line < Second.Line;
                    });
-  for (const SettingsProblem &Each : Problems)
-    report(File, Each);
+  for (const SettingsProblem &Problem : Problems)
+    report(File, Problem);
   return Result;
 }
 
--- a/src/app/SettingsWatch.cpp
+++ b/src/app/SettingsWatch.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 std::string textOf(const std::string &File) {
-  std::ifstream In(File);
+  std::ifstream Stream(File);
   std::ostringstream Text;
-  Text << In.rdbuf();
+  Text << Stream.rdbuf();
   return Text.str();
 }
 
