--- a/tests/auto/platformadapter/ConfigurationJsonTest.cpp
+++ b/tests/auto/platformadapter/ConfigurationJsonTest.cpp
@@ -47,12 +47,12 @@
   EXPECT_EQ(Stream.Split[1].Weight, 10);
   EXPECT_EQ(Read->Routes[1].Kind, RequestKind::AtMostOnce);
   EXPECT_TRUE(Read->Routes[1].Public);
-  const ServiceEntry &Ring = Read->Services.at(ServiceId("huvo11a"));
-  ASSERT_TRUE(Ring.Engine);
-  EXPECT_EQ(Ring.Engine->MemoryTokens, 405'000U);
-  EXPECT_EQ(Ring.Engine->PrefillTokensPerMs, 154);
-  EXPECT_EQ(Ring.Engine->MeanPromptTokens, 13'227U);
-  EXPECT_EQ(Ring.Engine->MeanAnswerTokens, 1541U);
+  const ServiceEntry &EngineService = Read->Services.at(ServiceId("huvo11a"));
+  ASSERT_TRUE(EngineService.Engine);
+  EXPECT_EQ(EngineService.Engine->MemoryTokens, 405'000U);
+  EXPECT_EQ(EngineService.Engine->PrefillTokensPerMs, 154);
+  EXPECT_EQ(EngineService.Engine->MeanPromptTokens, 13'227U);
+  EXPECT_EQ(EngineService.Engine->MeanAnswerTokens, 1541U);
   EXPECT_FALSE(Read->Services.at(ServiceId("wuno96b")).Engine);
   EXPECT_EQ(Read->Limits.IdleTimeout, seconds(15));
   EXPECT_TRUE(Read->NeedsKeys);
@@ -90,38 +90,39 @@
 }
 
 TEST(EngineJson, TheIdIsThatOfALife) {
-  const std::string Rest =
+  const std::string OtherMembers =
       R"("Service":"s","Address":"10.0.0.1:80","Zone":"z","Slots":16,
       "State":"ready"})";
-  EXPECT_EQ(readEngine("i-7", R"({"born":1764720000123,)" + Rest).Id,
+  EXPECT_EQ(readEngine("i-7", R"({"born":1764720000123,)" + OtherMembers).Id,
             engineIncarnation("i-7", 1764720000123));
   EXPECT_EQ(readReport(engineIncarnation("i-7", 5), R"({"Running":0,"born":6})")
                 .Engine,
             engineIncarnation("i-7", 6));
   EXPECT_EQ(readReport(engineIncarnation("i-7", 5), R"({"Running":0})").Engine,
             engineIncarnation("i-7", 5));
-  for (const char *Born : {"-1", "1.5", "\"1\"", "[]", "true"})
-    EXPECT_THROW(
-        readEngine("i-7", "{\"born\":" + std::string(Born) + "," + Rest), Error)
-        << Born;
+  for (const char *Started : {"-1", "1.5", "\"1\"", "[]", "true"})
+    EXPECT_THROW(readEngine("i-7", "{\"born\":" + std::string(Started) + "," +
+                                       OtherMembers),
+                 Error)
+        << Started;
 }
 
 TEST(EngineJson, ARecordByAnotherWriterIsNoEngine) {
-  const nlohmann::json Sound = {{"Service", "s"},
+  const nlohmann::json Valid = {{"Service", "s"},
                                 {"Address", "10.0.0.1:80"},
                                 {"Zone", "z"},
                                 {"Slots", 16},
                                 {"State", "ready"}};
-  EXPECT_NO_THROW(readEngine("i", Sound.dump()));
-  for (const auto &[Name, Value] : Sound.items()) {
-    nlohmann::json Without = Sound;
+  EXPECT_NO_THROW(readEngine("i", Valid.dump()));
+  for (const auto &[Name, Value] : Valid.items()) {
+    nlohmann::json Without = Valid;
     Without.erase(Name);
     EXPECT_THROW(readEngine("i", Without.dump()), Error) << Name;
-    nlohmann::json Other = Sound;
+    nlohmann::json Other = Valid;
     Other[Name] = nlohmann::json::array({1});
     EXPECT_THROW(readEngine("i", Other.dump()), Error) << Name;
   }
-  nlohmann::json Unknown = Sound;
+  nlohmann::json Unknown = Valid;
   Unknown["State"] = "resting";
   EXPECT_THROW(readEngine("i", Unknown.dump()), Error);
 }
--- a/tests/auto/platformadapter/HeadersTest.cpp
+++ b/tests/auto/platformadapter/HeadersTest.cpp
@@ -10,7 +10,7 @@
 namespace banyanpick::platform {
 namespace {
 
-HttpExchange::Request asked() {
+HttpExchange::Request callerRequest() {
   HttpExchange::Request Result(http::verb::post, "/lohu930/2f?q=1", 11);
   Result.set(http::field::host, "ficu95.example");
   Result.set("X-Attempt-Id", "9c41");
@@ -29,13 +29,13 @@
   return Result;
 }
 
-template <class Wanted> bool means(const http::response_header<> &Head) {
+template <class Wanted> bool hasMeaning(const http::response_header<> &Head) {
   return std::holds_alternative<Wanted>(
-      PlatformEngines().classifyAnswer(Head, asked()));
+      PlatformEngines().classifyAnswer(Head, callerRequest()));
 }
 
 TEST(CallerHeaders, BecomeTheHeadOfARequest) {
-  const RelayHead Head = PlatformCallers().readHead(asked());
+  const RelayHead Head = PlatformCallers().readHead(callerRequest());
   EXPECT_EQ(Head.CallerAttempt, "9c41");
   EXPECT_EQ(Head.Path, "/lohu930/2f");
   EXPECT_EQ(Head.Key, "n2ct");
@@ -46,18 +46,20 @@
 }
 
 TEST(CallerHeaders, MalformedNumbersAreErrors) {
-  HttpExchange::Request Bad = asked();
+  HttpExchange::Request Bad = callerRequest();
   Bad.set("X-Remaining-Milliseconds", "soon");
   EXPECT_THROW(PlatformCallers().readHead(Bad), Error);
 }
 
 TEST(CallerHeaders, EqualContentHasEqualFingerprints) {
-  HttpExchange::Request Other = asked();
+  HttpExchange::Request Other = callerRequest();
   Other.set("X-Attempt-Id", "another");
   const PlatformCallers Callers;
-  EXPECT_EQ(Callers.readHead(asked()).Content, Callers.readHead(Other).Content);
+  EXPECT_EQ(Callers.readHead(callerRequest()).Content,
+            Callers.readHead(Other).Content);
   Other.body() = "different";
-  EXPECT_NE(Callers.readHead(asked()).Content, Callers.readHead(Other).Content);
+  EXPECT_NE(Callers.readHead(callerRequest()).Content,
+            Callers.readHead(Other).Content);
 }
 
 TEST(FinalAnswers, PromiseNoMoreThanIsTrue) {
@@ -80,7 +82,7 @@
   Order.LastEvent = 15;
   Order.Helpers = {{UpstreamId("i-2"), {"10.2.64.3", 8080}, "t81", 100},
                    {UpstreamId("i-3"), {"10.2.64.5", 8080}, "", 0}};
-  HttpExchange::Request Sent = asked();
+  HttpExchange::Request Sent = callerRequest();
   PlatformEngines().writeHeaders(Sent, Order, milliseconds(700));
   EXPECT_EQ(Sent["X-Tenant"], "hule930");
   EXPECT_EQ(Sent["X-Expected-Instance"], "i-1");
@@ -97,7 +99,7 @@
 
 TEST(EngineHeaders, CarryTheUrgencyWhereOneIsGiven) {
   DispatchRelay Order;
-  HttpExchange::Request Sent = asked();
+  HttpExchange::Request Sent = callerRequest();
   PlatformEngines().writeHeaders(Sent, Order, milliseconds(700));
   EXPECT_EQ(Sent.count("X-Request-Urgency"), 0U);
   Order.Urgency = 2;
@@ -107,37 +109,38 @@
 
 TEST(EngineAnswers, MeanWhatTheirHeadersProve) {
   http::response_header<> Good = answer(200);
-  EXPECT_TRUE(means<InvalidAnswer>(Good)) << "without a seal";
+  EXPECT_TRUE(hasMeaning<InvalidAnswer>(Good)) << "without a seal";
   Good.set("X-Server-Seal", "s");
-  EXPECT_TRUE(means<SuccessAnswer>(Good));
+  EXPECT_TRUE(hasMeaning<SuccessAnswer>(Good));
   Good.set(http::field::content_encoding, "gzip");
-  EXPECT_TRUE(means<InvalidAnswer>(Good));
+  EXPECT_TRUE(hasMeaning<InvalidAnswer>(Good));
   http::response_header<> Failed = answer(500);
   Failed.set("X-Server-Seal", "s");
-  EXPECT_TRUE(means<FailureAnswer>(Failed));
+  EXPECT_TRUE(hasMeaning<FailureAnswer>(Failed));
   http::response_header<> Foreign = Failed;
   Foreign.set("X-Attempt-Id", "other");
-  EXPECT_TRUE(means<InvalidAnswer>(Foreign));
+  EXPECT_TRUE(hasMeaning<InvalidAnswer>(Foreign));
 }
 
 TEST(EngineAnswers, OnlyAWordOfTheEngineProvesThatItDidNotRun) {
-  EXPECT_TRUE(means<InvalidAnswer>(answer(503)));
+  EXPECT_TRUE(hasMeaning<InvalidAnswer>(answer(503)));
   http::response_header<> Shed = answer(503);
   Shed.set("X-Not-Executed", "1");
   Shed.set("At-Server", "10.2.64.3:8080");
-  const auto Meaning = PlatformEngines().classifyAnswer(Shed, asked());
+  const auto Meaning = PlatformEngines().classifyAnswer(Shed, callerRequest());
   const auto *NotRun = std::get_if<NotRunAnswer>(&Meaning);
   ASSERT_NE(NotRun, nullptr);
   EXPECT_EQ(NotRun->Details.FailedAt, (Address{"10.2.64.3", 8080}));
   http::response_header<> Other = answer(421);
   Other.erase("X-Attempt-Id");
-  const auto Misdirected = PlatformEngines().classifyAnswer(Other, asked());
+  const auto Misdirected =
+      PlatformEngines().classifyAnswer(Other, callerRequest());
   ASSERT_TRUE(std::holds_alternative<NotRunAnswer>(Misdirected));
   EXPECT_TRUE(std::get<NotRunAnswer>(Misdirected).Details.OtherEngine);
 }
 
 LimitSignal limitOf(const http::response_header<> &Head) {
-  return PlatformEngines().signalsOf(Head, asked()).Limit;
+  return PlatformEngines().signalsOf(Head, callerRequest()).Limit;
 }
 
 TEST(AnswerHeaders, NameTheLimitOfAnEngine) {
@@ -175,27 +178,29 @@
   EXPECT_EQ(limitOf(Other), LimitSignal(LimitUnknown{})) << "another engine's";
 }
 
-BackoffSignal restOf(const http::response_header<> &Head) {
+BackoffSignal backoffOf(const http::response_header<> &Head) {
   return PlatformEngines().signalsOf(Head).Backoff;
 }
 
 TEST(AnswerHeaders, OfARefusalAskForRest) {
   http::response_header<> Head = answer(503);
-  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{}));
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(NoBackoff{}));
   Head.set("Retry-After", "0.25");
-  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{milliseconds(250)}));
-  EXPECT_EQ(PlatformEngines().signalsOf(Head, asked()).Backoff, restOf(Head));
+  EXPECT_EQ(backoffOf(Head),
+            BackoffSignal(BackoffRequested{milliseconds(250)}));
+  EXPECT_EQ(PlatformEngines().signalsOf(Head, callerRequest()).Backoff,
+            backoffOf(Head));
   Head.insert("Retry-After", "3");
   Head.insert("Retry-After", "2");
-  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
       << "the longest";
   Head.set("X-Attempt-Id", "another");
-  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
       << "a late answer is the engine's own, too";
   Head.result(200);
-  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{})) << "no refusal";
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(NoBackoff{})) << "no refusal";
   Head.result(421);
-  EXPECT_EQ(restOf(Head), BackoffSignal(NoBackoff{})) << "another engine's";
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(NoBackoff{})) << "another engine's";
 }
 
 TEST(AnswerHeaders, RestsThatAreNoNumberAreGivenForAShortTime) {
@@ -203,8 +208,8 @@
                            "Fri, 31 Dec 1999 23:59:59 GMT"}) {
     http::response_header<> Head = answer(503);
     Head.set("Retry-After", Text);
-    const BackoffSignal Said = restOf(Head);
-    const auto *Unreadable = std::get_if<BackoffUnreadable>(&Said);
+    const BackoffSignal Backoff = backoffOf(Head);
+    const auto *Unreadable = std::get_if<BackoffUnreadable>(&Backoff);
     ASSERT_NE(Unreadable, nullptr) << Text;
     EXPECT_EQ(Unreadable->AppliedLength, Duration(DefaultBackoff)) << Text;
   }
@@ -213,9 +218,10 @@
 TEST(AnswerHeaders, RestsOfMoreThanAnHourAreBounded) {
   http::response_header<> Head = answer(503);
   Head.set("Retry-After", "3600");
-  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffRequested{hours(1)}));
+  EXPECT_EQ(backoffOf(Head), BackoffSignal(BackoffRequested{hours(1)}));
   Head.set("Retry-After", "1e9");
-  EXPECT_EQ(restOf(Head), BackoffSignal(BackoffUnreadable{"1e9", MaxBackoff}));
+  EXPECT_EQ(backoffOf(Head),
+            BackoffSignal(BackoffUnreadable{"1e9", MaxBackoff}));
 }
 
 LeavingSignal leavingOf(const http::response_header<> &Head) {
@@ -228,7 +234,7 @@
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
     Head.set("Server-Leaving", "1");
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Present);
-    EXPECT_EQ(PlatformEngines().signalsOf(Head, asked()).Leaving,
+    EXPECT_EQ(PlatformEngines().signalsOf(Head, callerRequest()).Leaving,
               LeavingSignal::Present);
     Head.set("Server-Leaving", "0");
     EXPECT_EQ(leavingOf(Head), LeavingSignal::Absent);
--- a/tests/auto/platformadapter/MutatedDocumentsTest.cpp
+++ b/tests/auto/platformadapter/MutatedDocumentsTest.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 /// The text with some bytes replaced, removed, doubled or cut off.
-rc::Gen<std::string> spoilt(std::string Text) {
+rc::Gen<std::string> mutated(std::string Text) {
   return rc::gen::exec([Text = std::move(Text)] {
     std::string Result = Text;
     const int Changes = *rc::gen::inRange(1, 6);
-    for (int Each = 0; Each < Changes && !Result.empty(); ++Each) {
+    for (int Mutation = 0; Mutation < Changes && !Result.empty(); ++Mutation) {
       const auto At = static_cast<std::size_t>(
           *rc::gen::inRange(0, static_cast<int>(Result.size())));
       const auto Length = std::min<std::size_t>(
@@ -51,7 +51,7 @@
 }
 
 /// Whether reading ends with a value or an Error.
-void reads(const std::function<void()> &Read) {
+void expectValueOrError(const std::function<void()> &Read) {
   try {
     Read();
   } catch (const Error &) {
@@ -78,25 +78,25 @@
     "Tenants":[{"Name":"t","Credentials":["k"],"Priority":1}]})";
 
 RC_GTEST_PROP(MutatedDocuments, RegistrationsAreReadOrRefused, ()) {
-  const std::string Text = *spoilt(Registration);
-  reads([&] { readEngine("i-1", Text); });
+  const std::string Text = *mutated(Registration);
+  expectValueOrError([&] { readEngine("i-1", Text); });
 }
 
 RC_GTEST_PROP(MutatedDocuments, ReportsAreReadOrRefused, ()) {
-  const std::string Text = *spoilt(Report);
-  reads([&] { readReport(UpstreamId("i-1"), Text); });
+  const std::string Text = *mutated(Report);
+  expectValueOrError([&] { readReport(UpstreamId("i-1"), Text); });
 }
 
 RC_GTEST_PROP(MutatedDocuments, ConfigurationsAreReadOrRefused, ()) {
-  const std::string Text = *spoilt(Configuration);
-  reads([&] { readConfiguration(Text); });
+  const std::string Text = *mutated(Configuration);
+  expectValueOrError([&] { readConfiguration(Text); });
 }
 
 RC_GTEST_PROP(MutatedDocuments, RecordsAreReadOrRefused, ()) {
   const std::string Text =
-      *spoilt(std::string(16, '\0') + writeFrame({"i-1", Registration, 0}) +
-              writeFrame({"i-2", std::nullopt, 0}));
-  reads([&] { readFrames(Text, 3); });
+      *mutated(std::string(16, '\0') + writeFrame({"i-1", Registration, 0}) +
+               writeFrame({"i-2", std::nullopt, 0}));
+  expectValueOrError([&] { readFrames(Text, 3); });
 }
 
 } // namespace
--- a/tests/auto/platformadapter/RecordFramesTest.cpp
+++ b/tests/auto/platformadapter/RecordFramesTest.cpp
@@ -28,11 +28,11 @@
 }
 
 TEST(RecordFrames, CutBytesAreAnError) {
-  const std::string Whole = Head + writeFrame({"key", "value", 0});
-  for (std::size_t Length = 0; Length < Whole.size(); ++Length) {
+  const std::string Complete = Head + writeFrame({"key", "value", 0});
+  for (std::size_t Length = 0; Length < Complete.size(); ++Length) {
     if (Length == Head.size())
       continue; // No record at all.
-    EXPECT_THROW(readFrames(std::string_view(Whole).substr(0, Length), 0),
+    EXPECT_THROW(readFrames(std::string_view(Complete).substr(0, Length), 0),
                  Error);
   }
 }
--- a/tests/auto/platformadapter/SignalsTest.cpp
+++ b/tests/auto/platformadapter/SignalsTest.cpp
@@ -17,13 +17,13 @@
 
 struct Signal {
   std::string Name;
-  std::string HeededBy;
+  std::string HandledBy;
   std::string Test; ///< `Suite.Case`; empty where nothing heeds it.
 };
 
 std::string textOf(const std::filesystem::path &File) {
-  std::ifstream In(File);
-  return {std::istreambuf_iterator<char>(In), {}};
+  std::ifstream Stream(File);
+  return {std::istreambuf_iterator<char>(Stream), {}};
 }
 
 std::string trimmed(const std::string &Text) {
@@ -35,13 +35,13 @@
 
 /// The rows of the table under the heading of signals.
 std::vector<Signal> signals() {
-  std::ifstream In(std::string(BANYANPICK_ROOT) + "/docs/PROTOCOLS.md");
+  std::ifstream Stream(std::string(BANYANPICK_ROOT) + "/docs/PROTOCOLS.md");
   std::vector<Signal> Result;
-  bool Inside = false;
-  for (std::string Line; std::getline(In, Line);) {
+  bool IsInTable = false;
+  for (std::string Line; std::getline(Stream, Line);) {
     if (Line.starts_with("## "))
-      Inside = Line == "## The users' platform: its signals";
-    if (!Inside || !Line.starts_with("| `"))
+      IsInTable = Line == "## The users' platform: its signals";
+    if (!IsInTable || !Line.starts_with("| `"))
       continue;
     std::vector<std::string> Cells;
     std::istringstream Row(Line.substr(1));
@@ -65,7 +65,7 @@
   return Result;
 }
 
-bool standsIn(const std::string &Text, const std::string &Test) {
+bool containsTest(const std::string &Text, const std::string &Test) {
   const std::size_t Dot = Test.find('.');
   return Text.find("(" + Test.substr(0, Dot) + ", " + Test.substr(Dot + 1) +
                    ")") != std::string::npos;
@@ -74,21 +74,21 @@
 class Signals : public testing::TestWithParam<Signal> {};
 
 TEST_P(Signals, AreHeededOrHaveAReasonWhyNot) {
-  const Signal &Of = GetParam();
-  if (Of.HeededBy.starts_with("nothing: ")) {
-    EXPECT_GT(Of.HeededBy.size(), std::string("nothing: because").size());
-    EXPECT_TRUE(Of.Test.empty());
+  const Signal &Param = GetParam();
+  if (Param.HandledBy.starts_with("nothing: ")) {
+    EXPECT_GT(Param.HandledBy.size(), std::string("nothing: because").size());
+    EXPECT_TRUE(Param.Test.empty());
     return;
   }
-  EXPECT_FALSE(Of.HeededBy.empty() || Of.HeededBy == "missing")
-      << Of.Name << " is named by the platform and heeded by nothing";
-  EXPECT_TRUE(standsIn(sourcesOf("tests"), Of.Test))
-      << "there is no test " << Of.Test;
+  EXPECT_FALSE(Param.HandledBy.empty() || Param.HandledBy == "missing")
+      << Param.Name << " is named by the platform and heeded by nothing";
+  EXPECT_TRUE(containsTest(sourcesOf("tests"), Param.Test))
+      << "there is no test " << Param.Test;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Signals, testing::ValuesIn(signals()),
-                         [](const auto &Of) {
-                           std::string Result = Of.param.Name;
+                         [](const auto &Param) {
+                           std::string Result = Param.param.Name;
                            std::erase(Result, '-');
                            return Result;
                          });
@@ -96,7 +96,7 @@
 TEST(SignalsTable, NamesEveryHeaderThatTheAdapterKnows) {
   const std::string Names =
       textOf(std::string(BANYANPICK_ROOT) + "/platform/WireNames.h");
-  const std::vector<Signal> Known = signals();
+  const std::vector<Signal> Documented = signals();
   std::size_t Count = 0;
   const std::size_t End = Names.find("namespace path");
   for (std::size_t At = Names.find("= \""); At < End;
@@ -104,8 +104,8 @@
     const std::size_t From = At + 3;
     const std::string Name = Names.substr(From, Names.find('"', From) - From);
     ++Count;
-    EXPECT_TRUE(std::ranges::any_of(Known, [&](const Signal &Each) {
-      return Each.Name == Name;
+    EXPECT_TRUE(std::ranges::any_of(Documented, [&](const Signal &Entry) {
+      return Entry.Name == Name;
     })) << Name;
   }
   EXPECT_GT(Count, 10U);
