--- a/src/app/RelayEntry.h
+++ b/src/app/RelayEntry.h
@@ -84,8 +84,8 @@
   struct Delivery {
     std::string Events; ///< Formatted; may be empty.
     std::uint64_t NextIndex = 0;
-    bool Replaced =
-        false;         ///< Another connection reads now, or chunks are lost.
+    /// Another connection reads the stream now, or the next chunk is lost.
+    bool Replaced = false;
     bool Last = false; ///< Events include the final event.
   };
   /// Waits for data to send from \p Index on. Marks the chunks before \p Index
--- a/src/app/TrafficLoop.cpp
+++ b/src/app/TrafficLoop.cpp
@@ -10,7 +10,7 @@
     try {
       Io.run();
     } catch (const std::exception &Failure) {
-      const std::string Why = "traffic does not throw: ";
+      const std::string Why = "traffic handlers do not throw: ";
       writeLogLine(logEvent(events::InvariantBroken)
                        .with("invariant", Why + Failure.what())
                        .build(),
