--- a/tests/auto/platformadapter/ConfigurationJsonTest.cpp
+++ b/tests/auto/platformadapter/ConfigurationJsonTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Recorded documents of the platform become the gateway's types.
+/// Tests that recorded documents of the platform are converted to the gateway's
+/// types.
 #include "platform/ConfigurationJson.h"
 #include "platform/EngineJson.h"
 
@@ -60,17 +61,17 @@
   EXPECT_EQ(Read->Document, Recorded);
 }
 
-TEST(ConfigurationJson, WithoutTeamsNoKeyIsNeeded) {
+TEST(ConfigurationJson, NeedsNoKeysWithoutTeams) {
   EXPECT_FALSE(readConfiguration(R"({"Version":1})")->NeedsKeys);
 }
 
-TEST(ConfigurationJson, AnUnknownKindRunsOnceAtMost) {
+TEST(ConfigurationJson, ReadsAnUnknownKindAsAtMostOnce) {
   const auto Read = readConfiguration(
       R"({"Version":1,"Routes":[{"Host":"h","PathPrefix":"/","Kind":"new"}]})");
   EXPECT_EQ(Read->Routes[0].Kind, RequestKind::AtMostOnce);
 }
 
-TEST(ConfigurationJson, MalformedOnesAreErrors) {
+TEST(ConfigurationJson, RejectsMalformedDocuments) {
   for (const char *Bad : {"", "[]", "{}", R"({"Version":"x"})",
                           R"({"Version":1,"Routes":[{"Host":1}]})"})
     EXPECT_THROW(readConfiguration(Bad), Error) << Bad;
@@ -107,7 +108,7 @@
         << Started;
 }
 
-TEST(EngineJson, ARecordByAnotherWriterIsNoEngine) {
+TEST(EngineJson, RejectsARecordOfAnotherWriter) {
   const nlohmann::json Valid = {{"Service", "s"},
                                 {"Address", "10.0.0.1:80"},
                                 {"Zone", "z"},
--- a/tests/auto/platformadapter/HeadersTest.cpp
+++ b/tests/auto/platformadapter/HeadersTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests and answers, header by header.
+/// Tests the headers of requests and answers.
 #include "platform/PlatformCallers.h"
 #include "platform/PlatformEngines.h"
 
@@ -45,7 +45,7 @@
   EXPECT_EQ(Head.MaxOutputTokens, 80U);
 }
 
-TEST(CallerHeaders, MalformedNumbersAreErrors) {
+TEST(CallerHeaders, RejectMalformedNumbers) {
   HttpExchange::Request Bad = callerRequest();
   Bad.set("X-Remaining-Milliseconds", "soon");
   EXPECT_THROW(PlatformCallers().readHead(Bad), Error);
@@ -62,7 +62,7 @@
             Callers.readHead(Other).Content);
 }
 
-TEST(FinalAnswers, PromiseNoMoreThanIsTrue) {
+TEST(FinalAnswers, StatusMatchesTheRefusal) {
   const PlatformCallers Callers;
   const auto StatusOf = [&](RefusalKind Kind) {
     return Callers.answerTo(RefuseRelay{RequestId(1), Kind, {}, ""}).Status;
@@ -157,7 +157,7 @@
   EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnknown{})) << "another's answer";
 }
 
-TEST(AnswerHeaders, LimitsThatAreNoNumberAreUnreadable) {
+TEST(AnswerHeaders, MalformedLimitsAreUnreadable) {
   for (const char *Text :
        {"-1", "nan", "inf", "1e999", "soon", "1.6 a second", ""}) {
     http::response_header<> Head = answer(500);
@@ -167,7 +167,7 @@
   }
 }
 
-TEST(AnswerHeaders, ARefusalMayNameALimitButEndsNone) {
+TEST(AnswerHeaders, RefusalDeclaresButNeverRemovesALimit) {
   http::response_header<> Head = answer(503);
   Head.set("X-Not-Executed", "1");
   EXPECT_EQ(limitOf(Head), LimitSignal(LimitUnknown{}));
@@ -196,14 +196,14 @@
       << "the longest";
   Head.set("X-Attempt-Id", "another");
   EXPECT_EQ(backoffOf(Head), BackoffSignal(BackoffRequested{seconds(3)}))
-      << "a late answer is the engine's own, too";
+      << "a late answer also comes from this engine";
   Head.result(200);
   EXPECT_EQ(backoffOf(Head), BackoffSignal(NoBackoff{})) << "no refusal";
   Head.result(421);
   EXPECT_EQ(backoffOf(Head), BackoffSignal(NoBackoff{})) << "another engine's";
 }
 
-TEST(AnswerHeaders, RestsThatAreNoNumberAreGivenForAShortTime) {
+TEST(AnswerHeaders, MalformedBackoffsUseTheDefault) {
   for (const char *Text : {"-1", "nan", "inf", "1e999", "soon", "3s", "",
                            "Fri, 31 Dec 1999 23:59:59 GMT"}) {
     http::response_header<> Head = answer(503);
@@ -215,7 +215,7 @@
   }
 }
 
-TEST(AnswerHeaders, RestsOfMoreThanAnHourAreBounded) {
+TEST(AnswerHeaders, BackoffsAreBoundedByOneHour) {
   http::response_header<> Head = answer(503);
   Head.set("Retry-After", "3600");
   EXPECT_EQ(backoffOf(Head), BackoffSignal(BackoffRequested{hours(1)}));
@@ -246,7 +246,7 @@
   EXPECT_EQ(leavingOf(Other), LeavingSignal::Absent) << "another engine's";
 }
 
-TEST(AnswerHeaders, ThoseThatNobodyKnowsAreNamed) {
+TEST(AnswerHeaders, ListsUnknownHeaders) {
   http::response_header<> Head = answer(200);
   Head.set("X-Server-Seal", "3e1b");
   Head.set("Content-Type", "text/event-stream");
--- a/tests/auto/platformadapter/MutatedDocumentsTest.cpp
+++ b/tests/auto/platformadapter/MutatedDocumentsTest.cpp
@@ -1,5 +1,7 @@
 /// \file
-/// Documents spoilt at random are read or refused with an Error, never worse.
+/// Tests that randomly mutated documents are either read or rejected with an
+/// Error. A malformed document must not crash the parser or throw another
+/// exception.
 #include "platform/ConfigurationJson.h"
 #include "platform/EngineJson.h"
 #include "platform/RecordFrames.h"
@@ -16,7 +18,8 @@
 namespace banyanpick::platform {
 namespace {
 
-/// The text with some bytes replaced, removed, doubled or cut off.
+/// Generates the text with some bytes replaced, removed, duplicated, inserted
+/// or truncated.
 rc::Gen<std::string> mutated(std::string Text) {
   return rc::gen::exec([Text = std::move(Text)] {
     std::string Result = Text;
@@ -50,12 +53,12 @@
   });
 }
 
-/// Whether reading ends with a value or an Error.
+/// Fails when \p Read throws anything but an Error.
 void expectValueOrError(const std::function<void()> &Read) {
   try {
     Read();
   } catch (const Error &) {
-    RC_SUCCEED("refused");
+    RC_SUCCEED("rejected with an Error");
   }
 }
 
@@ -77,22 +80,22 @@
     "Limits":{"HeaderBytes":16384},
     "Tenants":[{"Name":"t","Credentials":["k"],"Priority":1}]})";
 
-RC_GTEST_PROP(MutatedDocuments, RegistrationsAreReadOrRefused, ()) {
+RC_GTEST_PROP(MutatedDocuments, ReadsOrRejectsRegistrations, ()) {
   const std::string Text = *mutated(Registration);
   expectValueOrError([&] { readEngine("i-1", Text); });
 }
 
-RC_GTEST_PROP(MutatedDocuments, ReportsAreReadOrRefused, ()) {
+RC_GTEST_PROP(MutatedDocuments, ReadsOrRejectsReports, ()) {
   const std::string Text = *mutated(Report);
   expectValueOrError([&] { readReport(UpstreamId("i-1"), Text); });
 }
 
-RC_GTEST_PROP(MutatedDocuments, ConfigurationsAreReadOrRefused, ()) {
+RC_GTEST_PROP(MutatedDocuments, ReadsOrRejectsConfigurations, ()) {
   const std::string Text = *mutated(Configuration);
   expectValueOrError([&] { readConfiguration(Text); });
 }
 
-RC_GTEST_PROP(MutatedDocuments, RecordsAreReadOrRefused, ()) {
+RC_GTEST_PROP(MutatedDocuments, ReadsOrRejectsRecords, ()) {
   const std::string Text =
       *mutated(std::string(16, '\0') + writeFrame({"i-1", Registration, 0}) +
                writeFrame({"i-2", std::nullopt, 0}));
--- a/tests/auto/platformadapter/RecordFramesTest.cpp
+++ b/tests/auto/platformadapter/RecordFramesTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Records survive the way to the store and back.
+/// Tests the encoding of records for the store and the decoding of its answers.
 #include "platform/RecordFrames.h"
 
 #include "base/Error.h"
@@ -27,7 +27,7 @@
   EXPECT_EQ(Read.NextOffset, 42U);
 }
 
-TEST(RecordFrames, CutBytesAreAnError) {
+TEST(RecordFrames, RejectsTruncatedBytes) {
   const std::string Complete = Head + writeFrame({"key", "value", 0});
   for (std::size_t Length = 0; Length < Complete.size(); ++Length) {
     if (Length == Head.size())
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(RecordFrames, ARecordWithoutItsKeyDoesNotHideTheOthers) {
+TEST(RecordFrames, ReadsTheRecordsAfterOneWithoutItsKey) {
   using namespace std::string_literals;
   const std::string Body =
       Head + "\0\0\0\x02\x09"s + "a" + "\0\0\0\0"s + "\0\0\0\x05\x02"s + "abXY";
@@ -49,7 +49,7 @@
   EXPECT_EQ(Read.Records[2].Offset, 9U);
 }
 
-RC_GTEST_PROP(RecordFramesProperty, SurviveTheWayThereAndBack, ()) {
+RC_GTEST_PROP(RecordFramesProperty, DecodesWhatWasEncoded, ()) {
   KeyedRecord Record;
   const auto KeyLength = *rc::gen::inRange<std::size_t>(0, 256);
   Record.Key =
@@ -63,7 +63,7 @@
   RC_ASSERT(Read.Records[0].Value == Record.Value);
 }
 
-TEST(NewestPage, DecodesItsValues) {
+TEST(NewestPage, DecodesBase64Values) {
   const NewestPage Page = readNewest(
       R"({"Items":[{"Key":"config","Value":"eyJhIjoxfQ==","Offset":4}],
       "Truncated":true,"EndOffset":6})");
--- a/tests/auto/platformadapter/SignalsTest.cpp
+++ b/tests/auto/platformadapter/SignalsTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The table of the platform's signals (docs/PROTOCOLS.md) is true: each is
-/// heeded, by a test's word, or there is a reason why not.
+/// Checks the table of the platform's signals in docs/PROTOCOLS.md: each signal
+/// is either handled, which an existing test proves, or has a reason why it is
+/// not. Guards against a signal that the platform defines and no code handles.
 #include "base/Error.h"
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 struct Signal {
   std::string Name;
   std::string HandledBy;
-  std::string Test; ///< `Suite.Case`; empty where nothing heeds it.
+  std::string Test; ///< `Suite.Case`; empty when the signal is not handled.
 };
 
 std::string textOf(const std::filesystem::path &File) {
@@ -33,7 +34,7 @@
   return Text.substr(First, Text.find_last_not_of(' ') - First + 1);
 }
 
-/// The rows of the table under the heading of signals.
+/// Returns the rows of the table under the heading of signals.
 std::vector<Signal> signals() {
   std::ifstream Stream(std::string(BANYANPICK_ROOT) + "/docs/PROTOCOLS.md");
   std::vector<Signal> Result;
@@ -55,7 +56,7 @@
   return Result;
 }
 
-/// All sources below the folder, as one text.
+/// Returns all sources below the folder as one text.
 std::string sourcesOf(const std::string &Folder) {
   std::string Result;
   for (const auto &File : std::filesystem::recursive_directory_iterator(
@@ -81,7 +82,7 @@
     return;
   }
   EXPECT_FALSE(Param.HandledBy.empty() || Param.HandledBy == "missing")
-      << Param.Name << " is named by the platform and heeded by nothing";
+      << Param.Name << " is defined by the platform and handled by no code";
   EXPECT_TRUE(containsTest(sourcesOf("tests"), Param.Test))
       << "there is no test " << Param.Test;
 }
