--- a/src/app/CallerService.h
+++ b/src/app/CallerService.h
@@ -13,11 +13,11 @@
 public:
   explicit CallerService(EventSink &Events) : Events(Events) {}
 
-  /// /v1/completions and /v1/calls.
+  /// Serves /v1/completions and /v1/calls.
   Task<void> serveRequest(HttpExchange &Exchange, TrafficThread &Thread);
-  /// /v1/resume.
+  /// Serves /v1/resume.
   Task<void> serveResume(HttpExchange &Exchange, TrafficThread &Thread);
-  /// /v1/resolve.
+  /// Serves /v1/resolve.
   Task<void> serveResolve(HttpExchange &Exchange, TrafficThread &Thread);
 
 private:
