--- a/src/libs/base/EventNumbers.h
+++ b/src/libs/base/EventNumbers.h
@@ -9,7 +9,8 @@
 
 namespace banyanpick {
 
-/// A kind of log event. Its number, level and message never change.
+/// A kind of log event. Tools match the number and the level, which never
+/// change. The message is a description for operators.
 struct EventKind {
   std::uint32_t Number;
   LogLevel Level;
@@ -34,7 +35,8 @@
 inline constexpr EventKind SettingsReloaded{105, LogLevel::Info,
                                             "settings reloaded"};
 inline constexpr EventKind SettingsRejected{
-    106, LogLevel::Error, "changed settings rejected; the old ones stay"};
+    106, LogLevel::Error,
+    "changed settings rejected; the previous ones stay in force"};
 inline constexpr EventKind LinesDropped{107, LogLevel::Warning,
                                         "log lines dropped"};
 
@@ -72,18 +74,17 @@
 inline constexpr EventKind HostCurrent{309, LogLevel::Info,
                                        "catalogue known to be current"};
 inline constexpr EventKind ChangeTaken{310, LogLevel::Info,
-                                       "change set taken from an operator"};
+                                       "change set received from an operator"};
 inline constexpr EventKind SnapshotDamaged{311, LogLevel::Warning,
                                            "snapshot unusable"};
 
 // 4xx: claims
 inline constexpr EventKind ClaimDecided{400, LogLevel::Info, "claim decided"};
-inline constexpr EventKind ClaimReleased{401, LogLevel::Info,
-                                         "claim given back"};
+inline constexpr EventKind ClaimReleased{401, LogLevel::Info, "claim released"};
 
 // 5xx: hosts and upstreams
 inline constexpr EventKind CacheIndexIncomplete{
-    560, LogLevel::Info, "cache events missed; index unsure"};
+    560, LogLevel::Info, "cache events missed; index incomplete"};
 inline constexpr EventKind HostChanged{500, LogLevel::Info,
                                        "entry host changed state"};
 inline constexpr EventKind HostListUnreachable{501, LogLevel::Warning,
@@ -98,10 +99,10 @@
                                       "planned stop begun"};
 inline constexpr EventKind DrainEnded{506, LogLevel::Info,
                                       "planned stop ended"};
-inline constexpr EventKind StreamHandedOver{507, LogLevel::Info,
-                                            "stream handed to another host"};
-inline constexpr EventKind StreamTakenOver{508, LogLevel::Info,
-                                           "stream taken from another host"};
+inline constexpr EventKind StreamHandedOver{
+    507, LogLevel::Info, "stream handed over to another host"};
+inline constexpr EventKind StreamTakenOver{
+    508, LogLevel::Info, "stream taken over from another host"};
 inline constexpr EventKind DecisionsLate{509, LogLevel::Warning,
                                          "decisions come late"};
 inline constexpr EventKind UpstreamChanged{510, LogLevel::Info,
@@ -109,15 +110,15 @@
 
 // 6xx: placement and orders
 inline constexpr EventKind PlacementDecided{600, LogLevel::Info,
-                                            "engine ordered"};
+                                            "order sent to an engine"};
 inline constexpr EventKind OrderAnswerRead{601, LogLevel::Info,
                                            "order answered"};
 inline constexpr EventKind LeaseRequested{602, LogLevel::Info,
-                                          "steward's lease asked for"};
-inline constexpr EventKind GroupAcquired{660, LogLevel::Info,
-                                         "memory of a group of engines taken"};
-inline constexpr EventKind GroupRefused{661, LogLevel::Warning,
-                                        "memory of a group of engines not had"};
+                                          "leader lease requested"};
+inline constexpr EventKind GroupAcquired{
+    660, LogLevel::Info, "memory of a group of engines acquired"};
+inline constexpr EventKind GroupRefused{
+    661, LogLevel::Warning, "memory of a group of engines not acquired"};
 
 // 7xx: quarantine, reclaim
 inline constexpr EventKind OrphanFreed{720, LogLevel::Warning,
@@ -127,27 +128,28 @@
 inline constexpr EventKind ContentQuarantined{701, LogLevel::Error,
                                               "content quarantined"};
 inline constexpr EventKind QuarantineLearnt{702, LogLevel::Warning,
-                                            "quarantine learnt"};
+                                            "quarantine received from a peer"};
 inline constexpr EventKind QuarantineReleased{703, LogLevel::Info,
                                               "quarantine released"};
 inline constexpr EventKind SuspectCleared{704, LogLevel::Info,
                                           "suspect cleared"};
 inline constexpr EventKind LimitShareGiven{710, LogLevel::Debug,
-                                           "share of a limit given"};
+                                           "share of a limit transferred"};
 
 // 8xx: gateway
 inline constexpr EventKind ConfigurationInForce{800, LogLevel::Info,
                                                 "configuration in force"};
 inline constexpr EventKind ConfigurationUnreadable{
-    801, LogLevel::Error, "configuration unreadable; the old one stays"};
+    801, LogLevel::Error,
+    "configuration unreadable; the previous one stays in force"};
 inline constexpr EventKind StoreReachable{802, LogLevel::Info,
                                           "store reachable"};
 inline constexpr EventKind StoreUnreachable{803, LogLevel::Warning,
                                             "store unreachable"};
 inline constexpr EventKind StoreFollowed{806, LogLevel::Info,
-                                         "store followed by this host"};
+                                         "this host starts reading the store"};
 inline constexpr EventKind StoreLeft{807, LogLevel::Info,
-                                     "store left to other hosts"};
+                                     "this host stops reading the store"};
 inline constexpr EventKind ActiveHostsChanged{808, LogLevel::Info,
                                               "other hosts take the callers"};
 inline constexpr EventKind RegistrationUnreadable{804, LogLevel::Warning,
@@ -155,29 +157,29 @@
 inline constexpr EventKind ReportUnreadable{805, LogLevel::Warning,
                                             "engine report unreadable"};
 inline constexpr EventKind EngineChanged{810, LogLevel::Info,
-                                         "engine changed standing"};
+                                         "engine state changed"};
 inline constexpr EventKind EngineAvoided{811, LogLevel::Warning,
                                          "engine avoided"};
 inline constexpr EventKind EngineTrusted{812, LogLevel::Info,
                                          "engine trusted again"};
-inline constexpr EventKind EngineSlowdownChanged{
-    813, LogLevel::Info, "engine works at another pace"};
+inline constexpr EventKind EngineSlowdownChanged{813, LogLevel::Info,
+                                                 "engine slowdown changed"};
 inline constexpr EventKind PeerDistrustChanged{
-    814, LogLevel::Info, "engines held back on a peer's word"};
+    814, LogLevel::Info, "engines avoided on a peer's report"};
 inline constexpr EventKind EngineLimitChanged{815, LogLevel::Info,
                                               "engine's limit changed"};
 inline constexpr EventKind EngineLimitUnreadable{816, LogLevel::Warning,
                                                  "engine's limit unreadable"};
 inline constexpr EventKind EngineQuotaLeased{
     817, LogLevel::Info, "this host lends room at an engine"};
-inline constexpr EventKind AnswerHeaderUnknown{
-    819, LogLevel::Warning, "answer has a header that is not known"};
+inline constexpr EventKind AnswerHeaderUnknown{819, LogLevel::Warning,
+                                               "answer has an unknown header"};
 inline constexpr EventKind EngineBackoffRequested{826, LogLevel::Info,
                                                   "engine asked for rest"};
 inline constexpr EventKind EngineBackoffUnreadable{
-    827, LogLevel::Warning, "rest that an engine asks for is unreadable"};
+    827, LogLevel::Warning, "requested backoff of an engine is unreadable"};
 inline constexpr EventKind EngineLeavingUnreadable{
-    828, LogLevel::Warning, "engine says unreadably whether it leaves"};
+    828, LogLevel::Warning, "leaving signal of an engine is unreadable"};
 inline constexpr EventKind RelayReceived{820, LogLevel::Info,
                                          "relayed request received"};
 inline constexpr EventKind RelaySent{821, LogLevel::Info,
@@ -187,8 +189,8 @@
                                          "relayed request ended"};
 inline constexpr EventKind RelayWaits{824, LogLevel::Info,
                                       "relayed request waits for an engine"};
-inline constexpr EventKind RelayAwaitsTurn{825, LogLevel::Info,
-                                           "relayed request awaits its turn"};
+inline constexpr EventKind RelayAwaitsTurn{
+    825, LogLevel::Info, "relayed request queued for shared prefill"};
 inline constexpr EventKind ContentCrashed{830, LogLevel::Warning,
                                           "content crashed an engine"};
 inline constexpr EventKind MemoryReserved{840, LogLevel::Info,
