--- a/src/libs/kernel/GatewayServices.h
+++ b/src/libs/kernel/GatewayServices.h
@@ -131,7 +131,7 @@
     Leaving,    ///< Leaving or removed.
     BackingOff, ///< It asked this host to back off.
     AtLimit,    ///< The hosts together have used up its limit.
-  } Is = Why::Leaving;
+  } Reason = Why::Leaving;
   std::optional<Duration> AvailableAfter; ///< Absent: unknown or never.
 };
 
@@ -192,7 +192,7 @@
   enum class Why {
     TooLate, ///< The queued work takes too long.
     Blocked, ///< All engines are at their limits or backing off.
-  } Is = Why::TooLate;
+  } Reason = Why::TooLate;
   Duration After{};
 };
 
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -66,7 +66,7 @@
 std::size_t countClosed(std::span<const EngineBlocked> Closed,
                         EngineBlocked::Why Reason) {
   return static_cast<std::size_t>(
-      std::ranges::count(Closed, Reason, &EngineBlocked::Is));
+      std::ranges::count(Closed, Reason, &EngineBlocked::Reason));
 }
 
 DeferralTimes deferralTimes(const EngineRequirements &Wanted) {
@@ -385,7 +385,7 @@
     if (IsExcluded)
       continue;
     if (const auto Closed = this->Gate->blocked(Known->Record.Id, Now)) {
-      if (Closed->Is == EngineBlocked::Why::AtLimit)
+      if (Closed->Reason == EngineBlocked::Why::AtLimit)
         this->Room->requestQuota(Known->Record.Id, Now);
       Found.Closed.push_back(*Closed);
       continue;
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -184,7 +184,7 @@
       },
       [&](const RetryLater &Refusal) {
         this->finish(Relay, Relay.refusal(),
-                     Refusal.Is == RetryLater::Why::Blocked
+                     Refusal.Reason == RetryLater::Why::Blocked
                          ? "all engines are at rest or at limits; come back"
                          : "no engine can begin it in time; come back",
                      Now, Out, Refusal.After);
