--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -257,16 +257,16 @@
   std::vector<Item> Items; ///< The sender has no work on other engines.
   /// A prompt that waits at the sender until several engines can prefill it
   /// together.
-  struct Waiting {
+  struct QueuedPrompt {
     std::uint64_t Request = 0; ///< The sender's request id.
     std::uint64_t Tokens = 0;  ///< Length of the prompt.
     double PrefillMs = 0;      ///< Prefill time on a single engine.
     double NeededMs = 0; ///< Minimum time from sending to the first token.
     double LeftMs = 0;   ///< Time until the first token is late.
 
-    bool operator==(const Waiting &) const = default;
+    bool operator==(const QueuedPrompt &) const = default;
   };
-  std::vector<Waiting> QueuedPrompts;
+  std::vector<QueuedPrompt> QueuedPrompts;
   /// An engine that is slower or faster than declared, according to its own
   /// report to the sender.
   struct Slowdown {
--- a/src/plugins/engineload/EngineLoadPeers.cpp
+++ b/src/plugins/engineload/EngineLoadPeers.cpp
@@ -76,7 +76,7 @@
     if (Load.hasOwn())
       Work.Items.push_back(Load.ownWork(Id));
   this->Reports.noteSent(
-      !Work.QueuedPrompts.empty() ? WorkReportSchedule::Content::Waiting
+      !Work.QueuedPrompts.empty() ? WorkReportSchedule::Content::QueuedPrompt
       : !Work.Items.empty()       ? WorkReportSchedule::Content::Work
                                   : WorkReportSchedule::Content::Nothing,
       Now);
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -151,7 +151,7 @@
   Out.log(logEvent(events::EngineSlowdownChanged)
               .with("engine", Report.Engine.Value)
               .with("pace", Report.Slowdown)
-              .with("waiting", Report.Waiting)
+              .with("waiting", Report.QueuedPrompt)
               .with("running", Report.Running)
               .build());
   this->noteChange(true, Now);
@@ -280,7 +280,7 @@
   if (!Place ||
       !isWorthServingNow(*Place, Work, deferralTimes(Wanted), Scarcity))
     return this->deferLong(Wanted, Scarcity, Now);
-  EngineWork::Waiting Own;
+  EngineWork::QueuedPrompt Own;
   Own.Request = Wanted.Request.Value;
   Own.Tokens = Wanted.PromptTokens;
   Own.PrefillMs = Work.PrefillMs;
@@ -323,7 +323,7 @@
 }
 
 bool EngineLoadPlugin::isFirstInQueue(std::span<const EngineState> States,
-                                      const EngineWork::Waiting &Own,
+                                      const EngineWork::QueuedPrompt &Own,
                                       Time Now) const {
   const std::size_t Before = this->Queue.rank(Own, this->Members->self(), Now);
   if (Before == 0)
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -89,7 +89,7 @@
                                            const PlacementTimes &Times) const;
   bool isShortOfMemory(const UpstreamId &Engine, Time Now) const;
   bool isFirstInQueue(std::span<const EngineState> States,
-                      const EngineWork::Waiting &Own, Time Now) const;
+                      const EngineWork::QueuedPrompt &Own, Time Now) const;
   /// Returns whether one engine can prefill the prompt without exceeding the
   /// gap bounds of the service's running answers.
   bool isShort(const EngineParameters &Model, const ServiceId &Service,
--- a/src/plugins/engineload/PromptQueue.cpp
+++ b/src/plugins/engineload/PromptQueue.cpp
@@ -5,7 +5,7 @@
 
 namespace banyanpick {
 
-double queueWeight(const EngineWork::Waiting &Prompt, Duration Since,
+double queueWeight(const EngineWork::QueuedPrompt &Prompt, Duration Since,
                    double LateShare) {
   const double LeftMs = Prompt.LeftMs - inSeconds(Since) * 1e3;
   const double Value =
@@ -13,7 +13,7 @@
   return LeftMs >= Prompt.NeededMs ? Value : Value * LateShare;
 }
 
-bool PromptQueue::note(const Waiting &Prompt, Time Now) {
+bool PromptQueue::note(const QueuedPrompt &Prompt, Time Now) {
   const auto Found =
       std::ranges::find(this->Own, Prompt.Request,
                         [](const Entry &Item) { return Item.Prompt.Request; });
@@ -31,11 +31,11 @@
          }) > 0;
 }
 
-void PromptQueue::takePeer(const HostId &Peer, std::span<const Waiting> All,
-                           Time Now) {
+void PromptQueue::takePeer(const HostId &Peer,
+                           std::span<const QueuedPrompt> All, Time Now) {
   std::vector<Entry> &Entries = this->Peers[Peer];
   Entries.clear();
-  for (const Waiting &Prompt : All)
+  for (const QueuedPrompt &Prompt : All)
     Entries.push_back({Prompt, Now});
 }
 
@@ -48,7 +48,7 @@
   return Result;
 }
 
-std::size_t PromptQueue::rank(const Waiting &Prompt, const HostId &Self,
+std::size_t PromptQueue::rank(const QueuedPrompt &Prompt, const HostId &Self,
                               Time Now) const {
   const auto KeyOf = [&](const Entry &Item, const HostId &Host) {
     return std::tuple(
@@ -65,10 +65,10 @@
   return Before;
 }
 
-std::vector<PromptQueue::Waiting> PromptQueue::own(Time Now) const {
-  std::vector<Waiting> Result;
+std::vector<PromptQueue::QueuedPrompt> PromptQueue::own(Time Now) const {
+  std::vector<QueuedPrompt> Result;
   for (const Entry &Item : this->current(this->Own, Now)) {
-    Waiting Prompt = Item.Prompt;
+    QueuedPrompt Prompt = Item.Prompt;
     Prompt.LeftMs -= inSeconds(Now - Item.NotedAt) * 1e3;
     Result.push_back(Prompt);
   }
--- a/src/plugins/engineload/PromptQueue.h
+++ b/src/plugins/engineload/PromptQueue.h
@@ -21,7 +21,7 @@
 /// prompt delays many shorter ones that could have met their objectives.
 class PromptQueue {
 public:
-  using Waiting = EngineWork::Waiting;
+  using QueuedPrompt = EngineWork::QueuedPrompt;
 
   PromptQueue() = default;
   /// \p Ttl is the lifetime of an entry that is not renewed because its host
@@ -30,20 +30,22 @@
       : Ttl(Ttl), LateShare(LateShare) {}
 
   /// Adds or renews a prompt of this host. Returns whether the prompt is new.
-  bool note(const Waiting &Prompt, Time Now);
+  bool note(const QueuedPrompt &Prompt, Time Now);
   /// Removes a prompt of this host. Returns whether it was queued.
   bool drop(std::uint64_t Request);
-  void takePeer(const HostId &Peer, std::span<const Waiting> All, Time Now);
+  void takePeer(const HostId &Peer, std::span<const QueuedPrompt> All,
+                Time Now);
   void forgetPeer(const HostId &Peer) { this->Peers.erase(Peer); }
 
   /// Returns the number of prompts that go before this one.
-  std::size_t rank(const Waiting &Prompt, const HostId &Self, Time Now) const;
+  std::size_t rank(const QueuedPrompt &Prompt, const HostId &Self,
+                   Time Now) const;
   /// Returns this host's waiting prompts, for its peers.
-  std::vector<Waiting> own(Time Now) const;
+  std::vector<QueuedPrompt> own(Time Now) const;
 
 private:
   struct Entry {
-    Waiting Prompt;
+    QueuedPrompt Prompt;
     Time NotedAt{};
   };
 
@@ -57,7 +59,7 @@
 
 /// Returns the value of a prompt per millisecond of prefill when it is sent
 /// now.
-double queueWeight(const EngineWork::Waiting &Prompt, Duration Since,
+double queueWeight(const EngineWork::QueuedPrompt &Prompt, Duration Since,
                    double LateShare);
 
 } // namespace banyanpick
--- a/src/plugins/engineload/WorkReportSchedule.h
+++ b/src/plugins/engineload/WorkReportSchedule.h
@@ -32,8 +32,8 @@
   /// What a report contained; determines when it is repeated.
   enum class Content {
     Nothing,
-    Work,   ///< Repeated, as messages may be lost and reports expire.
-    Waiting ///< Includes queued prompts, whose reports expire sooner.
+    Work,        ///< Repeated, as messages may be lost and reports expire.
+    QueuedPrompt ///< Includes queued prompts, whose reports expire sooner.
   };
   void noteSent(Content Sent, Time Now) {
     this->Last = Now;
