--- a/src/libs/kernel/LogRecord.h
+++ b/src/libs/kernel/LogRecord.h
@@ -65,13 +65,13 @@
 /// A lease that makes one host the leader of an engine: only the leader sends
 /// orders to it. The offset of the record in the log is the fencing number of
 /// these orders.
-struct StewardLease {
+struct LeaderLease {
   UpstreamId Engine;
   HostId Leader;
   Incarnation LeaderLife;
   Duration Length{};
 
-  bool operator==(const StewardLease &) const = default;
+  bool operator==(const LeaderLease &) const = default;
 };
 
 /// A content fingerprint that crashed upstreams.
@@ -85,7 +85,7 @@
 
 using LogRecordBody =
     std::variant<ConfigurationRecord, ClaimRecord, OutcomeRecord, SnapshotChunk,
-                 StewardLease, QuarantineRecord>;
+                 LeaderLease, QuarantineRecord>;
 
 /// A record with the id by which its writer recognizes it in the log.
 struct LogRecord {
--- a/src/libs/wire/LogCodec.cpp
+++ b/src/libs/wire/LogCodec.cpp
@@ -35,7 +35,7 @@
   Out.set_bytes(Record.Bytes);
 }
 
-void write(const banyanpick::StewardLease &Record, StewardLease &Out) {
+void write(const banyanpick::LeaderLease &Record, StewardLease &Out) {
   Out.set_engine(Record.Engine.Value);
   Out.set_steward(Record.Leader.Value);
   Out.set_steward_life(Record.LeaderLife.Value);
@@ -61,7 +61,7 @@
       [&](const banyanpick::SnapshotChunk &Body) {
         write(Body, *Out.mutable_snapshot());
       },
-      [&](const banyanpick::StewardLease &Body) {
+      [&](const banyanpick::LeaderLease &Body) {
         write(Body, *Out.mutable_lease());
       },
       [&](const QuarantineRecord &Body) {
@@ -88,7 +88,7 @@
           In.bytes()};
 }
 
-banyanpick::StewardLease read(const StewardLease &In) {
+banyanpick::LeaderLease read(const StewardLease &In) {
   return {UpstreamId(In.engine()), HostId(In.steward()),
           Incarnation(In.steward_life()), Duration(In.length_us())};
 }
--- a/src/plugins/log/AppendQueue.cpp
+++ b/src/plugins/log/AppendQueue.cpp
@@ -12,7 +12,7 @@
 
 /// Whether a second copy of the record in the log has no effect.
 bool mayRepeat(const LogRecord &Record) {
-  return !std::holds_alternative<StewardLease>(Record.Body);
+  return !std::holds_alternative<LeaderLease>(Record.Body);
 }
 
 } // namespace
--- a/src/plugins/log/RecordSize.cpp
+++ b/src/plugins/log/RecordSize.cpp
@@ -26,7 +26,7 @@
              },
              [](const OutcomeRecord &Content) { return Content.Result.size(); },
              [](const SnapshotChunk &Content) { return Content.Bytes.size(); },
-             [](const StewardLease &Content) {
+             [](const LeaderLease &Content) {
                return Content.Engine.Value.size();
              },
              [](const QuarantineRecord &) { return std::size_t{0}; });
--- a/src/plugins/orders/LeaderLeases.cpp
+++ b/src/plugins/orders/LeaderLeases.cpp
@@ -26,7 +26,7 @@
 }
 
 void LeaderLeases::noteRead(const StoredRecord &Record, Time Now) {
-  const auto *Lease = std::get_if<StewardLease>(&Record.Record.Body);
+  const auto *Lease = std::get_if<LeaderLease>(&Record.Record.Body);
   if (!Lease)
     return;
   EngineLease &State = this->Engines[Lease->Engine];
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -145,8 +145,8 @@
                                 Actions &Out) {
   if (!this->Log->isReachable(Now))
     return;
-  const StewardLease Lease{Engine, this->SelfIdentity.Host,
-                           this->SelfIdentity.Life, this->Leases.length()};
+  const LeaderLease Lease{Engine, this->SelfIdentity.Host,
+                          this->SelfIdentity.Life, this->Leases.length()};
   const RecordId Record = this->Log->append(Lease, Now, Out);
   this->Leases.noteRequested(Engine, Record, Now);
   Out.log(
--- a/tests/auto/log/LogTest.cpp
+++ b/tests/auto/log/LogTest.cpp
@@ -103,7 +103,7 @@
 TEST_F(LogTest, DoesNotRepeatALease) {
   this->Host.call([&](Actions &Out) {
     return this->Host.services().get<LogWriter>().append(
-        StewardLease{UpstreamId("e"), HostId("h1"), Incarnation(Life), {}},
+        LeaderLease{UpstreamId("e"), HostId("h1"), Incarnation(Life), {}},
         this->Host.Now, Out);
   });
   this->Host.advance(milliseconds(1));
--- a/tests/auto/orders/LeaderLeasesTest.cpp
+++ b/tests/auto/orders/LeaderLeasesTest.cpp
@@ -33,7 +33,7 @@
   void request(LeaseHost &Host, Time Now) {
     const RecordId Id{Host.Life, ++Host.RequestCount};
     Host.Leases.noteRequested(Engine, Id, Host.clock(Now));
-    const StewardLease Lease{Engine, HostId("h"), Host.Life, Terms.Length};
+    const LeaderLease Lease{Engine, HostId("h"), Host.Life, Terms.Length};
     this->Records.push_back({this->Records.size() + 1, 0, {Id, Lease}});
   }
   void read(LeaseHost &Host, Time Now) const {
--- a/tests/auto/wire/WireTest.cpp
+++ b/tests/auto/wire/WireTest.cpp
@@ -85,8 +85,8 @@
     return {Id, SnapshotChunk{anyUint64(), anyUint32(), anyUint32(),
                               anyUint64(), anyText()}};
   case 4:
-    return {Id, StewardLease{anyId<UpstreamId>(), anyId<HostId>(),
-                             anyIncarnation(), anyDuration()}};
+    return {Id, LeaderLease{anyId<UpstreamId>(), anyId<HostId>(),
+                            anyIncarnation(), anyDuration()}};
   default:
     return {Id,
             QuarantineRecord{Fingerprint(anyUint64()), anyUint32(), anyTime()}};
