--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -227,9 +227,9 @@
 };
 
 /// Identifies requests whose content is suspected of crashing upstreams.
-class PoisonView {
+class QuarantineView {
 public:
-  virtual ~PoisonView() = default;
+  virtual ~QuarantineView() = default;
   /// Whether the next attempt must be isolated.
   virtual bool isSuspect(const Request &Waiting, Time Now) const = 0;
   /// Whether two upstreams crashed while running this content.
--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -45,7 +45,7 @@
   this->Gossip = std::make_unique<UsageGossip>(GossipPolicy);
   this->InForce = &Context.services().get<CatalogueView>();
   this->Members = &Context.services().get<MembershipView>();
-  this->Poison = &Context.services().get<PoisonView>();
+  this->Quarantine = &Context.services().get<QuarantineView>();
   Context.services().provide<DispatchQueue>(*this);
   Context.services().list<RequestObserver>().add(*this);
 }
@@ -72,8 +72,8 @@
 }
 
 void FairnessPlugin::push(const Request &Req, Time Now) {
-  const bool IsSuspect = this->Poison->isSuspect(Req, Now);
-  const Time NotBefore = Now + this->Poison->spacing(Req, Now);
+  const bool IsSuspect = this->Quarantine->isSuspect(Req, Now);
+  const Time NotBefore = Now + this->Quarantine->spacing(Req, Now);
   this->Queues->push(Req, IsSuspect, NotBefore, Now);
 }
 
--- a/src/plugins/fairness/FairnessPlugin.h
+++ b/src/plugins/fairness/FairnessPlugin.h
@@ -47,7 +47,7 @@
 
   const CatalogueView *InForce = nullptr;
   const MembershipView *Members = nullptr;
-  const PoisonView *Poison = nullptr;
+  const QuarantineView *Quarantine = nullptr;
   std::unique_ptr<RequestQueues> Queues;
   std::unique_ptr<UsageGossip> Gossip;
   Time PrunedAt{};
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -43,7 +43,7 @@
   this->Members = &PluginServices.get<MembershipView>();
   this->Log = &PluginServices.get<LogWriter>();
   this->Rng = &Context.random();
-  PluginServices.provide<PoisonView>(*this);
+  PluginServices.provide<QuarantineView>(*this);
   PluginServices.provide<QuarantineControl>(*this);
   PluginServices.list<AdmissionGate>().add(*this);
   PluginServices.list<RequestObserver>().add(*this);
--- a/src/plugins/quarantine/QuarantinePlugin.h
+++ b/src/plugins/quarantine/QuarantinePlugin.h
@@ -12,11 +12,12 @@
 
 namespace banyanpick {
 
-/// Provides PoisonView and QuarantineControl, and refuses quarantined content.
-/// Sends a suspicion to the peers that serve the team. Sends a quarantine to
-/// all peers at once and appends it to the log for hosts that join later.
+/// Provides QuarantineView and QuarantineControl, and refuses quarantined
+/// content. Sends a suspicion to the peers that serve the team. Sends a
+/// quarantine to all peers at once and appends it to the log for hosts that
+/// join later.
 class QuarantinePlugin : public Plugin,
-                         public PoisonView,
+                         public QuarantineView,
                          public QuarantineControl,
                          public AdmissionGate,
                          public RequestObserver,
@@ -31,7 +32,7 @@
   void initialize(PluginContext &Context) override;
   void handle(const Event &Incoming, Time Now, Actions &Out) override;
 
-  // PoisonView
+  // QuarantineView
   bool isSuspect(const Request &Req, Time Now) const override;
   bool isQuarantined(Fingerprint Content, Time Now) const override;
   Duration spacing(const Request &Req, Time Now) const override;
--- a/src/plugins/requests/AttemptEndHandler.cpp
+++ b/src/plugins/requests/AttemptEndHandler.cpp
@@ -159,8 +159,8 @@
 void AttemptEndHandler::retryOrGiveUp(RunningRequest &Entry,
                                       std::string_view Reason, Time Now,
                                       Actions &Out) {
-  const bool Quarantined =
-      this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content, Now);
+  const bool Quarantined = this->Dependencies.Quarantine.isQuarantined(
+      Entry.Original.Head.Content, Now);
   const bool Allowed =
       !Entry.Adopted && !Quarantined && Now < Entry.Original.Deadline &&
       Entry.AttemptCount < this->Dependencies.Options.MaxAttempts &&
--- a/src/plugins/requests/Dispatcher.cpp
+++ b/src/plugins/requests/Dispatcher.cpp
@@ -31,15 +31,16 @@
 
 void Dispatcher::dispatchWaiting(RunningRequest &Entry, Time Now,
                                  Actions &Out) {
-  if (this->Dependencies.Poison.isQuarantined(Entry.Original.Head.Content,
-                                              Now)) {
+  if (this->Dependencies.Quarantine.isQuarantined(Entry.Original.Head.Content,
+                                                  Now)) {
     this->Finisher.giveUp(Entry.Original.id(), "its content is quarantined",
                           Now, Out, RefusalReason::Quarantined);
     return;
   }
   SelectionLimits Limits;
   Limits.Excluded = Entry.Excluded;
-  Limits.Isolated = this->Dependencies.Poison.isSuspect(Entry.Original, Now);
+  Limits.Isolated =
+      this->Dependencies.Quarantine.isSuspect(Entry.Original, Now);
   const Selection Chosen =
       this->Dependencies.Selector.select(Entry.Original, Limits, Now, Out);
   match(
--- a/src/plugins/requests/RequestServices.h
+++ b/src/plugins/requests/RequestServices.h
@@ -28,7 +28,7 @@
         Fleet(Context.services().get<FleetView>()),
         Selector(Context.services().get<UpstreamSelector>()),
         Queue(Context.services().get<DispatchQueue>()),
-        Poison(Context.services().get<PoisonView>()),
+        Quarantine(Context.services().get<QuarantineView>()),
         Retries(Context.services().get<RetryPolicy>()),
         Claims(Context.services().get<ClaimKeeper>()),
         Groups(Context.services().get<GroupHolder>()),
@@ -43,7 +43,7 @@
   FleetView &Fleet;
   UpstreamSelector &Selector;
   DispatchQueue &Queue;
-  PoisonView &Poison;
+  QuarantineView &Quarantine;
   RetryPolicy &Retries;
   ClaimKeeper &Claims;
   GroupHolder &Groups;
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -33,7 +33,7 @@
     this->PluginServices.provide<FleetView>(this->Fleet);
     this->PluginServices.provide<UpstreamSelector>(this->Selector);
     this->PluginServices.provide<DispatchQueue>(this->Queue);
-    this->PluginServices.provide<PoisonView>(this->Poison);
+    this->PluginServices.provide<QuarantineView>(this->Quarantine);
     this->PluginServices.provide<RetryPolicy>(this->Retries);
     this->PluginServices.provide<ClaimKeeper>(this->Claims);
     this->PluginServices.provide<GroupHolder>(this->Groups);
@@ -111,7 +111,7 @@
   fakes::FakeFleet Fleet;
   fakes::FakeSelector Selector;
   fakes::FakeQueue Queue;
-  fakes::FakePoison Poison;
+  fakes::FakeQuarantineView Quarantine;
   fakes::FakeRetries Retries;
   fakes::FakeClaims Claims;
   fakes::FakeGroups Groups;
@@ -177,7 +177,7 @@
   this->Selector.Full = true;
   this->handle(RequestArrived{this->head(1)});
   this->Selector.Full = false;
-  this->Poison.Quarantined = true;
+  this->Quarantine.Quarantined = true;
   this->handle(Tick{}, milliseconds(100));
   EXPECT_TRUE(this->actions<DispatchAttempt>().empty());
   EXPECT_TRUE(this->answeredWith<NotRun>());
--- a/tests/fakes/PluginViews.h
+++ b/tests/fakes/PluginViews.h
@@ -98,7 +98,7 @@
   std::vector<LogRecordBody> Appended;
 };
 
-class FakePoisonView : public PoisonView {
+class FakeQuarantineView : public QuarantineView {
 public:
   bool isSuspect(const Request &, Time) const override { return false; }
   bool isQuarantined(Fingerprint, Time) const override { return false; }
@@ -115,7 +115,7 @@
     this->Offered.template provide<CatalogueView>(this->Entries);
     this->Offered.template provide<MembershipView>(this->Members);
     this->Offered.template provide<LogWriter>(this->Log);
-    this->Offered.template provide<PoisonView>(this->Poison);
+    this->Offered.template provide<QuarantineView>(this->Quarantine);
   }
 
   void start() {
@@ -144,7 +144,7 @@
   FakeCatalogueView Entries;
   FakeMembershipView Members;
   FakeLogWriter Log;
-  FakePoisonView Poison;
+  FakeQuarantineView Quarantine;
   Identity Self;
   Settings Values;
   Services Offered;
