--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -83,7 +83,7 @@
     std::uint32_t Concurrent = 0;
     /// The queue that did the work: a hash of the queue's key, equal on all
     /// hosts.
-    std::uint32_t Lane = 0;
+    std::uint32_t QueueHash = 0;
 
     bool operator==(const Item &) const = default;
   };
--- a/src/libs/wire/PeerCodec.cpp
+++ b/src/libs/wire/PeerCodec.cpp
@@ -91,7 +91,7 @@
     Item.set_demand_requests(Usage.DemandRequests);
     Item.set_demand_tokens(Usage.DemandTokens);
     Item.set_concurrent(Usage.Concurrent);
-    Item.set_lane(Usage.Lane);
+    Item.set_lane(Usage.QueueHash);
   }
 }
 
--- a/src/plugins/fairness/UsageGossip.cpp
+++ b/src/plugins/fairness/UsageGossip.cpp
@@ -55,7 +55,7 @@
     Message.Epoch = this->Round;
     TeamUsage::Item Item;
     Item.Team = Key.first;
-    Item.Lane = Key.second;
+    Item.QueueHash = Key.second;
     Item.ServiceTokens = Total.Tokens;
     Message.Items.push_back(std::move(Item));
     ++Added;
@@ -79,14 +79,15 @@
   }
   std::vector<QueueWork> Result;
   for (const TeamUsage::Item &Item : Usage.Items) {
-    if (Item.Lane == 0)
+    if (Item.QueueHash == 0)
       continue;
-    const auto [Found, IsNew] = Peer.Totals.try_emplace({Item.Team, Item.Lane});
+    const auto [Found, IsNew] =
+        Peer.Totals.try_emplace({Item.Team, Item.QueueHash});
     PeerTotal &Total = Found->second;
     const double Difference = Item.ServiceTokens - Total.Tokens;
     Total = {Item.ServiceTokens, Now};
     if (!IsNew && Difference != 0)
-      Result.push_back({Item.Team, Item.Lane, Difference});
+      Result.push_back({Item.Team, Item.QueueHash, Difference});
   }
   return Result;
 }
--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -219,7 +219,8 @@
     return;
   if (const auto *Usage = std::get_if<TeamUsage>(&Message.Body)) {
     for (const TeamUsage::Item &Item : Usage->Items) {
-      TeamState *State = Item.Lane == 0 ? this->state(Item.Team, Now) : nullptr;
+      TeamState *State =
+          Item.QueueHash == 0 ? this->state(Item.Team, Now) : nullptr;
       if (!State)
         continue;
       State->Limit->updatePeerDemand(Message.From, Item, Now);
