--- a/tests/fakes/PluginViews.h
+++ b/tests/fakes/PluginViews.h
@@ -136,9 +136,9 @@
     return Result;
   }
 
-  std::vector<SendToPeer> handle(const Event &What, Time Now) {
+  std::vector<SendToPeer> handle(const Event &Incoming, Time Now) {
     return this->sent(
-        [&](Actions &Out) { this->Tested.handle(What, Now, Out); });
+        [&](Actions &Out) { this->Tested.handle(Incoming, Now, Out); });
   }
 
   FakeCatalogueView Entries;
--- a/tests/harness/VirtualHost.cpp
+++ b/tests/harness/VirtualHost.cpp
@@ -68,20 +68,20 @@
     Todo();
 }
 
-void VirtualHost::deliver(const Event &What) {
+void VirtualHost::deliver(const Event &Incoming) {
   if (!this->Frozen)
-    return this->react(What);
-  this->whenRunning(this->Life, [this, What] { this->react(What); });
+    return this->react(Incoming);
+  this->whenRunning(this->Life, [this, Incoming] { this->react(Incoming); });
 }
 
-void VirtualHost::react(const Event &What) {
+void VirtualHost::react(const Event &Incoming) {
   if (!this->Brain)
     return;
   ++this->World.Steps;
   const std::uint64_t Broken = this->Brain->invariantsBroken();
-  auto Wanted = this->Brain->handle(What, this->World.now());
+  auto Wanted = this->Brain->handle(Incoming, this->World.now());
   if (this->World.OnHandled)
-    this->World.OnHandled(*this, What, this->World.now(), Wanted);
+    this->World.OnHandled(*this, Incoming, this->World.now(), Wanted);
   if (this->Brain->invariantsBroken() != Broken)
     this->World.violation("kernel of " + this->name() + " broke an invariant");
   this->scheduleWake();
--- a/tests/harness/VirtualHost.h
+++ b/tests/harness/VirtualHost.h
@@ -29,7 +29,7 @@
   void thaw();
 
   /// Hands an event to the kernel, or keeps it while frozen.
-  void deliver(const Event &What);
+  void deliver(const Event &Incoming);
   /// Runs \p Todo unless this life is over; waits while frozen.
   void whenRunning(Incarnation Life, std::function<void()> Todo);
 
@@ -74,7 +74,7 @@
     bool Progressed = false;
   };
 
-  void react(const Event &What);
+  void react(const Event &Incoming);
   void scheduleWake();
   void carryOut(const std::vector<Action> &Wanted);
   void carryOut(const Action &Wanted);
