--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -208,16 +208,15 @@
 public:
   virtual ~UpstreamSelector() = default;
   /// Also logs the decision with the scores of the candidates to \p Out.
-  virtual Selection select(const Request &Waiting,
-                           const SelectionLimits &Limits, Time Now,
-                           Actions &Out) = 0;
+  virtual Selection select(const Request &Req, const SelectionLimits &Limits,
+                           Time Now, Actions &Out) = 0;
 };
 
 /// Queues waiting requests and shares dispatches fairly among teams.
 class DispatchQueue {
 public:
   virtual ~DispatchQueue() = default;
-  virtual void push(const Request &Waiting, Time Now) = 0;
+  virtual void push(const Request &Req, Time Now) = 0;
   /// Removes the request from any position. Does nothing if it is not queued.
   virtual void remove(const RequestId &Id) = 0;
   /// Returns at most \p Max waiting requests in dispatch order, the one with
@@ -231,7 +230,7 @@
 public:
   virtual ~QuarantineView() = default;
   /// Whether the next attempt must be isolated.
-  virtual bool isSuspect(const Request &Waiting, Time Now) const = 0;
+  virtual bool isSuspect(const Request &Req, Time Now) const = 0;
   /// Whether two upstreams crashed while running this content.
   virtual bool isQuarantined(Fingerprint Content, Time Now) const = 0;
   /// The delay before the next attempt; suspects run one after another.
@@ -314,7 +313,7 @@
 public:
   virtual ~GroupHolder() = default;
   /// Answered by GroupObserver::groupDecided(), possibly before the return.
-  virtual void acquire(const Request &Waiting, const Selected &Choice, Time Now,
+  virtual void acquire(const Request &Req, const Selected &Choice, Time Now,
                        Actions &Out) = 0;
   /// Releases all holds of the request; idempotent.
   virtual void release(const RequestId &Id, Time Now, Actions &Out) = 0;
