--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -111,7 +111,7 @@
   fakes::FakeFleet Fleet;
   fakes::FakeSelector Selector;
   fakes::FakeQueue Queue;
-  fakes::FakeQuarantineView Quarantine;
+  fakes::FakeQuarantine Quarantine;
   fakes::FakeRetries Retries;
   fakes::FakeClaims Claims;
   fakes::FakeGroups Groups;
--- a/tests/auto/requests/ServiceFakes.h
+++ b/tests/auto/requests/ServiceFakes.h
@@ -75,7 +75,7 @@
   std::size_t size() const override { return this->Waiting.size(); }
 };
 
-struct FakeQuarantineView : QuarantineView {
+struct FakeQuarantine : QuarantineView {
   bool Quarantined = false;
 
   bool isSuspect(const Request &, Time) const override { return false; }
