--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -92,7 +92,7 @@
 void MembershipPlugin::start(Time, Actions &Out) {
   this->Catalogue = this->Offered->find<CatalogueView>();
   this->InForce = this->Offered->find<InForceView>();
-  this->Registry = this->Offered->find<RegistryProgress>();
+  this->EngineRegistry = this->Offered->find<RegistryProgress>();
   this->ActiveHosts = this->Offered->find<ActiveHostsView>();
   this->Store = this->Offered->find<StoreFreshness>();
   if (this->GossipDiscovery)
@@ -135,7 +135,8 @@
   if (ConfigurationChanged)
     return Time{};
   const bool EnginesChanged =
-      this->Registry && this->Registry->digest() != this->SentEnginesDigest;
+      this->EngineRegistry &&
+      this->EngineRegistry->digest() != this->SentEnginesDigest;
   return EnginesChanged && this->LastHeartbeat != Never
              ? this->LastHeartbeat + MinUpdateInterval
              : Never;
@@ -361,8 +362,8 @@
     this->SentVersion = this->InForce->version();
     this->SentReady = this->InForce->isReady();
   }
-  if (this->Registry)
-    this->SentEnginesDigest = this->Registry->digest();
+  if (this->EngineRegistry)
+    this->SentEnginesDigest = this->EngineRegistry->digest();
   this->Peers.detectFailures(this->Health.timeoutMultiplier(), Now);
   this->ProbesSent /= 2;
   this->ProbesAnswered /= 2;
@@ -410,9 +411,9 @@
     Beat.InForce = this->Catalogue->catalogue().offset();
     Beat.LogConfirmedAt = this->Catalogue->confirmedAt();
   }
-  if (this->Registry) {
-    Beat.EnginesKnownTo = this->Registry->knownTo();
-    Beat.EnginesDigest = this->Registry->digest();
+  if (this->EngineRegistry) {
+    Beat.EnginesKnownTo = this->EngineRegistry->knownTo();
+    Beat.EnginesDigest = this->EngineRegistry->digest();
   }
   Beat.Late = this->Health.lateness();
   if (this->Store && this->Store->storeConfirmedAt() != Time{})
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -79,7 +79,7 @@
   Services *Offered = nullptr;
   const CatalogueView *Catalogue = nullptr;
   const InForceView *InForce = nullptr;
-  const RegistryProgress *Registry = nullptr;
+  const RegistryProgress *EngineRegistry = nullptr;
   const ActiveHostsView *ActiveHosts = nullptr;
   const StoreFreshness *Store = nullptr;
   Random *Rng = nullptr;
