--- a/src/libs/kernel/Kernel.cpp
+++ b/src/libs/kernel/Kernel.cpp
@@ -11,7 +11,8 @@
                ServingMode Mode)
     : Self(std::move(SelfGiven)), Values(std::move(ValuesGiven)),
       Numbers(Seed) {
-  PluginContext Context(this->Self, this->Values, this->Offered, this->Numbers);
+  PluginContext Context(this->Self, this->Values, this->Registry,
+                        this->Numbers);
   for (const PluginDescription &Description : pluginsFor(Mode)) {
     this->Plugins.push_back(Description.Make());
     this->Plugins.back()->initialize(Context);
--- a/src/libs/kernel/Kernel.h
+++ b/src/libs/kernel/Kernel.h
@@ -37,7 +37,7 @@
   std::uint64_t invariantsBroken() const { return this->Monitor.total(); }
 
   /// Returns the services of the plug-ins; for tests and the status page.
-  Services &services() { return this->Offered; }
+  Services &services() { return this->Registry; }
   const Identity &self() const { return this->Self; }
 
 private:
@@ -50,7 +50,7 @@
   Identity Self;
   Settings Values;
   Random Numbers;
-  Services Offered;
+  Services Registry;
   std::vector<std::unique_ptr<Plugin>> Plugins;
   InvariantMonitor Monitor;
   Time Latest{};
--- a/src/libs/kernel/Plugin.h
+++ b/src/libs/kernel/Plugin.h
@@ -30,20 +30,20 @@
 /// The data and services available to a plug-in in initialize().
 class PluginContext {
 public:
-  PluginContext(const Identity &Self, const Settings &Values, Services &Offered,
-                Random &Numbers)
-      : Self(Self), Values(Values), Offered(Offered), Numbers(Numbers) {}
+  PluginContext(const Identity &Self, const Settings &Values,
+                Services &Registry, Random &Numbers)
+      : Self(Self), Values(Values), Registry(Registry), Numbers(Numbers) {}
 
   const Identity &self() const { return this->Self; }
   const Settings &settings() const { return this->Values; }
-  Services &services() { return this->Offered; }
+  Services &services() { return this->Registry; }
   /// Valid for the lifetime of the kernel.
   Random &random() { return this->Numbers; }
 
 private:
   const Identity &Self;
   const Settings &Values;
-  Services &Offered;
+  Services &Registry;
   Random &Numbers;
 };
 
--- a/src/plugins/activehosts/ActiveHostsPlugin.cpp
+++ b/src/plugins/activehosts/ActiveHostsPlugin.cpp
@@ -10,7 +10,7 @@
 void ActiveHostsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "active_hosts";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Routing = &Context.services().get<RouteView>();
   this->Directory = &Context.services().get<EngineDirectory>();
--- a/src/plugins/activehosts/ActiveHostsPlugin.h
+++ b/src/plugins/activehosts/ActiveHostsPlugin.h
@@ -55,7 +55,7 @@
   /// Divides the engines among the active hosts.
   void divideEngines(std::span<const ActiveCandidate> All, std::uint32_t Count);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   const RouteView *Routing = nullptr;
   const EngineDirectory *Directory = nullptr;
--- a/src/plugins/catalogue/CataloguePlugin.cpp
+++ b/src/plugins/catalogue/CataloguePlugin.cpp
@@ -40,7 +40,7 @@
 
 void CataloguePlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Freshness.emplace(Values.span("catalogue", "current_within"));
   this->PeerRequestInterval = Values.span("catalogue", "ask_interval");
   this->Writer.emplace(
@@ -49,16 +49,16 @@
                                 SnapshotsPerRetention,
                             Values.size("catalogue", "snapshot_chunk")},
       Context.random());
-  this->Tail = &this->PluginServices->get<LogTail>();
-  this->PluginServices->provide<CatalogueView>(*this);
-  this->PluginServices->provide<ChangeAcceptance>(*this);
-  this->PluginServices->list<LogObserver>().add(*this);
-  this->PluginServices->list<AdmissionGate>().add(*this);
-  this->PluginServices->list<StatusContributor>().add(*this);
+  this->Tail = &this->Registry->get<LogTail>();
+  this->Registry->provide<CatalogueView>(*this);
+  this->Registry->provide<ChangeAcceptance>(*this);
+  this->Registry->list<LogObserver>().add(*this);
+  this->Registry->list<AdmissionGate>().add(*this);
+  this->Registry->list<StatusContributor>().add(*this);
 }
 
 void CataloguePlugin::start(Time Now, Actions &) {
-  this->Members = this->PluginServices->find<MembershipView>();
+  this->Members = this->Registry->find<MembershipView>();
   this->NextPeerRequestAt = Now + this->PeerRequestInterval;
 }
 
@@ -69,8 +69,7 @@
   this->requestFromPeerWhenDue(Now, Out);
   if (this->IsComplete)
     this->Writer->writeWhenDue(this->InForce, this->Members,
-                               this->PluginServices->get<LogWriter>(), Now,
-                               Out);
+                               this->Registry->get<LogWriter>(), Now, Out);
   this->updateCurrent(Now, Out);
   this->HighestOffset = std::max(this->HighestOffset, this->InForce.offset());
 }
@@ -180,7 +179,7 @@
                                         Message.From.Value, Now, Out);
   // While the log is reachable, the records are read from it, since the other
   // plug-ins need them too.
-  if (IsRestored && !this->PluginServices->get<LogWriter>().isReachable(Now))
+  if (IsRestored && !this->Registry->get<LogWriter>().isReachable(Now))
     this->Tail->skipTo(Relayed->AtOffset + 1, Now, Out);
 }
 
--- a/src/plugins/catalogue/CataloguePlugin.h
+++ b/src/plugins/catalogue/CataloguePlugin.h
@@ -64,7 +64,7 @@
   void requestFromPeerWhenDue(Time Now, Actions &Out);
   void updateCurrent(Time Now, Actions &Out);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   LogTail *Tail = nullptr;
   const MembershipView *Members = nullptr;
   Catalogue InForce;
--- a/src/plugins/claims/ClaimsPlugin.cpp
+++ b/src/plugins/claims/ClaimsPlugin.cpp
@@ -80,7 +80,7 @@
 
 void ClaimsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Self = Context.self().Host;
   this->Life = Context.self().Life;
   this->KeyWindow = std::min(Values.span("claims", "window"),
@@ -89,15 +89,15 @@
   this->ClaimTimeout = Values.span("claims", "give_up_after");
   this->RetryAfter = Values.span("claims", "come_back");
   this->MaxResultBytes = Values.size("claims", "result_bytes");
-  this->Log = &this->PluginServices->get<LogWriter>();
-  this->Tail = &this->PluginServices->get<LogTail>();
-  this->PluginServices->provide<ClaimKeeper>(*this);
-  this->PluginServices->list<LogObserver>().add(*this);
-  this->PluginServices->list<RequestObserver>().add(*this);
+  this->Log = &this->Registry->get<LogWriter>();
+  this->Tail = &this->Registry->get<LogTail>();
+  this->Registry->provide<ClaimKeeper>(*this);
+  this->Registry->list<LogObserver>().add(*this);
+  this->Registry->list<RequestObserver>().add(*this);
 }
 
 void ClaimsPlugin::start(Time Now, Actions &) {
-  this->Members = this->PluginServices->find<MembershipView>();
+  this->Members = this->Registry->find<MembershipView>();
   this->StartedAt = Now;
   this->PruneAt = Now + PruneInterval;
 }
@@ -406,8 +406,7 @@
               .with("granted", Granted ? "yes" : "no")
               .build());
   Out.count("claims_decided", Granted ? "granted" : "denied");
-  for (ClaimObserver *Observer :
-       this->PluginServices->list<ClaimObserver>().all())
+  for (ClaimObserver *Observer : this->Registry->list<ClaimObserver>().all())
     Observer->claimDecided(Id, Verdict, Now, Out);
 }
 
--- a/src/plugins/claims/ClaimsPlugin.h
+++ b/src/plugins/claims/ClaimsPlugin.h
@@ -83,7 +83,7 @@
   void decide(const RequestId &Id, const ClaimVerdict &Verdict, Time Now,
               Actions &Out);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   LogWriter *Log = nullptr;
   LogTail *Tail = nullptr;
   const MembershipView *Members = nullptr;
--- a/src/plugins/departure/DeparturePlugin.cpp
+++ b/src/plugins/departure/DeparturePlugin.cpp
@@ -9,7 +9,7 @@
 void DeparturePlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "departure";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Linger = Values.span(Section, "linger");
   this->Grace = Values.span(Section, "grace");
   this->CheckInterval = Values.span(Section, "look_interval");
@@ -17,7 +17,7 @@
 }
 
 void DeparturePlugin::start(Time, Actions &) {
-  this->Running = &this->Offered->get<RelayCount>();
+  this->Running = &this->Registry->get<RelayCount>();
 }
 
 void DeparturePlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
--- a/src/plugins/departure/DeparturePlugin.h
+++ b/src/plugins/departure/DeparturePlugin.h
@@ -24,7 +24,7 @@
   void leave(Time Now, Actions &Out);
   void checkFinished(Time Now, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const RelayCount *Running = nullptr;
   Duration Linger{};
   Duration Grace{};
--- a/src/plugins/drain/DrainPlugin.cpp
+++ b/src/plugins/drain/DrainPlugin.cpp
@@ -18,7 +18,7 @@
 
 void DrainPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Grace = Values.span("resolve", "ttl") + Values.span("drain", "slack");
   this->HandOverAfter = Values.span("drain", "hand_over_after");
   this->Budget = Values.span("drain", "budget");
@@ -28,11 +28,11 @@
 }
 
 void DrainPlugin::start(Time, Actions &) {
-  this->Requests = &this->Offered->get<RequestTable>();
-  this->Fleet = &this->Offered->get<FleetView>();
-  this->Log = &this->Offered->get<LogWriter>();
+  this->Requests = &this->Registry->get<RequestTable>();
+  this->Fleet = &this->Registry->get<FleetView>();
+  this->Log = &this->Registry->get<LogWriter>();
   this->Handovers =
-      StreamHandovers(this->Offered->get<MembershipView>(), *this->Requests);
+      StreamHandovers(this->Registry->get<MembershipView>(), *this->Requests);
 }
 
 void DrainPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
--- a/src/plugins/drain/DrainPlugin.h
+++ b/src/plugins/drain/DrainPlugin.h
@@ -34,7 +34,7 @@
   void continueStop(Time Now, Actions &Out);
   void stop(Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   RequestTable *Requests = nullptr;
   const FleetView *Fleet = nullptr;
   LogWriter *Log = nullptr;
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -78,7 +78,7 @@
 void EngineLoadPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "engine_load";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Active = &Context.services().get<ActiveHostsView>();
   this->Directory = &Context.services().get<EngineDirectory>();
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -117,7 +117,7 @@
   /// Requests a report from the engine if the first token came late.
   void noteFirstToken(const RelayAttempt &Attempt, Time Now, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   const ActiveHostsView *Active = nullptr;
   const RouteView *Declared = nullptr;
--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -11,7 +11,7 @@
 void EngineMemoryPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "engine_memory";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Self = Context.self();
   this->Hold = Values.span(Section, "hold");
   this->RenewInterval = Values.span(Section, "renew_interval");
@@ -110,7 +110,7 @@
     case ReservationResult::Refused:
       Found->Status = Stage::Refused;
       for (MemoryObserver *Observer :
-           this->Offered->list<MemoryObserver>().all())
+           this->Registry->list<MemoryObserver>().all())
         Observer->memoryRefused(Found->Target.Engine, Now);
       break;
     case ReservationResult::Unknown:
@@ -149,7 +149,7 @@
       All ? Reserved.Helpers : std::vector<HelperEngine>();
   if (!All)
     this->release(Id, Now, Out);
-  for (MemoryObserver *Observer : this->Offered->list<MemoryObserver>().all())
+  for (MemoryObserver *Observer : this->Registry->list<MemoryObserver>().all())
     Observer->memoryDecided(Id, Shares, Now, Out);
 }
 
--- a/src/plugins/enginememory/EngineMemoryPlugin.h
+++ b/src/plugins/enginememory/EngineMemoryPlugin.h
@@ -66,7 +66,7 @@
   void renew(Time Now, Actions &Out);
   void releaseLate(Time Now, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const EngineGate *Gate = nullptr;
   Identity Self;
   Duration Hold{};
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -19,7 +19,7 @@
 void EnginesPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "engines";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Table = EngineTable({Values.span(Section, "missing_for"),
                              Values.span(Section, "keep_removed")});
@@ -170,7 +170,7 @@
               .with("from", From)
               .with("offset", Changed->Offset)
               .build());
-  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+  for (EngineObserver *Observer : this->Registry->list<EngineObserver>().all())
     Observer->engineChanged(*Changed, Now, Out);
 }
 
@@ -182,7 +182,7 @@
               .with("from", From)
               .with("offset", this->KnownTo)
               .build());
-  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+  for (EngineObserver *Observer : this->Registry->list<EngineObserver>().all())
     Observer->engineRemoved(Id, Now, Out);
 }
 
@@ -195,7 +195,7 @@
 void EnginesPlugin::notifyRestarted(const UpstreamId &Ended,
                                     std::string_view From, Time Now,
                                     Actions &Out) {
-  for (EngineObserver *Observer : this->Offered->list<EngineObserver>().all())
+  for (EngineObserver *Observer : this->Registry->list<EngineObserver>().all())
     Observer->engineRestarted(Ended, Now, Out);
   this->notifyRemoved(Ended, From, Now, Out);
 }
--- a/src/plugins/engines/EnginesPlugin.h
+++ b/src/plugins/engines/EnginesPlugin.h
@@ -59,7 +59,7 @@
   void pollPeers(Time Now, Actions &Out);
   bool isStoreSuspect(Time Now) const;
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   const StoreFreshness *Store = nullptr;
   EngineTable Table;
--- a/src/plugins/fleet/FleetPlugin.cpp
+++ b/src/plugins/fleet/FleetPlugin.cpp
@@ -27,7 +27,7 @@
 void FleetPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "fleet";
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->PollInterval = Values.span(Section, "load_poll_interval");
   this->PollTimeout = Values.span(Section, "load_poll_timeout");
@@ -324,7 +324,7 @@
     if (Change.NotifyPeers)
       for (const HostId &Peer : this->Members->livePeers())
         Out.add(SendToPeer{Peer, Notice});
-    for (FleetObserver *Observer : this->Offered->list<FleetObserver>().all())
+    for (FleetObserver *Observer : this->Registry->list<FleetObserver>().all())
       Observer->upstreamChanged(Changed, Now, Out);
   }
 }
--- a/src/plugins/fleet/FleetPlugin.h
+++ b/src/plugins/fleet/FleetPlugin.h
@@ -85,7 +85,7 @@
 
   std::uint64_t ResendCount = 0; ///< Resends so far; selects the next peer.
   const MembershipView *Members = nullptr;
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   UpstreamTable Table;
   WorkTracker Tracker;
   EngineFollowers Followers;
--- a/src/plugins/groups/GroupsPlugin.cpp
+++ b/src/plugins/groups/GroupsPlugin.cpp
@@ -9,7 +9,7 @@
 
 void GroupsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Rng = &Context.random();
   this->SelfLife = Context.self().Life;
   this->MaxConcurrentGroups =
@@ -120,7 +120,7 @@
     this->notifyDecision(Group.Owner, Holds, Now, Out);
     return;
   }
-  const Upstream *Engine = this->Offered->get<FleetView>().find(Next->Engine);
+  const Upstream *Engine = this->Registry->get<FleetView>().find(Next->Engine);
   if (!Engine || Engine->State != UpstreamState::Live) {
     this->handleRefusal(Group, "not live", Now, Out);
     return;
@@ -173,7 +173,7 @@
       continue;
     Member.Status = GroupMember::State::Pending;
     if (const Upstream *Engine =
-            this->Offered->get<FleetView>().find(Member.Engine))
+            this->Registry->get<FleetView>().find(Member.Engine))
       Out.add(ReleaseHold{Member.Hold, Member.Engine, Engine->Listing.At});
   }
 }
@@ -183,7 +183,7 @@
                                   Actions &Out) {
   if (Holds.empty())
     this->release(Id, Now, Out);
-  for (GroupObserver *Observer : this->Offered->list<GroupObserver>().all())
+  for (GroupObserver *Observer : this->Registry->list<GroupObserver>().all())
     Observer->groupDecided(Id, Holds, Now, Out);
 }
 
@@ -200,7 +200,7 @@
     if (InUse)
       continue;
     if (!Engine)
-      Engine = this->Offered->get<FleetView>().find(Report.Id);
+      Engine = this->Registry->get<FleetView>().find(Report.Id);
     if (Engine)
       Out.add(ReleaseHold{Hold, Report.Id, Engine->Listing.At});
   }
--- a/src/plugins/groups/GroupsPlugin.h
+++ b/src/plugins/groups/GroupsPlugin.h
@@ -40,7 +40,7 @@
   void releaseOrphans(const LoadReport &Report, Actions &Out);
   std::size_t active() const;
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   Random *Rng = nullptr;
   Incarnation SelfLife;
   std::size_t MaxConcurrentGroups = 0;
--- a/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.cpp
@@ -9,7 +9,7 @@
 
 void HostDirectoryPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Self = Context.self();
   this->Rng = &Context.random();
@@ -18,8 +18,8 @@
 }
 
 void HostDirectoryPlugin::start(Time, Actions &) {
-  this->InForce = &this->Offered->get<InForceView>();
-  this->ActiveHosts = &this->Offered->get<ActiveHostsView>();
+  this->InForce = &this->Registry->get<InForceView>();
+  this->ActiveHosts = &this->Registry->get<ActiveHostsView>();
 }
 
 void HostDirectoryPlugin::handle(const Event &Incoming, Time, Actions &Out) {
--- a/src/plugins/hostdirectory/HostDirectoryPlugin.h
+++ b/src/plugins/hostdirectory/HostDirectoryPlugin.h
@@ -27,7 +27,7 @@
   std::vector<Address> sampleHosts();
   std::vector<CallerAddress> activeHosts() const;
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   const InForceView *InForce = nullptr;
   const ActiveHostsView *ActiveHosts = nullptr;
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -81,7 +81,7 @@
 
 void LogPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Reader.emplace(readerOptions(Values), Context.random());
   this->Queue.emplace(queueOptions(Values), Context.self().Life);
   this->Tail.emplace(Values.size("log", "tail_bytes"));
@@ -93,12 +93,12 @@
   this->HandoverInterval = Values.span("log", "gather_interval");
   this->HandoverTimeout = Values.span("log", "gather_patience");
   this->MaxRelayBytes = Values.size("log", "relay_bytes");
-  this->PluginServices->provide<LogWriter>(*this);
-  this->PluginServices->provide<LogTail>(*this);
+  this->Registry->provide<LogWriter>(*this);
+  this->Registry->provide<LogTail>(*this);
 }
 
 void LogPlugin::start(Time Now, Actions &Out) {
-  this->Members = this->PluginServices->find<MembershipView>();
+  this->Members = this->Registry->find<MembershipView>();
   this->NextPeerRequestAt = Now + this->RelayInterval;
   this->Reader->readWhenDue(Now, Out);
 }
@@ -183,7 +183,7 @@
     return;
   this->EndReadAt = std::max(this->EndReadAt, Result.RequestedAt);
   this->Queue->noteEndRead(Result.RequestedAt);
-  for (LogObserver *Observer : this->PluginServices->list<LogObserver>().all())
+  for (LogObserver *Observer : this->Registry->list<LogObserver>().all())
     Observer->caughtUp(Answer.EndOffset, Now, Out);
 }
 
@@ -211,7 +211,7 @@
   this->Tail->restart(Start);
   this->LastDelivered = Start - 1;
   Out.log(logEvent(events::RecordsMissed).with("start", Start).build());
-  for (LogObserver *Observer : this->PluginServices->list<LogObserver>().all())
+  for (LogObserver *Observer : this->Registry->list<LogObserver>().all())
     Observer->recordsMissed(Start, Now, Out);
 }
 
@@ -222,16 +222,14 @@
       ++this->OutOfOrderCount;
     this->LastDelivered = Stored.Offset;
     this->Queue->noteRecordRead(Stored.Record.Id);
-    for (LogObserver *Observer :
-         this->PluginServices->list<LogObserver>().all())
+    for (LogObserver *Observer : this->Registry->list<LogObserver>().all())
       Observer->recordRead(Stored, Now, Out);
   }
 }
 
 void LogPlugin::notifySettled(Time Now, Actions &Out) {
   for (const SettledRecord &Settled : this->Queue->takeSettled()) {
-    for (LogObserver *Observer :
-         this->PluginServices->list<LogObserver>().all())
+    for (LogObserver *Observer : this->Registry->list<LogObserver>().all())
       Observer->appendSettled(Settled.Id, Settled.Appended, Now, Out);
   }
 }
--- a/src/plugins/log/LogPlugin.h
+++ b/src/plugins/log/LogPlugin.h
@@ -48,7 +48,7 @@
   void refreshRoute(Time Now);
   Duration appendGap() const;
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   std::optional<LogReader> Reader;
   std::optional<AppendQueue> Queue;
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -68,7 +68,7 @@
   const Settings &Values = Context.settings();
   const std::string_view Section = "membership";
   this->Self = Context.self();
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->ListInterval = Values.span(Section, "host_list_interval");
   this->HeartbeatInterval = Values.span(Section, "heartbeat_interval");
   this->UpdatesPerHeartbeat = Values.whole(Section, "rumours_per_heartbeat");
@@ -90,11 +90,11 @@
 }
 
 void MembershipPlugin::start(Time, Actions &Out) {
-  this->Catalogue = this->Offered->find<CatalogueView>();
-  this->InForce = this->Offered->find<InForceView>();
-  this->EngineRegistry = this->Offered->find<RegistryProgress>();
-  this->ActiveHosts = this->Offered->find<ActiveHostsView>();
-  this->Store = this->Offered->find<StoreFreshness>();
+  this->Catalogue = this->Registry->find<CatalogueView>();
+  this->InForce = this->Registry->find<InForceView>();
+  this->EngineRegistry = this->Registry->find<RegistryProgress>();
+  this->ActiveHosts = this->Registry->find<ActiveHostsView>();
+  this->Store = this->Registry->find<StoreFreshness>();
   if (this->GossipDiscovery)
     this->connect(Out);
 }
@@ -489,7 +489,7 @@
                   .with("by_silence", Change.BySilence ? "true" : "false")
                   .build());
     for (MembershipObserver *Observer :
-         this->Offered->list<MembershipObserver>().all())
+         this->Registry->list<MembershipObserver>().all())
       Observer->memberChanged(Changed, Now, Out);
   }
 }
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -76,7 +76,7 @@
   void announceChanges(Time Now, Actions &Out);
 
   Identity Self;
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const CatalogueView *Catalogue = nullptr;
   const InForceView *InForce = nullptr;
   const RegistryProgress *EngineRegistry = nullptr;
--- a/src/plugins/operators/OperatorsPlugin.cpp
+++ b/src/plugins/operators/OperatorsPlugin.cpp
@@ -46,15 +46,15 @@
 
 void OperatorsPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Self = Context.self().Host;
   this->RootKey = Values.text("operators", "root_key");
   this->AnswerTimeout = Values.span("operators", "answer_within");
   this->MaxHistory = Values.whole("operators", "history");
-  this->Log = &this->PluginServices->get<LogWriter>();
-  this->InForce = &this->PluginServices->get<CatalogueView>();
-  this->Acceptance = &this->PluginServices->get<ChangeAcceptance>();
-  this->PluginServices->list<LogObserver>().add(*this);
+  this->Log = &this->Registry->get<LogWriter>();
+  this->InForce = &this->Registry->get<CatalogueView>();
+  this->Acceptance = &this->Registry->get<ChangeAcceptance>();
+  this->Registry->list<LogObserver>().add(*this);
 }
 
 void OperatorsPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
@@ -132,7 +132,7 @@
       },
       [&](const ShowStatus &) -> OperatorAnswer { return this->status(Now); },
       [&](const ReleaseQuarantine &Query) -> OperatorAnswer {
-        auto *Control = this->PluginServices->find<QuarantineControl>();
+        auto *Control = this->Registry->find<QuarantineControl>();
         if (!Control)
           return OperatorRefused{"this host keeps no quarantine; ask another"};
         Control->release(Query.Content, Now, Out);
@@ -224,7 +224,7 @@
   StatusReport Result;
   Result.Host = this->Self;
   for (const StatusContributor *Contributor :
-       this->PluginServices->list<StatusContributor>().all())
+       this->Registry->list<StatusContributor>().all())
     Contributor->contribute(Result, Now);
   return Result;
 }
--- a/src/plugins/operators/OperatorsPlugin.h
+++ b/src/plugins/operators/OperatorsPlugin.h
@@ -51,7 +51,7 @@
   static void answerAll(const PendingChange &Pending,
                         const OperatorAnswer &Answer, Actions &Out);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   LogWriter *Log = nullptr;
   CatalogueView *InForce = nullptr;
   ChangeAcceptance *Acceptance = nullptr;
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -39,7 +39,7 @@
 void OrdersPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
   const std::string_view Section = "orders";
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Fleet = &Context.services().get<FleetView>();
   this->Members = &Context.services().get<MembershipView>();
   this->SelfIdentity = Context.self();
@@ -56,9 +56,9 @@
 }
 
 void OrdersPlugin::start(Time Now, Actions &) {
-  this->Declared = &this->PluginServices->get<CatalogueView>();
-  this->Log = &this->PluginServices->get<LogWriter>();
-  this->Drain = this->PluginServices->find<DrainView>();
+  this->Declared = &this->Registry->get<CatalogueView>();
+  this->Log = &this->Registry->get<LogWriter>();
+  this->Drain = this->Registry->find<DrainView>();
   this->Leases.noteMissedRecords(Now);
 }
 
--- a/src/plugins/orders/OrdersPlugin.h
+++ b/src/plugins/orders/OrdersPlugin.h
@@ -52,7 +52,7 @@
   OrderBody makeBody(const PlacementChange &Change) const;
   bool mayLoad(const PlacementChange &Change, Time Now);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   const FleetView *Fleet = nullptr;
   const MembershipView *Members = nullptr;
   const CatalogueView *Declared = nullptr;
--- a/src/plugins/prefixcache/PrefixCachePlugin.cpp
+++ b/src/plugins/prefixcache/PrefixCachePlugin.cpp
@@ -7,7 +7,7 @@
 namespace banyanpick {
 
 void PrefixCachePlugin::initialize(PluginContext &Context) {
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->PollInterval = Context.settings().span("prefixcache", "poll_interval");
   Context.services().provide<PrefixCacheView>(*this);
   Context.services().list<FleetObserver>().add(*this);
@@ -38,7 +38,7 @@
 }
 
 void PrefixCachePlugin::poll(Time, Actions &Out) {
-  for (const Upstream &Known : this->Offered->get<FleetView>().upstreams()) {
+  for (const Upstream &Known : this->Registry->get<FleetView>().upstreams()) {
     const bool IsPolled = Known.Listing.Kind == UpstreamKind::Engine &&
                           Known.State == UpstreamState::Live;
     if (!IsPolled)
--- a/src/plugins/prefixcache/PrefixCachePlugin.h
+++ b/src/plugins/prefixcache/PrefixCachePlugin.h
@@ -29,7 +29,7 @@
   void poll(Time Now, Actions &Out);
   void take(const CacheEventsReported &Reported, Actions &Out);
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   Duration PollInterval{};
   Time NextPoll{};
   std::unordered_map<UpstreamId, CacheIndex> Indexes;
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -38,19 +38,19 @@
   this->Suspects = std::make_unique<SuspectTracker>(Policy);
   this->Quarantined =
       std::make_unique<QuarantineList>(Values.span(Section, "length"));
-  Services &PluginServices = Context.services();
-  this->InForce = &PluginServices.get<CatalogueView>();
-  this->Members = &PluginServices.get<MembershipView>();
-  this->Log = &PluginServices.get<LogWriter>();
+  Services &Registry = Context.services();
+  this->InForce = &Registry.get<CatalogueView>();
+  this->Members = &Registry.get<MembershipView>();
+  this->Log = &Registry.get<LogWriter>();
   this->Rng = &Context.random();
-  PluginServices.provide<QuarantineView>(*this);
-  PluginServices.provide<QuarantineControl>(*this);
-  PluginServices.list<AdmissionGate>().add(*this);
-  PluginServices.list<RequestObserver>().add(*this);
-  PluginServices.list<FleetObserver>().add(*this);
-  PluginServices.list<MembershipObserver>().add(*this);
-  PluginServices.list<LogObserver>().add(*this);
-  PluginServices.list<StatusContributor>().add(*this);
+  Registry.provide<QuarantineView>(*this);
+  Registry.provide<QuarantineControl>(*this);
+  Registry.list<AdmissionGate>().add(*this);
+  Registry.list<RequestObserver>().add(*this);
+  Registry.list<FleetObserver>().add(*this);
+  Registry.list<MembershipObserver>().add(*this);
+  Registry.list<LogObserver>().add(*this);
+  Registry.list<StatusContributor>().add(*this);
 }
 
 void QuarantinePlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
--- a/src/plugins/reclaim/ReclaimPlugin.cpp
+++ b/src/plugins/reclaim/ReclaimPlugin.cpp
@@ -26,7 +26,7 @@
 
 void ReclaimPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Fleet = &Context.services().get<FleetView>();
   this->Members = &Context.services().get<MembershipView>();
   this->GracePeriods = {Values.span("reclaim", "owner_grace"),
@@ -37,10 +37,10 @@
 }
 
 void ReclaimPlugin::start(Time, Actions &) {
-  this->Requests = &this->PluginServices->get<RequestTable>();
-  this->Orphans = OrphanDetector({this->Members, this->Requests,
-                                  this->PluginServices->find<GroupHolder>()},
-                                 this->GracePeriods);
+  this->Requests = &this->Registry->get<RequestTable>();
+  this->Orphans = OrphanDetector(
+      {this->Members, this->Requests, this->Registry->find<GroupHolder>()},
+      this->GracePeriods);
 }
 
 void ReclaimPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
--- a/src/plugins/reclaim/ReclaimPlugin.h
+++ b/src/plugins/reclaim/ReclaimPlugin.h
@@ -34,7 +34,7 @@
   void handleReport(const LoadReport &Report, Time Now, Actions &Out);
   void freeHold(const Upstream &Target, const HoldReport &Hold, Actions &Out);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   const FleetView *Fleet = nullptr;
   const MembershipView *Members = nullptr;
   const RequestTable *Requests = nullptr;
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -49,7 +49,7 @@
 } // namespace
 
 void RelaysPlugin::initialize(PluginContext &Context) {
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Own = Context.self();
   this->Members = &Context.services().get<MembershipView>();
   this->Active = &Context.services().get<ActiveHostsView>();
@@ -259,8 +259,7 @@
   logSent(Relay, Attempt, *Engine, Chosen, Out);
   Relay.LiveAttempt = Attempt;
   this->Running.link(Attempt.Id, Relay.Head.Id);
-  for (RelayObserver *Observer :
-       this->PluginServices->list<RelayObserver>().all())
+  for (RelayObserver *Observer : this->Registry->list<RelayObserver>().all())
     Observer->attemptSent(Attempt, Now, Out);
   this->scheduleCheck(Relay, Now);
 }
@@ -299,8 +298,7 @@
   this->LastAnswers[Relay->LiveAttempt->Engine] = Now;
   Relay->LiveAttempt->Began = true;
   Relay->AnswerTimeoutAt = Never;
-  for (RelayObserver *Observer :
-       this->PluginServices->list<RelayObserver>().all())
+  for (RelayObserver *Observer : this->Registry->list<RelayObserver>().all())
     Observer->attemptBegan(*Relay->LiveAttempt, Now, Out);
 }
 
@@ -329,8 +327,7 @@
   Relay.AnswerTimeoutAt = Never;
   this->Memory->release(Relay.Head.Id, Now, Out);
   logAttemptEnded(Relay, Ended, Outcome, Now, Out);
-  for (RelayObserver *Observer :
-       this->PluginServices->list<RelayObserver>().all())
+  for (RelayObserver *Observer : this->Registry->list<RelayObserver>().all())
     Observer->attemptEnded(Ended, Outcome, Now, Out);
   return Ended;
 }
@@ -412,8 +409,7 @@
 
 void RelaysPlugin::cancelAttempt(RunningRelay &Relay, Time Now, Actions &Out) {
   Out.add(GatewayAction(CancelRelay{Relay.LiveAttempt->Id}));
-  for (RelayObserver *Observer :
-       this->PluginServices->list<RelayObserver>().all())
+  for (RelayObserver *Observer : this->Registry->list<RelayObserver>().all())
     Observer->attemptCancelled(*Relay.LiveAttempt, Now, Out);
   this->Running.unlink(Relay.LiveAttempt->Id);
   Relay.LiveAttempt.reset();
--- a/src/plugins/relays/RelaysPlugin.h
+++ b/src/plugins/relays/RelaysPlugin.h
@@ -106,7 +106,7 @@
   double budgetShare() const;
   ServiceId serviceFor(const RouteEntry &Route);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   Identity Own;
   const MembershipView *Members = nullptr;
   const ActiveHostsView *Active = nullptr;
--- a/src/plugins/resolve/ResolvePlugin.cpp
+++ b/src/plugins/resolve/ResolvePlugin.cpp
@@ -8,7 +8,7 @@
 namespace banyanpick {
 
 void ResolvePlugin::initialize(PluginContext &Context) {
-  this->Offered = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->Self = Context.self();
   this->MaxHosts = Context.settings().whole("resolve", "hosts");
@@ -16,8 +16,8 @@
 }
 
 void ResolvePlugin::start(Time, Actions &) {
-  this->Catalogue = &this->Offered->get<CatalogueView>();
-  this->Drain = &this->Offered->get<DrainView>();
+  this->Catalogue = &this->Registry->get<CatalogueView>();
+  this->Drain = &this->Registry->get<DrainView>();
 }
 
 void ResolvePlugin::handle(const Event &Incoming, Time, Actions &Out) {
--- a/src/plugins/resolve/ResolvePlugin.h
+++ b/src/plugins/resolve/ResolvePlugin.h
@@ -23,7 +23,7 @@
   std::vector<CallerHost> readyHosts() const;
   std::vector<HostId> hostsOfTeam(const TeamId &Team) const;
 
-  Services *Offered = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   const CatalogueView *Catalogue = nullptr;
   const DrainView *Drain = nullptr;
--- a/src/plugins/routes/RoutesPlugin.cpp
+++ b/src/plugins/routes/RoutesPlugin.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void RoutesPlugin::initialize(PluginContext &Context) {
-  this->PluginServices = &Context.services();
+  this->Registry = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
   this->RandomSource = &Context.random();
   this->CheckInterval = Context.settings().span("routes", "peer_look_interval");
@@ -74,7 +74,7 @@
 }
 
 bool RoutesPlugin::isReady() const {
-  const auto *Drain = this->PluginServices->find<DrainView>();
+  const auto *Drain = this->Registry->find<DrainView>();
   return this->Table && !(Drain && Drain->isLeaving());
 }
 
--- a/src/plugins/routes/RoutesPlugin.h
+++ b/src/plugins/routes/RoutesPlugin.h
@@ -48,7 +48,7 @@
   /// Requests a chunk from a peer whose heartbeats report a newer version.
   void requestFromPeer(Time Now, Actions &Out);
 
-  Services *PluginServices = nullptr;
+  Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
   std::unique_ptr<RouteTable> Table;
   ConfigurationFetch Fetch;
--- a/src/plugins/routing/RoutingPlugin.cpp
+++ b/src/plugins/routing/RoutingPlugin.cpp
@@ -26,19 +26,19 @@
 } // namespace
 
 void RoutingPlugin::initialize(PluginContext &Context) {
-  Services &PluginServices = Context.services();
+  Services &Registry = Context.services();
   this->Values = RoutingSettings::from(Context.settings());
   this->SelfZone = Context.self().Zone;
   this->Rng = &Context.random();
-  this->Fleet = &PluginServices.get<FleetView>();
-  this->Members = &PluginServices.get<MembershipView>();
+  this->Fleet = &Registry.get<FleetView>();
+  this->Members = &Registry.get<MembershipView>();
   this->Baseline = findBaseline(this->Values.Policy);
   this->Predicted = std::make_unique<PredictedChoice>(
-      this->Values, *this->Fleet, PluginServices.get<PrefixCacheView>(),
+      this->Values, *this->Fleet, Registry.get<PrefixCacheView>(),
       this->Tracker, this->LongPrompts, this->SelfZone, *this->Rng);
-  PluginServices.provide<UpstreamSelector>(*this);
-  PluginServices.provide<CostModel>(*this);
-  PluginServices.list<RequestObserver>().add(*this);
+  Registry.provide<UpstreamSelector>(*this);
+  Registry.provide<CostModel>(*this);
+  Registry.list<RequestObserver>().add(*this);
 }
 
 Selection RoutingPlugin::select(const Request &Req,
--- a/tests/auto/drain/DrainTest.cpp
+++ b/tests/auto/drain/DrainTest.cpp
@@ -29,9 +29,9 @@
     for (const SettingDeclaration &Declaration : ResolvePlugin::settings())
       Declared.push_back(Declaration);
     this->Bench.Values = Settings::defaults(Declared);
-    this->Bench.Offered.provide<RequestTable>(this->Table);
-    this->Bench.Offered.provide<FleetView>(this->Fleet);
-    this->Bench.Offered.provide<LogWriter>(this->Log);
+    this->Bench.Registry.provide<RequestTable>(this->Table);
+    this->Bench.Registry.provide<FleetView>(this->Fleet);
+    this->Bench.Registry.provide<LogWriter>(this->Log);
     this->Fleet.add("e1");
     for (const char *Peer : {"host-b", "host-c"}) {
       this->Bench.Members.add(HostId(Peer));
--- a/tests/auto/orders/OrdersTest.cpp
+++ b/tests/auto/orders/OrdersTest.cpp
@@ -15,7 +15,7 @@
 protected:
   OrdersTest() : Bench("host-a") {
     this->Bench.Self.Life = Incarnation(1);
-    this->Bench.Offered.provide<FleetView>(this->Fleet);
+    this->Bench.Registry.provide<FleetView>(this->Fleet);
     this->Fleet.add("e1").Listing.ChecksFencing = true;
     this->declareModel("m", 1);
     this->Bench.start();
--- a/tests/auto/reclaim/ReclaimTest.cpp
+++ b/tests/auto/reclaim/ReclaimTest.cpp
@@ -15,8 +15,8 @@
 protected:
   ReclaimTest() : Bench("host-a") {
     this->Fleet.add("e1");
-    this->Bench.Offered.provide<FleetView>(this->Fleet);
-    this->Bench.Offered.provide<RequestTable>(this->Table);
+    this->Bench.Registry.provide<FleetView>(this->Fleet);
+    this->Bench.Registry.provide<RequestTable>(this->Table);
     this->Bench.start();
     Actions Out;
     this->Bench.Tested.start(this->Now, Out);
--- a/tests/auto/requests/RequestsTest.cpp
+++ b/tests/auto/requests/RequestsTest.cpp
@@ -21,7 +21,7 @@
       : Selector(Fleet), RandomSource(7),
         Values(Settings::defaults(RequestsSettings::declarations())),
         Self{HostId("h1"), Incarnation(11), ZoneId("z1"), {}, {}},
-        Context(Self, Values, PluginServices, RandomSource) {
+        Context(Self, Values, Registry, RandomSource) {
     this->declareCatalogue();
     this->Values.set("requests", "resume_window", "500ms");
     for (const char *Name : {"e1", "e2"}) {
@@ -29,15 +29,15 @@
       Engine.Listing.Id = UpstreamId(Name);
       this->Fleet.Upstreams.push_back(Engine);
     }
-    this->PluginServices.provide<CatalogueView>(this->CurrentCatalogue);
-    this->PluginServices.provide<FleetView>(this->Fleet);
-    this->PluginServices.provide<UpstreamSelector>(this->Selector);
-    this->PluginServices.provide<DispatchQueue>(this->Queue);
-    this->PluginServices.provide<QuarantineView>(this->Quarantine);
-    this->PluginServices.provide<RetryPolicy>(this->Retries);
-    this->PluginServices.provide<ClaimKeeper>(this->Claims);
-    this->PluginServices.provide<GroupHolder>(this->Groups);
-    this->PluginServices.provide<AttemptCanceller>(this->Canceller);
+    this->Registry.provide<CatalogueView>(this->CurrentCatalogue);
+    this->Registry.provide<FleetView>(this->Fleet);
+    this->Registry.provide<UpstreamSelector>(this->Selector);
+    this->Registry.provide<DispatchQueue>(this->Queue);
+    this->Registry.provide<QuarantineView>(this->Quarantine);
+    this->Registry.provide<RetryPolicy>(this->Retries);
+    this->Registry.provide<ClaimKeeper>(this->Claims);
+    this->Registry.provide<GroupHolder>(this->Groups);
+    this->Registry.provide<AttemptCanceller>(this->Canceller);
     this->Tested.initialize(this->Context);
   }
 
@@ -118,7 +118,7 @@
   fakes::FakeCanceller Canceller;
   Random RandomSource;
   Settings Values;
-  Services PluginServices;
+  Services Registry;
   Identity Self;
   PluginContext Context;
   RequestsPlugin Tested;
--- a/tests/auto/resolve/ResolveTest.cpp
+++ b/tests/auto/resolve/ResolveTest.cpp
@@ -26,7 +26,7 @@
   ResolveBench() : Bench("h0") {
     this->Bench.Self.Zone = ZoneId("z");
     this->Bench.Self.Callers = host(0, "z").Callers;
-    this->Bench.Offered.provide<DrainView>(this->Drain);
+    this->Bench.Registry.provide<DrainView>(this->Drain);
     for (int Index = 1; Index < 6; ++Index) {
       this->Bench.Members.add(host(Index, "z").Host);
       Member &Added = this->Bench.Members.at(Index - 1);
--- a/tests/fakes/PluginViews.h
+++ b/tests/fakes/PluginViews.h
@@ -112,14 +112,14 @@
         Values(Settings::defaults(PluginType::settings())) {
     this->Self.Host = HostId(Name);
     this->Self.Life = Incarnation(1);
-    this->Offered.template provide<CatalogueView>(this->Entries);
-    this->Offered.template provide<MembershipView>(this->Members);
-    this->Offered.template provide<LogWriter>(this->Log);
-    this->Offered.template provide<QuarantineView>(this->Quarantine);
+    this->Registry.template provide<CatalogueView>(this->Entries);
+    this->Registry.template provide<MembershipView>(this->Members);
+    this->Registry.template provide<LogWriter>(this->Log);
+    this->Registry.template provide<QuarantineView>(this->Quarantine);
   }
 
   void start() {
-    PluginContext Context(this->Self, this->Values, this->Offered,
+    PluginContext Context(this->Self, this->Values, this->Registry,
                           this->Numbers);
     this->Tested.initialize(Context);
   }
@@ -147,7 +147,7 @@
   FakeQuarantineView Quarantine;
   Identity Self;
   Settings Values;
-  Services Offered;
+  Services Registry;
   Random Numbers{1};
   PluginType Tested;
 };
