--- a/src/plugins/fairness/FairnessPlugin.cpp
+++ b/src/plugins/fairness/FairnessPlugin.cpp
@@ -43,7 +43,7 @@
   GossipPolicy.Interval = Values.span(Section, "usage_interval");
   GossipPolicy.ItemsPerInterval = Values.whole(Section, "usage_items");
   this->Gossip = std::make_unique<UsageGossip>(GossipPolicy);
-  this->InForce = &Context.services().get<CatalogueView>();
+  this->CatalogueInForce = &Context.services().get<CatalogueView>();
   this->Members = &Context.services().get<MembershipView>();
   this->Quarantine = &Context.services().get<QuarantineView>();
   Context.services().provide<DispatchQueue>(*this);
@@ -109,7 +109,7 @@
 
 void FairnessPlugin::handleUsage(const PeerMessage &Message,
                                  const TeamUsage &Usage, Time Now) {
-  const Catalogue &Entries = this->InForce->catalogue();
+  const Catalogue &Entries = this->CatalogueInForce->catalogue();
   for (const QueueWork &Work :
        this->Gossip->received(Message.From, Message.FromLife, Usage, Now)) {
     if (const TeamEntry *Team = Entries.team(Work.Team))
@@ -120,7 +120,8 @@
 void FairnessPlugin::reportToPeers(Time Now, Actions &Out) {
   if (Now < this->Gossip->nextDue())
     return;
-  const ServingHosts Serving(this->InForce->catalogue(), *this->Members);
+  const ServingHosts Serving(this->CatalogueInForce->catalogue(),
+                             *this->Members);
   const auto PeersOf = [&](const TeamId &Team) {
     return Serving.peersOf(Team);
   };
--- a/src/plugins/fairness/FairnessPlugin.h
+++ b/src/plugins/fairness/FairnessPlugin.h
@@ -45,7 +45,7 @@
   void reportToPeers(Time Now, Actions &Out);
   void prune(Time Now);
 
-  const CatalogueView *InForce = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const MembershipView *Members = nullptr;
   const QuarantineView *Quarantine = nullptr;
   std::unique_ptr<RequestQueues> Queues;
--- a/src/plugins/limits/LimitsPlugin.cpp
+++ b/src/plugins/limits/LimitsPlugin.cpp
@@ -54,7 +54,7 @@
   this->Policy.Burst = Values.span(Section, "burst");
   this->Policy.ItemsPerInterval = Values.whole(Section, "items");
   this->Self = Context.self();
-  this->InForce = &Context.services().get<CatalogueView>();
+  this->CatalogueInForce = &Context.services().get<CatalogueView>();
   this->Members = &Context.services().get<MembershipView>();
   this->Rng = &Context.random();
   Context.services().list<AdmissionGate>().add(*this);
@@ -181,7 +181,7 @@
 }
 
 LimitsPlugin::TeamState *LimitsPlugin::state(const TeamId &Team, Time Now) {
-  const TeamEntry *Declared = this->InForce->catalogue().team(Team);
+  const TeamEntry *Declared = this->CatalogueInForce->catalogue().team(Team);
   if (!Declared || !isLimited(*Declared))
     return nullptr;
   if (this->AreHostsStale)
--- a/src/plugins/limits/LimitsPlugin.h
+++ b/src/plugins/limits/LimitsPlugin.h
@@ -76,7 +76,7 @@
 
   Identity Self;
   LimitsPolicy Policy;
-  const CatalogueView *InForce = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const MembershipView *Members = nullptr;
   Random *Rng = nullptr;
   std::map<TeamId, TeamState> Teams; ///< Teams with limits that are in use.
--- a/src/plugins/membership/MembershipPlugin.cpp
+++ b/src/plugins/membership/MembershipPlugin.cpp
@@ -90,7 +90,7 @@
 }
 
 void MembershipPlugin::start(Time, Actions &Out) {
-  this->Catalogue = this->Registry->find<CatalogueView>();
+  this->CatalogueInForce = this->Registry->find<CatalogueView>();
   this->InForce = this->Registry->find<InForceView>();
   this->EngineRegistry = this->Registry->find<RegistryProgress>();
   this->ActiveHosts = this->Registry->find<ActiveHostsView>();
@@ -191,8 +191,9 @@
   Report.Hosts.push_back(
       {this->Self.Host, this->Self.Zone,
        this->Leaving ? MemberState::Leaving : MemberState::Alive,
-       this->Catalogue && this->Catalogue->isReady(),
-       this->Catalogue ? this->Catalogue->catalogue().offset() : 0,
+       this->CatalogueInForce && this->CatalogueInForce->isReady(),
+       this->CatalogueInForce ? this->CatalogueInForce->catalogue().offset()
+                              : 0,
        Duration(0)});
   for (const Member &Peer : this->Peers.members())
     Report.Hosts.push_back({Peer.Listing.Id, Peer.Listing.Zone, Peer.State,
@@ -406,10 +407,11 @@
   if (this->InForce) {
     Beat.Ready = this->InForce->isReady();
     Beat.InForce = this->InForce->version();
-  } else if (this->Catalogue) {
-    Beat.Ready = this->Catalogue->isReady() && this->Catalogue->isCurrent(Now);
-    Beat.InForce = this->Catalogue->catalogue().offset();
-    Beat.LogConfirmedAt = this->Catalogue->confirmedAt();
+  } else if (this->CatalogueInForce) {
+    Beat.Ready = this->CatalogueInForce->isReady() &&
+                 this->CatalogueInForce->isCurrent(Now);
+    Beat.InForce = this->CatalogueInForce->catalogue().offset();
+    Beat.LogConfirmedAt = this->CatalogueInForce->confirmedAt();
   }
   if (this->EngineRegistry) {
     Beat.EnginesKnownTo = this->EngineRegistry->knownTo();
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -77,7 +77,7 @@
 
   Identity Self;
   Services *Registry = nullptr;
-  const CatalogueView *Catalogue = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const InForceView *InForce = nullptr;
   const RegistryProgress *EngineRegistry = nullptr;
   const ActiveHostsView *ActiveHosts = nullptr;
--- a/src/plugins/operators/OperatorsPlugin.cpp
+++ b/src/plugins/operators/OperatorsPlugin.cpp
@@ -52,7 +52,7 @@
   this->AnswerTimeout = Values.span("operators", "answer_within");
   this->MaxHistory = Values.whole("operators", "history");
   this->Log = &this->Registry->get<LogWriter>();
-  this->InForce = &this->Registry->get<CatalogueView>();
+  this->CatalogueInForce = &this->Registry->get<CatalogueView>();
   this->Acceptance = &this->Registry->get<ChangeAcceptance>();
   this->Registry->list<LogObserver>().add(*this);
 }
@@ -100,7 +100,7 @@
 
 void OperatorsPlugin::handleQuestion(const OperatorRequest &Received, Time Now,
                                      Actions &Out) {
-  const auto Owner = authenticatedOwner(this->InForce->catalogue(),
+  const auto Owner = authenticatedOwner(this->CatalogueInForce->catalogue(),
                                         Received.OperatorKey, this->RootKey);
   if (!Owner) {
     Out.count("operators_refused");
@@ -124,7 +124,7 @@
       Question, [&](const ApplyChanges &) -> OperatorAnswer { return Done{}; },
       [&](const QueryVerdict &Query) { return this->verdict(Query.Id, Now); },
       [&](const ShowCatalogue &) -> OperatorAnswer {
-        const Catalogue &Shown = this->InForce->catalogue();
+        const Catalogue &Shown = this->CatalogueInForce->catalogue();
         return CatalogueShown{Shown.offset(), Shown.entries()};
       },
       [&](const ShowHistory &Query) -> OperatorAnswer {
@@ -153,7 +153,7 @@
     Out.add(AnswerOperator{Question, ChangesRejected{Problem}});
     return;
   }
-  if (this->InForce->catalogue().verdict(Set.Id)) {
+  if (this->CatalogueInForce->catalogue().verdict(Set.Id)) {
     Out.add(AnswerOperator{Question, this->verdict(Set.Id, Now)});
     return;
   }
@@ -170,7 +170,7 @@
 }
 
 std::string OperatorsPlugin::checkState(const ChangeSet &Set, Time Now) const {
-  if (!this->InForce->isCurrent(Now))
+  if (!this->CatalogueInForce->isCurrent(Now))
     return "this host does not know the catalogue in force; apply at another "
            "host";
   if (this->PendingChanges.size() >= MaxPendingChanges)
@@ -178,9 +178,9 @@
   if (this->isIdReused(Set))
     return "the id " + Set.Id.Value +
            " was used for another change set; give a new one";
-  if (this->InForce->catalogue().verdict(Set.Id))
+  if (this->CatalogueInForce->catalogue().verdict(Set.Id))
     return {};
-  return validateChangeSet(Set, this->InForce->catalogue());
+  return validateChangeSet(Set, this->CatalogueInForce->catalogue());
 }
 
 bool OperatorsPlugin::isIdReused(const ChangeSet &Set) const {
@@ -194,7 +194,8 @@
 }
 
 OperatorAnswer OperatorsPlugin::verdict(const ChangeId &Id, Time Now) const {
-  const ChangeVerdict *Verdict = this->InForce->catalogue().verdict(Id);
+  const ChangeVerdict *Verdict =
+      this->CatalogueInForce->catalogue().verdict(Id);
   if (!Verdict)
     return pendingAnswer(Id);
   if (const auto *Refused = std::get_if<ChangeRefused>(Verdict))
@@ -213,7 +214,8 @@
   for (const HistoryEntry &Item : this->History) {
     if (Item.Offset < From || Result.Items.size() >= MaxHistoryItems)
       continue;
-    const auto *Verdict = this->InForce->catalogue().verdict(Item.Set.Id);
+    const auto *Verdict =
+        this->CatalogueInForce->catalogue().verdict(Item.Set.Id);
     if (Verdict)
       Result.Items.push_back({Item.Offset, Item.Set, *Verdict});
   }
@@ -240,7 +242,7 @@
   }
   std::erase_if(this->PendingChanges, [&](const auto &Item) {
     return Item.second.Questions.empty() &&
-           this->InForce->catalogue().verdict(Item.first);
+           this->CatalogueInForce->catalogue().verdict(Item.first);
   });
 }
 
--- a/src/plugins/operators/OperatorsPlugin.h
+++ b/src/plugins/operators/OperatorsPlugin.h
@@ -53,7 +53,7 @@
 
   Services *Registry = nullptr;
   LogWriter *Log = nullptr;
-  CatalogueView *InForce = nullptr;
+  CatalogueView *CatalogueInForce = nullptr;
   ChangeAcceptance *Acceptance = nullptr;
   HostId Self;
   std::string RootKey;
--- a/src/plugins/orders/OrdersPlugin.cpp
+++ b/src/plugins/orders/OrdersPlugin.cpp
@@ -56,7 +56,7 @@
 }
 
 void OrdersPlugin::start(Time Now, Actions &) {
-  this->Declared = &this->Registry->get<CatalogueView>();
+  this->CatalogueInForce = &this->Registry->get<CatalogueView>();
   this->Log = &this->Registry->get<LogWriter>();
   this->Drain = this->Registry->find<DrainView>();
   this->Leases.noteMissedRecords(Now);
@@ -95,7 +95,7 @@
 void OrdersPlugin::checkPlacement(Time Now, Actions &Out) {
   this->NextCheck = Now + CheckInterval;
   const bool Leaving = this->Drain && this->Drain->isLeaving();
-  if (Leaving || !this->Declared->isCurrent(Now))
+  if (Leaving || !this->CatalogueInForce->isCurrent(Now))
     return;
   this->updateChanges(Now);
   for (const auto &[Key, Pending] : this->Changes)
@@ -105,7 +105,7 @@
 void OrdersPlugin::updateChanges(Time Now) {
   std::map<ChangeKey, PendingChange> Next;
   for (PlacementChange &Change :
-       placementChanges(this->Declared->catalogue(), *this->Fleet)) {
+       placementChanges(this->CatalogueInForce->catalogue(), *this->Fleet)) {
     const ChangeKey Key{Change.Engine, Change.Model};
     const auto Old = this->Changes.find(Key);
     const bool Same =
@@ -200,12 +200,14 @@
 OrderBody OrdersPlugin::makeBody(const PlacementChange &Change) const {
   if (!Change.Load)
     return UnloadModel{Change.Model};
-  const ModelEntry *Model = this->Declared->catalogue().model(Change.Model);
+  const ModelEntry *Model =
+      this->CatalogueInForce->catalogue().model(Change.Model);
   return LoadModel{Change.Model, Model ? Model->Weights : std::string()};
 }
 
 bool OrdersPlugin::mayLoad(const PlacementChange &Change, Time Now) {
-  const ModelEntry *Model = this->Declared->catalogue().model(Change.Model);
+  const ModelEntry *Model =
+      this->CatalogueInForce->catalogue().model(Change.Model);
   if (!Change.Load || !Model)
     return true;
   const auto Hosts = static_cast<double>(this->Members->livePeers().size() + 1);
--- a/src/plugins/orders/OrdersPlugin.h
+++ b/src/plugins/orders/OrdersPlugin.h
@@ -55,7 +55,7 @@
   Services *Registry = nullptr;
   const FleetView *Fleet = nullptr;
   const MembershipView *Members = nullptr;
-  const CatalogueView *Declared = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const DrainView *Drain = nullptr;
   LogWriter *Log = nullptr;
   Identity SelfIdentity;
--- a/src/plugins/quarantine/QuarantinePlugin.cpp
+++ b/src/plugins/quarantine/QuarantinePlugin.cpp
@@ -39,7 +39,7 @@
   this->Quarantined =
       std::make_unique<QuarantineList>(Values.span(Section, "length"));
   Services &Registry = Context.services();
-  this->InForce = &Registry.get<CatalogueView>();
+  this->CatalogueInForce = &Registry.get<CatalogueView>();
   this->Members = &Registry.get<MembershipView>();
   this->Log = &Registry.get<LogWriter>();
   this->Rng = &Context.random();
@@ -256,7 +256,8 @@
 void QuarantinePlugin::notifyTeamHosts(const TeamId &Team,
                                        const QuarantineNotice &Notice,
                                        Actions &Out) const {
-  const ServingHosts Serving(this->InForce->catalogue(), *this->Members);
+  const ServingHosts Serving(this->CatalogueInForce->catalogue(),
+                             *this->Members);
   for (HostId &Peer : Serving.peersOf(Team))
     Out.add(SendToPeer{std::move(Peer), Notice});
 }
--- a/src/plugins/quarantine/QuarantinePlugin.h
+++ b/src/plugins/quarantine/QuarantinePlugin.h
@@ -79,7 +79,7 @@
   void record(const QuarantinedContent &Decided, Time Now, Actions &Out);
   void prune(Time Now);
 
-  const CatalogueView *InForce = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const MembershipView *Members = nullptr;
   LogWriter *Log = nullptr;
   Random *Rng = nullptr;
--- a/src/plugins/resolve/ResolvePlugin.cpp
+++ b/src/plugins/resolve/ResolvePlugin.cpp
@@ -16,7 +16,7 @@
 }
 
 void ResolvePlugin::start(Time, Actions &) {
-  this->Catalogue = &this->Registry->get<CatalogueView>();
+  this->CatalogueInForce = &this->Registry->get<CatalogueView>();
   this->Drain = &this->Registry->get<DrainView>();
 }
 
@@ -49,7 +49,7 @@
 
 std::vector<CallerHost> ResolvePlugin::readyHosts() const {
   std::vector<CallerHost> Result;
-  if (this->Catalogue->isReady() && !this->Drain->isLeaving())
+  if (this->CatalogueInForce->isReady() && !this->Drain->isLeaving())
     Result.push_back({this->Self.Host, this->Self.Zone, this->Self.Callers});
   for (const Member &Peer : this->Members->peers())
     if (Peer.State == MemberState::Alive && Peer.Ready)
@@ -59,7 +59,7 @@
 }
 
 std::vector<HostId> ResolvePlugin::hostsOfTeam(const TeamId &Team) const {
-  const TeamEntry *Limits = this->Catalogue->catalogue().team(Team);
+  const TeamEntry *Limits = this->CatalogueInForce->catalogue().team(Team);
   if (!Limits)
     return {};
   // All hosts that are not leaving, ready or not: the team's limits are split
--- a/src/plugins/resolve/ResolvePlugin.h
+++ b/src/plugins/resolve/ResolvePlugin.h
@@ -25,7 +25,7 @@
 
   Services *Registry = nullptr;
   const MembershipView *Members = nullptr;
-  const CatalogueView *Catalogue = nullptr;
+  const CatalogueView *CatalogueInForce = nullptr;
   const DrainView *Drain = nullptr;
   Identity Self;
   std::uint64_t MaxHosts = 0;
