--- a/tests/standins/Caller.cpp
+++ b/tests/standins/Caller.cpp
@@ -74,7 +74,7 @@
 bool Caller::settles(const json &Answer, WorkResult &Result) const {
   Result.LastAnswer = Answer.dump();
   const std::string Kind = Answer.value("answer", "");
-  const auto ComeBack = Answer.value<std::int64_t>("come_back_after_ms", 0);
+  const auto RetryAfterMs = Answer.value<std::int64_t>("come_back_after_ms", 0);
   Result.MayHaveRun = Result.MayHaveRun || Kind != "not-run";
   if (Kind == "whole") {
     Result.Ended =
@@ -83,9 +83,9 @@
   }
   Result.Ended =
       Kind == "not-run" ? WorkResult::End::Refused : WorkResult::End::Failed;
-  if (Kind == "outcome-unknown" || (ComeBack == 0 && Kind != "in-progress"))
+  if (Kind == "outcome-unknown" || (RetryAfterMs == 0 && Kind != "in-progress"))
     return true;
-  pauseFor(ComeBack);
+  pauseFor(RetryAfterMs);
   return false;
 }
 
