--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -132,13 +132,13 @@
   const auto Found = this->Engines.find(engineName(Incarnation));
   if (Found == this->Engines.end())
     return std::nullopt;
-  const UpstreamId Known = Found->second.Record.Id;
-  if (engineStartMs(Incarnation) <= engineStartMs(Known))
+  const UpstreamId CurrentId = Found->second.Record.Id;
+  if (engineStartMs(Incarnation) <= engineStartMs(CurrentId))
     return std::nullopt;
   this->noteRemoval(Found->first, Found->second.Offset, Now).StartedMs =
       engineStartMs(Incarnation);
   this->erase(Found);
-  return Known;
+  return CurrentId;
 }
 
 std::vector<EngineChange>
@@ -251,9 +251,9 @@
 
 const RegisteredEngine *EngineTable::find(const UpstreamId &Id) const {
   const auto Found = this->Engines.find(engineName(Id));
-  const bool Known =
+  const bool IsKnown =
       Found != this->Engines.end() && Found->second.Record.Id == Id;
-  return Known ? &Found->second : nullptr;
+  return IsKnown ? &Found->second : nullptr;
 }
 
 std::span<const RegisteredEngine *const>
