--- a/src/libs/wire/WireChecks.h
+++ b/src/libs/wire/WireChecks.h
@@ -13,8 +13,8 @@
 namespace banyanpick::wire {
 
 /// Throws Error(BadInput) for a malformed message.
-[[noreturn]] inline void throwMalformed(std::string_view What) {
-  throw Error(ErrorKind::BadInput, "malformed message: " + std::string(What),
+[[noreturn]] inline void throwMalformed(std::string_view Detail) {
+  throw Error(ErrorKind::BadInput, "malformed message: " + std::string(Detail),
               "run the same release on all entry hosts");
 }
 
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -86,9 +86,9 @@
       },
       [&](const LimitDeclared &Limit) {
         this->updateLimit(Engine, {Limit.PerSecond, Now}, this->Self, Now, Out);
-        const auto Known = this->Engines.find(Engine);
-        if (Known != this->Engines.end())
-          Known->second.IsUnreadable = false;
+        const auto Found = this->Engines.find(Engine);
+        if (Found != this->Engines.end())
+          Found->second.IsUnreadable = false;
       },
       [&](const LimitUnreadable &) { this->takeUnreadable(Engine, Now, Out); });
 }
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -140,8 +140,8 @@
       !this->Room->isLimited(Engine) && !this->Gate->blocked(Engine, Now);
   if (!AcceptsRequests)
     return;
-  if (const RegisteredEngine *Known = this->Directory->find(Engine))
-    Out.add(GatewayAction(AskReport{Engine, Known->Record.At}));
+  if (const RegisteredEngine *Registered = this->Directory->find(Engine))
+    Out.add(GatewayAction(AskReport{Engine, Registered->Record.At}));
 }
 
 void EngineLoadPlugin::takeReport(const EngineReport &Report, Time Now,
@@ -371,48 +371,49 @@
     const EngineShare &Share, bool IncludeAvoided, Time Now) {
   Candidates Found;
   std::vector<EngineState> &Result = Found.States;
-  for (const RegisteredEngine *Known :
+  for (const RegisteredEngine *Registered :
        this->Directory->ofService(Wanted.Service)) {
-    if (!Share.takes(Known->NameHash))
+    if (!Share.takes(Registered->NameHash))
       continue;
-    const bool IsAvoided = Known->Standing == EngineStanding::Missing ||
-                           this->Trust->isAvoided(Known->Record.Id, Now) ||
-                           this->Gate->isDiscouraged(Known->Record.Id, Now);
+    const bool IsAvoided =
+        Registered->Standing == EngineStanding::Missing ||
+        this->Trust->isAvoided(Registered->Record.Id, Now) ||
+        this->Gate->isDiscouraged(Registered->Record.Id, Now);
     const bool IsExcluded =
-        Known->Standing == EngineStanding::Leaving ||
+        Registered->Standing == EngineStanding::Leaving ||
         (IsAvoided && !IncludeAvoided) ||
-        std::ranges::count(Wanted.Excluded, Known->Record.Id) != 0;
+        std::ranges::count(Wanted.Excluded, Registered->Record.Id) != 0;
     if (IsExcluded)
       continue;
-    if (const auto Closed = this->Gate->blocked(Known->Record.Id, Now)) {
+    if (const auto Closed = this->Gate->blocked(Registered->Record.Id, Now)) {
       if (Closed->Reason == EngineBlocked::Why::AtLimit)
-        this->Room->requestQuota(Known->Record.Id, Now);
+        this->Room->requestQuota(Registered->Record.Id, Now);
       Found.Closed.push_back(*Closed);
       continue;
     }
-    Result.push_back(this->stateOf(*Known, Model, Now));
+    Result.push_back(this->stateOf(*Registered, Model, Now));
     Result.back().Position = Result.size() - 1;
   }
   weighAnswersByScarcity(Result);
   return Found;
 }
 
-EngineState EngineLoadPlugin::stateOf(const RegisteredEngine &Known,
+EngineState EngineLoadPlugin::stateOf(const RegisteredEngine &Registered,
                                       const EngineParameters *Model, Time Now) {
   EngineState Result;
-  Result.Engine = &Known;
-  Result.IsLimited = this->Room->isLimited(Known.Record.Id);
-  const auto Found = this->Loads.find(Known.Record.Id);
+  Result.Engine = &Registered;
+  Result.IsLimited = this->Room->isLimited(Registered.Record.Id);
+  const auto Found = this->Loads.find(Registered.Record.Id);
   const EngineLoad Empty;
   const EngineLoad &Load = Found == this->Loads.end() ? Empty : Found->second;
   Result.Running = Load.prefilling(Now) + Load.decoding(Now);
-  const std::uint32_t Slots = Model ? Model->Slots : Known.Record.Slots;
+  const std::uint32_t Slots = Model ? Model->Slots : Registered.Record.Slots;
   Result.FreeSlots = Slots > Result.Running ? Slots - Result.Running : 0;
   Result.Answers = Load.answers(Now);
   for (GapGroup &Group : Result.Answers)
     Group.GapMs *= this->Weights.GapShare;
   if (Model) {
-    Result.Slowdown = this->Slowdowns.factorOf(Known.Record.Id, Now);
+    Result.Slowdown = this->Slowdowns.factorOf(Registered.Record.Id, Now);
     Result.BacklogMs = Load.backlogMs(Now) * Result.Slowdown;
     Result.Overdue = Load.isOverdue(Now);
     Result.PassMs =
@@ -420,14 +421,14 @@
         Result.Slowdown;
     const std::uint64_t Used = Load.memoryTokens(Now);
     const bool HasMemory = Used < Model->MemoryTokens &&
-                           !this->isShortOfMemory(Known.Record.Id, Now);
+                           !this->isShortOfMemory(Registered.Record.Id, Now);
     Result.FreeTokens = HasMemory ? Model->MemoryTokens - Used : 0;
   } else {
     Result.BacklogMs =
-        UnknownWorkMs * Result.Running / std::max(Known.Record.Slots, 1U);
+        UnknownWorkMs * Result.Running / std::max(Registered.Record.Slots, 1U);
     Result.FreeTokens = std::numeric_limits<std::uint64_t>::max();
   }
-  if (Known.Record.Zone != this->OwnZone)
+  if (Registered.Record.Zone != this->OwnZone)
     Result.ExtraMs += this->OtherZoneMs;
   // Jitter, so that hosts with the same view do not all choose the same engine.
   Result.ExtraMs += this->RandomNumbers->fraction() * this->JitterMs;
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -66,7 +66,7 @@
   Candidates candidates(const EngineRequirements &Wanted,
                         const EngineParameters *Model, const EngineShare &Share,
                         bool IncludeAvoided, Time Now);
-  EngineState stateOf(const RegisteredEngine &Known,
+  EngineState stateOf(const RegisteredEngine &Registered,
                       const EngineParameters *Model, Time Now);
   EngineChoice chooseAmong(std::span<const EngineState> States,
                            const EngineRequirements &Wanted,
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -183,12 +183,12 @@
                                    const PromptWork &Work,
                                    const PlacementTimes &Times,
                                    const PlacementWeights &Weights) {
-  const auto Known = indicesOf(States, [&](const EngineState &State) {
+  const auto Predictable = indicesOf(States, [&](const EngineState &State) {
     return isPredictable(State, Weights);
   });
-  if (Known.empty())
+  if (Predictable.empty())
     return placeShared(States, Work, Times, Weights);
-  return placeAmong(States, Known, Work, Times, Weights);
+  return placeAmong(States, Predictable, Work, Times, Weights);
 }
 
 std::optional<PromptPlacement>
--- a/src/plugins/engines/EngineTable.cpp
+++ b/src/plugins/engines/EngineTable.cpp
@@ -21,8 +21,8 @@
   return rendezvousWeight(Record.Id.Value, Fields);
 }
 
-const UpstreamId &idOf(const RegisteredEngine *Known) {
-  return Known->Record.Id;
+const UpstreamId &idOf(const RegisteredEngine *Registered) {
+  return Registered->Record.Id;
 }
 
 } // namespace
@@ -56,14 +56,14 @@
   const auto Found = this->Engines.find(EngineName);
   if (Found == this->Engines.end())
     return IsRemoved ? Applied{} : this->add(Change, Now);
-  RegisteredEngine &Known = Found->second;
-  const std::uint64_t KnownMs = engineStartMs(Known.Record.Id);
+  RegisteredEngine &Registered = Found->second;
+  const std::uint64_t KnownMs = engineStartMs(Registered.Record.Id);
   if (StartedMs < KnownMs ||
-      (StartedMs == KnownMs && Known.Offset >= Change.Offset))
+      (StartedMs == KnownMs && Registered.Offset >= Change.Offset))
     return {};
   if (StartedMs == KnownMs)
-    return this->change(Known, Change, Now);
-  const UpstreamId Ended = Known.Record.Id;
+    return this->change(Registered, Change, Now);
+  const UpstreamId Ended = Registered.Record.Id;
   this->erase(Found);
   if (IsRemoved)
     return {Effect::Removed, Ended, true};
@@ -84,20 +84,20 @@
   return {Effect::Changed, std::nullopt};
 }
 
-EngineTable::Applied EngineTable::change(RegisteredEngine &Known,
+EngineTable::Applied EngineTable::change(RegisteredEngine &Registered,
                                          const EngineChange &Change, Time Now) {
-  Known.Offset = Change.Offset;
+  Registered.Offset = Change.Offset;
   // A leaving incarnation stays leaving.
-  const EngineStanding Next = Known.Standing == EngineStanding::Leaving
+  const EngineStanding Next = Registered.Standing == EngineStanding::Leaving
                                   ? EngineStanding::Leaving
                                   : this->registeredStanding(Change.Engine);
-  if (Known.Record == Change.Engine && Known.Standing == Next)
+  if (Registered.Record == Change.Engine && Registered.Standing == Next)
     return {};
-  this->removeFromIndex(Known);
-  Known.Record = Change.Engine;
-  Known.ChangedAt = Change.Offset;
-  this->setStanding(Known, Next, Now);
-  this->addToIndex(Known);
+  this->removeFromIndex(Registered);
+  Registered.Record = Change.Engine;
+  Registered.ChangedAt = Change.Offset;
+  this->setStanding(Registered, Next, Now);
+  this->addToIndex(Registered);
   return {Effect::Changed, std::nullopt};
 }
 
@@ -108,20 +108,20 @@
   Removal &LastRemoval = this->noteRemoval(EngineName, Change.Offset, Now);
   if (Found == this->Engines.end() || Found->second.Offset >= Change.Offset)
     return {};
-  RegisteredEngine &Known = Found->second;
-  if (StoreSuspect && Known.Standing == EngineStanding::Usable) {
-    Known.Offset = Change.Offset;
-    Known.ChangedAt = Change.Offset;
-    this->removeFromIndex(Known);
-    this->setStanding(Known, EngineStanding::Missing, Now);
-    this->addToIndex(Known);
+  RegisteredEngine &Registered = Found->second;
+  if (StoreSuspect && Registered.Standing == EngineStanding::Usable) {
+    Registered.Offset = Change.Offset;
+    Registered.ChangedAt = Change.Offset;
+    this->removeFromIndex(Registered);
+    this->setStanding(Registered, EngineStanding::Missing, Now);
+    this->addToIndex(Registered);
     return {Effect::Changed, std::nullopt};
   }
-  if (StoreSuspect && Known.Standing == EngineStanding::Missing) {
-    Known.Offset = Change.Offset;
+  if (StoreSuspect && Registered.Standing == EngineStanding::Missing) {
+    Registered.Offset = Change.Offset;
     return {};
   }
-  const UpstreamId Ended = Known.Record.Id;
+  const UpstreamId Ended = Registered.Record.Id;
   LastRemoval.StartedMs = engineStartMs(Ended);
   this->erase(Found);
   return {Effect::Removed, Ended};
@@ -282,33 +282,34 @@
   return Result;
 }
 
-void EngineTable::setStanding(RegisteredEngine &Known, EngineStanding Next,
+void EngineTable::setStanding(RegisteredEngine &Registered, EngineStanding Next,
                               Time Now) {
-  if (Known.Standing == Next)
+  if (Registered.Standing == Next)
     return;
-  Known.Standing = Next;
-  Known.Since = Now;
+  Registered.Standing = Next;
+  Registered.Since = Now;
   if (Next == EngineStanding::Missing)
     this->NextExpiry = std::min(this->NextExpiry, Now + this->Times.MissingFor);
 }
 
-void EngineTable::addToIndex(const RegisteredEngine &Known) {
+void EngineTable::addToIndex(const RegisteredEngine &Registered) {
   std::vector<const RegisteredEngine *> &All =
-      this->ByService[Known.Record.Service];
-  All.insert(std::ranges::lower_bound(All, Known.Record.Id, {}, idOf), &Known);
+      this->ByService[Registered.Record.Service];
+  All.insert(std::ranges::lower_bound(All, Registered.Record.Id, {}, idOf),
+             &Registered);
   // The digest is a sum, so hosts need no common order.
-  if (Known.Standing != EngineStanding::Missing)
-    this->Digest += digestOf(Known.Record);
+  if (Registered.Standing != EngineStanding::Missing)
+    this->Digest += digestOf(Registered.Record);
 }
 
-void EngineTable::removeFromIndex(const RegisteredEngine &Known) {
-  const auto Found = this->ByService.find(Known.Record.Service);
+void EngineTable::removeFromIndex(const RegisteredEngine &Registered) {
+  const auto Found = this->ByService.find(Registered.Record.Service);
   std::vector<const RegisteredEngine *> &All = Found->second;
-  All.erase(std::ranges::lower_bound(All, Known.Record.Id, {}, idOf));
+  All.erase(std::ranges::lower_bound(All, Registered.Record.Id, {}, idOf));
   if (All.empty())
     this->ByService.erase(Found);
-  if (Known.Standing != EngineStanding::Missing)
-    this->Digest -= digestOf(Known.Record);
+  if (Registered.Standing != EngineStanding::Missing)
+    this->Digest -= digestOf(Registered.Record);
 }
 
 void EngineTable::erase(ByName::const_iterator Position) {
--- a/src/plugins/engines/EngineTable.h
+++ b/src/plugins/engines/EngineTable.h
@@ -96,16 +96,17 @@
   /// Adds the engine to the index by service and to the digest, or removes it
   /// while it changes. Thousands of engines register at once when hosts start,
   /// so a registration must not visit all others.
-  void addToIndex(const RegisteredEngine &Known);
-  void removeFromIndex(const RegisteredEngine &Known);
+  void addToIndex(const RegisteredEngine &Registered);
+  void removeFromIndex(const RegisteredEngine &Registered);
   void erase(ByName::const_iterator At);
-  void setStanding(RegisteredEngine &Known, EngineStanding Next, Time Now);
+  void setStanding(RegisteredEngine &Registered, EngineStanding Next, Time Now);
   EngineStanding registeredStanding(const EngineRecord &Record) const;
   std::vector<UpstreamId> removeMissing(Time Now);
   void forgetRemovals(Time Now);
   Removal &noteRemoval(const Name &EngineName, LogOffset Offset, Time Now);
   Applied add(const EngineChange &Change, Time Now);
-  Applied change(RegisteredEngine &Known, const EngineChange &Change, Time Now);
+  Applied change(RegisteredEngine &Registered, const EngineChange &Change,
+                 Time Now);
   Applied remove(const EngineChange &Change, bool StoreSuspect, Time Now);
 
   EngineTimes Times;
--- a/src/plugins/engines/EnginesPlugin.cpp
+++ b/src/plugins/engines/EnginesPlugin.cpp
@@ -92,9 +92,9 @@
                                     Actions &Out) {
   match(
       Message.Body,
-      [&](const EnginesRequest &Asked) {
-        if (this->KnownTo > Asked.From)
-          Out.add(SendToPeer{Message.From, this->changesFrom(Asked.From)});
+      [&](const EnginesRequest &Requested) {
+        if (this->KnownTo > Requested.From)
+          Out.add(SendToPeer{Message.From, this->changesFrom(Requested.From)});
       },
       [&](const EnginesRelayed &Relayed) {
         this->takeRelayed(Relayed, Message.From, Now, Out);
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -38,8 +38,8 @@
 
 std::optional<EngineBlocked>
 EngineSignalsPlugin::blocked(const UpstreamId &Engine, Time Now) const {
-  const RegisteredEngine *Known = this->Directory->find(Engine);
-  if (!Known || Known->Standing == EngineStanding::Leaving)
+  const RegisteredEngine *Registered = this->Directory->find(Engine);
+  if (!Registered || Registered->Standing == EngineStanding::Leaving)
     return EngineBlocked{EngineBlocked::Why::Leaving, std::nullopt};
   if (this->OwnBackoffs.isBackingOff(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::BackingOff,
@@ -59,17 +59,17 @@
                                      Time Now, Actions &Out) {
   match(
       Answer.Signals.Backoff, [](const NoBackoff &) {},
-      [&](const BackoffRequested &Rest) {
-        this->startBackoff(Answer.Engine, Rest.For, Now, Out);
+      [&](const BackoffRequested &Backoff) {
+        this->startBackoff(Answer.Engine, Backoff.For, Now, Out);
       },
-      [&](const BackoffUnreadable &Rest) {
+      [&](const BackoffUnreadable &Backoff) {
         Out.log(logEvent(events::EngineBackoffUnreadable)
                     .with("engine", Answer.Engine.Value)
-                    .with("said", Rest.Text)
-                    .with("taken_as_us", Rest.AppliedLength.count())
+                    .with("said", Backoff.Text)
+                    .with("taken_as_us", Backoff.AppliedLength.count())
                     .build());
         Out.count("engine_rests_unreadable", Answer.Engine.Value);
-        this->startBackoff(Answer.Engine, Rest.AppliedLength, Now, Out);
+        this->startBackoff(Answer.Engine, Backoff.AppliedLength, Now, Out);
       });
   if (Answer.Signals.Leaving == LeavingSignal::Absent)
     return;
@@ -113,11 +113,11 @@
                                    const EngineSignals &Message, Time Now,
                                    Actions &Out) {
   this->PeerBackoffs.age(Now);
-  for (const EngineSignals::Backoff &Rest : Message.Backoffs) {
-    const Duration Left = fromMilliseconds(Rest.LeftMs);
-    if (this->PeerBackoffs.take(Rest.Engine, Now + Left, Now))
+  for (const EngineSignals::Backoff &Backoff : Message.Backoffs) {
+    const Duration Left = fromMilliseconds(Backoff.LeftMs);
+    if (this->PeerBackoffs.take(Backoff.Engine, Now + Left, Now))
       Out.log(logEvent(events::EngineBackoffRequested)
-                  .with("engine", Rest.Engine.Value)
+                  .with("engine", Backoff.Engine.Value)
                   .with("for_us", Left.count())
                   .with("from", From.Value)
                   .build());
--- a/src/plugins/enginetrust/EngineTrustPlugin.cpp
+++ b/src/plugins/enginetrust/EngineTrustPlugin.cpp
@@ -71,8 +71,9 @@
   // service is judged separately.
   std::map<ServiceId, std::vector<EngineWork::Distrust>> ByService;
   for (const EngineWork::Distrust &Report : Work->Distrusted)
-    if (const RegisteredEngine *Known = this->Directory->find(Report.Engine))
-      ByService[Known->Record.Service].push_back(Report);
+    if (const RegisteredEngine *Registered =
+            this->Directory->find(Report.Engine))
+      ByService[Registered->Record.Service].push_back(Report);
   for (const auto &[Service, Reported] : ByService) {
     const std::size_t Added =
         this->Peers.take(Incoming->Message.From, Reported,
--- a/src/plugins/prefixcache/CacheIndex.cpp
+++ b/src/plugins/prefixcache/CacheIndex.cpp
@@ -17,15 +17,15 @@
     }
     this->LastSequence = Change.Sequence;
     if (!Change.Stored)
-      this->Known.erase(Change.Block);
-    else if (this->Known.size() < MaximumBlocks)
-      this->Known[Change.Block] = this->Generation;
+      this->BlockGenerations.erase(Change.Block);
+    else if (this->BlockGenerations.size() < MaximumBlocks)
+      this->BlockGenerations[Change.Block] = this->Generation;
   }
   return HasGap;
 }
 
 void CacheIndex::clear() {
-  this->Known.clear();
+  this->BlockGenerations.clear();
   this->LastSequence = 0;
   this->Generation = 0;
 }
@@ -34,8 +34,8 @@
 CacheIndex::cachedTokens(std::span<const BlockHash> Blocks) const {
   std::uint64_t Tokens = 0;
   for (const BlockHash Block : Blocks) {
-    const auto Found = this->Known.find(Block);
-    if (Found == this->Known.end())
+    const auto Found = this->BlockGenerations.find(Block);
+    if (Found == this->BlockGenerations.end())
       break;
     const bool IsCertain = Found->second == this->Generation;
     Tokens += IsCertain ? PromptBlockTokens : PromptBlockTokens / 2;
--- a/src/plugins/prefixcache/CacheIndex.h
+++ b/src/plugins/prefixcache/CacheIndex.h
@@ -26,7 +26,7 @@
   std::uint64_t cachedTokens(std::span<const BlockHash> Blocks) const;
 
   std::uint64_t lastSequence() const { return this->LastSequence; }
-  std::size_t blocks() const { return this->Known.size(); }
+  std::size_t blocks() const { return this->BlockGenerations.size(); }
 
 private:
   /// An engine's memory holds far fewer blocks. A larger number is an error of
@@ -37,7 +37,7 @@
   std::uint64_t LastSequence = 0;
   std::uint32_t Generation = 0; ///< Number of gaps so far.
   /// Generation of each block.
-  std::unordered_map<BlockHash, std::uint32_t> Known;
+  std::unordered_map<BlockHash, std::uint32_t> BlockGenerations;
 };
 
 } // namespace banyanpick
--- a/src/plugins/prefixcache/PrefixCachePlugin.cpp
+++ b/src/plugins/prefixcache/PrefixCachePlugin.cpp
@@ -38,13 +38,13 @@
 }
 
 void PrefixCachePlugin::poll(Time, Actions &Out) {
-  for (const Upstream &Known : this->Registry->get<FleetView>().upstreams()) {
-    const bool IsPolled = Known.Listing.Kind == UpstreamKind::Engine &&
-                          Known.State == UpstreamState::Live;
+  for (const Upstream &Engine : this->Registry->get<FleetView>().upstreams()) {
+    const bool IsPolled = Engine.Listing.Kind == UpstreamKind::Engine &&
+                          Engine.State == UpstreamState::Live;
     if (!IsPolled)
       continue;
-    const std::uint64_t After = this->Indexes[Known.Listing.Id].lastSequence();
-    Out.add(PollCacheEvents{Known.Listing.Id, Known.Listing.At, After});
+    const std::uint64_t After = this->Indexes[Engine.Listing.Id].lastSequence();
+    Out.add(PollCacheEvents{Engine.Listing.Id, Engine.Listing.At, After});
   }
 }
 
