--- a/src/libs/catalogue/KeyDigest.h
+++ b/src/libs/catalogue/KeyDigest.h
@@ -13,7 +13,7 @@
 /// The two parts of a presented key.
 struct PresentedKey {
   std::string_view Name;   ///< Name of the team or owner, before the first dot.
-  std::string_view Secret; ///< The rest. The catalogue holds its digest.
+  std::string_view Secret; ///< The other part. The catalogue holds its digest.
 };
 
 /// Splits `NAME.SECRET`. Returns nothing when there is no dot or a part is
--- a/src/libs/gateway/GatewayEvent.h
+++ b/src/libs/gateway/GatewayEvent.h
@@ -130,11 +130,11 @@
 
   bool operator==(const ReleaseMemory &) const = default;
 };
-/// Makes the callers' server tell callers to reconnect to another host.
+/// Makes the callers' server ask its callers to reconnect to another host.
 struct CloseCallers {
   bool operator==(const CloseCallers &) const = default;
 };
-/// Sets whether this host follows the store or leaves this to other hosts.
+/// Sets whether this host reads the store or relies on other hosts to read it.
 struct FollowStore {
   bool Enabled = true;
 
--- a/src/libs/http/ClientStream.h
+++ b/src/libs/http/ClientStream.h
@@ -28,7 +28,7 @@
 
   unsigned status() const { return this->Parser.get().result_int(); }
 
-  /// Reads the rest of the answer, up to a connection failure or slightly more
+  /// Reads the remaining answer, up to a connection failure or slightly more
   /// than \p MaxBytes. The flag in the result is true if the answer is complete
   /// and not larger than \p MaxBytes.
   Task<std::pair<std::string, bool>> readRest(std::size_t MaxBytes);
--- a/src/libs/kernel/Action.h
+++ b/src/libs/kernel/Action.h
@@ -74,7 +74,7 @@
 
   bool operator==(const DispatchAttempt &) const = default;
 };
-/// Drops the attempt and tells the upstream to free its resources.
+/// Drops the attempt and asks the upstream to free its resources.
 struct CancelAttempt {
   AttemptId Attempt;
   UpstreamId Upstream;
--- a/src/libs/kernel/GatewayServices.h
+++ b/src/libs/kernel/GatewayServices.h
@@ -166,7 +166,7 @@
   Duration Waited{};          ///< Time since the request arrived.
   Duration Left{};            ///< Time until its deadline.
   bool MayRetryLater = false; ///< This is the caller's first attempt; the
-                              ///< caller may be told to retry later.
+                              ///< caller may be asked to retry later.
   std::span<const UpstreamId> Excluded; ///< Upstreams not to select.
 };
 
--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -280,7 +280,7 @@
   struct Distrust {
     UpstreamId Engine;
     double SinceMs = 0; ///< Age; results of later attempts take precedence.
-    double LeftMs = 0;  ///< Time until the sender tries the engine again.
+    double LeftMs = 0;  ///< Time until the sender retries the engine.
 
     bool operator==(const Distrust &) const = default;
   };
--- a/src/libs/kernel/Services.h
+++ b/src/libs/kernel/Services.h
@@ -21,7 +21,7 @@
   virtual const Catalogue &catalogue() const = 0;
   /// Whether a catalogue is loaded. The host must not serve requests before.
   virtual bool isReady() const = 0;
-  /// Whether this host can tell that its catalogue is current.
+  /// Whether this host knows that its catalogue is current.
   virtual bool isCurrent(Time Now) const = 0;
   /// When this host last had all records of the log, confirmed by the log
   /// itself or by a peer that had read it. Heartbeats send this time to peers.
--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -19,12 +19,13 @@
 /// per millisecond.
 constexpr double FullEngineValue = 0.5;
 
-/// Scarcity above which callers of long prompts are told to retry, or refused
+/// Scarcity above which callers of long prompts are asked to retry, or refused
 /// for lack of time. It corresponds to more than half of the slots being taken.
 constexpr double LongPromptScarcity = 0.2;
 
-/// A caller of a long prompt is told to retry only after it has waited for this
-/// fraction of its objective. A burst that lasts for so long is not momentary.
+/// A caller of a long prompt is asked to retry only after it has waited for
+/// this fraction of its objective. A burst that lasts for that long is not
+/// momentary.
 constexpr int MinWaitDivisor = 8;
 
 /// Number of objectives for which a long prompt may be deferred.
--- a/src/plugins/engineload/Deferral.h
+++ b/src/plugins/engineload/Deferral.h
@@ -3,7 +3,7 @@
 ///
 /// When a burst exceeds the slots for some seconds and every request is
 /// accepted, each request waits for all earlier ones and all of them miss their
-/// objectives. Callers that are told to retry find a slot later, while the
+/// objectives. Callers that are asked to retry find a slot later, while the
 /// accepted requests finish in time.
 #pragma once
 
@@ -16,11 +16,11 @@
   Duration Objective{};
   Duration Waited{};          ///< Since the request arrived at this host.
   Duration Left{};            ///< Until the deadline.
-  bool MayRetryLater = false; ///< The caller has not been told to retry yet.
+  bool MayRetryLater = false; ///< The caller has not been asked to retry yet.
 };
 
 /// Share of the remaining time that the prefill of a late prompt may take. The
-/// answer is decoded in the rest.
+/// answer is decoded in the remaining time.
 inline constexpr double PrefillShare = 0.55;
 
 /// Returns how scarce slots are: 0 while few are taken, 1 when all are.
@@ -50,13 +50,13 @@
 bool isWorthServingNow(const PromptPlacement &Place, const PromptWork &Work,
                        const DeferralTimes &Times, double Scarcity);
 
-/// Returns whether the caller of a deferred long prompt is told to retry later
+/// Returns whether the caller of a deferred long prompt is asked to retry later
 /// instead of waiting at this host.
 bool shouldRetryLater(const DeferralTimes &Times, double Scarcity);
 
 /// Returns the delay until the caller's retry. The delay is at least \p
 /// Soonest, but never longer than the share of the remaining time that a caller
-/// may be told to wait. \p Draw, from 0 to 1, spreads the retries of callers
+/// may be asked to wait. \p Draw, from 0 to 1, spreads the retries of callers
 /// that are refused together.
 Duration retryAfter(const DeferralTimes &Times, double Draw,
                     Duration Soonest = Duration(0));
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -198,7 +198,7 @@
   const Duration Soonest = opensAfter(Closed);
   const bool OutlastsDeadline = Soonest >= Wanted.Left;
   // Wait for an engine that opens soon. Callers that have retried once also
-  // wait, because they are not told to retry again.
+  // wait, because they are not asked to retry again.
   if (Soonest == Duration::max() || Soonest <= MaxLocalWait ||
       (!Wanted.MayRetryLater && !OutlastsDeadline))
     return NoEngine{};
--- a/src/plugins/fairness/RequestQueues.cpp
+++ b/src/plugins/fairness/RequestQueues.cpp
@@ -42,7 +42,8 @@
   std::vector<RequestId> Result;
   if (Busy.empty() || MaxCount == 0)
     return Result;
-  // The first half of the chosen queues goes by precedence, the rest in turn.
+  // The first half of the chosen queues is ordered by precedence; the
+  // others are selected in rotation.
   if (Busy.size() > MaxCount) {
     const auto Remainder =
         Busy.begin() + static_cast<std::ptrdiff_t>(MaxCount / 2);
--- a/src/plugins/orders/OrdersPlugin.h
+++ b/src/plugins/orders/OrdersPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in `orders`, which tells engines to load and unload models.
+/// The plug-in `orders`, which orders engines to load and unload models.
 #pragma once
 
 #include "kernel/Plugin.h"
--- a/src/plugins/relays/RetryAllowance.cpp
+++ b/src/plugins/relays/RetryAllowance.cpp
@@ -10,7 +10,7 @@
 /// late.
 constexpr int SlicesPerWindow = 20;
 
-/// Share of the budget that is used. The rest covers retries that are in
+/// Share of the budget that is used. The remainder covers retries that are in
 /// transit while the window slides.
 constexpr double UsableShare = 0.9;
 
--- a/src/plugins/requests/Dispatcher.h
+++ b/src/plugins/requests/Dispatcher.h
@@ -13,7 +13,7 @@
              RequestFinisher &Finisher)
       : Dependencies(Dependencies), Table(Table), Finisher(Finisher) {}
 
-  /// Adds the request to the queue. The next sweep tries to dispatch it.
+  /// Adds the request to the queue. The next sweep attempts to dispatch it.
   void enqueue(RunningRequest &Entry, Time Now);
 
   /// Tries to dispatch waiting requests in the order of the queue, and ends
--- a/src/plugins/routing/RoutingSettings.h
+++ b/src/plugins/routing/RoutingSettings.h
@@ -33,7 +33,7 @@
   Duration EngineQueue{};            ///< Maximum wait ahead on an engine.
   Duration LongQueue{};              ///< The same for long prompts.
   std::uint64_t LongPrompt = 0;      ///< Uncached tokens of a long prompt.
-  Duration StepDelay{};              ///< Rest of a lower-priority step.
+  Duration StepDelay{};      ///< Remaining time of a lower-priority step.
   Duration MemoryTurnover{}; ///< Average time until used memory becomes free.
   std::uint64_t MaxGroupEngines = 0;
   double DelayWeight = 0; ///< Weight of the delay caused to other requests.
