--- a/tests/auto/gateway/CallerRetryDetectorTest.cpp
+++ b/tests/auto/gateway/CallerRetryDetectorTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Guards against retries of callers that are taken for first attempts, and the
-/// reverse. Only the remaining time of a request tells the two apart.
+/// reverse. Only the remaining time of a request distinguishes the two.
 #include "plugins/relays/CallerRetryDetector.h"
 
 #include <gtest/gtest.h>
--- a/tests/auto/manyhosts/HostSimulation.h
+++ b/tests/auto/manyhosts/HostSimulation.h
@@ -73,8 +73,8 @@
   /// Sets the limit of requests per second that the engine's answers state, or
   /// removes it.
   void setLimit(std::size_t Engine, std::optional<double> PerSecond);
-  /// Makes the engine refuse all requests and ask for a backoff of \p Rest each
-  /// time. Without a value, the engine serves requests again.
+  /// Makes the engine refuse all requests and ask for a backoff of \p Backoff
+  /// each time. Without a value, the engine serves requests again.
   void setShedding(std::size_t Engine, std::optional<Duration> Backoff);
   /// Makes the engine's answers, but not its registration, signal that it is
   /// leaving.
@@ -97,8 +97,8 @@
   Time now() const { return this->Queue.now(); }
 
   /// Sends a request with a short prompt to the host. It runs for \p RunsFor.
-  /// Its caller retries once if told to, and disconnects if no answer has begun
-  /// after two seconds.
+  /// Its caller retries once if asked to, and disconnects if no answer has
+  /// begun after two seconds.
   void sendRequest(std::size_t Host, Duration RunsFor);
 
   /// Returns the hosts that the given host returns to a caller now.
@@ -118,7 +118,7 @@
                                              ///< host.
     std::size_t InTime = 0; ///< Answers that began within the objective.
     std::size_t Late = 0;   ///< Answers that began after the objective.
-    std::size_t RetryLaterAnswers = 0; ///< Callers that were told to retry.
+    std::size_t RetryLaterAnswers = 0; ///< Callers that were asked to retry.
     std::uint64_t messages() const;
   };
   Tally takeTally();
--- a/tests/auto/manyhosts/ManyHostsTest.cpp
+++ b/tests/auto/manyhosts/ManyHostsTest.cpp
@@ -250,7 +250,7 @@
   Load(500, Duration(11000));
   Simulation.run(seconds(5));
   const auto Tally = Simulation.takeTally();
-  // The objective: seven in ten are in time, and no caller that was told to
+  // The objective: seven in ten are in time, and no caller that was asked to
   // retry is lost.
   EXPECT_GE(Tally.InTime, 1400U);
   EXPECT_LE(lostRequests(Tally), 20U);
--- a/tests/soak/FaultInjector.h
+++ b/tests/soak/FaultInjector.h
@@ -25,7 +25,7 @@
       : Deployed(Deployed), Links(Links) {}
 
   void inject(const Disruption &Fault);
-  /// Undoes a fault. Returns false if the caller must try again later, because
+  /// Undoes a fault. Returns false if the caller must retry later, because
   /// the host is still stopping.
   bool undo(const Disruption &Fault);
   /// Appends the hosts that ended without a fault and the planned stops that
@@ -40,7 +40,7 @@
 private:
   process::GatewayDeployment &Deployed;
   SoakLinks &Links;
-  std::set<std::size_t> Stopping; ///< Hosts told to stop and not killed since.
+  std::set<std::size_t> Stopping; ///< Hosts asked to stop and not killed since.
   std::set<std::size_t> DownHosts;
   std::set<std::size_t> DownUpstreams;
   std::vector<std::string> StopProblems;
--- a/tests/soak/FaultPlan.h
+++ b/tests/soak/FaultPlan.h
@@ -11,7 +11,7 @@
 
 namespace banyanpick::soak {
 
-/// A host is told to stop and is started again after it has stopped.
+/// A host is asked to stop and is started again after it has stopped.
 struct HostStopped {
   std::size_t Host = 0;
 };
