--- a/tests/auto/harness/VirtualDeploymentTest.cpp
+++ b/tests/auto/harness/VirtualDeploymentTest.cpp
@@ -45,20 +45,20 @@
 }
 
 TEST(VirtualDeploymentTest, HostsRunFreezeDieAndReturn) {
-  VirtualDeployment World({});
+  VirtualDeployment Deployment({});
   for (const char *Name : {"h1", "h2", "h3"})
-    World.addHost(Name, "a");
-  World.addApplication("p1", TestService, "a");
-  World.seedCatalogue(testCatalogue({"house-1"}));
-  World.runFor(seconds(5));
-  World.freeze("h1");
-  World.killHost("h2");
-  World.runFor(seconds(5));
-  World.thaw("h1");
-  World.startHost("h2");
-  World.runFor(seconds(5));
-  EXPECT_GE(World.steps(), 4u);
-  EXPECT_TRUE(World.violations().empty());
+    Deployment.addHost(Name, "a");
+  Deployment.addApplication("p1", TestService, "a");
+  Deployment.seedCatalogue(testCatalogue({"house-1"}));
+  Deployment.runFor(seconds(5));
+  Deployment.freeze("h1");
+  Deployment.killHost("h2");
+  Deployment.runFor(seconds(5));
+  Deployment.thaw("h1");
+  Deployment.startHost("h2");
+  Deployment.runFor(seconds(5));
+  EXPECT_GE(Deployment.steps(), 4u);
+  EXPECT_TRUE(Deployment.violations().empty());
 }
 
 } // namespace
--- a/tests/harness/EventQueue.h
+++ b/tests/harness/EventQueue.h
@@ -23,7 +23,7 @@
 
   void at(Time When, Work Todo) {
     this->Items.push_back(
-        {std::max(When, this->Clock), this->Entered++, std::move(Todo)});
+        {std::max(When, this->Clock), this->NextSequence++, std::move(Todo)});
     std::push_heap(this->Items.begin(), this->Items.end(), later);
   }
   void after(Duration Delay, Work Todo) {
@@ -45,16 +45,16 @@
 private:
   struct Item {
     Time When;
-    std::uint64_t Entry;
+    std::uint64_t Sequence;
     Work Todo;
   };
   static bool later(const Item &First, const Item &Second) {
-    return std::tie(First.When, First.Entry) >
-           std::tie(Second.When, Second.Entry);
+    return std::tie(First.When, First.Sequence) >
+           std::tie(Second.When, Second.Sequence);
   }
 
   Time Clock;
-  std::uint64_t Entered = 0;
+  std::uint64_t NextSequence = 0;
   std::vector<Item> Items;
 };
 
--- a/tests/harness/FakeApplication.h
+++ b/tests/harness/FakeApplication.h
@@ -18,21 +18,22 @@
   UpstreamListing Listing;
   bool Alive = true;
   bool Frozen = false;
-  bool SaysLeaving = false; ///< In its reports and refusals.
+  bool ReportsLeaving = false; ///< In its reports and refusals.
   std::optional<Time> LeftAt;
   Duration RunTime = milliseconds(20);
   /// Of the next runs, how many answers the network loses.
   std::uint32_t AnswersToLose = 0;
   std::uint32_t RunsToFail = 0;
   std::map<std::string, std::uint32_t> Runs;
-  std::vector<std::function<void()>> Held; ///< What arrived while frozen.
+  std::vector<std::function<void()>>
+      DeferredWork; ///< What arrived while frozen.
 
   LoadReport report(Time Now) const {
     LoadReport Report;
     Report.Id = this->Listing.Id;
     Report.Life = this->Listing.Life;
     Report.MeasuredAt = Now;
-    Report.Leaving = this->SaysLeaving;
+    Report.Leaving = this->ReportsLeaving;
     return Report;
   }
 };
--- a/tests/harness/FakeEngine.h
+++ b/tests/harness/FakeEngine.h
@@ -53,14 +53,14 @@
   EngineModel Model;
   bool Alive = true;
   bool Frozen = false;
-  bool SaysLeaving = false; ///< In its reports and refusals.
+  bool ReportsLeaving = false; ///< In its reports and refusals.
   std::optional<Time> LeftAt;
   Duration LoadLag = milliseconds(200);
   /// Of the next batches, how many are given to another try's connection,
   /// sent twice, or cut before their end.
-  std::uint32_t ToCross = 0;
-  std::uint32_t ToRepeat = 0;
-  std::uint32_t ToTruncate = 0;
+  std::uint32_t BatchesToMisroute = 0;
+  std::uint32_t BatchesToRepeat = 0;
+  std::uint32_t BatchesToTruncate = 0;
   std::uint32_t HoldAnswersToLose = 0;
   std::uint32_t OrderAnswersToLose = 0;
   double CacheEventLoss = 0;
@@ -68,10 +68,11 @@
   Time PumpAt = Never;
   std::map<AttemptId, EngineStream> Streams; ///< By the try that started it.
   std::vector<ReceivedOrder> Orders;
-  std::vector<std::function<void()>> Held; ///< What arrived while frozen.
+  std::vector<std::function<void()>>
+      DeferredWork; ///< What arrived while frozen.
 
   /// The started try behind \p Attempt, which may have attached to it.
-  AttemptId startedAs(const AttemptId &Attempt) const {
+  AttemptId startedAttempt(const AttemptId &Attempt) const {
     for (const auto &[Started, Stream] : this->Streams)
       if (Stream.Listener == Attempt)
         return Started;
@@ -85,7 +86,7 @@
         Now < this->LastReport.MeasuredAt + this->LoadLag)
       return this->LastReport;
     this->LastReport = this->Model.report(Now);
-    this->LastReport.Leaving |= this->SaysLeaving;
+    this->LastReport.Leaving |= this->ReportsLeaving;
     for (HoldReport &Each : this->LastReport.Holds)
       this->nameListener(Each);
     return this->LastReport;
--- a/tests/harness/FakeLog.h
+++ b/tests/harness/FakeLog.h
@@ -12,12 +12,12 @@
 namespace banyanpick {
 
 /// What becomes of one append.
-enum class AppendFate {
-  Taken,      ///< In the log, answered.
+enum class AppendOutcome {
+  Appended,   ///< In the log, answered.
   AnswerLost, ///< In the log; the answer never comes.
-  LateEffect, ///< No answer; it enters the log some time later.
+  Delayed,    ///< No answer; it enters the log some time later.
   Refused,    ///< Surely not in the log.
-  Swallowed,  ///< Not in the log; no answer.
+  Dropped,    ///< Not in the log; no answer.
 };
 
 /// The log with the faults that are set on it.
@@ -26,26 +26,27 @@
   bool Down = false;
   std::uint32_t AnswersToLose = 0; ///< Of the next appends that take effect.
   std::uint32_t AppendsToDelay = 0;
-  Duration Lateness = seconds(5); ///< Of delayed appends.
+  Duration AppendDelay = seconds(5); ///< Of delayed appends.
   Duration ServiceTime = milliseconds(1);
   Duration Retention = std::chrono::hours(24);
-  std::uint32_t AppendsPerSecond = 500; ///< More are refused.
+  std::uint32_t MaxAppendsPerSecond = 500; ///< More are refused.
 
   /// Decides on an append that reached the log at \p Now.
-  AppendFate decide(Time Now) {
+  AppendOutcome decideOutcome(Time Now) {
     if (this->Down)
-      return ++this->Outcomes % 2 ? AppendFate::Swallowed : AppendFate::Refused;
+      return ++this->AppendsWhileDown % 2 ? AppendOutcome::Dropped
+                                          : AppendOutcome::Refused;
     if (Now >= this->SecondStart + seconds(1)) {
       this->SecondStart = Now;
       this->InThisSecond = 0;
     }
-    if (++this->InThisSecond > this->AppendsPerSecond)
-      return AppendFate::Refused;
-    if (this->take(this->AppendsToDelay))
-      return AppendFate::LateEffect;
-    if (this->take(this->AnswersToLose))
-      return AppendFate::AnswerLost;
-    return AppendFate::Taken;
+    if (++this->InThisSecond > this->MaxAppendsPerSecond)
+      return AppendOutcome::Refused;
+    if (this->consume(this->AppendsToDelay))
+      return AppendOutcome::Delayed;
+    if (this->consume(this->AnswersToLose))
+      return AppendOutcome::AnswerLost;
+    return AppendOutcome::Appended;
   }
 
   /// Stores the records under one offset.
@@ -76,7 +77,8 @@
     Answer.StartOffset = this->Start;
     Answer.EndOffset = this->end();
     LogOffset Next = std::max(From, this->Start);
-    for (; Next < this->end() && Answer.Records.size() < MostRecords; ++Next) {
+    for (; Next < this->end() && Answer.Records.size() < MaxRecordsPerRead;
+         ++Next) {
       const auto &Stored = this->Appends[Next - this->Start].Records;
       Answer.Records.insert(Answer.Records.end(), Stored.begin(), Stored.end());
     }
@@ -88,17 +90,17 @@
   LogOffset end() const { return this->Start + this->Appends.size(); }
 
 private:
-  static constexpr std::size_t MostRecords = 500;
+  static constexpr std::size_t MaxRecordsPerRead = 500;
 
   struct Append {
     Time At;
     std::vector<StoredRecord> Records;
   };
 
-  static bool take(std::uint32_t &Left) {
-    if (Left == 0)
+  static bool consume(std::uint32_t &Remaining) {
+    if (Remaining == 0)
       return false;
-    --Left;
+    --Remaining;
     return true;
   }
   void dropFirst() {
@@ -108,7 +110,7 @@
 
   LogOffset Start = 1;
   std::deque<Append> Appends;
-  std::uint32_t Outcomes = 0;
+  std::uint32_t AppendsWhileDown = 0;
   std::uint32_t InThisSecond = 0;
   Time SecondStart{};
 };
--- a/tests/harness/Network.h
+++ b/tests/harness/Network.h
@@ -29,14 +29,14 @@
     this->Zones[Party] = Zone;
   }
 
-  /// The one-way delay; "*" stands for everybody in setExtra() and cut().
+  /// The one-way delay; "*" stands for everybody in setExtraDelay() and cut().
   Duration delay(const std::string &From, const std::string &To) const {
     Duration Result = this->zone(From) == this->zone(To) ? Near : Far;
-    if (this->Extra.empty())
+    if (this->ExtraDelays.empty())
       return Result;
     for (const auto &Link : links(From, To)) {
-      const auto Found = this->Extra.find(Link);
-      if (Found != this->Extra.end())
+      const auto Found = this->ExtraDelays.find(Link);
+      if (Found != this->ExtraDelays.end())
         Result += Found->second;
     }
     return Result;
@@ -58,12 +58,13 @@
   void heal(const std::string &From, const std::string &To) {
     this->Cuts.erase({From, To});
   }
-  void setExtra(const std::string &From, const std::string &To, Duration More) {
-    this->Extra[{From, To}] = More;
+  void setExtraDelay(const std::string &From, const std::string &To,
+                     Duration ExtraDelay) {
+    this->ExtraDelays[{From, To}] = ExtraDelay;
   }
   void healAll() {
     this->Cuts.clear();
-    this->Extra.clear();
+    this->ExtraDelays.clear();
     this->Loss = this->Duplication = 0;
   }
 
@@ -75,14 +76,14 @@
     return {Link{From, To}, Link{From, "*"}, Link{"*", To}};
   }
   const std::string &zone(const std::string &Party) const {
-    static const std::string Everywhere;
+    static const std::string UnknownZone;
     const auto Found = this->Zones.find(Party);
-    return Found == this->Zones.end() ? Everywhere : Found->second;
+    return Found == this->Zones.end() ? UnknownZone : Found->second;
   }
 
   std::map<std::string, std::string> Zones;
   std::set<Link> Cuts;
-  std::map<Link, Duration> Extra;
+  std::map<Link, Duration> ExtraDelays;
 };
 
 } // namespace banyanpick
--- a/tests/harness/PromiseChecker.cpp
+++ b/tests/harness/PromiseChecker.cpp
@@ -11,105 +11,109 @@
 /// Beyond the promise: a caller's two ways and one sweep of the kernel.
 constexpr Duration DeadlineSlack = milliseconds(300);
 /// Everywhere within this after the operator was told "accepted".
-constexpr Duration InForceWithin = seconds(6);
+constexpr Duration MaxPropagationTime = seconds(6);
 
-std::string label(const CallerRecord &Of) {
-  return fmt::format("request {} of class {} at {}", Of.Name,
-                     Of.Head.Class.Value, Of.Host);
+std::string label(const CallerRecord &Record) {
+  return fmt::format("request {} of class {} at {}", Record.Name,
+                     Record.Head.Class.Value, Record.Host);
 }
 
 } // namespace
 
-void PromiseChecker::report(const std::string &What) {
-  if (this->Reported.insert(What).second)
-    this->World.violation(What);
+void PromiseChecker::reportViolation(const std::string &Problem) {
+  if (this->ReportedViolations.insert(Problem).second)
+    this->Deployment.violation(Problem);
 }
 
 void PromiseChecker::noteAccepted(LogOffset Offset) {
-  this->Promised.push_back({Offset, this->World.now()});
+  this->AcceptedChanges.push_back({Offset, this->Deployment.now()});
 }
 
 void PromiseChecker::check() {
-  auto &Callers = this->World.callers();
-  for (std::size_t Each = this->FirstOpen; Each < Callers.size(); ++Each)
-    this->checkCaller(Callers[Each]);
+  auto &Callers = this->Deployment.callers();
+  for (std::size_t Index = this->FirstOpen; Index < Callers.size(); ++Index)
+    this->checkCaller(Callers[Index]);
   while (this->FirstOpen < Callers.size() && !Callers[this->FirstOpen].isOpen())
     ++this->FirstOpen;
   this->checkRuns();
   this->checkOrders();
-  for (const auto &[Name, Host] : this->World.hosts())
+  for (const auto &[Name, Host] : this->Deployment.hosts())
     this->checkCatalogue(*Host);
 }
 
-void PromiseChecker::checkCaller(CallerRecord &Of) {
-  if (Of.Gaps > 0)
-    this->report(label(Of) + " got a chunk twice or with a gap");
-  if (Of.Foreign > 0)
-    this->report(label(Of) + " got chunks of another's answer");
-  if (Of.Answer) {
-    if (std::holds_alternative<NotRun>(*Of.Answer) && Of.Started > 0)
-      this->report(label(Of) + " was told \"not run\" and ran");
-    if (const auto *Whole = std::get_if<CompleteAnswer>(&*Of.Answer))
-      this->checkWhole(Of, *Whole);
+void PromiseChecker::checkCaller(CallerRecord &Record) {
+  if (Record.OutOfOrderChunks > 0)
+    this->reportViolation(label(Record) + " got a chunk twice or with a gap");
+  if (Record.ForeignChunks > 0)
+    this->reportViolation(label(Record) + " got chunks of another's answer");
+  if (Record.Answer) {
+    if (std::holds_alternative<NotRun>(*Record.Answer) &&
+        Record.StartedRuns > 0)
+      this->reportViolation(label(Record) + " was told \"not run\" and ran");
+    if (const auto *Complete = std::get_if<CompleteAnswer>(&*Record.Answer))
+      this->checkCompleteAnswer(Record, *Complete);
   }
-  if (!Of.AcceptedAt || Of.ConnectionLost)
+  if (!Record.AcceptedAt || Record.ConnectionLost)
     return;
-  const Time End = Of.EndedAt.value_or(this->World.now());
-  if (End <= Of.Deadline + DeadlineSlack)
+  const Time End = Record.EndedAt.value_or(this->Deployment.now());
+  if (End <= Record.Deadline + DeadlineSlack)
     return;
-  if (Of.Excused)
-    ++this->Excused;
+  if (Record.HostWasFrozen)
+    ++this->LateWhileFrozen;
   else
-    this->report(label(Of) + " was admitted and is not final in its time");
+    this->reportViolation(label(Record) +
+                          " was admitted and is not final in its time");
 }
 
-void PromiseChecker::checkWhole(const CallerRecord &Of,
-                                const CompleteAnswer &Answer) {
-  if (Of.Head.Operation)
+void PromiseChecker::checkCompleteAnswer(const CallerRecord &Record,
+                                         const CompleteAnswer &Answer) {
+  if (Record.Head.Operation)
     return;
-  if (Answer.Count != Of.Next || Of.Next != Of.Head.MaxOutputTokens)
-    this->report(fmt::format("{} is called whole with {} chunks of {}",
-                             label(Of), Of.Next, Of.Head.MaxOutputTokens));
+  if (Answer.Count != Record.Next || Record.Next != Record.Head.MaxOutputTokens)
+    this->reportViolation(fmt::format("{} is called whole with {} chunks of {}",
+                                      label(Record), Record.Next,
+                                      Record.Head.MaxOutputTokens));
 }
 
 void PromiseChecker::checkRuns() {
   std::map<std::string, std::uint32_t> Sum;
-  for (const auto &[Name, Each] : this->World.applications())
-    for (const auto &[Key, Runs] : Each.Runs)
+  for (const auto &[Name, Application] : this->Deployment.applications())
+    for (const auto &[Key, Runs] : Application.Runs)
       if ((Sum[Key] += Runs) > 1)
-        this->report("operation " + Key + " ran more than once");
+        this->reportViolation("operation " + Key + " ran more than once");
 }
 
 void PromiseChecker::checkOrders() {
-  for (auto &[Name, Engine] : this->World.engines()) {
+  for (auto &[Name, Engine] : this->Deployment.engines()) {
     LogOffset Highest = 0;
-    for (const ReceivedOrder &Each : Engine.Orders) {
-      if (Each.TookEffect && Each.Fencing < Highest)
-        this->report(Name + " obeyed an order with an old fencing number");
-      Highest = std::max(Highest, Each.Fencing);
+    for (const ReceivedOrder &Order : Engine.Orders) {
+      if (Order.TookEffect && Order.Fencing < Highest)
+        this->reportViolation(Name +
+                              " obeyed an order with an old fencing number");
+      Highest = std::max(Highest, Order.Fencing);
     }
   }
 }
 
-bool PromiseChecker::isWell(const VirtualHost &Host) const {
+bool PromiseChecker::isHealthy(const VirtualHost &Host) const {
   // Peers are found by the host list; without the log, who has missed a change
   // can't learn of it and must admit nothing.
-  return Host.isRunning() && !Host.isFrozen() && !this->World.log().Down &&
-         this->World.canKnow(Host.name(), "log") &&
-         this->World.isJoined(Host.name(), "hostlist");
+  return Host.isRunning() && !Host.isFrozen() && !this->Deployment.log().Down &&
+         this->Deployment.canKnow(Host.name(), "log") &&
+         this->Deployment.isJoined(Host.name(), "hostlist");
 }
 
 void PromiseChecker::checkCatalogue(VirtualHost &Host) {
-  SeenHost &Before = this->Seen[Host.name()];
-  const Time Now = this->World.now();
-  if (!this->isWell(Host) || Before.Life != Host.life())
-    Before.WellSince = Now;
+  HostObservation &Before = this->ObservedHosts[Host.name()];
+  const Time Now = this->Deployment.now();
+  if (!this->isHealthy(Host) || Before.Life != Host.life())
+    Before.HealthySince = Now;
   if (!Host.isRunning())
     return;
   const auto &View = Host.kernel().services().get<CatalogueView>();
   const LogOffset Offset = View.catalogue().offset();
   if (Before.Life == Host.life() && Offset < Before.InForce)
-    this->report(Host.name() + " went back to an older catalogue");
+    this->reportViolation(Host.name() + " went back to an older catalogue");
   if (!View.isReady() || Before.Life != Host.life()) {
     Before.Life = Host.life();
     Before.InForce = Offset;
@@ -117,32 +121,33 @@
   }
   if (Offset != Before.InForce) {
     const auto &Entries = View.catalogue().entries();
-    if (this->Folds.emplace(Offset, Entries).first->second != Entries)
-      this->report(Host.name() + " folds the log differently from another");
+    if (this->EntriesByOffset.emplace(Offset, Entries).first->second != Entries)
+      this->reportViolation(Host.name() +
+                            " folds the log differently from another");
   }
   Before.InForce = Offset;
   // A host that can't learn of a change must know that, and admit nothing.
-  const bool Admits = !Host.isFrozen() && View.isCurrent(Now) &&
-                      Host.thawedAt() + InForceWithin < Now;
-  for (const Accepted &Each : this->Promised)
-    if ((Admits ? Each.At : std::max(Each.At, Before.WellSince)) +
-                InForceWithin <
+  const bool MayAdmit = !Host.isFrozen() && View.isCurrent(Now) &&
+                        Host.thawedAt() + MaxPropagationTime < Now;
+  for (const AcceptedChange &Change : this->AcceptedChanges)
+    if ((MayAdmit ? Change.At : std::max(Change.At, Before.HealthySince)) +
+                MaxPropagationTime <
             Now &&
-        Offset < Each.Offset)
-      this->report(
+        Offset < Change.Offset)
+      this->reportViolation(
           fmt::format("{} has not the accepted change at offset {} in force",
-                      Host.name(), Each.Offset));
+                      Host.name(), Change.Offset));
 }
 
-void PromiseChecker::checkQuiet() {
+void PromiseChecker::checkIdle() {
   this->check();
-  for (const CallerRecord &Each : this->World.callers())
-    if (Each.isOpen() && !Each.HungUp)
-      this->report(label(Each) + " never ended");
-  for (auto &[Name, Engine] : this->World.engines())
+  for (const CallerRecord &Record : this->Deployment.callers())
+    if (Record.isOpen() && !Record.Disconnected)
+      this->reportViolation(label(Record) + " never ended");
+  for (auto &[Name, Engine] : this->Deployment.engines())
     if (Engine.Alive && Engine.Model.heldTokens() != 0)
-      this->report(fmt::format("{} still holds memory for {} tokens", Name,
-                               Engine.Model.heldTokens()));
+      this->reportViolation(fmt::format("{} still holds memory for {} tokens",
+                                        Name, Engine.Model.heldTokens()));
 }
 
 } // namespace banyanpick
--- a/tests/harness/ScenarioExpectations.cpp
+++ b/tests/harness/ScenarioExpectations.cpp
@@ -23,7 +23,7 @@
 }
 
 std::string ScenarioRunner::foundOnHost(const Statement &Is) {
-  VirtualHost &Host = *this->World->hosts().at(Is.word(1));
+  VirtualHost &Host = *this->Deployment->hosts().at(Is.word(1));
   if (!Host.isRunning())
     return "gone";
   const auto &View = Host.kernel().services().get<CatalogueView>();
@@ -34,7 +34,7 @@
   }
   if (!View.isReady())
     return "not-ready";
-  return View.isCurrent(this->World->now()) ? "ready" : "not-current";
+  return View.isCurrent(this->Deployment->now()) ? "ready" : "not-current";
 }
 
 std::string ScenarioRunner::found(const Statement &Is) {
@@ -43,25 +43,26 @@
     return this->foundOnHost(Is);
   if (const auto Found = this->Changes.find(Name); Found != this->Changes.end())
     return Found->second.Verdict;
-  if (const auto Found = this->World->engines().find(Name);
-      Found != this->World->engines().end())
+  if (const auto Found = this->Deployment->engines().find(Name);
+      Found != this->Deployment->engines().end())
     return Found->second.Model.heldTokens() == 0 ? "free" : "holds-memory";
   if (Name == "runs") {
     const auto &Head =
-        this->World->callers()[this->caller(Is, Is.word(2))].Head;
+        this->Deployment->callers()[this->caller(Is, Is.word(2))].Head;
     std::uint32_t Runs = 0;
-    for (const auto &[App, Each] : this->World->applications()) {
+    for (const auto &[App, Each] : this->Deployment->applications()) {
       const auto Of = Each.Runs.find(Head.Operation->Value);
       Runs += Of == Each.Runs.end() ? 0 : Of->second;
     }
     return fmt::format("runs {} {}", Is.word(2), Runs);
   }
   if (Name == "count") {
-    const auto Count = this->World->counts().find(Is.word(2));
-    const bool Any = Count != this->World->counts().end() && Count->second > 0;
+    const auto Count = this->Deployment->counts().find(Is.word(2));
+    const bool Any =
+        Count != this->Deployment->counts().end() && Count->second > 0;
     return fmt::format("count {} {}", Is.word(2), Any ? "some" : "none");
   }
-  return this->outcomeOf(this->World->callers()[this->caller(Is, Name)]);
+  return this->outcomeOf(this->Deployment->callers()[this->caller(Is, Name)]);
 }
 
 void ScenarioRunner::expect(const Statement &Is) {
--- a/tests/harness/ScenarioRunner.cpp
+++ b/tests/harness/ScenarioRunner.cpp
@@ -48,7 +48,7 @@
       {"delay", &Self::delay},   {"log", &Self::log},
       {"lose", &Self::lose},     {"poison", &Self::poison},
       {"send", &Self::send},     {"resend", &Self::resend},
-      {"resume", &Self::resume}, {"hang-up", &Self::hangUp},
+      {"resume", &Self::resume}, {"hang-up", &Self::disconnect},
       {"apply", &Self::apply},   {"expect", &Self::expect}};
   return All;
 }
@@ -71,54 +71,56 @@
       continue;
     (this->*Found->second)(Each);
   }
-  this->runUntil(this->World->now() + CheckInterval);
+  this->runUntil(this->Deployment->now() + CheckInterval);
   this->mendAll();
-  this->runUntil(this->World->now() + RestTime);
-  this->Checker->checkQuiet();
+  this->runUntil(this->Deployment->now() + RestTime);
+  this->Checker->checkIdle();
 }
 
 void ScenarioRunner::begin() {
-  this->World = std::make_unique<VirtualDeployment>(this->Options);
-  this->Checker = std::make_unique<PromiseChecker>(*this->World);
-  this->Beginning = this->World->now();
+  this->Deployment = std::make_unique<VirtualDeployment>(this->Options);
+  this->Checker = std::make_unique<PromiseChecker>(*this->Deployment);
+  this->Beginning = this->Deployment->now();
   if (this->Tracing)
-    this->World->OnLogLine = [this](const std::string &Host,
-                                    const LogEvent &Line) {
-      this->Trace += fmt::format(
-          "{:10.4f} {} {} {}", inSeconds(this->World->now() - this->Beginning),
-          Host, Line.Number, Line.Message);
+    this->Deployment->OnLogLine = [this](const std::string &Host,
+                                         const LogEvent &Line) {
+      this->Trace +=
+          fmt::format("{:10.4f} {} {} {}",
+                      inSeconds(this->Deployment->now() - this->Beginning),
+                      Host, Line.Number, Line.Message);
       for (const LogField &Each : Line.Fields)
         this->Trace += fmt::format(" {}={}", Each.Key, Each.Value);
       this->Trace += '\n';
     };
   if (!this->Teams.empty())
-    this->World->seedCatalogue(testCatalogue(this->Teams));
+    this->Deployment->seedCatalogue(testCatalogue(this->Teams));
 }
 
 void ScenarioRunner::runUntil(Time Until) {
-  while (this->World->now() < Until) {
-    this->World->runFor(std::min(CheckInterval, Until - this->World->now()));
+  while (this->Deployment->now() < Until) {
+    this->Deployment->runFor(
+        std::min(CheckInterval, Until - this->Deployment->now()));
     this->Checker->check();
   }
 }
 
 void ScenarioRunner::mendAll() {
-  this->World->network().healAll();
-  this->World->log().Down = false;
-  for (const auto &[Name, Host] : this->World->hosts())
+  this->Deployment->network().healAll();
+  this->Deployment->log().Down = false;
+  for (const auto &[Name, Host] : this->Deployment->hosts())
     if (Host->isFrozen())
       Host->thaw();
-  for (const auto &[Name, Engine] : this->World->engines())
+  for (const auto &[Name, Engine] : this->Deployment->engines())
     if (Engine.Frozen)
-      this->World->thaw(Name);
-  for (const auto &[Name, Application] : this->World->applications())
+      this->Deployment->thaw(Name);
+  for (const auto &[Name, Application] : this->Deployment->applications())
     if (Application.Frozen)
-      this->World->thaw(Name);
+      this->Deployment->thaw(Name);
 }
 
 std::vector<std::string> ScenarioRunner::failures() const {
   std::vector<std::string> All = this->Unmet;
-  const auto &Broken = this->World->violations();
+  const auto &Broken = this->Deployment->violations();
   All.insert(All.end(), Broken.begin(), Broken.end());
   return All;
 }
@@ -136,7 +138,7 @@
 
 void ScenarioRunner::addHosts(const Statement &Is) {
   for (const std::string &Name : Is.names(1, {"zone"}))
-    this->World->addHost(Name, Is.after("zone", "a"));
+    this->Deployment->addHost(Name, Is.after("zone", "a"));
 }
 
 void ScenarioRunner::addEngines(const Statement &Is) {
@@ -150,13 +152,13 @@
     Shape.ChecksFencing = Is.after("fencing", "yes") == "yes";
     if (!Is.has("empty"))
       Shape.Models = {ModelId(TestModel)};
-    this->World->addEngine(Shape, Is.after("zone", "a"));
+    this->Deployment->addEngine(Shape, Is.after("zone", "a"));
   }
 }
 
 void ScenarioRunner::addApplications(const Statement &Is) {
   for (const std::string &Name : Is.names(1, {"zone"}))
-    this->World->addApplication(Name, TestService, Is.after("zone", "a"));
+    this->Deployment->addApplication(Name, TestService, Is.after("zone", "a"));
 }
 
 void ScenarioRunner::addTeams(const Statement &Is) {
@@ -166,65 +168,65 @@
 // --- faults
 
 bool ScenarioRunner::isHost(const std::string &Name) const {
-  return this->World->hosts().contains(Name);
+  return this->Deployment->hosts().contains(Name);
 }
 
 void ScenarioRunner::kill(const Statement &Is) {
   for (const std::string &Name : Is.names(1))
-    this->isHost(Name) ? this->World->killHost(Name)
-                       : this->World->killUpstream(Name);
+    this->isHost(Name) ? this->Deployment->killHost(Name)
+                       : this->Deployment->killUpstream(Name);
 }
 
 void ScenarioRunner::restart(const Statement &Is) {
   for (const std::string &Name : Is.names(1))
-    this->isHost(Name) ? this->World->startHost(Name)
-                       : this->World->restartUpstream(Name);
+    this->isHost(Name) ? this->Deployment->startHost(Name)
+                       : this->Deployment->restartUpstream(Name);
 }
 
 void ScenarioRunner::freeze(const Statement &Is) {
   for (const std::string &Name : Is.names(1))
-    this->World->freeze(Name);
+    this->Deployment->freeze(Name);
 }
 
 void ScenarioRunner::thaw(const Statement &Is) {
   for (const std::string &Name : Is.names(1))
-    this->World->thaw(Name);
+    this->Deployment->thaw(Name);
 }
 
 void ScenarioRunner::stop(const Statement &Is) {
   for (const std::string &Name : Is.names(1))
-    this->World->stopHost(Name);
+    this->Deployment->stopHost(Name);
 }
 
 void ScenarioRunner::leave(const Statement &Is) {
   for (const std::string &Name : Is.names(1, {"quietly"}))
-    this->World->leaveUpstream(Name, !Is.has("quietly"));
+    this->Deployment->leaveUpstream(Name, !Is.has("quietly"));
 }
 
 void ScenarioRunner::cut(const Statement &Is) {
   const bool OneWay = Is.has("to");
   const std::string &From = Is.word(1);
   const std::string &To = Is.word(OneWay ? 3 : 2);
-  this->World->network().cut(From, To);
+  this->Deployment->network().cut(From, To);
   if (!OneWay)
-    this->World->network().cut(To, From);
+    this->Deployment->network().cut(To, From);
 }
 
 void ScenarioRunner::heal(const Statement &Is) {
   if (Is.word(1) == "all")
-    return this->World->network().healAll();
-  this->World->network().heal(Is.word(1), Is.word(2));
-  this->World->network().heal(Is.word(2), Is.word(1));
+    return this->Deployment->network().healAll();
+  this->Deployment->network().heal(Is.word(1), Is.word(2));
+  this->Deployment->network().heal(Is.word(2), Is.word(1));
 }
 
 void ScenarioRunner::delay(const Statement &Is) {
-  const Duration More = parseSpan(Is, Is.word(3));
-  this->World->network().setExtra(Is.word(1), Is.word(2), More);
-  this->World->network().setExtra(Is.word(2), Is.word(1), More);
+  const Duration ExtraDelay = parseSpan(Is, Is.word(3));
+  this->Deployment->network().setExtraDelay(Is.word(1), Is.word(2), ExtraDelay);
+  this->Deployment->network().setExtraDelay(Is.word(2), Is.word(1), ExtraDelay);
 }
 
 void ScenarioRunner::log(const Statement &Is) {
-  FakeLog &Log = this->World->log();
+  FakeLog &Log = this->Deployment->log();
   const std::string &What = Is.word(1);
   if (What == "down" || What == "up")
     Log.Down = What == "down";
@@ -234,7 +236,7 @@
     Log.AnswersToLose += Is.number(What, 1);
   else if (What == "late") {
     Log.AppendsToDelay += Is.number(What, 1);
-    Log.Lateness = parseSpan(Is, Is.word(3));
+    Log.AppendDelay = parseSpan(Is, Is.word(3));
   } else if (What == "forget")
     Log.dropBefore(Log.end());
   else if (What == "retention")
@@ -249,29 +251,29 @@
   const auto Count =
       Is.Words.size() > 3 ? static_cast<std::uint32_t>(Is.number(Of, 1)) : 1;
   if (What == "peer-messages") {
-    this->World->network().Loss = std::stod(Of);
-    this->World->network().Duplication = std::stod(Of);
+    this->Deployment->network().Loss = std::stod(Of);
+    this->Deployment->network().Duplication = std::stod(Of);
   } else if (What == "answers")
-    this->World->applications().at(Of).AnswersToLose += Count;
+    this->Deployment->applications().at(Of).AnswersToLose += Count;
   else if (What == "hold-answers")
-    this->World->engines().at(Of).HoldAnswersToLose += Count;
+    this->Deployment->engines().at(Of).HoldAnswersToLose += Count;
   else if (What == "order-answers")
-    this->World->engines().at(Of).OrderAnswersToLose += Count;
+    this->Deployment->engines().at(Of).OrderAnswersToLose += Count;
   else if (What == "cross")
-    this->World->engines().at(Of).ToCross += Count;
+    this->Deployment->engines().at(Of).BatchesToMisroute += Count;
   else if (What == "repeat")
-    this->World->engines().at(Of).ToRepeat += Count;
+    this->Deployment->engines().at(Of).BatchesToRepeat += Count;
   else if (What == "truncate")
-    this->World->engines().at(Of).ToTruncate += Count;
+    this->Deployment->engines().at(Of).BatchesToTruncate += Count;
   else if (What == "cache-events")
-    this->World->engines().at(Of).CacheEventLoss = 0.5;
+    this->Deployment->engines().at(Of).CacheEventLoss = 0.5;
   else
     Is.fail("'" + What + "' can't be lost");
 }
 
 void ScenarioRunner::poison(const Statement &Is) {
-  this->World->addPoison(Fingerprint(contentNumber(Is.word(1))),
-                         parseSpan(Is, Is.after("back-after", "3s")));
+  this->Deployment->addPoison(Fingerprint(contentNumber(Is.word(1))),
+                              parseSpan(Is, Is.after("back-after", "3s")));
 }
 
 // --- callers and operators
@@ -295,28 +297,28 @@
   if (Class == "confirm") {
     Head.PromptTokens = std::min<std::uint64_t>(Head.PromptTokens, 100);
     Head.Blocks.clear();
-    Head.Operation = this->World->makeOperationKey();
+    Head.Operation = this->Deployment->makeOperationKey();
   }
   if (const auto Text = Is.after("timeout"))
     Head.Timeout = parseSpan(Is, *Text);
-  this->Sent[Name] = this->World->send(Is.after("via", "h1"), Head);
-  this->World->callers().back().Name = Name;
+  this->Sent[Name] = this->Deployment->send(Is.after("via", "h1"), Head);
+  this->Deployment->callers().back().Name = Name;
 }
 
 void ScenarioRunner::resend(const Statement &Is) {
   const std::size_t First = this->caller(Is, Is.word(1));
-  RequestHead Head = this->World->callers()[First].Head;
+  RequestHead Head = this->Deployment->callers()[First].Head;
   const std::string Name = Is.after("as", Is.word(1) + "'");
-  this->Sent[Name] = this->World->send(Is.after("via", "h1"), Head);
-  this->World->callers().back().Name = Name;
+  this->Sent[Name] = this->Deployment->send(Is.after("via", "h1"), Head);
+  this->Deployment->callers().back().Name = Name;
 }
 
 void ScenarioRunner::resume(const Statement &Is) {
-  this->World->resume(this->caller(Is, Is.word(1)), Is.after("via", "h1"));
+  this->Deployment->resume(this->caller(Is, Is.word(1)), Is.after("via", "h1"));
 }
 
-void ScenarioRunner::hangUp(const Statement &Is) {
-  this->World->hangUp(this->caller(Is, Is.word(1)));
+void ScenarioRunner::disconnect(const Statement &Is) {
+  this->Deployment->disconnect(this->caller(Is, Is.word(1)));
 }
 
 void ScenarioRunner::apply(const Statement &Is) {
@@ -335,7 +337,7 @@
     Made.Set.Changes = {
         declared(EntryKind::Team, Team, Body, Is.number("base", 0))};
   }
-  this->World->askOperator(
+  this->Deployment->askOperator(
       Is.after("via", "h1"), testKey(TestOwner), ApplyChanges{Made.Set},
       [this, Name](const OperatorAnswer &Answer) {
         SentChange &Of = this->Changes[Name];
--- a/tests/harness/ScenarioRunner.h
+++ b/tests/harness/ScenarioRunner.h
@@ -24,7 +24,7 @@
   std::vector<std::string> failures() const;
   /// Keeps the log lines of all hosts; call it before run().
   void keepTrace() { this->Tracing = true; }
-  std::uint64_t kernelSteps() const { return this->World->steps(); }
+  std::uint64_t kernelSteps() const { return this->Deployment->steps(); }
   const std::string &trace() const { return this->Trace; }
 
 private:
@@ -53,7 +53,7 @@
   void send(const Statement &);
   void resend(const Statement &);
   void resume(const Statement &);
-  void hangUp(const Statement &);
+  void disconnect(const Statement &);
   void apply(const Statement &);
   void expect(const Statement &);
 
@@ -77,7 +77,7 @@
   std::vector<Statement> Statements;
   DeploymentOptions Options;
   std::vector<std::string> Teams;
-  std::unique_ptr<VirtualDeployment> World;
+  std::unique_ptr<VirtualDeployment> Deployment;
   std::unique_ptr<PromiseChecker> Checker;
   std::map<std::string, std::size_t> Sent;
   std::map<std::string, SentChange> Changes;
--- a/tests/harness/VirtualDeployment.cpp
+++ b/tests/harness/VirtualDeployment.cpp
@@ -100,7 +100,7 @@
     if (!To.isRunning() || this->Net.isCut("callers", Host))
       return this->connectionLost(Caller);
     if (To.isFrozen())
-      this->Callers[Caller].Excused = true;
+      this->Callers[Caller].HostWasFrozen = true;
     To.whenRunning(To.life(), [this, &To, Caller] {
       To.connect(Caller, this->Callers[Caller].Head);
     });
@@ -123,9 +123,9 @@
   });
 }
 
-void VirtualDeployment::hangUp(std::size_t Caller) {
+void VirtualDeployment::disconnect(std::size_t Caller) {
   CallerRecord &Of = this->Callers[Caller];
-  Of.HungUp = Of.ConnectionLost = true;
+  Of.Disconnected = Of.ConnectionLost = true;
   VirtualHost &From = *this->Hosts.at(Of.Host);
   From.whenRunning(From.life(), [&From, Caller] { From.disconnect(Caller); });
 }
@@ -275,9 +275,9 @@
   if (!Of.isOpen() || Of.Host != From.name())
     return;
   if (Content != Of.Head.Content)
-    ++Of.Foreign;
+    ++Of.ForeignChunks;
   if (First != Of.Next)
-    ++Of.Gaps;
+    ++Of.OutOfOrderChunks;
   Of.Next = End;
   if (!Of.FirstTokenAt)
     Of.FirstTokenAt = this->now() + CallerDelay;
@@ -286,8 +286,8 @@
 void VirtualDeployment::answerTo(std::size_t Caller, VirtualHost &From,
                                  const FinalAnswer &Answer) {
   CallerRecord &Of = this->Callers[Caller];
-  ++Of.Finals;
-  if (Of.Finals > 1)
+  ++Of.FinalAnswers;
+  if (Of.FinalAnswers > 1)
     this->violation(From.name() + " answers a request twice");
   Of.Answer = Answer;
   Of.EndedAt = this->now() + CallerDelay;
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -62,7 +62,7 @@
   // --- callers; the number returned is the position in callers()
   std::size_t send(const std::string &Host, RequestHead Head);
   void resume(std::size_t Caller, const std::string &Host);
-  void hangUp(std::size_t Caller);
+  void disconnect(std::size_t Caller);
   std::vector<CallerRecord> &callers() { return this->Callers; }
   /// A new operation key made now.
   OperationKey makeOperationKey();
--- a/tests/harness/VirtualFaults.cpp
+++ b/tests/harness/VirtualFaults.cpp
@@ -12,7 +12,7 @@
   }
   FakeEngine &Engine = Found->second;
   Engine.Alive = false;
-  Engine.Held.clear();
+  Engine.DeferredWork.clear();
   for (const auto &[Attempt, Each] : std::exchange(Engine.Streams, {})) {
     VirtualHost &To = *this->Hosts.at(Each.Host);
     this->breakAfter(this->Net.delay(Name, Each.Host),
@@ -26,7 +26,7 @@
   if (Found == this->Engines.end()) {
     FakeApplication &Application = this->Applications.at(Name);
     Application.Alive = true;
-    Application.Frozen = Application.SaysLeaving = false;
+    Application.Frozen = Application.ReportsLeaving = false;
     Application.Listing.Leaving = false;
     Application.LeftAt.reset();
     Application.Listing.Life = this->newLife();
@@ -37,7 +37,7 @@
     this->killUpstream(Name);
   EngineShape Shape = Engine.Model.shape();
   Engine.Listing.Life = Shape.Life = this->newLife();
-  Engine.Listing.Leaving = Engine.SaysLeaving = false;
+  Engine.Listing.Leaving = Engine.ReportsLeaving = false;
   Engine.LeftAt.reset();
   Engine.Orders.clear();
   Engine.Model = EngineModel(Shape);
@@ -65,9 +65,9 @@
   const bool IsEngine = Engine != this->Engines.end();
   (IsEngine ? Engine->second.Frozen : this->Applications.at(Name).Frozen) =
       false;
-  auto &Held =
-      IsEngine ? Engine->second.Held : this->Applications.at(Name).Held;
-  for (const auto &Each : std::exchange(Held, {}))
+  auto &DeferredWork = IsEngine ? Engine->second.DeferredWork
+                                : this->Applications.at(Name).DeferredWork;
+  for (const auto &Each : std::exchange(DeferredWork, {}))
     Each();
   if (IsEngine && Engine->second.Alive)
     this->pump(Engine->second);
@@ -78,11 +78,11 @@
   if (Engine != this->Engines.end()) {
     Engine->second.Listing.Leaving = true;
     Engine->second.LeftAt = this->now();
-    Engine->second.SaysLeaving |= OwnWord;
+    Engine->second.ReportsLeaving |= OwnWord;
   } else {
     this->Applications.at(Name).Listing.Leaving = true;
     this->Applications.at(Name).LeftAt = this->now();
-    this->Applications.at(Name).SaysLeaving |= OwnWord;
+    this->Applications.at(Name).ReportsLeaving |= OwnWord;
   }
   this->publishHostList();
 }
--- a/tests/harness/VirtualHost.cpp
+++ b/tests/harness/VirtualHost.cpp
@@ -16,14 +16,14 @@
 
 } // namespace
 
-VirtualHost::VirtualHost(VirtualDeployment &World, HostListing Listing)
-    : World(World), Listing(std::move(Listing)) {}
+VirtualHost::VirtualHost(VirtualDeployment &Deployment, HostListing Listing)
+    : Deployment(Deployment), Listing(std::move(Listing)) {}
 
 void VirtualHost::start(Incarnation NewLife, std::uint64_t NewSeed) {
   this->kill();
   this->Life = NewLife;
   this->Seed = NewSeed;
-  this->Brain = this->World.makeKernel(this->Listing, NewLife, NewSeed);
+  this->Brain = this->Deployment.makeKernel(this->Listing, NewLife, NewSeed);
   this->deliver(Tick{});
 }
 
@@ -33,24 +33,24 @@
   this->Frozen = this->Stopping = false;
   this->WakeAt = Never;
   this->Attempts.clear();
-  this->Held.clear();
+  this->DeferredWork.clear();
   this->Relays.clear();
   this->Reconnecting.clear();
-  this->World.connectionsLost(this->name());
+  this->Deployment.connectionsLost(this->name());
 }
 
 void VirtualHost::freeze() {
   this->Frozen = true;
   for (const auto &[Request, Each] : this->Relays)
     if (Each.Caller)
-      this->World.Callers[*Each.Caller].Excused = true;
+      this->Deployment.Callers[*Each.Caller].HostWasFrozen = true;
 }
 
 void VirtualHost::thaw() {
   this->Frozen = false;
-  this->ThawedAt = this->World.now();
+  this->ThawedAt = this->Deployment.now();
   const Incarnation Before = this->Life;
-  for (const auto &Each : std::exchange(this->Held, {}))
+  for (const auto &Each : std::exchange(this->DeferredWork, {}))
     if (this->Life == Before)
       Each();
   this->WakeAt = Never;
@@ -63,7 +63,7 @@
   if (!this->Brain || this->Life != Expected)
     return;
   if (this->Frozen)
-    this->Held.push_back(std::move(Todo));
+    this->DeferredWork.push_back(std::move(Todo));
   else
     Todo();
 }
@@ -77,18 +77,19 @@
 void VirtualHost::react(const Event &Incoming) {
   if (!this->Brain)
     return;
-  ++this->World.Steps;
+  ++this->Deployment.Steps;
   const std::uint64_t Broken = this->Brain->invariantsBroken();
-  auto Wanted = this->Brain->handle(Incoming, this->World.now());
-  if (this->World.OnHandled)
-    this->World.OnHandled(*this, Incoming, this->World.now(), Wanted);
+  auto Wanted = this->Brain->handle(Incoming, this->Deployment.now());
+  if (this->Deployment.OnHandled)
+    this->Deployment.OnHandled(*this, Incoming, this->Deployment.now(), Wanted);
   if (this->Brain->invariantsBroken() != Broken)
-    this->World.violation("kernel of " + this->name() + " broke an invariant");
+    this->Deployment.violation("kernel of " + this->name() +
+                               " broke an invariant");
   this->scheduleWake();
-  if (this->World.Options.ActionDelay == Duration())
+  if (this->Deployment.Options.ActionDelay == Duration())
     return this->carryOut(Wanted);
-  this->World.Queue.after(
-      this->World.Options.ActionDelay,
+  this->Deployment.Queue.after(
+      this->Deployment.Options.ActionDelay,
       [this, Now = this->Life, Wanted = std::move(Wanted)] {
         this->whenRunning(Now, [this, Wanted] { this->carryOut(Wanted); });
       });
@@ -98,13 +99,13 @@
   const Time Wanted = this->Brain->nextWake();
   if (Wanted >= this->WakeAt)
     return;
-  this->WakeAt = std::max(Wanted, this->World.now() + ShortestSleep);
-  this->World.Queue.at(
+  this->WakeAt = std::max(Wanted, this->Deployment.now() + ShortestSleep);
+  this->Deployment.Queue.at(
       this->WakeAt, [this, Now = this->Life, Planned = this->WakeAt] {
         if (this->Life != Now || this->Frozen || this->WakeAt != Planned)
           return;
         this->WakeAt = Never;
-        if (this->Brain->nextWake() <= this->World.now())
+        if (this->Brain->nextWake() <= this->Deployment.now())
           this->react(Tick{});
         else
           this->scheduleWake();
@@ -127,7 +128,7 @@
                                  std::uint64_t NextIndex) {
   const RequestId Id(++this->RequestsMade);
   this->Reconnecting[Id] = Caller;
-  const std::string Key = this->World.Callers[Caller].Head.TeamKey;
+  const std::string Key = this->Deployment.Callers[Caller].Head.TeamKey;
   this->deliver(ResumeRequest{Id, Key, Token, NextIndex});
   return Id;
 }
@@ -144,7 +145,7 @@
 void VirtualHost::receive(const ChunkBatch &Chunks) {
   const auto Found = this->Attempts.find(Chunks.Connection);
   if (Found == this->Attempts.end() || Found->second.Echoed != Chunks.Echoed) {
-    ++this->World.Counts["harness_chunks_dropped"];
+    ++this->Deployment.Counts["harness_chunks_dropped"];
     return;
   }
   Incoming &From = Found->second;
@@ -155,7 +156,8 @@
   const std::uint64_t Before = To.Next;
   To.Next = std::max(To.Next, End);
   if (To.Caller && To.Next > Before)
-    this->World.chunksTo(*To.Caller, *this, Chunks.Content, Before, To.Next);
+    this->Deployment.chunksTo(*To.Caller, *this, Chunks.Content, Before,
+                              To.Next);
   if (Chunks.Ended)
     return this->endAttempt(Chunks.Connection, AttemptComplete{To.Next, {}});
   const bool Coarse = Before / ProgressInterval != To.Next / ProgressInterval;
@@ -196,7 +198,7 @@
   this->Attempts[Wanted.Attempt] = {Wanted.Request, Wanted.Upstream, Echoed};
   if (!Of.Head && !Wanted.AttachTo)
     return this->endAttempt(Wanted.Attempt, AttemptNeverSent{});
-  this->World.dispatch(*this, Wanted, Of.Head.value_or(RequestHead{}));
+  this->Deployment.dispatch(*this, Wanted, Of.Head.value_or(RequestHead{}));
 }
 
 void VirtualHost::answer(const AnswerRequest &Wanted) {
@@ -204,13 +206,14 @@
   if (Again != this->Reconnecting.end()) {
     const std::size_t Caller = Again->second;
     this->Reconnecting.erase(Again);
-    return this->World.connectionLost(Caller);
+    return this->Deployment.connectionLost(Caller);
   }
   const auto Found = this->Relays.find(Wanted.Request);
   if (Found == this->Relays.end())
-    return this->World.violation(this->name() + " answers an unknown request");
+    return this->Deployment.violation(this->name() +
+                                      " answers an unknown request");
   if (Found->second.Caller)
-    this->World.answerTo(*Found->second.Caller, *this, Wanted.Answer);
+    this->Deployment.answerTo(*Found->second.Caller, *this, Wanted.Answer);
   this->endRelay(Wanted.Request);
 }
 
@@ -219,8 +222,8 @@
   if (Found == this->Relays.end())
     return;
   if (Found->second.Caller)
-    this->World.redirectTo(*Found->second.Caller, Wanted.To,
-                           Wanted.ResumeToken);
+    this->Deployment.redirectTo(*Found->second.Caller, Wanted.To,
+                                Wanted.ResumeToken);
   this->endRelay(Wanted.Request);
 }
 
@@ -233,12 +236,14 @@
   this->Reconnecting.erase(Joining);
   Relay &Of = Found->second;
   if (!Of.Head)
-    Of.Content = this->World.Callers[Caller].Head.Content;
+    Of.Content = this->Deployment.Callers[Caller].Head.Content;
   if (Wanted.NextIndex < Of.Base)
-    return this->World.violation("a stream is resumed before its first chunk");
+    return this->Deployment.violation(
+        "a stream is resumed before its first chunk");
   Of.Caller = Caller;
   if (Of.Next > Wanted.NextIndex)
-    this->World.chunksTo(Caller, *this, Of.Content, Wanted.NextIndex, Of.Next);
+    this->Deployment.chunksTo(Caller, *this, Of.Content, Wanted.NextIndex,
+                              Of.Next);
 }
 
 void VirtualHost::endRelay(const RequestId &Request) {
@@ -250,11 +255,11 @@
 
 void VirtualHost::finish() {
   this->Stopping = true;
-  this->World.Queue.after(LongestFinish, [this, Now = this->Life] {
+  this->Deployment.Queue.after(LongestFinish, [this, Now = this->Life] {
     if (this->Life != Now || this->Frozen)
       return;
-    this->World.violation("the planned stop of " + this->name() +
-                          " cut off a request");
+    this->Deployment.violation("the planned stop of " + this->name() +
+                               " cut off a request");
     this->kill();
   });
   this->endWhenFinished();
@@ -278,7 +283,7 @@
 }
 
 void VirtualHost::carryOut(const Action &Wanted) {
-  VirtualDeployment &To = this->World;
+  VirtualDeployment &To = this->Deployment;
   match(
       Wanted,
       [&](const AcceptRequest &Each) {
--- a/tests/harness/VirtualHost.h
+++ b/tests/harness/VirtualHost.h
@@ -21,7 +21,7 @@
 /// it may be frozen, killed and started again with a new life.
 class VirtualHost {
 public:
-  VirtualHost(VirtualDeployment &World, HostListing Listing);
+  VirtualHost(VirtualDeployment &Deployment, HostListing Listing);
 
   void start(Incarnation Life, std::uint64_t Seed);
   void kill();
@@ -89,7 +89,7 @@
   /// Chunks between two reports of progress.
   static constexpr std::uint64_t ProgressInterval = 64;
 
-  VirtualDeployment &World;
+  VirtualDeployment &Deployment;
   HostListing Listing;
   std::unique_ptr<Kernel> Brain;
   Incarnation Life;
@@ -102,7 +102,7 @@
   std::map<RequestId, Relay> Relays;
   std::map<RequestId, std::size_t> Reconnecting;
   std::map<AttemptId, Incoming> Attempts;
-  std::vector<std::function<void()>> Held;
+  std::vector<std::function<void()>> DeferredWork;
 };
 
 } // namespace banyanpick
--- a/tests/harness/VirtualPlatform.cpp
+++ b/tests/harness/VirtualPlatform.cpp
@@ -79,18 +79,20 @@
   if (this->Net.isCut(From.name(), "log"))
     return this->replyAfter(AnswerTimeout, From, Life, NoAnswer);
   const auto Arrived = [this, &From, Life, Wanted, NoAnswer] {
-    const AppendFate Fate = this->Log.decide(this->now());
+    const AppendOutcome Outcome = this->Log.decideOutcome(this->now());
     const LogOffset Offset = this->Log.end();
-    if (Fate == AppendFate::Taken || Fate == AppendFate::AnswerLost)
+    if (Outcome == AppendOutcome::Appended ||
+        Outcome == AppendOutcome::AnswerLost)
       this->storeInLog(Wanted.Records);
-    if (Fate == AppendFate::LateEffect)
-      this->Queue.after(this->Log.Lateness,
+    if (Outcome == AppendOutcome::Delayed)
+      this->Queue.after(this->Log.AppendDelay,
                         [this, Wanted] { this->storeInLog(Wanted.Records); });
-    if (Fate == AppendFate::Refused)
+    if (Outcome == AppendOutcome::Refused)
       return this->reply(
           "log", From, Life,
           AppendAnswered{Wanted.Append, AppendResult::Refused, 0});
-    if (Fate == AppendFate::Taken && !this->Net.isCut("log", From.name()))
+    if (Outcome == AppendOutcome::Appended &&
+        !this->Net.isCut("log", From.name()))
       return this->reply(
           "log", From, Life,
           AppendAnswered{Wanted.Append, AppendResult::Appended, Offset});
--- a/tests/harness/VirtualUpstreams.cpp
+++ b/tests/harness/VirtualUpstreams.cpp
@@ -34,16 +34,17 @@
       IsEngine ? Engine->second.Alive : Application->second.Alive;
   const bool &Frozen =
       IsEngine ? Engine->second.Frozen : Application->second.Frozen;
-  auto &Held = IsEngine ? Engine->second.Held : Application->second.Held;
+  auto &DeferredWork =
+      IsEngine ? Engine->second.DeferredWork : Application->second.DeferredWork;
   if (!Alive)
     return Way::Refused;
   this->Queue.after(this->Net.delay(From, Upstream),
-                    [&Listing, &Alive, &Frozen, &Held, Life = Listing.Life,
-                     Todo = std::move(Todo)] {
+                    [&Listing, &Alive, &Frozen, &DeferredWork,
+                     Life = Listing.Life, Todo = std::move(Todo)] {
                       if (!Alive || Listing.Life != Life)
                         return;
                       if (Frozen)
-                        Held.push_back(Todo);
+                        DeferredWork.push_back(Todo);
                       else
                         Todo();
                     });
@@ -70,7 +71,7 @@
 
 void VirtualDeployment::started(const VirtualTry &Try) {
   if (Try.Caller)
-    ++this->Callers[*Try.Caller].Started;
+    ++this->Callers[*Try.Caller].StartedRuns;
 }
 
 void VirtualDeployment::endAfter(Duration Delay, const VirtualTry &Try,
@@ -149,7 +150,7 @@
   Job.Holds = Wanted.Holds;
   using Submitted = EngineModel::Submitted;
   using Why = AttemptRefused::Why;
-  const Submitted Answer = Engine.SaysLeaving
+  const Submitted Answer = Engine.ReportsLeaving
                                ? Submitted::Leaving
                                : Engine.Model.submit(Job, this->now());
   if (Answer != Submitted::Accepted) {
@@ -189,7 +190,7 @@
                                        const VirtualTry &Try) {
   this->pump(Engine);
   const auto Found =
-      Engine.Streams.find(Engine.startedAs(Wanted.AttachTo.value()));
+      Engine.Streams.find(Engine.startedAttempt(Wanted.AttachTo.value()));
   if (Found == Engine.Streams.end())
     return this->breakAfter(
         this->Net.delay(Engine.Listing.Id.Value, Try.From->name()), Try, false);
@@ -250,22 +251,23 @@
                                        [&To, Given] { To.receive(Given); });
                       });
   };
-  const bool Truncated = Engine.ToTruncate > 0 && Engine.ToTruncate--;
+  const bool Truncated =
+      Engine.BatchesToTruncate > 0 && Engine.BatchesToTruncate--;
   if (Truncated || this->Net.isCut(Engine.Listing.Id.Value, To.name())) {
     Stream.Broken = true;
     return this->breakAfter(AnswerTimeout, {&To, Life, Chunks.Connection, {}},
                             false);
   }
-  if (Engine.ToCross > 0 && Engine.Streams.size() > 1) {
-    --Engine.ToCross;
+  if (Engine.BatchesToMisroute > 0 && Engine.Streams.size() > 1) {
+    --Engine.BatchesToMisroute;
     ChunkBatch Stray = Chunks;
     for (const auto &[Attempt, Other] : Engine.Streams)
       if (Other.Listener != Chunks.Connection)
         Stray.Connection = Other.Listener;
     Give(Stray);
   }
-  if (Engine.ToRepeat > 0) {
-    --Engine.ToRepeat;
+  if (Engine.BatchesToRepeat > 0) {
+    --Engine.BatchesToRepeat;
     Give(Chunks);
   }
   Give(Chunks);
@@ -276,7 +278,7 @@
                                          const VirtualTry &Try) {
   AttemptOutcome Outcome = AttemptComplete{1, "done"};
   Duration Delay = Application.RunTime;
-  if (Application.SaysLeaving) {
+  if (Application.ReportsLeaving) {
     Outcome = AttemptRefused{AttemptRefused::Why::Leaving};
     Delay = Duration();
   } else {
@@ -310,7 +312,7 @@
         if (Found != this->Engines.end()) {
           FakeEngine &Engine = Found->second;
           this->pump(Engine);
-          const AttemptId Started = Engine.startedAs(Wanted.Attempt);
+          const AttemptId Started = Engine.startedAttempt(Wanted.Attempt);
           Engine.Model.cancel(Started, this->now());
           Engine.Streams.erase(Started);
           this->schedulePump(Engine);
