--- a/tests/harness/FakeEngine.h
+++ b/tests/harness/FakeEngine.h
@@ -87,8 +87,8 @@
       return this->LastReport;
     this->LastReport = this->Model.report(Now);
     this->LastReport.Leaving |= this->ReportsLeaving;
-    for (HoldReport &Each : this->LastReport.Holds)
-      this->nameListener(Each);
+    for (HoldReport &Hold : this->LastReport.Holds)
+      this->nameListener(Hold);
     return this->LastReport;
   }
 
--- a/tests/harness/FakeLog.h
+++ b/tests/harness/FakeLog.h
@@ -54,8 +54,8 @@
     const LogOffset Offset = this->end();
     this->Appends.push_back({Now, {}});
     std::uint32_t Position = 0;
-    for (const LogRecord &Each : Records)
-      this->Appends.back().Records.push_back({Offset, Position++, Each});
+    for (const LogRecord &Record : Records)
+      this->Appends.back().Records.push_back({Offset, Position++, Record});
     return Offset;
   }
 
--- a/tests/harness/RandomScenario.cpp
+++ b/tests/harness/RandomScenario.cpp
@@ -35,9 +35,9 @@
 constexpr std::uint32_t LongestFaultMs = 20'000;
 
 template <std::size_t Size>
-std::string pick(const std::array<const char *, Size> &From,
+std::string pick(const std::array<const char *, Size> &Choices,
                  std::uint32_t Number) {
-  return From[Number % Size];
+  return Choices[Number % Size];
 }
 
 /// Puts random steps into words.
@@ -47,43 +47,44 @@
       : Text(fmt::format("set seed {}\n{}", Seed, Deployment)) {}
 
   void add(const RandomStep &Step) {
-    this->At = WarmUpMs + Step.AtMs % RunMs;
-    this->End = this->At + 100 + Step.LengthMs % LongestFaultMs;
+    this->StartMs = WarmUpMs + Step.AtMs % RunMs;
+    this->EndMs = this->StartMs + 100 + Step.LengthMs % LongestFaultMs;
     this->Host = pick(Hosts, Step.Target);
     this->Engine = pick(Engines, Step.Target);
     this->Application = pick(Applications, Step.Target);
     constexpr std::uint32_t Kinds = 40;
-    this->write(Step.Kind % Kinds, Step);
+    this->appendStep(Step.Kind % Kinds, Step);
   }
 
-  std::string take() { return std::move(this->Text); }
+  std::string takeText() { return std::move(this->Text); }
 
 private:
-  void write(std::uint32_t Kind, const RandomStep &Step) {
+  void appendStep(std::uint32_t Kind, const RandomStep &Step) {
     if (Kind < 16)
-      return this->request(Kind, Step);
+      return this->appendRequest(Kind, Step);
     if (Kind < 26)
-      return this->deathsAndStops(Kind);
+      return this->appendProcessFault(Kind);
     if (Kind < 32)
-      return this->links(Kind, Step);
-    this->platform(Kind, Step);
+      return this->appendNetworkFault(Kind, Step);
+    this->appendPlatformEvent(Kind, Step);
   }
 
-  void request(std::uint32_t Kind, const RandomStep &Step) {
+  void appendRequest(std::uint32_t Kind, const RandomStep &Step) {
     const std::string Team = fmt::format("house-{}", 1 + Step.Other % 3);
-    const bool Again = Kind >= 13 && !this->Confirmations.empty();
+    const bool IsResend = Kind >= 13 && !this->Confirmations.empty();
     const std::string Name = fmt::format("r{}", ++this->Requests);
-    if (Again) {
-      const auto &Of =
+    if (IsResend) {
+      const auto &Original =
           this->Confirmations[Step.Other % this->Confirmations.size()];
-      return this->line(
-          std::max(this->At, Of.second),
-          fmt::format("resend {} via {} as {}", Of.first, this->Host, Name));
+      return this->appendLine(std::max(this->StartMs, Original.second),
+                              fmt::format("resend {} via {} as {}",
+                                          Original.first, this->Host, Name));
     }
     if (Kind >= 9) {
-      this->Confirmations.emplace_back(Name, this->At);
-      return this->line(this->At, fmt::format("send {} confirm via {} team {}",
-                                              Name, this->Host, Team));
+      this->Confirmations.emplace_back(Name, this->StartMs);
+      return this->appendLine(this->StartMs,
+                              fmt::format("send {} confirm via {} team {}",
+                                          Name, this->Host, Team));
     }
     const bool Short = Kind < 6;
     const std::uint32_t Prompt = Short      ? 500 + Step.LengthMs % 4000
@@ -91,38 +92,42 @@
                                             : 500'000 + Step.LengthMs * 10;
     const char *Class = Short ? "short" : Kind < 8 ? "long" : "review";
     const std::uint32_t Limit = Short ? 8'000 : Kind < 8 ? 200'000 : 1'000'000;
-    this->line(this->At,
-               fmt::format("send {} {} prompt {} output {} via {} team {}",
-                           Name, Class, std::min(Prompt, Limit),
-                           1 + Step.Other % 200, this->Host, Team));
+    this->appendLine(
+        this->StartMs,
+        fmt::format("send {} {} prompt {} output {} via {} team {}", Name,
+                    Class, std::min(Prompt, Limit), 1 + Step.Other % 200,
+                    this->Host, Team));
   }
 
-  void deathsAndStops(std::uint32_t Kind) {
+  void appendProcessFault(std::uint32_t Kind) {
     switch (Kind) {
     case 16:
     case 17:
-      return this->pair("kill " + this->Host, "restart " + this->Host);
+      return this->appendFault("kill " + this->Host, "restart " + this->Host);
     case 18:
     case 19:
-      return this->pair("freeze " + this->Host, "thaw " + this->Host);
+      return this->appendFault("freeze " + this->Host, "thaw " + this->Host);
     case 20:
-      return this->pair("stop " + this->Host, "restart " + this->Host);
+      return this->appendFault("stop " + this->Host, "restart " + this->Host);
     case 21:
-      return this->pair("kill " + this->Engine, "restart " + this->Engine);
+      return this->appendFault("kill " + this->Engine,
+                               "restart " + this->Engine);
     case 22:
-      return this->pair("freeze " + this->Engine, "thaw " + this->Engine);
+      return this->appendFault("freeze " + this->Engine,
+                               "thaw " + this->Engine);
     case 23:
-      return this->pair("leave " + this->Engine, "restart " + this->Engine);
+      return this->appendFault("leave " + this->Engine,
+                               "restart " + this->Engine);
     case 24:
-      return this->pair("leave " + this->Application + " quietly",
-                        "restart " + this->Application);
+      return this->appendFault("leave " + this->Application + " quietly",
+                               "restart " + this->Application);
     default:
-      return this->pair("kill " + this->Application,
-                        "restart " + this->Application);
+      return this->appendFault("kill " + this->Application,
+                               "restart " + this->Application);
     }
   }
 
-  void links(std::uint32_t Kind, const RandomStep &Step) {
+  void appendNetworkFault(std::uint32_t Kind, const RandomStep &Step) {
     const std::string Peer = pick(Hosts, Step.Other);
     const std::string Upstream = Step.Other % 2 == 0
                                      ? pick(Engines, Step.Other / 2)
@@ -132,34 +137,35 @@
                              : Kind == 28 ? this->Host + " hostlist"
                                           : this->Host + " " + Upstream;
     if (Kind == 30)
-      return this->line(
-          this->At, fmt::format("delay {} {}ms", Ends, Step.LengthMs % 400));
+      return this->appendLine(this->StartMs, fmt::format("delay {} {}ms", Ends,
+                                                         Step.LengthMs % 400));
     if (Kind == 31)
-      return this->pair(fmt::format("cut {} to {}", Upstream, this->Host),
-                        fmt::format("heal {} {}", Upstream, this->Host));
-    this->pair("cut " + Ends, "heal " + Ends);
+      return this->appendFault(
+          fmt::format("cut {} to {}", Upstream, this->Host),
+          fmt::format("heal {} {}", Upstream, this->Host));
+    this->appendFault("cut " + Ends, "heal " + Ends);
   }
 
-  void platform(std::uint32_t Kind, const RandomStep &Step) {
+  void appendPlatformEvent(std::uint32_t Kind, const RandomStep &Step) {
     switch (Kind) {
     case 32:
-      return this->pair("log down", "log up");
+      return this->appendFault("log down", "log up");
     case 33:
-      return this->line(this->At,
-                        fmt::format("log lose-answers {}", 1 + Step.Other % 4));
+      return this->appendLine(this->StartMs, fmt::format("log lose-answers {}",
+                                                         1 + Step.Other % 4));
     case 34:
-      return this->line(this->At,
-                        fmt::format("log late {} {}ms", 1 + Step.Other % 3,
-                                    Step.LengthMs % 8000));
+      return this->appendLine(this->StartMs, fmt::format("log late {} {}ms",
+                                                         1 + Step.Other % 3,
+                                                         Step.LengthMs % 8000));
     case 35:
-      return this->pair(fmt::format("log slow {}ms", Step.LengthMs % 900),
-                        "log slow 1ms");
+      return this->appendFault(
+          fmt::format("log slow {}ms", Step.LengthMs % 900), "log slow 1ms");
     case 36:
-      return this->line(this->At,
-                        fmt::format("lose answers {} 1", this->Application));
+      return this->appendLine(
+          this->StartMs, fmt::format("lose answers {} 1", this->Application));
     case 37:
-      return this->line(
-          this->At,
+      return this->appendLine(
+          this->StartMs,
           fmt::format(
               "lose {} {} {}",
               pick(std::array<const char *, 5>{"cross", "repeat", "truncate",
@@ -167,27 +173,28 @@
                    Step.Other),
               this->Engine, 1 + Step.Other % 5));
     case 38:
-      return this->pair("lose peer-messages 0.3", "lose peer-messages 0");
+      return this->appendFault("lose peer-messages 0.3",
+                               "lose peer-messages 0");
     default:
-      return this->line(
-          this->At,
+      return this->appendLine(
+          this->StartMs,
           fmt::format("apply c{} team house-{} concurrent {} base {} via {}",
                       ++this->Changes, 1 + Step.Other % 3,
                       50 + Step.Target % 50, 1, this->Host));
     }
   }
 
-  void line(std::uint32_t When, const std::string &Words) {
-    this->Text += fmt::format("at {}ms {}\n", When, Words);
+  void appendLine(std::uint32_t When, const std::string &Command) {
+    this->Text += fmt::format("at {}ms {}\n", When, Command);
   }
-  void pair(const std::string &Fault, const std::string &Mended) {
-    this->line(this->At, Fault);
-    this->line(this->End, Mended);
+  void appendFault(const std::string &Fault, const std::string &Recovery) {
+    this->appendLine(this->StartMs, Fault);
+    this->appendLine(this->EndMs, Recovery);
   }
 
   std::string Text;
-  std::uint32_t At = 0;
-  std::uint32_t End = 0;
+  std::uint32_t StartMs = 0;
+  std::uint32_t EndMs = 0;
   std::string Host;
   std::string Engine;
   std::string Application;
@@ -198,30 +205,30 @@
 
 } // namespace
 
-std::vector<RandomStep> randomSteps(Random &Numbers, std::size_t Count,
+std::vector<RandomStep> randomSteps(Random &Rng, std::size_t Count,
                                     std::uint32_t LengthMs) {
-  const auto Any = [&Numbers] {
-    return static_cast<std::uint32_t>(Numbers.below(1U << 30));
+  const auto Draw = [&Rng] {
+    return static_cast<std::uint32_t>(Rng.below(1U << 30));
   };
   std::vector<RandomStep> Steps;
-  for (std::size_t Made = 0; Made < Count; ++Made)
-    Steps.push_back({Any() % LengthMs, Any(), Any(), Any(), Any() % 60'000});
+  for (std::size_t Created = 0; Created < Count; ++Created)
+    Steps.push_back(
+        {Draw() % LengthMs, Draw(), Draw(), Draw(), Draw() % 60'000});
   return Steps;
 }
 
 std::string randomScenario(std::uint64_t Seed,
                            std::span<const RandomStep> Steps) {
   ScenarioWriter Writer(Seed);
-  for (const RandomStep &Each : Steps)
-    Writer.add(Each);
-  return Writer.take();
+  for (const RandomStep &Step : Steps)
+    Writer.add(Step);
+  return Writer.takeText();
 }
 
 RandomRunResult runRandomScenario(std::uint64_t Seed) {
-  Random Numbers(Seed);
+  Random Rng(Seed);
   RandomRunResult Result;
-  Result.Scenario =
-      randomScenario(Seed, randomSteps(Numbers, StepsOfRun, RunMs));
+  Result.Scenario = randomScenario(Seed, randomSteps(Rng, StepsOfRun, RunMs));
   ScenarioRunner Runner(Result.Scenario);
   Runner.run();
   Result.KernelSteps = Runner.kernelSteps();
--- a/tests/harness/RandomScenario.h
+++ b/tests/harness/RandomScenario.h
@@ -23,7 +23,7 @@
 };
 
 /// Steps over \p LengthMs milliseconds of virtual time.
-std::vector<RandomStep> randomSteps(Random &Numbers, std::size_t Count,
+std::vector<RandomStep> randomSteps(Random &Rng, std::size_t Count,
                                     std::uint32_t LengthMs);
 
 /// The steps as the text of a scenario, with a deployment around them.
--- a/tests/harness/Scenario.cpp
+++ b/tests/harness/Scenario.cpp
@@ -45,24 +45,27 @@
 std::vector<std::string>
 Statement::names(std::size_t First, std::vector<std::string_view> Ends) const {
   std::vector<std::string> Result;
-  for (std::size_t At = First; At < this->Words.size(); ++At) {
-    if (std::find(Ends.begin(), Ends.end(), this->Words[At]) != Ends.end())
+  for (std::size_t Position = First; Position < this->Words.size();
+       ++Position) {
+    if (std::find(Ends.begin(), Ends.end(), this->Words[Position]) !=
+        Ends.end())
       break;
-    Result.push_back(this->Words[At]);
+    Result.push_back(this->Words[Position]);
   }
   return Result;
 }
 
-void Statement::fail(std::string_view What) const {
+void Statement::fail(std::string_view Problem) const {
   throw Error(ErrorKind::BadInput,
-              "line " + std::to_string(this->Line) + ": " + std::string(What),
+              "line " + std::to_string(this->Line) + ": " +
+                  std::string(Problem),
               "see docs/SCENARIOS.md");
 }
 
-Duration parseSpan(const Statement &Where, const std::string &Text) {
+Duration parseDuration(const Statement &Source, const std::string &Text) {
   const auto Value = parseNumber(SettingKind::Span, Text);
   if (!Value)
-    Where.fail("'" + Text + "' is not a duration such as 250ms or 3s");
+    Source.fail("'" + Text + "' is not a duration such as 250ms or 3s");
   return Duration(static_cast<Duration::rep>(*Value));
 }
 
@@ -79,7 +82,7 @@
     if (Next.Words.empty())
       continue;
     if (Next.Words[0] == "at") {
-      Next.At = parseSpan(Next, Next.word(1));
+      Next.At = parseDuration(Next, Next.word(1));
       Next.word(2);
       Next.Words.erase(Next.Words.begin(), Next.Words.begin() + 2);
     }
--- a/tests/harness/Scenario.h
+++ b/tests/harness/Scenario.h
@@ -29,13 +29,13 @@
   std::vector<std::string> names(std::size_t First,
                                  std::vector<std::string_view> Ends = {}) const;
   /// Throws Error(BadInput) with file-independent text naming the line.
-  [[noreturn]] void fail(std::string_view What) const;
+  [[noreturn]] void fail(std::string_view Problem) const;
 };
 
 /// The statements of \p Text: the setup in its order, then the rest by time.
 std::vector<Statement> parseScenario(std::string_view Text);
 
 /// `250ms`, `3s`, `2min`.
-Duration parseSpan(const Statement &Where, const std::string &Text);
+Duration parseDuration(const Statement &Source, const std::string &Text);
 
 } // namespace banyanpick
--- a/tests/harness/ScenarioRunner.h
+++ b/tests/harness/ScenarioRunner.h
@@ -28,9 +28,9 @@
   const std::string &trace() const { return this->Trace; }
 
 private:
-  using Verb = void (ScenarioRunner::*)(const Statement &);
-  static const std::map<std::string, Verb, std::less<>> &setupVerbs();
-  static const std::map<std::string, Verb, std::less<>> &eventVerbs();
+  using Handler = void (ScenarioRunner::*)(const Statement &);
+  static const std::map<std::string, Handler, std::less<>> &setupHandlers();
+  static const std::map<std::string, Handler, std::less<>> &eventHandlers();
 
   void set(const Statement &);
   void addHosts(const Statement &);
@@ -59,17 +59,17 @@
 
   void begin();
   void runUntil(Time Until);
-  void mendAll();
+  void clearFaults();
   bool isHost(const std::string &Name) const;
   std::size_t caller(const Statement &, const std::string &Name) const;
   /// What came of a request, in the words of `expect`.
-  std::string outcomeOf(const CallerRecord &Of) const;
+  std::string outcomeOf(const CallerRecord &Record) const;
   /// What there is of the thing that `expect` names.
-  std::string found(const Statement &);
-  std::string foundOnHost(const Statement &);
+  std::string observe(const Statement &);
+  std::string observeHost(const Statement &);
 
   struct SentChange {
-    std::string Verdict = "pending";
+    std::string Result = "pending";
     LogOffset Offset = 0;
     ChangeSet Set;
   };
@@ -79,12 +79,12 @@
   std::vector<std::string> Teams;
   std::unique_ptr<VirtualDeployment> Deployment;
   std::unique_ptr<PromiseChecker> Checker;
-  std::map<std::string, std::size_t> Sent;
+  std::map<std::string, std::size_t> CallersByName;
   std::map<std::string, SentChange> Changes;
-  std::vector<std::string> Unmet;
+  std::vector<std::string> UnmetExpectations;
   std::string Trace;
   bool Tracing = false;
-  Time Beginning{};
+  Time StartTime{};
 };
 
 } // namespace banyanpick
--- a/tests/harness/TestCatalogue.h
+++ b/tests/harness/TestCatalogue.h
@@ -71,8 +71,8 @@
       declared(EntryKind::Class, "review", testClass(Model, 1'000'000, 2)));
   All.push_back(
       declared(EntryKind::Class, "confirm", testClass(Service, 1'000, 9)));
-  for (const std::string &Each : Teams)
-    All.push_back(declared(EntryKind::Team, Each, testTeam(Each)));
+  for (const std::string &Team : Teams)
+    All.push_back(declared(EntryKind::Team, Team, testTeam(Team)));
   return All;
 }
 
--- a/tests/harness/VirtualDeployment.cpp
+++ b/tests/harness/VirtualDeployment.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Where virtual time starts: 2026-01-01 00:00 UTC.
-constexpr Time Beginning{seconds(1767225600)};
+constexpr Time StartTime{seconds(1767225600)};
 
 /// One way between a caller and an entry host.
 constexpr Duration CallerDelay = milliseconds(2);
@@ -29,8 +29,7 @@
 } // namespace
 
 VirtualDeployment::VirtualDeployment(DeploymentOptions Options)
-    : Options(std::move(Options)), Numbers(this->Options.Seed),
-      Queue(Beginning) {}
+    : Options(std::move(Options)), Rng(this->Options.Seed), Queue(StartTime) {}
 
 VirtualDeployment::~VirtualDeployment() = default;
 
@@ -134,8 +133,8 @@
   const auto Ms = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(this->now().time_since_epoch())
           .count());
-  const std::uint64_t High = this->Numbers.below(0x1000);
-  const std::uint64_t Low = this->Numbers.below(std::uint64_t(1) << 62);
+  const std::uint64_t High = this->Rng.below(0x1000);
+  const std::uint64_t Low = this->Rng.below(std::uint64_t(1) << 62);
   return OperationKey(fmt::format("{:08x}-{:04x}-7{:03x}-{:04x}-{:012x}",
                                   (Ms >> 16) & 0xffffffff, Ms & 0xffff, High,
                                   0x8000 | (Low >> 48), Low & 0xffffffffffff));
@@ -190,7 +189,7 @@
 
 void VirtualDeployment::violation(const std::string &What) {
   this->Violations.push_back(
-      std::to_string(inSeconds(this->now() - Beginning)) + " s: " + What);
+      std::to_string(inSeconds(this->now() - StartTime)) + " s: " + What);
 }
 
 void VirtualDeployment::measured(const RecordMeasurement &What) {
@@ -219,7 +218,7 @@
 }
 
 Incarnation VirtualDeployment::newLife() {
-  return Incarnation(this->Numbers.below(~0ULL) + 1);
+  return Incarnation(this->Rng.below(~0ULL) + 1);
 }
 
 // --- entry hosts
@@ -228,10 +227,10 @@
   const std::string To = Wanted.To.Value;
   if (!this->Hosts.contains(To) || this->Net.isCut(From.name(), To))
     return;
-  if (this->Net.Loss > 0 && this->Numbers.fraction() < this->Net.Loss)
+  if (this->Net.Loss > 0 && this->Rng.fraction() < this->Net.Loss)
     return;
-  const bool Twice = this->Net.Duplication > 0 &&
-                     this->Numbers.fraction() < this->Net.Duplication;
+  const bool Twice =
+      this->Net.Duplication > 0 && this->Rng.fraction() < this->Net.Duplication;
   const PeerMessage Message{HostId(From.name()), From.life(), Wanted.Body};
   if (this->OnPeerMessage)
     this->OnPeerMessage(Message);
@@ -243,7 +242,7 @@
 }
 
 void VirtualDeployment::startHost(const std::string &Name) {
-  this->Hosts.at(Name)->start(this->newLife(), this->Numbers.below(~0ULL));
+  this->Hosts.at(Name)->start(this->newLife(), this->Rng.below(~0ULL));
   this->publishHostList();
 }
 
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -96,7 +96,7 @@
   // --- what can be looked at
   Network &network() { return this->Net; }
   FakeLog &log() { return this->Log; }
-  Random &random() { return this->Numbers; }
+  Random &random() { return this->Rng; }
   std::map<std::string, std::unique_ptr<VirtualHost>> &hosts() {
     return this->Hosts;
   }
@@ -194,7 +194,7 @@
   void connectionsLost(const std::string &Host);
 
   DeploymentOptions Options;
-  Random Numbers;
+  Random Rng;
   EventQueue Queue;
   Network Net;
   FakeLog Log;
--- a/tests/harness/VirtualReports.cpp
+++ b/tests/harness/VirtualReports.cpp
@@ -55,7 +55,7 @@
         Engine.Model.cacheEventsAfter(Wanted.AfterSequence, this->now());
     if (Engine.CacheEventLoss > 0)
       std::erase_if(Events, [&](const CacheEvent &) {
-        return this->Numbers.fraction() < Engine.CacheEventLoss;
+        return this->Rng.fraction() < Engine.CacheEventLoss;
       });
     this->reply(Name, From, Life,
                 CacheEventsReported{Wanted.Upstream, Engine.Listing.Life,
