--- a/tests/auto/harness/ServingTest.cpp
+++ b/tests/auto/harness/ServingTest.cpp
@@ -29,10 +29,10 @@
   Confirm.Streamed = false;
   Deployment.send("h1", Confirm);
   Deployment.runFor(seconds(60));
-  for (const CallerRecord &Each : Deployment.callers()) {
-    ASSERT_TRUE(Each.Answer);
-    EXPECT_TRUE(std::holds_alternative<CompleteAnswer>(*Each.Answer))
-        << Each.Head.Class.Value << Each.Answer->index();
+  for (const CallerRecord &Record : Deployment.callers()) {
+    ASSERT_TRUE(Record.Answer);
+    EXPECT_TRUE(std::holds_alternative<CompleteAnswer>(*Record.Answer))
+        << Record.Head.Class.Value << Record.Answer->index();
   }
   EXPECT_EQ(Deployment.applications().at("p1").Runs.size(), 1u);
   EXPECT_TRUE(Deployment.violations().empty());
--- a/tests/harness/EventQueue.h
+++ b/tests/harness/EventQueue.h
@@ -21,13 +21,13 @@
 
   Time now() const { return this->Clock; }
 
-  void at(Time When, Work Todo) {
-    this->Items.push_back(
-        {std::max(When, this->Clock), this->NextSequence++, std::move(Todo)});
+  void at(Time When, Work Callback) {
+    this->Items.push_back({std::max(When, this->Clock), this->NextSequence++,
+                           std::move(Callback)});
     std::push_heap(this->Items.begin(), this->Items.end(), later);
   }
-  void after(Duration Delay, Work Todo) {
-    this->at(this->Clock + Delay, std::move(Todo));
+  void after(Duration Delay, Work Callback) {
+    this->at(this->Clock + Delay, std::move(Callback));
   }
 
   /// Runs everything that is due by \p Until, then stands there.
@@ -37,7 +37,7 @@
       Item Next = std::move(this->Items.back());
       this->Items.pop_back();
       this->Clock = Next.When;
-      Next.Todo();
+      Next.Callback();
     }
     this->Clock = std::max(this->Clock, Until);
   }
@@ -46,7 +46,7 @@
   struct Item {
     Time When;
     std::uint64_t Sequence;
-    Work Todo;
+    Work Callback;
   };
   static bool later(const Item &First, const Item &Second) {
     return std::tie(First.When, First.Sequence) >
--- a/tests/harness/PromiseChecker.cpp
+++ b/tests/harness/PromiseChecker.cpp
@@ -99,8 +99,8 @@
   // Peers are found by the host list; without the log, who has missed a change
   // can't learn of it and must admit nothing.
   return Host.isRunning() && !Host.isFrozen() && !this->Deployment.log().Down &&
-         this->Deployment.canKnow(Host.name(), "log") &&
-         this->Deployment.isJoined(Host.name(), "hostlist");
+         this->Deployment.canLearnFrom(Host.name(), "log") &&
+         this->Deployment.isConnected(Host.name(), "hostlist");
 }
 
 void PromiseChecker::checkCatalogue(VirtualHost &Host) {
--- a/tests/harness/ScenarioRunner.cpp
+++ b/tests/harness/ScenarioRunner.cpp
@@ -348,7 +348,7 @@
     Applied.Set.Changes = {
         declared(EntryKind::Team, Team, Body, Command.number("base", 0))};
   }
-  this->Deployment->askOperator(
+  this->Deployment->sendOperatorRequest(
       Command.after("via", "h1"), testKey(TestOwner), ApplyChanges{Applied.Set},
       [this, Name](const OperatorAnswer &Answer) {
         SentChange &Answered = this->Changes[Name];
--- a/tests/harness/VirtualDeployment.cpp
+++ b/tests/harness/VirtualDeployment.cpp
@@ -17,13 +17,13 @@
 constexpr Duration ReconnectDelay = milliseconds(100);
 
 /// What the class promises for the whole answer.
-Duration promiseOf(const ClassEntry &Class, const RequestHead &Head) {
+Duration answerTimeLimit(const ClassEntry &Class, const RequestHead &Head) {
   const auto Prompt = static_cast<Duration::rep>(Head.PromptTokens);
   const auto Output = static_cast<Duration::rep>(Head.MaxOutputTokens);
-  const Duration Whole = Class.FirstTokenBase + Class.AnswerBase +
+  const Duration Limit = Class.FirstTokenBase + Class.AnswerBase +
                          Class.FirstTokenPerThousandTokens * Prompt / 1000 +
                          Class.AnswerPerToken * Output;
-  return std::min(Whole, Head.Timeout.value_or(Whole));
+  return std::min(Limit, Head.Timeout.value_or(Limit));
 }
 
 } // namespace
@@ -42,7 +42,7 @@
   Listing.Callers = Address{"10.0.0.1", Port};
   Listing.Peers = Address{"10.0.0.2", Port};
   this->Net.place(Name, Zone);
-  this->Listed.Hosts.push_back(Listing);
+  this->PublishedHostList.Hosts.push_back(Listing);
   this->Hosts.emplace(Name, std::make_unique<VirtualHost>(*this, Listing));
   this->startHost(Name);
 }
@@ -50,13 +50,13 @@
 void VirtualDeployment::addEngine(EngineShape Shape, const std::string &Zone) {
   UpstreamListing Listing;
   Listing.Id = Shape.Id;
-  Listing.Life = Shape.Life = this->newLife();
+  Listing.Life = Shape.Life = this->newIncarnation();
   Listing.Zone = ZoneId(Zone);
   Listing.ChecksFencing = Shape.ChecksFencing;
   Listing.At = Address{"10.0.1.1",
                        static_cast<std::uint16_t>(8000 + this->Engines.size())};
   this->Net.place(Shape.Id.Value, Zone);
-  this->Listed.Upstreams.push_back(Listing);
+  this->PublishedHostList.Upstreams.push_back(Listing);
   this->Engines.emplace(Shape.Id.Value, FakeEngine(Listing, Shape));
   this->publishHostList();
 }
@@ -66,14 +66,14 @@
                                        const std::string &Zone) {
   FakeApplication Added;
   Added.Listing.Id = UpstreamId(Name);
-  Added.Listing.Life = this->newLife();
+  Added.Listing.Life = this->newIncarnation();
   Added.Listing.Kind = UpstreamKind::Application;
   Added.Listing.Zone = ZoneId(Zone);
   Added.Listing.Application = Service;
   Added.Listing.At = Address{
       "10.0.2.1", static_cast<std::uint16_t>(9000 + this->Applications.size())};
   this->Net.place(Name, Zone);
-  this->Listed.Upstreams.push_back(Added.Listing);
+  this->PublishedHostList.Upstreams.push_back(Added.Listing);
   this->Applications.emplace(Name, std::move(Added));
   this->publishHostList();
 }
@@ -116,16 +116,16 @@
     if (!To.isRunning())
       return this->connectionLost(Caller);
     To.whenRunning(To.life(), [this, &To, Caller] {
-      const CallerRecord &Of = this->Callers[Caller];
-      To.reconnect(Caller, Of.ResumeToken, Of.Next);
+      const CallerRecord &Record = this->Callers[Caller];
+      To.reconnect(Caller, Record.ResumeToken, Record.Next);
     });
   });
 }
 
 void VirtualDeployment::disconnect(std::size_t Caller) {
-  CallerRecord &Of = this->Callers[Caller];
-  Of.Disconnected = Of.ConnectionLost = true;
-  VirtualHost &From = *this->Hosts.at(Of.Host);
+  CallerRecord &Record = this->Callers[Caller];
+  Record.Disconnected = Record.ConnectionLost = true;
+  VirtualHost &From = *this->Hosts.at(Record.Host);
   From.whenRunning(From.life(), [&From, Caller] { From.disconnect(Caller); });
 }
 
@@ -140,72 +140,73 @@
                                   0x8000 | (Low >> 48), Low & 0xffffffffffff));
 }
 
-void VirtualDeployment::askResolve(
+void VirtualDeployment::sendResolveRequest(
     const std::string &Host, const std::string &Team, const std::string &Zone,
     std::function<void(const AnswerResolve &)> Answered) {
-  const std::uint64_t Id = ++this->QuestionsMade;
-  this->Resolves[Id] = std::move(Answered);
+  const std::uint64_t Id = ++this->LastQuestionId;
+  this->ResolveCallbacks[Id] = std::move(Answered);
   this->Hosts.at(Host)->deliver(
       ResolveRequest{ResolveRequestId(Id), TeamId(Team), ZoneId(Zone)});
 }
 
-void VirtualDeployment::askOperator(
+void VirtualDeployment::sendOperatorRequest(
     const std::string &Host, const std::string &OperatorKey,
     OperatorQuestion Question,
     std::function<void(const OperatorAnswer &)> Answered) {
-  const std::uint64_t Id = ++this->QuestionsMade;
-  this->Questions[Id] = std::move(Answered);
+  const std::uint64_t Id = ++this->LastQuestionId;
+  this->OperatorCallbacks[Id] = std::move(Answered);
   this->Hosts.at(Host)->deliver(
       OperatorRequest{OperatorRequestId(Id), OperatorKey, std::move(Question)});
 }
 
 void VirtualDeployment::resolved(const AnswerResolve &Answer) {
-  const auto Found = this->Resolves.extract(Answer.Id.Value);
+  const auto Found = this->ResolveCallbacks.extract(Answer.Id.Value);
   if (Found)
     Found.mapped()(Answer);
 }
 
 void VirtualDeployment::operatorAnswered(const AnswerOperator &Answer) {
-  const auto Found = this->Questions.extract(Answer.Id.Value);
+  const auto Found = this->OperatorCallbacks.extract(Answer.Id.Value);
   if (Found)
     Found.mapped()(Answer.Answer);
 }
 
-bool VirtualDeployment::isJoined(const std::string &One,
-                                 const std::string &Other) const {
+bool VirtualDeployment::isConnected(const std::string &One,
+                                    const std::string &Other) const {
   return !this->Net.isCut(One, Other) && !this->Net.isCut(Other, One);
 }
 
-bool VirtualDeployment::canKnow(const std::string &Host,
-                                const std::string &Service) const {
-  if (this->isJoined(Host, Service))
+bool VirtualDeployment::canLearnFrom(const std::string &Host,
+                                     const std::string &Service) const {
+  if (this->isConnected(Host, Service))
     return true;
-  for (const auto &[Name, Each] : this->Hosts)
-    if (Name != Host && Each->isRunning() && !Each->isFrozen() &&
-        this->isJoined(Host, Name) && this->isJoined(Name, Service))
+  for (const auto &[Name, Peer] : this->Hosts)
+    if (Name != Host && Peer->isRunning() && !Peer->isFrozen() &&
+        this->isConnected(Host, Name) && this->isConnected(Name, Service))
       return true;
   return false;
 }
 
-void VirtualDeployment::violation(const std::string &What) {
+void VirtualDeployment::violation(const std::string &Problem) {
   this->Violations.push_back(
-      std::to_string(inSeconds(this->now() - StartTime)) + " s: " + What);
+      std::to_string(inSeconds(this->now() - StartTime)) + " s: " + Problem);
 }
 
-void VirtualDeployment::measured(const RecordMeasurement &What) {
-  if (What.As != RecordMeasurement::Kind::Count)
+void VirtualDeployment::measured(const RecordMeasurement &Measurement) {
+  if (Measurement.As != RecordMeasurement::Kind::Count)
     return;
-  this->Counts[std::string(What.Name)] += What.Value;
-  if (What.Name == "invariants_broken")
-    this->violation("invariant broken: " + What.Label);
+  this->Counts[std::string(Measurement.Name)] += Measurement.Value;
+  if (Measurement.Name == "invariants_broken")
+    this->violation("invariant broken: " + Measurement.Label);
 }
 
 std::unique_ptr<Kernel>
 VirtualDeployment::makeKernel(const HostListing &Listing, Incarnation Life,
                               std::uint64_t Seed) {
   Settings Values = Settings::defaults(pluginSettings());
-  for (const SettingOverride &Each : this->Options.Settings) {
-    const std::string Problem = Values.set(Each.Section, Each.Key, Each.Value);
+  for (const SettingOverride &Override : this->Options.Settings) {
+    const std::string Problem =
+        Values.set(Override.Section, Override.Key, Override.Value);
     if (!Problem.empty())
       throw Error(ErrorKind::BadInput, Problem, "mend the override");
   }
@@ -217,7 +218,7 @@
   return Made;
 }
 
-Incarnation VirtualDeployment::newLife() {
+Incarnation VirtualDeployment::newIncarnation() {
   return Incarnation(this->Rng.below(~0ULL) + 1);
 }
 
@@ -242,7 +243,7 @@
 }
 
 void VirtualDeployment::startHost(const std::string &Name) {
-  this->Hosts.at(Name)->start(this->newLife(), this->Rng.below(~0ULL));
+  this->Hosts.at(Name)->start(this->newIncarnation(), this->Rng.below(~0ULL));
   this->publishHostList();
 }
 
@@ -259,37 +260,37 @@
 
 void VirtualDeployment::accepted(std::size_t Caller, VirtualHost &From,
                                  const std::string &Token) {
-  CallerRecord &Of = this->Callers[Caller];
-  Of.AcceptedAt = this->now();
-  Of.ResumeToken = Token;
+  CallerRecord &Record = this->Callers[Caller];
+  Record.AcceptedAt = this->now();
+  Record.ResumeToken = Token;
   const auto &View = From.kernel().services().get<CatalogueView>();
-  if (const ClassEntry *Class = View.catalogue().classOf(Of.Head.Class))
-    Of.Deadline = Of.SentAt + promiseOf(*Class, Of.Head);
+  if (const ClassEntry *Class = View.catalogue().classOf(Record.Head.Class))
+    Record.Deadline = Record.SentAt + answerTimeLimit(*Class, Record.Head);
 }
 
 void VirtualDeployment::chunksTo(std::size_t Caller, VirtualHost &From,
                                  Fingerprint Content, std::uint64_t First,
                                  std::uint64_t End) {
-  CallerRecord &Of = this->Callers[Caller];
-  if (!Of.isOpen() || Of.Host != From.name())
+  CallerRecord &Record = this->Callers[Caller];
+  if (!Record.isOpen() || Record.Host != From.name())
     return;
-  if (Content != Of.Head.Content)
-    ++Of.ForeignChunks;
-  if (First != Of.Next)
-    ++Of.OutOfOrderChunks;
-  Of.Next = End;
-  if (!Of.FirstTokenAt)
-    Of.FirstTokenAt = this->now() + CallerDelay;
+  if (Content != Record.Head.Content)
+    ++Record.ForeignChunks;
+  if (First != Record.Next)
+    ++Record.OutOfOrderChunks;
+  Record.Next = End;
+  if (!Record.FirstTokenAt)
+    Record.FirstTokenAt = this->now() + CallerDelay;
 }
 
 void VirtualDeployment::answerTo(std::size_t Caller, VirtualHost &From,
                                  const FinalAnswer &Answer) {
-  CallerRecord &Of = this->Callers[Caller];
-  ++Of.FinalAnswers;
-  if (Of.FinalAnswers > 1)
+  CallerRecord &Record = this->Callers[Caller];
+  ++Record.FinalAnswers;
+  if (Record.FinalAnswers > 1)
     this->violation(From.name() + " answers a request twice");
-  Of.Answer = Answer;
-  Of.EndedAt = this->now() + CallerDelay;
+  Record.Answer = Answer;
+  Record.EndedAt = this->now() + CallerDelay;
 }
 
 void VirtualDeployment::redirectTo(std::size_t Caller, const Address &To,
@@ -305,17 +306,17 @@
 }
 
 void VirtualDeployment::connectionLost(std::size_t Caller) {
-  CallerRecord &Of = this->Callers[Caller];
-  if (Of.Answer)
+  CallerRecord &Record = this->Callers[Caller];
+  if (Record.Answer)
     return;
-  Of.ConnectionLost = true;
-  Of.EndedAt = this->now();
+  Record.ConnectionLost = true;
+  Record.EndedAt = this->now();
 }
 
 void VirtualDeployment::connectionsLost(const std::string &Host) {
-  for (std::size_t Each = 0; Each < this->Callers.size(); ++Each)
-    if (this->Callers[Each].Host == Host && this->Callers[Each].isOpen())
-      this->connectionLost(Each);
+  for (std::size_t Index = 0; Index < this->Callers.size(); ++Index)
+    if (this->Callers[Index].Host == Host && this->Callers[Index].isOpen())
+      this->connectionLost(Index);
 }
 
 } // namespace banyanpick
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -38,10 +38,10 @@
 };
 
 /// A try as it travels: it may outlive its host and its request.
-struct VirtualTry {
+struct VirtualAttempt {
   VirtualHost *From = nullptr;
   Incarnation Life;
-  AttemptId Attempt;
+  AttemptId Id;
   std::optional<std::size_t> Caller;
 };
 
@@ -66,12 +66,13 @@
   std::vector<CallerRecord> &callers() { return this->Callers; }
   /// A new operation key made now.
   OperationKey makeOperationKey();
-  void askResolve(const std::string &Host, const std::string &Team,
-                  const std::string &Zone,
-                  std::function<void(const AnswerResolve &)> Answered);
-  void askOperator(const std::string &Host, const std::string &OperatorKey,
-                   OperatorQuestion Question,
-                   std::function<void(const OperatorAnswer &)> Answered);
+  void sendResolveRequest(const std::string &Host, const std::string &Team,
+                          const std::string &Zone,
+                          std::function<void(const AnswerResolve &)> Answered);
+  void
+  sendOperatorRequest(const std::string &Host, const std::string &OperatorKey,
+                      OperatorQuestion Question,
+                      std::function<void(const OperatorAnswer &)> Answered);
 
   // --- faults
   void killHost(const std::string &Name);
@@ -82,9 +83,9 @@
   void restartUpstream(const std::string &Name);
   void freeze(const std::string &Name);
   void thaw(const std::string &Name);
-  /// \p OwnWord: its reports and refusals say so at once; the host list says
-  /// so after its lag in any case.
-  void leaveUpstream(const std::string &Name, bool OwnWord);
+  /// \p AnnouncesLeaving: its reports and refusals say so at once; the host
+  /// list says so after its lag in any case.
+  void leaveUpstream(const std::string &Name, bool AnnouncesLeaving);
   /// Content that kills each engine that runs it.
   void addPoison(Fingerprint Content, Duration RestartAfter);
 
@@ -110,11 +111,11 @@
   const std::vector<std::string> &violations() const {
     return this->Violations;
   }
-  void violation(const std::string &What);
+  void violation(const std::string &Problem);
   /// Whether messages pass in both directions.
-  bool isJoined(const std::string &One, const std::string &Other) const;
+  bool isConnected(const std::string &One, const std::string &Other) const;
   /// Whether the host hears of what the service tells, itself or from a peer.
-  bool canKnow(const std::string &Host, const std::string &Service) const;
+  bool canLearnFrom(const std::string &Host, const std::string &Service) const;
   /// Counted measurements of all hosts, by name.
   const std::map<std::string, double> &counts() const { return this->Counts; }
   /// Called for each log line; for tracing a failed run.
@@ -132,7 +133,7 @@
 private:
   friend class VirtualHost;
 
-  Incarnation newLife();
+  Incarnation newIncarnation();
   void publishHostList();
 
   /// Each carries out one action of \p From.
@@ -148,22 +149,26 @@
   void readLog(VirtualHost &From, const ReadLog &Wanted);
   void append(VirtualHost &From, const AppendToLog &Wanted);
   void sendPeer(VirtualHost &From, const SendToPeer &Wanted);
-  void measured(const RecordMeasurement &What);
+  void measured(const RecordMeasurement &Measurement);
   void resolved(const AnswerResolve &Answer);
   void operatorAnswered(const AnswerOperator &Answer);
 
   void startOnEngine(FakeEngine &Engine, const DispatchAttempt &Wanted,
-                     const RequestHead &Head, const VirtualTry &Try);
+                     const RequestHead &Head,
+                     const VirtualAttempt &SentAttempt);
   void attachOnEngine(FakeEngine &Engine, const DispatchAttempt &Wanted,
-                      const VirtualTry &Try);
+                      const VirtualAttempt &SentAttempt);
   void runOnApplication(FakeApplication &Application, const RequestHead &Head,
-                        const VirtualTry &Try);
-  static VirtualTry tryOf(VirtualHost &From, const AttemptId &Attempt);
-  void started(const VirtualTry &Try);
+                        const VirtualAttempt &SentAttempt);
+  static VirtualAttempt makeAttempt(VirtualHost &From,
+                                    const AttemptId &Attempt);
+  void started(const VirtualAttempt &SentAttempt);
   /// Tells the host of the try's end after \p Delay, if it still lives.
-  void endAfter(Duration Delay, const VirtualTry &Try, AttemptOutcome Outcome);
-  void breakAfter(Duration Delay, const VirtualTry &Try, bool UpstreamDied);
-  void judgeDispatch(const VirtualHost &From, const std::string &Upstream,
+  void endAfter(Duration Delay, const VirtualAttempt &SentAttempt,
+                AttemptOutcome Outcome);
+  void breakAfter(Duration Delay, const VirtualAttempt &SentAttempt,
+                  bool UpstreamDied);
+  void checkDispatch(const VirtualHost &From, const std::string &Upstream,
                      std::optional<Time> LeftAt);
   void pump(FakeEngine &Engine);
   void schedulePump(FakeEngine &Engine);
@@ -172,9 +177,10 @@
 
   /// Runs \p Todo at the upstream after the way there; false when the way is
   /// cut or nothing listens.
-  enum class Way { Open, Cut, Refused };
-  Way travel(const std::string &From, const std::string &Upstream,
-             std::function<void()> Todo);
+  enum class Reachability { Open, Cut, Refused };
+  Reachability sendToUpstream(const std::string &From,
+                              const std::string &Upstream,
+                              std::function<void()> Work);
   /// Hands \p Answer to this life of the host after the way back.
   void reply(const std::string &From, VirtualHost &To, Incarnation Life,
              Event Answer);
@@ -201,14 +207,16 @@
   std::map<std::string, std::unique_ptr<VirtualHost>> Hosts;
   std::map<std::string, FakeEngine> Engines;
   std::map<std::string, FakeApplication> Applications;
-  HostListRead Listed; ///< What the host list shows now, behind its lag.
+  HostListRead
+      PublishedHostList; ///< What the host list shows now, behind its lag.
   std::vector<CallerRecord> Callers;
   std::map<Fingerprint, Duration> Poison;
-  std::map<std::uint64_t, std::function<void(const AnswerResolve &)>> Resolves;
+  std::map<std::uint64_t, std::function<void(const AnswerResolve &)>>
+      ResolveCallbacks;
   std::map<std::uint64_t, std::function<void(const OperatorAnswer &)>>
-      Questions;
-  std::vector<std::function<void()>> LogWaiters;
-  std::uint64_t QuestionsMade = 0;
+      OperatorCallbacks;
+  std::vector<std::function<void()>> PendingLogReads;
+  std::uint64_t LastQuestionId = 0;
   std::uint64_t RecordsSeeded = 0;
   std::uint64_t Steps = 0;
   std::vector<std::string> Violations;
--- a/tests/harness/VirtualFaults.cpp
+++ b/tests/harness/VirtualFaults.cpp
@@ -13,10 +13,10 @@
   FakeEngine &Engine = Found->second;
   Engine.Alive = false;
   Engine.DeferredWork.clear();
-  for (const auto &[Attempt, Each] : std::exchange(Engine.Streams, {})) {
-    VirtualHost &To = *this->Hosts.at(Each.Host);
-    this->breakAfter(this->Net.delay(Name, Each.Host),
-                     {&To, Each.HostLife, Each.Listener, {}}, true);
+  for (const auto &[Attempt, Stream] : std::exchange(Engine.Streams, {})) {
+    VirtualHost &To = *this->Hosts.at(Stream.Host);
+    this->breakAfter(this->Net.delay(Name, Stream.Host),
+                     {&To, Stream.HostLife, Stream.Listener, {}}, true);
   }
   this->publishHostList();
 }
@@ -29,14 +29,14 @@
     Application.Frozen = Application.ReportsLeaving = false;
     Application.Listing.Leaving = false;
     Application.LeftAt.reset();
-    Application.Listing.Life = this->newLife();
+    Application.Listing.Life = this->newIncarnation();
     return this->publishHostList();
   }
   FakeEngine &Engine = Found->second;
   if (Engine.Alive)
     this->killUpstream(Name);
   EngineShape Shape = Engine.Model.shape();
-  Engine.Listing.Life = Shape.Life = this->newLife();
+  Engine.Listing.Life = Shape.Life = this->newIncarnation();
   Engine.Listing.Leaving = Engine.ReportsLeaving = false;
   Engine.LeftAt.reset();
   Engine.Orders.clear();
@@ -67,22 +67,23 @@
       false;
   auto &DeferredWork = IsEngine ? Engine->second.DeferredWork
                                 : this->Applications.at(Name).DeferredWork;
-  for (const auto &Each : std::exchange(DeferredWork, {}))
-    Each();
+  for (const auto &Work : std::exchange(DeferredWork, {}))
+    Work();
   if (IsEngine && Engine->second.Alive)
     this->pump(Engine->second);
 }
 
-void VirtualDeployment::leaveUpstream(const std::string &Name, bool OwnWord) {
+void VirtualDeployment::leaveUpstream(const std::string &Name,
+                                      bool AnnouncesLeaving) {
   const auto Engine = this->Engines.find(Name);
   if (Engine != this->Engines.end()) {
     Engine->second.Listing.Leaving = true;
     Engine->second.LeftAt = this->now();
-    Engine->second.ReportsLeaving |= OwnWord;
+    Engine->second.ReportsLeaving |= AnnouncesLeaving;
   } else {
     this->Applications.at(Name).Listing.Leaving = true;
     this->Applications.at(Name).LeftAt = this->now();
-    this->Applications.at(Name).ReportsLeaving |= OwnWord;
+    this->Applications.at(Name).ReportsLeaving |= AnnouncesLeaving;
   }
   this->publishHostList();
 }
--- a/tests/harness/VirtualHost.cpp
+++ b/tests/harness/VirtualHost.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// A kernel whose wake time does not move on is woken no more often than this.
-constexpr Duration ShortestSleep = Duration(100);
+constexpr Duration MinWakeInterval = Duration(100);
 /// A process that may end waits so long for answers being written.
-constexpr Duration LongestFinish = seconds(5);
+constexpr Duration MaxStopTime = seconds(5);
 
 } // namespace
 
@@ -23,12 +23,13 @@
   this->kill();
   this->Life = NewLife;
   this->Seed = NewSeed;
-  this->Brain = this->Deployment.makeKernel(this->Listing, NewLife, NewSeed);
+  this->HostKernel =
+      this->Deployment.makeKernel(this->Listing, NewLife, NewSeed);
   this->deliver(Tick{});
 }
 
 void VirtualHost::kill() {
-  this->Brain.reset();
+  this->HostKernel.reset();
   this->Life = Incarnation();
   this->Frozen = this->Stopping = false;
   this->WakeAt = Never;
@@ -41,48 +42,49 @@
 
 void VirtualHost::freeze() {
   this->Frozen = true;
-  for (const auto &[Request, Each] : this->Relays)
-    if (Each.Caller)
-      this->Deployment.Callers[*Each.Caller].HostWasFrozen = true;
+  for (const auto &[Request, Relay] : this->Relays)
+    if (Relay.Caller)
+      this->Deployment.Callers[*Relay.Caller].HostWasFrozen = true;
 }
 
 void VirtualHost::thaw() {
   this->Frozen = false;
   this->ThawedAt = this->Deployment.now();
   const Incarnation Before = this->Life;
-  for (const auto &Each : std::exchange(this->DeferredWork, {}))
+  for (const auto &Work : std::exchange(this->DeferredWork, {}))
     if (this->Life == Before)
-      Each();
+      Work();
   this->WakeAt = Never;
-  if (this->Brain)
+  if (this->HostKernel)
     this->scheduleWake();
 }
 
 void VirtualHost::whenRunning(Incarnation Expected,
-                              std::function<void()> Todo) {
-  if (!this->Brain || this->Life != Expected)
+                              std::function<void()> Work) {
+  if (!this->HostKernel || this->Life != Expected)
     return;
   if (this->Frozen)
-    this->DeferredWork.push_back(std::move(Todo));
+    this->DeferredWork.push_back(std::move(Work));
   else
-    Todo();
+    Work();
 }
 
 void VirtualHost::deliver(const Event &Incoming) {
   if (!this->Frozen)
-    return this->react(Incoming);
-  this->whenRunning(this->Life, [this, Incoming] { this->react(Incoming); });
+    return this->handleEvent(Incoming);
+  this->whenRunning(this->Life,
+                    [this, Incoming] { this->handleEvent(Incoming); });
 }
 
-void VirtualHost::react(const Event &Incoming) {
-  if (!this->Brain)
+void VirtualHost::handleEvent(const Event &Incoming) {
+  if (!this->HostKernel)
     return;
   ++this->Deployment.Steps;
-  const std::uint64_t Broken = this->Brain->invariantsBroken();
-  auto Wanted = this->Brain->handle(Incoming, this->Deployment.now());
+  const std::uint64_t Broken = this->HostKernel->invariantsBroken();
+  auto Wanted = this->HostKernel->handle(Incoming, this->Deployment.now());
   if (this->Deployment.OnHandled)
     this->Deployment.OnHandled(*this, Incoming, this->Deployment.now(), Wanted);
-  if (this->Brain->invariantsBroken() != Broken)
+  if (this->HostKernel->invariantsBroken() != Broken)
     this->Deployment.violation("kernel of " + this->name() +
                                " broke an invariant");
   this->scheduleWake();
@@ -96,31 +98,31 @@
 }
 
 void VirtualHost::scheduleWake() {
-  const Time Wanted = this->Brain->nextWake();
+  const Time Wanted = this->HostKernel->nextWake();
   if (Wanted >= this->WakeAt)
     return;
-  this->WakeAt = std::max(Wanted, this->Deployment.now() + ShortestSleep);
+  this->WakeAt = std::max(Wanted, this->Deployment.now() + MinWakeInterval);
   this->Deployment.Queue.at(
       this->WakeAt, [this, Now = this->Life, Planned = this->WakeAt] {
         if (this->Life != Now || this->Frozen || this->WakeAt != Planned)
           return;
         this->WakeAt = Never;
-        if (this->Brain->nextWake() <= this->Deployment.now())
-          this->react(Tick{});
+        if (this->HostKernel->nextWake() <= this->Deployment.now())
+          this->handleEvent(Tick{});
         else
           this->scheduleWake();
       });
 }
 
-RequestId VirtualHost::connect(std::size_t Caller, const RequestHead &Given) {
+RequestId VirtualHost::connect(std::size_t Caller, const RequestHead &NewHead) {
   const RequestId Id(++this->RequestsMade);
-  Relay Made;
-  Made.Head = Given;
-  Made.Head->Id = Id;
-  Made.Caller = Caller;
-  Made.Content = Given.Content;
-  this->Relays[Id] = Made;
-  this->deliver(RequestArrived{*Made.Head});
+  RelayedAnswer Relay;
+  Relay.Head = NewHead;
+  Relay.Head->Id = Id;
+  Relay.Caller = Caller;
+  Relay.Content = NewHead.Content;
+  this->Relays[Id] = Relay;
+  this->deliver(RequestArrived{*Relay.Head});
   return Id;
 }
 
@@ -134,10 +136,10 @@
 }
 
 void VirtualHost::disconnect(std::size_t Caller) {
-  for (auto &[Request, Each] : this->Relays) {
-    if (Each.Caller != Caller)
+  for (auto &[Request, Relay] : this->Relays) {
+    if (Relay.Caller != Caller)
       continue;
-    Each.Caller.reset();
+    Relay.Caller.reset();
     return this->deliver(CallerDisconnected{Request});
   }
 }
@@ -148,8 +150,8 @@
     ++this->Deployment.Counts["harness_chunks_dropped"];
     return;
   }
-  Incoming &From = Found->second;
-  Relay &To = this->Relays[From.Request];
+  PendingAttempt &From = Found->second;
+  RelayedAnswer &To = this->Relays[From.Request];
   const std::uint64_t End = Chunks.FirstIndex + Chunks.Count;
   if (Chunks.FirstIndex > To.Next || (Chunks.Ended && End < To.Next))
     return this->breakAttempt(Chunks.Connection, false);
@@ -160,8 +162,9 @@
                               To.Next);
   if (Chunks.Ended)
     return this->endAttempt(Chunks.Connection, AttemptComplete{To.Next, {}});
-  const bool Coarse = Before / ProgressInterval != To.Next / ProgressInterval;
-  if (From.Progressed && !Coarse)
+  const bool CrossesInterval =
+      Before / ProgressInterval != To.Next / ProgressInterval;
+  if (From.Progressed && !CrossesInterval)
     return;
   From.Progressed = true;
   this->deliver(AttemptProgressed{Chunks.Connection, To.Next});
@@ -186,26 +189,26 @@
   const auto Found = this->Attempts.find(Attempt);
   if (Found == this->Attempts.end())
     return std::nullopt;
-  const auto Of = this->Relays.find(Found->second.Request);
-  return Of == this->Relays.end() ? std::nullopt : Of->second.Caller;
+  const auto Relay = this->Relays.find(Found->second.Request);
+  return Relay == this->Relays.end() ? std::nullopt : Relay->second.Caller;
 }
 
 void VirtualHost::dispatch(const DispatchAttempt &Wanted) {
-  Relay &Of = this->Relays[Wanted.Request];
-  if (!Of.Head && Wanted.AttachTo)
-    Of.Base = Of.Next = Wanted.NextIndex;
+  RelayedAnswer &Relay = this->Relays[Wanted.Request];
+  if (!Relay.Head && Wanted.AttachTo)
+    Relay.Base = Relay.Next = Wanted.NextIndex;
   const AttemptId Echoed = Wanted.AttachTo.value_or(Wanted.Attempt);
   this->Attempts[Wanted.Attempt] = {Wanted.Request, Wanted.Upstream, Echoed};
-  if (!Of.Head && !Wanted.AttachTo)
+  if (!Relay.Head && !Wanted.AttachTo)
     return this->endAttempt(Wanted.Attempt, AttemptNeverSent{});
-  this->Deployment.dispatch(*this, Wanted, Of.Head.value_or(RequestHead{}));
+  this->Deployment.dispatch(*this, Wanted, Relay.Head.value_or(RequestHead{}));
 }
 
 void VirtualHost::answer(const AnswerRequest &Wanted) {
-  const auto Again = this->Reconnecting.find(Wanted.Request);
-  if (Again != this->Reconnecting.end()) {
-    const std::size_t Caller = Again->second;
-    this->Reconnecting.erase(Again);
+  const auto Resuming = this->Reconnecting.find(Wanted.Request);
+  if (Resuming != this->Reconnecting.end()) {
+    const std::size_t Caller = Resuming->second;
+    this->Reconnecting.erase(Resuming);
     return this->Deployment.connectionLost(Caller);
   }
   const auto Found = this->Relays.find(Wanted.Request);
@@ -228,95 +231,96 @@
 }
 
 void VirtualHost::join(const JoinStream &Wanted) {
-  const auto Joining = this->Reconnecting.find(Wanted.Request);
+  const auto Resuming = this->Reconnecting.find(Wanted.Request);
   const auto Found = this->Relays.find(Wanted.Stream);
-  if (Joining == this->Reconnecting.end() || Found == this->Relays.end())
+  if (Resuming == this->Reconnecting.end() || Found == this->Relays.end())
     return;
-  const std::size_t Caller = Joining->second;
-  this->Reconnecting.erase(Joining);
-  Relay &Of = Found->second;
-  if (!Of.Head)
-    Of.Content = this->Deployment.Callers[Caller].Head.Content;
-  if (Wanted.NextIndex < Of.Base)
+  const std::size_t Caller = Resuming->second;
+  this->Reconnecting.erase(Resuming);
+  RelayedAnswer &Relay = Found->second;
+  if (!Relay.Head)
+    Relay.Content = this->Deployment.Callers[Caller].Head.Content;
+  if (Wanted.NextIndex < Relay.Base)
     return this->Deployment.violation(
         "a stream is resumed before its first chunk");
-  Of.Caller = Caller;
-  if (Of.Next > Wanted.NextIndex)
-    this->Deployment.chunksTo(Caller, *this, Of.Content, Wanted.NextIndex,
-                              Of.Next);
+  Relay.Caller = Caller;
+  if (Relay.Next > Wanted.NextIndex)
+    this->Deployment.chunksTo(Caller, *this, Relay.Content, Wanted.NextIndex,
+                              Relay.Next);
 }
 
 void VirtualHost::endRelay(const RequestId &Request) {
   this->Relays.erase(Request);
-  std::erase_if(this->Attempts, [&](const auto &Each) {
-    return Each.second.Request == Request;
+  std::erase_if(this->Attempts, [&](const auto &Entry) {
+    return Entry.second.Request == Request;
   });
 }
 
-void VirtualHost::finish() {
+void VirtualHost::beginStop() {
   this->Stopping = true;
-  this->Deployment.Queue.after(LongestFinish, [this, Now = this->Life] {
+  this->Deployment.Queue.after(MaxStopTime, [this, Now = this->Life] {
     if (this->Life != Now || this->Frozen)
       return;
     this->Deployment.violation("the planned stop of " + this->name() +
                                " cut off a request");
     this->kill();
   });
-  this->endWhenFinished();
+  this->stopWhenIdle();
 }
 
-void VirtualHost::endWhenFinished() {
+void VirtualHost::stopWhenIdle() {
   const bool Busy =
       std::any_of(this->Relays.begin(), this->Relays.end(),
-                  [](const auto &Each) { return Each.second.Caller; });
+                  [](const auto &Entry) { return Entry.second.Caller; });
   if (this->Stopping && !Busy && this->Reconnecting.empty())
     this->kill();
 }
 
 void VirtualHost::carryOut(const std::vector<Action> &Wanted) {
   const Incarnation Now = this->Life;
-  for (const Action &Each : Wanted)
+  for (const Action &Command : Wanted)
     if (this->Life == Now)
-      this->carryOut(Each);
+      this->carryOut(Command);
   if (this->Life == Now)
-    this->endWhenFinished();
+    this->stopWhenIdle();
 }
 
 void VirtualHost::carryOut(const Action &Wanted) {
   VirtualDeployment &To = this->Deployment;
   match(
       Wanted,
-      [&](const AcceptRequest &Each) {
-        const auto Found = this->Relays.find(Each.Request);
+      [&](const AcceptRequest &Command) {
+        const auto Found = this->Relays.find(Command.Request);
         if (Found != this->Relays.end() && Found->second.Caller)
-          To.accepted(*Found->second.Caller, *this, Each.ResumeToken);
+          To.accepted(*Found->second.Caller, *this, Command.ResumeToken);
       },
-      [&](const AnswerRequest &Each) { this->answer(Each); },
-      [&](const RedirectCaller &Each) { this->redirect(Each); },
-      [&](const JoinStream &Each) { this->join(Each); },
-      [&](const AnswerResolve &Each) { To.resolved(Each); },
-      [&](const DispatchAttempt &Each) { this->dispatch(Each); },
-      [&](const CancelAttempt &Each) {
-        this->Attempts.erase(Each.Attempt);
-        To.cancel(*this, Each);
+      [&](const AnswerRequest &Command) { this->answer(Command); },
+      [&](const RedirectCaller &Command) { this->redirect(Command); },
+      [&](const JoinStream &Command) { this->join(Command); },
+      [&](const AnswerResolve &Command) { To.resolved(Command); },
+      [&](const DispatchAttempt &Command) { this->dispatch(Command); },
+      [&](const CancelAttempt &Command) {
+        this->Attempts.erase(Command.Attempt);
+        To.cancel(*this, Command);
       },
-      [&](const PollLoad &Each) { To.pollLoad(*this, Each); },
-      [&](const PollCacheEvents &Each) { To.pollCache(*this, Each); },
-      [&](const TakeHold &Each) { To.takeHold(*this, Each); },
-      [&](const ReleaseHold &Each) { To.releaseHold(*this, Each); },
-      [&](const OrderUpstream &Each) { To.order(*this, Each); },
+      [&](const PollLoad &Command) { To.pollLoad(*this, Command); },
+      [&](const PollCacheEvents &Command) { To.pollCache(*this, Command); },
+      [&](const TakeHold &Command) { To.takeHold(*this, Command); },
+      [&](const ReleaseHold &Command) { To.releaseHold(*this, Command); },
+      [&](const OrderUpstream &Command) { To.order(*this, Command); },
       [&](const ReadHostList &) { To.readHostList(*this); },
-      [&](const ReadLog &Each) { To.readLog(*this, Each); },
-      [&](const AppendToLog &Each) { To.append(*this, Each); },
-      [&](const SendToPeer &Each) { To.sendPeer(*this, Each); },
+      [&](const ReadLog &Command) { To.readLog(*this, Command); },
+      [&](const AppendToLog &Command) { To.append(*this, Command); },
+      [&](const SendToPeer &Command) { To.sendPeer(*this, Command); },
       [&](const ConnectPeers &) {},
-      [&](const AnswerOperator &Each) { To.operatorAnswered(Each); },
-      [&](const WriteLogLine &Each) {
+      [&](const AnswerOperator &Command) { To.operatorAnswered(Command); },
+      [&](const WriteLogLine &Command) {
         if (To.OnLogLine)
-          To.OnLogLine(this->name(), Each.Line);
+          To.OnLogLine(this->name(), Command.Line);
       },
-      [&](const RecordMeasurement &Each) { To.measured(Each); },
-      [&](const StopNow &) { this->finish(); }, [](const GatewayAction &) {});
+      [&](const RecordMeasurement &Command) { To.measured(Command); },
+      [&](const StopNow &) { this->beginStop(); },
+      [](const GatewayAction &) {});
 }
 
 } // namespace banyanpick
--- a/tests/harness/VirtualHost.h
+++ b/tests/harness/VirtualHost.h
@@ -31,7 +31,7 @@
   /// Hands an event to the kernel, or keeps it while frozen.
   void deliver(const Event &Incoming);
   /// Runs \p Todo unless this life is over; waits while frozen.
-  void whenRunning(Incarnation Life, std::function<void()> Todo);
+  void whenRunning(Incarnation Life, std::function<void()> Work);
 
   /// A caller connected with a request or, with \p Token, to resume one.
   RequestId connect(std::size_t Caller, const RequestHead &Head);
@@ -50,16 +50,16 @@
 
   const HostListing &listing() const { return this->Listing; }
   const std::string &name() const { return this->Listing.Id.Value; }
-  bool isRunning() const { return this->Brain != nullptr; }
+  bool isRunning() const { return this->HostKernel != nullptr; }
   bool isFrozen() const { return this->Frozen; }
   Incarnation life() const { return this->Life; }
   std::uint64_t seed() const { return this->Seed; }
   Time thawedAt() const { return this->ThawedAt; }
-  Kernel &kernel() { return *this->Brain; }
+  Kernel &kernel() { return *this->HostKernel; }
 
 private:
   /// A request's answer so far.
-  struct Relay {
+  struct RelayedAnswer {
     std::optional<RequestHead> Head; ///< Absent: the prompt is not here.
     std::optional<std::size_t> Caller;
     Fingerprint Content;
@@ -67,14 +67,14 @@
     std::uint64_t Next = 0; ///< First chunk not yet here.
   };
   /// A try whose chunks are awaited.
-  struct Incoming {
+  struct PendingAttempt {
     RequestId Request;
     UpstreamId Upstream;
     AttemptId Echoed;
     bool Progressed = false;
   };
 
-  void react(const Event &Incoming);
+  void handleEvent(const Event &Incoming);
   void scheduleWake();
   void carryOut(const std::vector<Action> &Wanted);
   void carryOut(const Action &Wanted);
@@ -83,15 +83,15 @@
   void redirect(const RedirectCaller &Wanted);
   void join(const JoinStream &Wanted);
   void endRelay(const RequestId &Request);
-  void finish();
-  void endWhenFinished();
+  void beginStop();
+  void stopWhenIdle();
 
   /// Chunks between two reports of progress.
   static constexpr std::uint64_t ProgressInterval = 64;
 
   VirtualDeployment &Deployment;
   HostListing Listing;
-  std::unique_ptr<Kernel> Brain;
+  std::unique_ptr<Kernel> HostKernel;
   Incarnation Life;
   std::uint64_t Seed = 0;
   bool Frozen = false;
@@ -99,9 +99,9 @@
   Time WakeAt = Never;
   Time ThawedAt{};
   std::uint64_t RequestsMade = 0;
-  std::map<RequestId, Relay> Relays;
+  std::map<RequestId, RelayedAnswer> Relays;
   std::map<RequestId, std::size_t> Reconnecting;
-  std::map<AttemptId, Incoming> Attempts;
+  std::map<AttemptId, PendingAttempt> Attempts;
   std::vector<std::function<void()>> DeferredWork;
 };
 
--- a/tests/harness/VirtualPlatform.cpp
+++ b/tests/harness/VirtualPlatform.cpp
@@ -27,7 +27,7 @@
     if (Application.Alive)
       Current.Upstreams.push_back(Application.Listing);
   this->Queue.after(this->Options.HostListLag,
-                    [this, Current] { this->Listed = Current; });
+                    [this, Current] { this->PublishedHostList = Current; });
 }
 
 void VirtualDeployment::readHostList(VirtualHost &From) {
@@ -36,7 +36,8 @@
   if (Cut)
     return this->replyAfter(AnswerTimeout, From, From.life(),
                             HostListReadFailed{});
-  this->replyAfter(2 * this->Net.Far, From, From.life(), this->Listed);
+  this->replyAfter(2 * this->Net.Far, From, From.life(),
+                   this->PublishedHostList);
 }
 
 void VirtualDeployment::readLog(VirtualHost &From, const ReadLog &Wanted) {
@@ -62,15 +63,15 @@
                       this->Log.expire(this->now());
                       if (Wanted.FromOffset < this->Log.end())
                         return Answer();
-                      this->LogWaiters.push_back(Answer);
+                      this->PendingLogReads.push_back(Answer);
                       this->Queue.after(LogWait, Answer);
                     });
 }
 
 void VirtualDeployment::storeInLog(const std::vector<LogRecord> &Records) {
   this->Log.append(Records, this->now());
-  for (const auto &Each : std::exchange(this->LogWaiters, {}))
-    Each();
+  for (const auto &Read : std::exchange(this->PendingLogReads, {}))
+    Read();
 }
 
 void VirtualDeployment::append(VirtualHost &From, const AppendToLog &Wanted) {
--- a/tests/harness/VirtualReports.cpp
+++ b/tests/harness/VirtualReports.cpp
@@ -17,8 +17,8 @@
   const Incarnation Life = From.life();
   const std::string Name = Wanted.Upstream.Value;
   const auto Answered = std::make_shared<bool>(false);
-  const Way Reached =
-      this->travel(From.name(), Name, [this, &From, Life, Name, Answered] {
+  const Reachability Reach = this->sendToUpstream(
+      From.name(), Name, [this, &From, Life, Name, Answered] {
         if (this->Net.isCut(Name, From.name()) ||
             std::exchange(*Answered, true))
           return;
@@ -31,7 +31,7 @@
               Name, From, Life,
               LoadReported{this->Applications.at(Name).report(this->now())});
       });
-  if (Reached == Way::Refused)
+  if (Reach == Reachability::Refused)
     return this->replyAfter(2 * this->Net.Far, From, Life,
                             LoadPollFailed{Wanted.Upstream, true});
   this->Queue.after(AnswerTimeout, [this, &From, Life, Answered, Wanted] {
@@ -47,7 +47,7 @@
   const std::string Name = Wanted.Upstream.Value;
   if (!this->Engines.contains(Name))
     return;
-  this->travel(From.name(), Name, [this, &From, Life, Wanted, Name] {
+  this->sendToUpstream(From.name(), Name, [this, &From, Life, Wanted, Name] {
     FakeEngine &Engine = this->Engines.at(Name);
     if (this->Net.isCut(Name, From.name()))
       return;
@@ -69,7 +69,7 @@
   const Incarnation Life = From.life();
   const std::string Name = Wanted.Upstream.Value;
   HoldAnswered Answer{Wanted.Hold, Wanted.Upstream, HoldResult::Unknown};
-  const Way Reached = this->travel(
+  const Reachability Reach = this->sendToUpstream(
       From.name(), Name, [this, &From, Life, Wanted, Name, Answer]() mutable {
         FakeEngine &Engine = this->Engines.at(Name);
         this->pump(Engine);
@@ -83,9 +83,9 @@
         Answer.Result = HoldResult::Unknown;
         this->replyAfter(AnswerTimeout, From, Life, Answer);
       });
-  if (Reached == Way::Open)
+  if (Reach == Reachability::Open)
     return;
-  if (Reached == Way::Refused)
+  if (Reach == Reachability::Refused)
     Answer.Result = HoldResult::Refused;
   this->replyAfter(AnswerTimeout, From, Life, Answer);
 }
@@ -93,7 +93,7 @@
 void VirtualDeployment::releaseHold(VirtualHost &From,
                                     const ReleaseHold &Wanted) {
   const std::string Name = Wanted.Upstream.Value;
-  this->travel(From.name(), Name, [this, Wanted, Name] {
+  this->sendToUpstream(From.name(), Name, [this, Wanted, Name] {
     FakeEngine &Engine = this->Engines.at(Name);
     this->pump(Engine);
     Engine.Model.releaseHold(Wanted.Hold);
@@ -107,7 +107,7 @@
   OrderAnswered Answer{Wanted.Order, Wanted.Upstream, OrderResult::Failed, 0};
   if (this->now() > Wanted.ValidUntil)
     return this->replyAfter(Duration(), From, Life, Answer);
-  const Way Reached = this->travel(
+  const Reachability Reach = this->sendToUpstream(
       From.name(), Name, [this, &From, Life, Wanted, Name, Answer]() mutable {
         FakeEngine &Engine = this->Engines.at(Name);
         this->pump(Engine);
@@ -122,9 +122,9 @@
         Answer.Result = OrderResult::Unknown;
         this->replyAfter(AnswerTimeout, From, Life, Answer);
       });
-  if (Reached == Way::Open)
+  if (Reach == Reachability::Open)
     return;
-  if (Reached == Way::Cut)
+  if (Reach == Reachability::Cut)
     Answer.Result = OrderResult::Unknown;
   this->replyAfter(AnswerTimeout, From, Life, Answer);
 }
--- a/tests/harness/VirtualUpstreams.cpp
+++ b/tests/harness/VirtualUpstreams.cpp
@@ -12,22 +12,23 @@
 /// A poison request kills its engine this long after its start.
 constexpr Duration PoisonDelay = milliseconds(50);
 /// A leaving upstream gets no new work later than this.
-constexpr Duration NewWorkUntil = seconds(3);
+constexpr Duration MaxLeavingDelay = seconds(3);
 /// Engines are not relied upon to end jobs at their deadline.
 constexpr Duration EngineJobLimit = std::chrono::hours(1);
 
 } // namespace
 
-VirtualDeployment::Way VirtualDeployment::travel(const std::string &From,
-                                                 const std::string &Upstream,
-                                                 std::function<void()> Todo) {
+VirtualDeployment::Reachability
+VirtualDeployment::sendToUpstream(const std::string &From,
+                                  const std::string &Upstream,
+                                  std::function<void()> Work) {
   if (this->Net.isCut(From, Upstream))
-    return Way::Cut;
+    return Reachability::Cut;
   const auto Engine = this->Engines.find(Upstream);
   const auto Application = this->Applications.find(Upstream);
   const bool IsEngine = Engine != this->Engines.end();
   if (!IsEngine && Application == this->Applications.end())
-    return Way::Refused;
+    return Reachability::Refused;
   const auto &Listing =
       IsEngine ? Engine->second.Listing : Application->second.Listing;
   const bool &Alive =
@@ -37,18 +38,18 @@
   auto &DeferredWork =
       IsEngine ? Engine->second.DeferredWork : Application->second.DeferredWork;
   if (!Alive)
-    return Way::Refused;
+    return Reachability::Refused;
   this->Queue.after(this->Net.delay(From, Upstream),
                     [&Listing, &Alive, &Frozen, &DeferredWork,
-                     Life = Listing.Life, Todo = std::move(Todo)] {
+                     Life = Listing.Life, Work = std::move(Work)] {
                       if (!Alive || Listing.Life != Life)
                         return;
                       if (Frozen)
-                        DeferredWork.push_back(Todo);
+                        DeferredWork.push_back(Work);
                       else
-                        Todo();
+                        Work();
                     });
-  return Way::Open;
+  return Reachability::Open;
 }
 
 void VirtualDeployment::replyAfter(Duration Delay, VirtualHost &To,
@@ -64,41 +65,44 @@
                    std::move(Answer));
 }
 
-VirtualTry VirtualDeployment::tryOf(VirtualHost &From,
-                                    const AttemptId &Attempt) {
+VirtualAttempt VirtualDeployment::makeAttempt(VirtualHost &From,
+                                              const AttemptId &Attempt) {
   return {&From, From.life(), Attempt, From.callerOf(Attempt)};
 }
 
-void VirtualDeployment::started(const VirtualTry &Try) {
-  if (Try.Caller)
-    ++this->Callers[*Try.Caller].StartedRuns;
+void VirtualDeployment::started(const VirtualAttempt &SentAttempt) {
+  if (SentAttempt.Caller)
+    ++this->Callers[*SentAttempt.Caller].StartedRuns;
 }
 
-void VirtualDeployment::endAfter(Duration Delay, const VirtualTry &Try,
+void VirtualDeployment::endAfter(Duration Delay,
+                                 const VirtualAttempt &SentAttempt,
                                  AttemptOutcome Outcome) {
-  this->Queue.after(Delay, [Try, Outcome = std::move(Outcome)] {
-    Try.From->whenRunning(Try.Life, [Try, Outcome] {
-      Try.From->endAttempt(Try.Attempt, Outcome);
+  this->Queue.after(Delay, [SentAttempt, Outcome = std::move(Outcome)] {
+    SentAttempt.From->whenRunning(SentAttempt.Life, [SentAttempt, Outcome] {
+      SentAttempt.From->endAttempt(SentAttempt.Id, Outcome);
     });
   });
 }
 
-void VirtualDeployment::breakAfter(Duration Delay, const VirtualTry &Try,
+void VirtualDeployment::breakAfter(Duration Delay,
+                                   const VirtualAttempt &SentAttempt,
                                    bool UpstreamDied) {
-  this->Queue.after(Delay, [Try, UpstreamDied] {
-    Try.From->whenRunning(Try.Life, [Try, UpstreamDied] {
-      Try.From->breakAttempt(Try.Attempt, UpstreamDied);
-    });
+  this->Queue.after(Delay, [SentAttempt, UpstreamDied] {
+    SentAttempt.From->whenRunning(
+        SentAttempt.Life, [SentAttempt, UpstreamDied] {
+          SentAttempt.From->breakAttempt(SentAttempt.Id, UpstreamDied);
+        });
   });
 }
 
-void VirtualDeployment::judgeDispatch(const VirtualHost &From,
+void VirtualDeployment::checkDispatch(const VirtualHost &From,
                                       const std::string &Upstream,
                                       std::optional<Time> LeftAt) {
-  if (!LeftAt || this->now() <= *LeftAt + NewWorkUntil)
+  if (!LeftAt || this->now() <= *LeftAt + MaxLeavingDelay)
     return;
   if (this->now() <= From.thawedAt() + seconds(1) ||
-      !this->canKnow(From.name(), "hostlist"))
+      !this->canLearnFrom(From.name(), "hostlist"))
     return;
   this->violation(Upstream + " got new work from " + From.name() +
                   " long after it began to leave");
@@ -109,37 +113,39 @@
 void VirtualDeployment::dispatch(VirtualHost &From,
                                  const DispatchAttempt &Wanted,
                                  const RequestHead &Head) {
-  const VirtualTry Try = this->tryOf(From, Wanted.Attempt);
+  const VirtualAttempt SentAttempt = this->makeAttempt(From, Wanted.Attempt);
   const std::string Name = Wanted.Upstream.Value;
   const auto Engine = this->Engines.find(Name);
   const auto Application = this->Applications.find(Name);
   if (Engine != this->Engines.end() && !Wanted.AttachTo)
-    this->judgeDispatch(From, Name, Engine->second.LeftAt);
+    this->checkDispatch(From, Name, Engine->second.LeftAt);
   if (Application != this->Applications.end())
-    this->judgeDispatch(From, Name, Application->second.LeftAt);
-  const Way Reached =
-      this->travel(From.name(), Name, [this, Try, Wanted, Head, Name] {
+    this->checkDispatch(From, Name, Application->second.LeftAt);
+  const Reachability Reach = this->sendToUpstream(
+      From.name(), Name, [this, SentAttempt, Wanted, Head, Name] {
         if (Wanted.Kind == UpstreamKind::Application)
-          this->runOnApplication(this->Applications.at(Name), Head, Try);
+          this->runOnApplication(this->Applications.at(Name), Head,
+                                 SentAttempt);
         else if (Wanted.AttachTo)
-          this->attachOnEngine(this->Engines.at(Name), Wanted, Try);
+          this->attachOnEngine(this->Engines.at(Name), Wanted, SentAttempt);
         else
-          this->startOnEngine(this->Engines.at(Name), Wanted, Head, Try);
+          this->startOnEngine(this->Engines.at(Name), Wanted, Head,
+                              SentAttempt);
       });
-  if (Reached == Way::Cut)
-    this->endAfter(AnswerTimeout, Try, AttemptNeverSent{});
-  if (Reached == Way::Refused)
-    this->endAfter(2 * this->Net.Far, Try, AttemptNeverSent{});
+  if (Reach == Reachability::Cut)
+    this->endAfter(AnswerTimeout, SentAttempt, AttemptNeverSent{});
+  if (Reach == Reachability::Refused)
+    this->endAfter(2 * this->Net.Far, SentAttempt, AttemptNeverSent{});
 }
 
 void VirtualDeployment::startOnEngine(FakeEngine &Engine,
                                       const DispatchAttempt &Wanted,
                                       const RequestHead &Head,
-                                      const VirtualTry &Try) {
+                                      const VirtualAttempt &SentAttempt) {
   this->pump(Engine);
   EngineJob Job;
   Job.Attempt = Wanted.Attempt;
-  Job.Owner = Try.From->name();
+  Job.Owner = SentAttempt.From->name();
   Job.PromptTokens = Head.PromptTokens;
   Job.OutputTokens = Wanted.MaxOutputTokens;
   Job.StartIndex = Wanted.NextIndex;
@@ -158,46 +164,48 @@
                        : Answer == Submitted::Leaving ? Why::Leaving
                                                       : Why::NoMemory;
     return this->endAfter(
-        this->Net.delay(Engine.Listing.Id.Value, Try.From->name()), Try,
-        AttemptRefused{Reason});
+        this->Net.delay(Engine.Listing.Id.Value, SentAttempt.From->name()),
+        SentAttempt, AttemptRefused{Reason});
   }
-  this->started(Try);
+  this->started(SentAttempt);
   EngineStream Stream;
   Stream.Listener = Job.Attempt;
-  Stream.Host = Try.From->name();
-  Stream.HostLife = Try.Life;
+  Stream.Host = SentAttempt.From->name();
+  Stream.HostLife = SentAttempt.Life;
   Stream.Content = Head.Content;
   Stream.Deadline = Wanted.Deadline;
   Stream.FirstIndex = Stream.Produced = Job.StartIndex;
   Engine.Streams[Job.Attempt] = Stream;
   this->schedulePump(Engine);
-  const auto Deadly = this->Poison.find(Head.Content);
-  if (Deadly == this->Poison.end())
+  const auto PoisonEntry = this->Poison.find(Head.Content);
+  if (PoisonEntry == this->Poison.end())
     return;
   const std::string Name = Engine.Listing.Id.Value;
-  this->Queue.after(
-      PoisonDelay, [this, Name, Attempt = Job.Attempt, Again = Deadly->second] {
-        FakeEngine &Victim = this->Engines.at(Name);
-        if (!Victim.Alive || !Victim.Streams.contains(Attempt))
-          return;
-        this->killUpstream(Name);
-        this->Queue.after(Again, [this, Name] { this->restartUpstream(Name); });
-      });
+  this->Queue.after(PoisonDelay, [this, Name, Attempt = Job.Attempt,
+                                  RestartDelay = PoisonEntry->second] {
+    FakeEngine &Victim = this->Engines.at(Name);
+    if (!Victim.Alive || !Victim.Streams.contains(Attempt))
+      return;
+    this->killUpstream(Name);
+    this->Queue.after(RestartDelay,
+                      [this, Name] { this->restartUpstream(Name); });
+  });
 }
 
 void VirtualDeployment::attachOnEngine(FakeEngine &Engine,
                                        const DispatchAttempt &Wanted,
-                                       const VirtualTry &Try) {
+                                       const VirtualAttempt &SentAttempt) {
   this->pump(Engine);
   const auto Found =
       Engine.Streams.find(Engine.startedAttempt(Wanted.AttachTo.value()));
   if (Found == Engine.Streams.end())
     return this->breakAfter(
-        this->Net.delay(Engine.Listing.Id.Value, Try.From->name()), Try, false);
+        this->Net.delay(Engine.Listing.Id.Value, SentAttempt.From->name()),
+        SentAttempt, false);
   EngineStream &Stream = Found->second;
   Stream.Listener = Wanted.Attempt;
-  Stream.Host = Try.From->name();
-  Stream.HostLife = Try.Life;
+  Stream.Host = SentAttempt.From->name();
+  Stream.HostLife = SentAttempt.Life;
   Stream.Deadline = Wanted.Deadline;
   Stream.Broken = false;
   if (Stream.Produced > Wanted.NextIndex || Stream.Ended)
@@ -222,17 +230,17 @@
 }
 
 void VirtualDeployment::pump(FakeEngine &Engine) {
-  for (const EngineModel::Output &Each : Engine.Model.advance(this->now())) {
-    const auto Found = Engine.Streams.find(Each.Attempt);
+  for (const EngineModel::Output &Output : Engine.Model.advance(this->now())) {
+    const auto Found = Engine.Streams.find(Output.Attempt);
     if (Found == Engine.Streams.end())
       continue;
     EngineStream &Stream = Found->second;
-    Stream.Produced = Each.FirstIndex + Each.Count;
-    Stream.Ended = Each.Ended;
+    Stream.Produced = Output.FirstIndex + Output.Count;
+    Stream.Ended = Output.Ended;
     this->sendChunks(Engine, Stream,
-                     {Stream.Listener, Each.Attempt, Stream.Content,
-                      Each.FirstIndex, Each.Count, Each.Ended});
-    if (Each.Ended)
+                     {Stream.Listener, Output.Attempt, Stream.Content,
+                      Output.FirstIndex, Output.Count, Output.Ended});
+    if (Output.Ended)
       Engine.Streams.erase(Found);
   }
   this->schedulePump(Engine);
@@ -244,11 +252,11 @@
   const Incarnation Life = Stream.HostLife;
   if (Stream.Broken || To.life() != Life)
     return;
-  const auto Give = [this, &Engine, &To, Life](ChunkBatch Given) {
+  const auto Deliver = [this, &Engine, &To, Life](ChunkBatch Batch) {
     this->Queue.after(this->Net.delay(Engine.Listing.Id.Value, To.name()),
-                      [&To, Life, Given] {
+                      [&To, Life, Batch] {
                         To.whenRunning(Life,
-                                       [&To, Given] { To.receive(Given); });
+                                       [&To, Batch] { To.receive(Batch); });
                       });
   };
   const bool Truncated =
@@ -264,25 +272,25 @@
     for (const auto &[Attempt, Other] : Engine.Streams)
       if (Other.Listener != Chunks.Connection)
         Stray.Connection = Other.Listener;
-    Give(Stray);
+    Deliver(Stray);
   }
   if (Engine.BatchesToRepeat > 0) {
     --Engine.BatchesToRepeat;
-    Give(Chunks);
+    Deliver(Chunks);
   }
-  Give(Chunks);
+  Deliver(Chunks);
 }
 
 void VirtualDeployment::runOnApplication(FakeApplication &Application,
                                          const RequestHead &Head,
-                                         const VirtualTry &Try) {
+                                         const VirtualAttempt &SentAttempt) {
   AttemptOutcome Outcome = AttemptComplete{1, "done"};
   Duration Delay = Application.RunTime;
   if (Application.ReportsLeaving) {
     Outcome = AttemptRefused{AttemptRefused::Why::Leaving};
     Delay = Duration();
   } else {
-    this->started(Try);
+    this->started(SentAttempt);
     if (Head.Operation)
       ++Application.Runs[Head.Operation->Value];
     if (Application.RunsToFail > 0 && Application.RunsToFail--)
@@ -292,13 +300,13 @@
       Delay = AnswerTimeout;
     }
   }
-  this->Queue.after(Delay, [this, &Application, Try, Outcome,
+  this->Queue.after(Delay, [this, &Application, SentAttempt, Outcome,
                             Started = Application.Listing.Life] {
     const std::string &Name = Application.Listing.Id.Value;
     const bool Died = !Application.Alive || Application.Listing.Life != Started;
-    if (this->Net.isCut(Name, Try.From->name()))
-      return this->endAfter(AnswerTimeout, Try, AttemptBroken{});
-    this->endAfter(this->Net.delay(Name, Try.From->name()), Try,
+    if (this->Net.isCut(Name, SentAttempt.From->name()))
+      return this->endAfter(AnswerTimeout, SentAttempt, AttemptBroken{});
+    this->endAfter(this->Net.delay(Name, SentAttempt.From->name()), SentAttempt,
                    Died ? AttemptBroken{0, true} : Outcome);
   });
 }
@@ -306,8 +314,8 @@
 void VirtualDeployment::cancel(VirtualHost &From, const CancelAttempt &Wanted) {
   const Incarnation Life = From.life();
   const std::string Name = Wanted.Upstream.Value;
-  const Way Reached =
-      this->travel(From.name(), Name, [this, &From, Life, Wanted, Name] {
+  const Reachability Reach = this->sendToUpstream(
+      From.name(), Name, [this, &From, Life, Wanted, Name] {
         const auto Found = this->Engines.find(Name);
         if (Found != this->Engines.end()) {
           FakeEngine &Engine = Found->second;
@@ -321,7 +329,7 @@
           this->reply(Name, From, Life,
                       CancelAnswered{Wanted.Attempt, Wanted.Upstream, true});
       });
-  if (Reached != Way::Open)
+  if (Reach != Reachability::Open)
     this->replyAfter(AnswerTimeout, From, Life,
                      CancelAnswered{Wanted.Attempt, Wanted.Upstream, false});
 }
