--- a/tests/auto/harness/ServingTest.cpp
+++ b/tests/auto/harness/ServingTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A calm deployment of all plug-ins serves requests from end to end.
+/// Tests that a deployment with all plug-ins and without faults serves requests
+/// end to end.
 #include "harness/TestCatalogue.h"
 #include "harness/VirtualDeployment.h"
 
@@ -8,7 +9,7 @@
 namespace banyanpick {
 namespace {
 
-TEST(ServingTest, ACalmDeploymentServesEveryKindOfRequest) {
+TEST(ServingTest, ServesEveryKindOfRequestWithoutFaults) {
   VirtualDeployment Deployment({});
   Deployment.seedCatalogue(testCatalogue({"house-1", "house-2"}));
   for (const char *Name : {"e1", "e2"}) {
--- a/tests/auto/harness/VirtualDeploymentTest.cpp
+++ b/tests/auto/harness/VirtualDeploymentTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The virtual deployment itself: time, network and platform fakes.
+/// Tests of the virtual deployment: event queue, network, log fake and hosts.
 #include "harness/VirtualDeployment.h"
 #include "harness/TestCatalogue.h"
 
@@ -8,7 +8,7 @@
 namespace banyanpick {
 namespace {
 
-TEST(EventQueueTest, RunsInTheOrderOfTimeThenEntry) {
+TEST(EventQueueTest, RunsInOrderOfTimeThenInsertion) {
   EventQueue Queue{Time()};
   std::string Order;
   Queue.after(seconds(2), [&] { Order += "c"; });
@@ -44,7 +44,7 @@
   EXPECT_FALSE(Net.isCut("a", "b"));
 }
 
-TEST(VirtualDeploymentTest, HostsRunFreezeDieAndReturn) {
+TEST(VirtualDeploymentTest, HostsFreezeCrashAndRestart) {
   VirtualDeployment Deployment({});
   for (const char *Name : {"h1", "h2", "h3"})
     Deployment.addHost(Name, "a");
--- a/tests/harness/EventQueue.h
+++ b/tests/harness/EventQueue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Virtual time: work ordered by the moment at which it is due.
+/// The event queue that drives virtual time.
 #pragma once
 
 #include "base/Time.h"
@@ -12,7 +12,8 @@
 
 namespace banyanpick {
 
-/// Runs work in the order of time, and of its entry where times are equal.
+/// Runs callbacks in the order of their due times, and in the order of
+/// insertion where due times are equal.
 class EventQueue {
 public:
   using Work = std::function<void()>;
@@ -30,7 +31,7 @@
     this->at(this->Clock + Delay, std::move(Callback));
   }
 
-  /// Runs everything that is due by \p Until, then stands there.
+  /// Runs all callbacks due by \p Until and sets the clock to \p Until.
   void runUntil(Time Until) {
     while (!this->Items.empty() && this->Items.front().When <= Until) {
       std::pop_heap(this->Items.begin(), this->Items.end(), later);
--- a/tests/harness/FakeApplication.h
+++ b/tests/harness/FakeApplication.h
@@ -1,5 +1,5 @@
 /// \file
-/// An application engine that counts its runs by operation key.
+/// A fake application upstream that counts its runs by operation key.
 #pragma once
 
 #include "base/StrongId.h"
@@ -13,20 +13,21 @@
 
 namespace banyanpick {
 
-/// A plain service; each run is counted, whoever asked for it.
+/// An application upstream. Counts every run by operation key, whichever host
+/// sent it.
 struct FakeApplication {
   UpstreamListing Listing;
   bool Alive = true;
   bool Frozen = false;
-  bool ReportsLeaving = false; ///< In its reports and refusals.
+  bool ReportsLeaving = false; ///< In load reports and refusals.
   std::optional<Time> LeftAt;
   Duration RunTime = milliseconds(20);
-  /// Of the next runs, how many answers the network loses.
+  /// Number of next runs whose answers the network loses.
   std::uint32_t AnswersToLose = 0;
   std::uint32_t RunsToFail = 0;
   std::map<std::string, std::uint32_t> Runs;
   std::vector<std::function<void()>>
-      DeferredWork; ///< What arrived while frozen.
+      DeferredWork; ///< Messages received while frozen.
 
   LoadReport report(Time Now) const {
     LoadReport Report;
--- a/tests/harness/FakeEngine.h
+++ b/tests/harness/FakeEngine.h
@@ -1,6 +1,6 @@
 /// \file
-/// An engine of a virtual deployment: the engine model, who listens to each of
-/// its streams, and the faults set on it.
+/// An engine of a virtual deployment: the engine model, the attempt attached to
+/// each stream, and the injected faults.
 #pragma once
 
 #include "fakes/EngineModel.h"
@@ -14,26 +14,26 @@
 
 namespace banyanpick {
 
-/// Chunks on their way from an engine to an entry host.
+/// Chunks in transit from an engine to an entry host.
 struct ChunkBatch {
-  AttemptId Connection; ///< The try whose connection carries them.
-  AttemptId Echoed;     ///< The try that they name.
-  Fingerprint Content;  ///< Whose answer it really is.
+  AttemptId Connection; ///< Attempt whose connection carries the chunks.
+  AttemptId Echoed;     ///< Attempt that the chunks name.
+  Fingerprint Content;  ///< Content of the request that is answered.
   std::uint64_t FirstIndex = 0;
   std::uint64_t Count = 0;
   bool Ended = false;
 };
 
-/// One order as it reached the engine.
+/// One order as the engine received it.
 struct ReceivedOrder {
   Time At;
   LogOffset Fencing = 0;
   bool TookEffect = false;
 };
 
-/// Who listens to a stream that runs on the engine.
+/// A stream that runs on the engine, and the attempt that receives it.
 struct EngineStream {
-  AttemptId Listener; ///< The latest try attached to it.
+  AttemptId Listener; ///< The attempt that attached last.
   std::string Host;
   Incarnation HostLife;
   Fingerprint Content;
@@ -41,10 +41,10 @@
   std::uint64_t FirstIndex = 0;
   std::uint64_t Produced = 0; ///< First chunk not yet produced.
   bool Ended = false;
-  bool Broken = false; ///< Its connection was reset.
+  bool Broken = false; ///< The connection was reset.
 };
 
-/// The state of one engine.
+/// An engine model together with its connections and injected faults.
 struct FakeEngine {
   FakeEngine(UpstreamListing Listing, const EngineShape &Shape)
       : Listing(std::move(Listing)), Model(Shape) {}
@@ -53,11 +53,11 @@
   EngineModel Model;
   bool Alive = true;
   bool Frozen = false;
-  bool ReportsLeaving = false; ///< In its reports and refusals.
+  bool ReportsLeaving = false; ///< In load reports and refusals.
   std::optional<Time> LeftAt;
   Duration LoadLag = milliseconds(200);
-  /// Of the next batches, how many are given to another try's connection,
-  /// sent twice, or cut before their end.
+  /// Number of next batches that are also sent over another attempt's
+  /// connection, sent twice, or lost with a reset of their connection.
   std::uint32_t BatchesToMisroute = 0;
   std::uint32_t BatchesToRepeat = 0;
   std::uint32_t BatchesToTruncate = 0;
@@ -66,12 +66,14 @@
   double CacheEventLoss = 0;
   LoadReport LastReport;
   Time PumpAt = Never;
-  std::map<AttemptId, EngineStream> Streams; ///< By the try that started it.
+  std::map<AttemptId, EngineStream>
+      Streams; ///< By the attempt that started it.
   std::vector<ReceivedOrder> Orders;
   std::vector<std::function<void()>>
-      DeferredWork; ///< What arrived while frozen.
+      DeferredWork; ///< Messages received while frozen.
 
-  /// The started try behind \p Attempt, which may have attached to it.
+  /// Returns the attempt that started the stream to which \p Attempt is
+  /// attached, or \p Attempt itself when there is none.
   AttemptId startedAttempt(const AttemptId &Attempt) const {
     for (const auto &[Started, Stream] : this->Streams)
       if (Stream.Listener == Attempt)
@@ -79,8 +81,9 @@
     return Attempt;
   }
 
-  /// The report the engine publishes: older than LoadLag at the most, with
-  /// streams under the name of who listens now.
+  /// Returns the load report that the engine publishes. The report is renewed
+  /// once it is LoadLag old. Streams are listed under the attempt attached to
+  /// them at the time of the report.
   const LoadReport &report(Time Now) {
     if (this->LastReport.Id == this->Listing.Id &&
         Now < this->LastReport.MeasuredAt + this->LoadLag)
--- a/tests/harness/FakeLog.h
+++ b/tests/harness/FakeLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's append-only log: offsets, retention, outages, lost answers,
-/// late effects.
+/// A fake of the platform's append-only log with offsets, retention, outages,
+/// lost answers and delayed appends.
 #pragma once
 
 #include "kernel/Event.h"
@@ -11,27 +11,27 @@
 
 namespace banyanpick {
 
-/// What becomes of one append.
+/// The outcome of one append.
 enum class AppendOutcome {
-  Appended,   ///< In the log, answered.
-  AnswerLost, ///< In the log; the answer never comes.
-  Delayed,    ///< No answer; it enters the log some time later.
-  Refused,    ///< Surely not in the log.
-  Dropped,    ///< Not in the log; no answer.
+  Appended,   ///< Stored and answered.
+  AnswerLost, ///< Stored; the answer is lost.
+  Delayed,    ///< Not answered; stored after AppendDelay.
+  Refused,    ///< Answered as not stored.
+  Dropped,    ///< Neither stored nor answered.
 };
 
-/// The log with the faults that are set on it.
+/// An in-memory log with fault injection.
 class FakeLog {
 public:
   bool Down = false;
-  std::uint32_t AnswersToLose = 0; ///< Of the next appends that take effect.
+  std::uint32_t AnswersToLose = 0; ///< Of the next stored appends.
   std::uint32_t AppendsToDelay = 0;
-  Duration AppendDelay = seconds(5); ///< Of delayed appends.
+  Duration AppendDelay = seconds(5); ///< For delayed appends.
   Duration ServiceTime = milliseconds(1);
   Duration Retention = std::chrono::hours(24);
-  std::uint32_t MaxAppendsPerSecond = 500; ///< More are refused.
+  std::uint32_t MaxAppendsPerSecond = 500; ///< Further appends are refused.
 
-  /// Decides on an append that reached the log at \p Now.
+  /// Decides the outcome of an append that reaches the log at \p Now.
   AppendOutcome decideOutcome(Time Now) {
     if (this->Down)
       return ++this->AppendsWhileDown % 2 ? AppendOutcome::Dropped
@@ -49,7 +49,7 @@
     return AppendOutcome::Appended;
   }
 
-  /// Stores the records under one offset.
+  /// Stores the records under one offset and returns the offset.
   LogOffset append(std::span<const LogRecord> Records, Time Now) {
     const LogOffset Offset = this->end();
     this->Appends.push_back({Now, {}});
@@ -59,13 +59,13 @@
     return Offset;
   }
 
-  /// Drops what is older than the retention.
+  /// Drops appends older than the retention.
   void expire(Time Now) {
     while (!this->Appends.empty() &&
            this->Appends.front().At + this->Retention < Now)
       this->dropFirst();
   }
-  /// Drops everything before \p Start.
+  /// Drops all appends before the offset \p Start.
   void dropBefore(LogOffset Start) {
     while (!this->Appends.empty() && this->Start < Start)
       this->dropFirst();
--- a/tests/harness/Network.h
+++ b/tests/harness/Network.h
@@ -1,6 +1,6 @@
 /// \file
-/// Delays, cuts, losses and repetitions between named parties of a virtual
-/// deployment.
+/// Network delays, partitions, message loss and duplication between the named
+/// parties of a virtual deployment.
 #pragma once
 
 #include "base/Random.h"
@@ -14,14 +14,15 @@
 
 namespace banyanpick {
 
-/// Which messages arrive, and when. Parties are named as in the catalogue;
-/// the platform's services are "log" and "hostlist", callers "callers".
+/// Decides which messages arrive, and when. Hosts and upstreams have their
+/// listed names, the platform's services are "log" and "hostlist", and all
+/// callers together are "callers".
 class Network {
 public:
-  /// One-way delays inside a data centre and between two of them.
+  /// One-way delays within a data centre and between data centres.
   Duration Near = Duration(200);
   Duration Far = milliseconds(2);
-  /// Shares of peer messages that are lost or arrive twice.
+  /// Fractions of peer messages that are lost or arrive twice.
   double Loss = 0;
   double Duplication = 0;
 
@@ -29,7 +30,8 @@
     this->Zones[Party] = Zone;
   }
 
-  /// The one-way delay; "*" stands for everybody in setExtraDelay() and cut().
+  /// Returns the one-way delay. In setExtraDelay() and cut(), "*" stands for
+  /// any party.
   Duration delay(const std::string &From, const std::string &To) const {
     Duration Result = this->zone(From) == this->zone(To) ? Near : Far;
     if (this->ExtraDelays.empty())
@@ -51,7 +53,7 @@
     return false;
   }
 
-  /// Cuts one direction.
+  /// Drops all messages from \p From to \p To; the other direction still works.
   void cut(const std::string &From, const std::string &To) {
     this->Cuts.insert({From, To});
   }
--- a/tests/harness/PromiseChecker.cpp
+++ b/tests/harness/PromiseChecker.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Beyond the promise: a caller's two ways and one sweep of the kernel.
+/// Added to the deadline: a caller's round trip and one sweep of the kernel.
 constexpr Duration DeadlineSlack = milliseconds(300);
-/// Everywhere within this after the operator was told "accepted".
+/// An accepted change is in force on all hosts within this time.
 constexpr Duration MaxPropagationTime = seconds(6);
 
 std::string label(const CallerRecord &Record) {
@@ -43,13 +43,15 @@
 
 void PromiseChecker::checkCaller(CallerRecord &Record) {
   if (Record.OutOfOrderChunks > 0)
-    this->reportViolation(label(Record) + " got a chunk twice or with a gap");
+    this->reportViolation(label(Record) +
+                          " received a repeated chunk or missed one");
   if (Record.ForeignChunks > 0)
-    this->reportViolation(label(Record) + " got chunks of another's answer");
+    this->reportViolation(label(Record) + " received chunks of another answer");
   if (Record.Answer) {
     if (std::holds_alternative<NotRun>(*Record.Answer) &&
         Record.StartedRuns > 0)
-      this->reportViolation(label(Record) + " was told \"not run\" and ran");
+      this->reportViolation(label(Record) +
+                            " was answered \"not run\" but ran");
     if (const auto *Complete = std::get_if<CompleteAnswer>(&*Record.Answer))
       this->checkCompleteAnswer(Record, *Complete);
   }
@@ -61,8 +63,9 @@
   if (Record.HostWasFrozen)
     ++this->LateWhileFrozen;
   else
-    this->reportViolation(label(Record) +
-                          " was admitted and is not final in its time");
+    this->reportViolation(
+        label(Record) +
+        " was admitted and has no final answer by its deadline");
 }
 
 void PromiseChecker::checkCompleteAnswer(const CallerRecord &Record,
@@ -70,9 +73,9 @@
   if (Record.Head.Operation)
     return;
   if (Answer.Count != Record.Next || Record.Next != Record.Head.MaxOutputTokens)
-    this->reportViolation(fmt::format("{} is called whole with {} chunks of {}",
-                                      label(Record), Record.Next,
-                                      Record.Head.MaxOutputTokens));
+    this->reportViolation(
+        fmt::format("{} has a complete answer with {} chunks of {}",
+                    label(Record), Record.Next, Record.Head.MaxOutputTokens));
 }
 
 void PromiseChecker::checkRuns() {
@@ -89,15 +92,15 @@
     for (const ReceivedOrder &Order : Engine.Orders) {
       if (Order.TookEffect && Order.Fencing < Highest)
         this->reportViolation(Name +
-                              " obeyed an order with an old fencing number");
+                              " executed an order with an old fencing number");
       Highest = std::max(Highest, Order.Fencing);
     }
   }
 }
 
 bool PromiseChecker::isHealthy(const VirtualHost &Host) const {
-  // Peers are found by the host list; without the log, who has missed a change
-  // can't learn of it and must admit nothing.
+  // A host finds its peers by the host list. Without the log, a host that has
+  // missed a change can't learn of it and must admit no requests.
   return Host.isRunning() && !Host.isFrozen() && !this->Deployment.log().Down &&
          this->Deployment.canLearnFrom(Host.name(), "log") &&
          this->Deployment.isConnected(Host.name(), "hostlist");
@@ -122,11 +125,12 @@
   if (Offset != Before.InForce) {
     const auto &Entries = View.catalogue().entries();
     if (this->EntriesByOffset.emplace(Offset, Entries).first->second != Entries)
-      this->reportViolation(Host.name() +
-                            " folds the log differently from another");
+      this->reportViolation(
+          Host.name() +
+          " builds a different catalogue from the log than another host");
   }
   Before.InForce = Offset;
-  // A host that can't learn of a change must know that, and admit nothing.
+  // A host that can't learn of a change must detect this and admit no requests.
   const bool MayAdmit = !Host.isFrozen() && View.isCurrent(Now) &&
                         Host.thawedAt() + MaxPropagationTime < Now;
   for (const AcceptedChange &Change : this->AcceptedChanges)
@@ -135,7 +139,7 @@
             Now &&
         Offset < Change.Offset)
       this->reportViolation(
-          fmt::format("{} has not the accepted change at offset {} in force",
+          fmt::format("{} does not apply the accepted change at offset {}",
                       Host.name(), Change.Offset));
 }
 
--- a/tests/harness/PromiseChecker.h
+++ b/tests/harness/PromiseChecker.h
@@ -1,5 +1,5 @@
 /// \file
-/// What must always hold in a deployment, checked by the harness's own counts.
+/// Checks the guarantees of a deployment against the harness's own records.
 #pragma once
 
 #include "harness/VirtualDeployment.h"
@@ -11,9 +11,10 @@
 
 namespace banyanpick {
 
-/// Call check() often while a deployment runs and checkIdle() when all faults
-/// are mended and nothing was asked for a while; broken promises become
-/// violations of the deployment.
+/// Checks guarantees such as deadlines, complete answers and single runs. Call
+/// check() often while a deployment runs, and checkIdle() when all faults are
+/// cleared and no request was sent for a while. Broken guarantees are recorded
+/// as violations of the deployment.
 class PromiseChecker {
 public:
   explicit PromiseChecker(VirtualDeployment &Deployment)
@@ -22,19 +23,19 @@
   void check();
   void checkIdle();
 
-  /// An operator was told at this moment that the offset is accepted.
+  /// Called when an operator is told that the change at \p Offset is accepted.
   void noteAccepted(LogOffset Offset);
 
-  /// Requests admitted later than their promise allows are counted here, and
-  /// not as violations, when their host was frozen.
+  /// Returns how many checks found an admitted request beyond its deadline
+  /// whose host had been frozen. These are not reported as violations.
   std::size_t lateWhileFrozen() const { return this->LateWhileFrozen; }
 
 private:
-  /// What was seen of one life of a host.
+  /// State of a host at the last check. Life is its incarnation.
   struct HostObservation {
     Incarnation Life;
     LogOffset InForce = 0;
-    Time HealthySince{}; ///< Neither frozen nor cut off since then.
+    Time HealthySince{}; ///< Without interruption; see isHealthy().
   };
   struct AcceptedChange {
     LogOffset Offset = 0;
@@ -55,7 +56,7 @@
   std::map<LogOffset, EntryMap> EntriesByOffset;
   std::vector<AcceptedChange> AcceptedChanges;
   std::set<std::string> ReportedViolations;
-  std::size_t FirstOpen = 0; ///< Callers before it have been judged.
+  std::size_t FirstOpen = 0; ///< No caller before this index is open.
   std::size_t LateWhileFrozen = 0;
 };
 
--- a/tests/harness/RandomScenario.cpp
+++ b/tests/harness/RandomScenario.cpp
@@ -27,11 +27,11 @@
 constexpr std::array Engines = {"e1", "e2", "e3", "e4", "e5", "e6"};
 constexpr std::array Applications = {"p1", "p2"};
 
-/// Steps begin when the deployment has come up.
+/// Steps begin when the deployment has started up.
 constexpr std::uint32_t WarmUpMs = 5000;
 constexpr std::uint32_t RunMs = 60'000;
 constexpr std::size_t StepsOfRun = 150;
-/// Faults end after this at the latest.
+/// Upper bound of the duration of a fault.
 constexpr std::uint32_t LongestFaultMs = 20'000;
 
 template <std::size_t Size>
@@ -40,7 +40,7 @@
   return Choices[Number % Size];
 }
 
-/// Puts random steps into words.
+/// Writes random steps as scenario text.
 class ScenarioWriter {
 public:
   explicit ScenarioWriter(std::uint64_t Seed)
--- a/tests/harness/RandomScenario.h
+++ b/tests/harness/RandomScenario.h
@@ -1,6 +1,6 @@
 /// \file
-/// Scenarios made from random numbers: load, re-sends and every fault at
-/// random moments, overlapping and twice.
+/// Generates scenarios from random numbers: load, resent requests and all kinds
+/// of faults at random times. Faults may overlap and repeat.
 #pragma once
 
 #include "base/Random.h"
@@ -12,8 +12,8 @@
 
 namespace banyanpick {
 
-/// One random step; its numbers are reduced to what there is when it is put
-/// into words, so that any numbers make a valid scenario.
+/// One random step. Its numbers are reduced to the valid ranges when the step
+/// is written as text, so any numbers give a valid scenario.
 struct RandomStep {
   std::uint32_t AtMs = 0;
   std::uint32_t Kind = 0;
@@ -22,22 +22,22 @@
   std::uint32_t LengthMs = 0;
 };
 
-/// Steps over \p LengthMs milliseconds of virtual time.
+/// Returns \p Count steps within \p LengthMs milliseconds of virtual time.
 std::vector<RandomStep> randomSteps(Random &Rng, std::size_t Count,
                                     std::uint32_t LengthMs);
 
-/// The steps as the text of a scenario, with a deployment around them.
+/// Returns the text of a scenario with a fixed deployment and the steps.
 std::string randomScenario(std::uint64_t Seed,
                            std::span<const RandomStep> Steps);
 
-/// What came of one random scenario.
+/// The result of one random scenario.
 struct RandomRunResult {
   std::uint64_t KernelSteps = 0;
   std::vector<std::string> Failures;
   std::string Scenario;
 };
 
-/// Makes and runs the scenario of the seed.
+/// Generates the scenario of the seed and runs it.
 RandomRunResult runRandomScenario(std::uint64_t Seed);
 
 } // namespace banyanpick
--- a/tests/harness/ScenarioExpectations.cpp
+++ b/tests/harness/ScenarioExpectations.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The `expect` statements of scenarios.
+/// Evaluates the `expect` statements of scenarios.
 #include "base/Visitor.h"
 #include "harness/ScenarioRunner.h"
 
@@ -70,7 +70,8 @@
 }
 
 void ScenarioRunner::expect(const Statement &Command) {
-  // `expect NAME A | B C` allows either; what is found may say more.
+  // `expect NAME A | B C` allows either. An alternative matches when the
+  // observed state begins with it.
   const std::string Found = this->observe(Command);
   const bool NamesSubject =
       Command.word(1) != "runs" && Command.word(1) != "count";
--- a/tests/harness/ScenarioRunner.cpp
+++ b/tests/harness/ScenarioRunner.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Promises are checked this often while a scenario runs.
+/// Interval of the guarantee checks while a scenario runs.
 constexpr Duration CheckInterval = milliseconds(100);
-/// After the last statement, for everything to come to rest.
+/// Time after the last statement for requests and recoveries to finish.
 constexpr Duration SettleTime = seconds(150);
 
 std::uint64_t contentNumber(const std::string &Name) {
@@ -54,7 +54,8 @@
 }
 
 void ScenarioRunner::run() {
-  // Settings come before the kernels that read them, teams before the log.
+  // Settings must be known before kernels are created, and teams before the
+  // catalogue is written to the log.
   for (const char *Keyword : {"set", "team"})
     for (const Statement &Command : this->Statements)
       if (!Command.At && Command.Words[0] == Keyword)
@@ -64,7 +65,7 @@
     const auto &Handlers = Command.At ? eventHandlers() : setupHandlers();
     const auto Found = Handlers.find(Command.Words[0]);
     if (Found == Handlers.end())
-      Command.fail("'" + Command.Words[0] + "' is not known here");
+      Command.fail("'" + Command.Words[0] + "' is not a known statement here");
     if (Command.At)
       this->runUntil(this->StartTime + *Command.At);
     else if (Command.Words[0] == "set" || Command.Words[0] == "team")
@@ -246,7 +247,7 @@
   else if (Fault == "retention")
     Log.Retention = parseDuration(Command, Command.word(2));
   else
-    Command.fail("'" + Fault + "' is no fault of the log");
+    Command.fail("'" + Fault + "' is not a fault of the log");
 }
 
 void ScenarioRunner::lose(const Statement &Command) {
--- a/tests/harness/ScenarioRunner.h
+++ b/tests/harness/ScenarioRunner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Runs a scenario and collects what did not come as expected.
+/// Runs a scenario and collects its failures.
 #pragma once
 
 #include "harness/PromiseChecker.h"
@@ -12,17 +12,19 @@
 
 namespace banyanpick {
 
-/// Throws Error(BadInput) when the text is malformed.
+/// Runs the scenario of one text in a virtual deployment. Throws
+/// Error(BadInput) when the text is malformed.
 class ScenarioRunner {
 public:
   explicit ScenarioRunner(std::string_view Text);
 
-  /// Runs to the end, mends all faults, waits, and judges.
+  /// Runs all statements, clears the network, log and freeze faults, lets the
+  /// deployment settle and checks its guarantees.
   void run();
 
-  /// Expectations not met and promises broken, in words.
+  /// Returns the unmet expectations and the broken guarantees as text.
   std::vector<std::string> failures() const;
-  /// Keeps the log lines of all hosts; call it before run().
+  /// Keeps the log lines of all hosts. Call before run().
   void keepTrace() { this->Tracing = true; }
   std::uint64_t kernelSteps() const { return this->Deployment->steps(); }
   const std::string &trace() const { return this->Trace; }
@@ -62,9 +64,9 @@
   void clearFaults();
   bool isHost(const std::string &Name) const;
   std::size_t caller(const Statement &, const std::string &Name) const;
-  /// What came of a request, in the words of `expect`.
+  /// Returns the outcome of a request in the terms of `expect`.
   std::string outcomeOf(const CallerRecord &Record) const;
-  /// What there is of the thing that `expect` names.
+  /// Returns the state of the subject of an `expect` statement.
   std::string observe(const Statement &);
   std::string observeHost(const Statement &);
 
--- a/tests/harness/TestCatalogue.h
+++ b/tests/harness/TestCatalogue.h
@@ -15,7 +15,7 @@
 inline constexpr const char *TestModel = "m";
 inline constexpr const char *TestService = "booking";
 
-/// The key that a caller of the team, or the owner's operator, presents.
+/// Returns the key of a team's callers or of an owner's operators.
 inline std::string testKey(const std::string &Name) {
   return Name + ".secret-" + Name;
 }
@@ -53,7 +53,7 @@
   return Team;
 }
 
-/// Everything that the tests' requests need, for these teams.
+/// Returns all the entries that requests of these teams need.
 inline std::vector<Change> testCatalogue(const std::vector<std::string> &Teams,
                                          std::uint32_t MinimumEngines = 1) {
   std::vector<Change> All;
@@ -76,7 +76,8 @@
   return All;
 }
 
-/// A request of the class; \p Content tells requests apart.
+/// Returns a request of the class. \p Content identifies the prompt and
+/// determines its blocks.
 inline RequestHead testRequest(const std::string &Team,
                                const std::string &Class,
                                std::uint64_t PromptTokens,
--- a/tests/harness/VirtualDeployment.cpp
+++ b/tests/harness/VirtualDeployment.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// Where virtual time starts: 2026-01-01 00:00 UTC.
+/// Start of virtual time: 2026-01-01 00:00 UTC.
 constexpr Time StartTime{seconds(1767225600)};
 
-/// One way between a caller and an entry host.
+/// One-way delay between a caller and an entry host.
 constexpr Duration CallerDelay = milliseconds(2);
 constexpr Duration ReconnectDelay = milliseconds(100);
 
-/// What the class promises for the whole answer.
+/// Returns the time limit for the complete answer, by the class and the
+/// request.
 Duration answerTimeLimit(const ClassEntry &Class, const RequestHead &Head) {
   const auto Prompt = static_cast<Duration::rep>(Head.PromptTokens);
   const auto Output = static_cast<Duration::rep>(Head.MaxOutputTokens);
@@ -208,7 +209,7 @@
     const std::string Problem =
         Values.set(Override.Section, Override.Key, Override.Value);
     if (!Problem.empty())
-      throw Error(ErrorKind::BadInput, Problem, "mend the override");
+      throw Error(ErrorKind::BadInput, Problem, "correct the override");
   }
   auto Made = std::make_unique<Kernel>(
       Identity{Listing.Id, Life, Listing.Zone, Listing.Callers, Listing.Peers},
@@ -288,7 +289,7 @@
   CallerRecord &Record = this->Callers[Caller];
   ++Record.FinalAnswers;
   if (Record.FinalAnswers > 1)
-    this->violation(From.name() + " answers a request twice");
+    this->violation(From.name() + " sent two final answers to a request");
   Record.Answer = Answer;
   Record.EndedAt = this->now() + CallerDelay;
 }
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -1,6 +1,6 @@
 /// \file
-/// A whole deployment in one process and in virtual time: several kernels,
-/// the platform, upstreams, callers and every fault they may meet.
+/// A complete deployment in one process and in virtual time: several kernels,
+/// the platform, upstreams, callers and fault injection for all of them.
 #pragma once
 
 #include "base/Random.h"
@@ -20,24 +20,25 @@
 
 namespace banyanpick {
 
-/// One value that differs from a setting's default.
+/// A value that replaces a setting's default.
 struct SettingOverride {
   std::string Section;
   std::string Key;
   std::string Value;
 };
 
-/// How a deployment starts.
+/// Options of a deployment.
 struct DeploymentOptions {
   std::uint64_t Seed = 1;
-  /// Between a kernel's decision and the driver carrying it out.
+  /// Time between a kernel's decision and its execution by the driver.
   Duration ActionDelay{};
   Duration HostListLag = seconds(1);
   bool CheckEveryEvent = true;
   std::vector<SettingOverride> Settings;
 };
 
-/// A try as it travels: it may outlive its host and its request.
+/// An attempt in transit. It may outlive the incarnation of its host and its
+/// request.
 struct VirtualAttempt {
   VirtualHost *From = nullptr;
   Incarnation Life;
@@ -45,26 +46,27 @@
   std::optional<std::size_t> Caller;
 };
 
-/// Add hosts and upstreams, seed the catalogue, then run and look at callers().
+/// Simulates a deployment. Add hosts and upstreams, seed the catalogue, run,
+/// and inspect callers() and violations().
 class VirtualDeployment {
 public:
   explicit VirtualDeployment(DeploymentOptions Options);
   ~VirtualDeployment();
 
-  // --- what there is
+  // --- setup
   void addHost(const std::string &Name, const std::string &Zone);
   void addEngine(EngineShape Shape, const std::string &Zone);
   void addApplication(const std::string &Name, const std::string &Service,
                       const std::string &Zone);
-  /// Writes a change set straight into the log.
+  /// Writes a change set directly to the log.
   void seedCatalogue(std::vector<Change> Changes);
 
-  // --- callers; the number returned is the position in callers()
+  // --- callers; send() returns the position in callers()
   std::size_t send(const std::string &Host, RequestHead Head);
   void resume(std::size_t Caller, const std::string &Host);
   void disconnect(std::size_t Caller);
   std::vector<CallerRecord> &callers() { return this->Callers; }
-  /// A new operation key made now.
+  /// Returns a new operation key with the current time.
   OperationKey makeOperationKey();
   void sendResolveRequest(const std::string &Host, const std::string &Team,
                           const std::string &Zone,
@@ -76,17 +78,19 @@
 
   // --- faults
   void killHost(const std::string &Name);
-  /// Starts it, or replaces it by a new life.
+  /// Starts the host, or restarts it with a new incarnation.
   void startHost(const std::string &Name);
   void stopHost(const std::string &Name);
   void killUpstream(const std::string &Name);
   void restartUpstream(const std::string &Name);
   void freeze(const std::string &Name);
   void thaw(const std::string &Name);
-  /// \p AnnouncesLeaving: its reports and refusals say so at once; the host
-  /// list says so after its lag in any case.
+  /// Marks the upstream as leaving in the host list, which shows this after its
+  /// lag. With \p AnnouncesLeaving, its load reports and refusals show it at
+  /// once.
   void leaveUpstream(const std::string &Name, bool AnnouncesLeaving);
-  /// Content that kills each engine that runs it.
+  /// Lets each engine that runs \p Content crash, and restart after
+  /// \p RestartAfter.
   void addPoison(Fingerprint Content, Duration RestartAfter);
 
   // --- time
@@ -94,7 +98,7 @@
   void runFor(Duration Span) { this->Queue.runUntil(this->now() + Span); }
   EventQueue &queue() { return this->Queue; }
 
-  // --- what can be looked at
+  // --- state
   Network &network() { return this->Net; }
   FakeLog &log() { return this->Log; }
   Random &random() { return this->Rng; }
@@ -105,29 +109,30 @@
   std::map<std::string, FakeApplication> &applications() {
     return this->Applications;
   }
-  /// Events that kernels have handled.
+  /// Returns the number of events that the kernels have handled.
   std::uint64_t steps() const { return this->Steps; }
-  /// Broken rules, in words.
+  /// Returns the broken guarantees and invariants as text.
   const std::vector<std::string> &violations() const {
     return this->Violations;
   }
   void violation(const std::string &Problem);
-  /// Whether messages pass in both directions.
+  /// Returns whether messages pass in both directions.
   bool isConnected(const std::string &One, const std::string &Other) const;
-  /// Whether the host hears of what the service tells, itself or from a peer.
+  /// Returns whether the host can reach the service, directly or through one
+  /// running peer.
   bool canLearnFrom(const std::string &Host, const std::string &Service) const;
-  /// Counted measurements of all hosts, by name.
+  /// Returns the sums of the counter metrics of all hosts, by name.
   const std::map<std::string, double> &counts() const { return this->Counts; }
-  /// Called for each log line; for tracing a failed run.
+  /// Called with the host name for each log line, to trace a failed run.
   std::function<void(const std::string &, const LogEvent &)> OnLogLine;
-  /// Called for each event that a kernel handled.
+  /// Called with the resulting actions for each event that a kernel handled.
   std::function<void(const VirtualHost &, const Event &, Time,
                      const std::vector<Action> &)>
       OnHandled;
-  /// A kernel as the hosts of this deployment get it.
+  /// Creates a kernel with the settings of this deployment.
   std::unique_ptr<Kernel> makeKernel(const HostListing &Listing,
                                      Incarnation Life, std::uint64_t Seed);
-  /// Called for each message that an entry host sends another.
+  /// Called for each peer message that leaves an entry host.
   std::function<void(const PeerMessage &)> OnPeerMessage;
 
 private:
@@ -136,7 +141,7 @@
   Incarnation newIncarnation();
   void publishHostList();
 
-  /// Each carries out one action of \p From.
+  // Each of the following executes one action of \p From.
   void dispatch(VirtualHost &From, const DispatchAttempt &Wanted,
                 const RequestHead &Head);
   void cancel(VirtualHost &From, const CancelAttempt &Wanted);
@@ -163,7 +168,8 @@
   static VirtualAttempt makeAttempt(VirtualHost &From,
                                     const AttemptId &Attempt);
   void started(const VirtualAttempt &SentAttempt);
-  /// Tells the host of the try's end after \p Delay, if it still lives.
+  /// Reports the end of the attempt to its host after \p Delay, unless the host
+  /// has restarted.
   void endAfter(Duration Delay, const VirtualAttempt &SentAttempt,
                 AttemptOutcome Outcome);
   void breakAfter(Duration Delay, const VirtualAttempt &SentAttempt,
@@ -175,19 +181,21 @@
   void sendChunks(FakeEngine &Engine, EngineStream &Stream, ChunkBatch Chunks);
   void storeInLog(const std::vector<LogRecord> &Records);
 
-  /// Runs \p Todo at the upstream after the way there; false when the way is
-  /// cut or nothing listens.
+  /// Runs \p Work at the upstream after the network delay. Returns Cut when
+  /// messages to the upstream are dropped, and Refused when the upstream does
+  /// not run.
   enum class Reachability { Open, Cut, Refused };
   Reachability sendToUpstream(const std::string &From,
                               const std::string &Upstream,
                               std::function<void()> Work);
-  /// Hands \p Answer to this life of the host after the way back.
+  /// Delivers \p Answer to the given incarnation of the host after the network
+  /// delay.
   void reply(const std::string &From, VirtualHost &To, Incarnation Life,
              Event Answer);
   void replyAfter(Duration Delay, VirtualHost &To, Incarnation Life,
                   Event Answer);
 
-  /// What callers see.
+  // The following update the caller records.
   void accepted(std::size_t Caller, VirtualHost &From,
                 const std::string &Token);
   void chunksTo(std::size_t Caller, VirtualHost &From, Fingerprint Content,
@@ -196,7 +204,8 @@
   void redirectTo(std::size_t Caller, const Address &To,
                   const std::string &Token);
   void connectionLost(std::size_t Caller);
-  /// Of all callers connected to the host, heard by it or not.
+  /// Closes the connections of all callers of the host, including those whose
+  /// requests it has not received.
   void connectionsLost(const std::string &Host);
 
   DeploymentOptions Options;
@@ -207,8 +216,7 @@
   std::map<std::string, std::unique_ptr<VirtualHost>> Hosts;
   std::map<std::string, FakeEngine> Engines;
   std::map<std::string, FakeApplication> Applications;
-  HostListRead
-      PublishedHostList; ///< What the host list shows now, behind its lag.
+  HostListRead PublishedHostList; ///< Lags by HostListLag.
   std::vector<CallerRecord> Callers;
   std::map<Fingerprint, Duration> Poison;
   std::map<std::uint64_t, std::function<void(const AnswerResolve &)>>
--- a/tests/harness/VirtualFaults.cpp
+++ b/tests/harness/VirtualFaults.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Deaths, freezes and leavings in a virtual deployment.
+/// Crashes, freezes and departures in a virtual deployment.
 #include "harness/VirtualDeployment.h"
 
 namespace banyanpick {
--- a/tests/harness/VirtualHost.cpp
+++ b/tests/harness/VirtualHost.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// A kernel whose wake time does not move on is woken no more often than this.
+/// Minimum delay of a wake-up. Bounds the wake-ups of a kernel whose wake time
+/// does not advance.
 constexpr Duration MinWakeInterval = Duration(100);
-/// A process that may end waits so long for answers being written.
+/// Time that a stopping host waits for callers that still receive answers.
 constexpr Duration MaxStopTime = seconds(5);
 
 } // namespace
@@ -214,7 +215,7 @@
   const auto Found = this->Relays.find(Wanted.Request);
   if (Found == this->Relays.end())
     return this->Deployment.violation(this->name() +
-                                      " answers an unknown request");
+                                      " answered an unknown request");
   if (Found->second.Caller)
     this->Deployment.answerTo(*Found->second.Caller, *this, Wanted.Answer);
   this->endRelay(Wanted.Request);
@@ -242,7 +243,7 @@
     Relay.Content = this->Deployment.Callers[Caller].Head.Content;
   if (Wanted.NextIndex < Relay.Base)
     return this->Deployment.violation(
-        "a stream is resumed before its first chunk");
+        "a stream was resumed before its first available chunk");
   Relay.Caller = Caller;
   if (Relay.Next > Wanted.NextIndex)
     this->Deployment.chunksTo(Caller, *this, Relay.Content, Wanted.NextIndex,
--- a/tests/harness/VirtualHost.h
+++ b/tests/harness/VirtualHost.h
@@ -1,6 +1,6 @@
 /// \file
 /// One entry host of a virtual deployment: a kernel and the driver that
-/// carries out its actions.
+/// executes its actions.
 #pragma once
 
 #include "harness/EventQueue.h"
@@ -17,8 +17,9 @@
 
 class VirtualDeployment;
 
-/// Keeps the daemon's rules: no chunk twice, none missing, none of another's;
-/// it may be frozen, killed and started again with a new life.
+/// Drives a kernel under the rules of the daemon: callers receive each chunk
+/// once, without gaps, and no chunks of other answers. A host can be frozen,
+/// killed and restarted with a new incarnation.
 class VirtualHost {
 public:
   VirtualHost(VirtualDeployment &Deployment, HostListing Listing);
@@ -28,24 +29,26 @@
   void freeze();
   void thaw();
 
-  /// Hands an event to the kernel, or keeps it while frozen.
+  /// Passes an event to the kernel, or defers it while frozen.
   void deliver(const Event &Incoming);
-  /// Runs \p Todo unless this life is over; waits while frozen.
+  /// Runs \p Work if \p Life is still the running incarnation. Defers it while
+  /// frozen.
   void whenRunning(Incarnation Life, std::function<void()> Work);
 
-  /// A caller connected with a request or, with \p Token, to resume one.
+  /// Called when a caller connects with a request or, with \p Token, to resume
+  /// a stream.
   RequestId connect(std::size_t Caller, const RequestHead &Head);
   RequestId reconnect(std::size_t Caller, const std::string &Token,
                       std::uint64_t NextIndex);
   void disconnect(std::size_t Caller);
 
-  /// Chunks came from an engine.
+  /// Called when chunks arrive from an engine.
   void receive(const ChunkBatch &Chunks);
-  /// The connection of a try ended without its end mark.
+  /// Called when the connection of an attempt ends before its last chunk.
   void breakAttempt(const AttemptId &Attempt, bool UpstreamDied);
-  /// A try ended in another way than by its chunks.
+  /// Ends an attempt and reports its outcome to the kernel.
   void endAttempt(const AttemptId &Attempt, const AttemptOutcome &Outcome);
-  /// The caller of the request that the try belongs to.
+  /// Returns the caller of the request to which the attempt belongs.
   std::optional<std::size_t> callerOf(const AttemptId &Attempt) const;
 
   const HostListing &listing() const { return this->Listing; }
@@ -58,15 +61,15 @@
   Kernel &kernel() { return *this->HostKernel; }
 
 private:
-  /// A request's answer so far.
+  /// The part of an answer received so far.
   struct RelayedAnswer {
-    std::optional<RequestHead> Head; ///< Absent: the prompt is not here.
+    std::optional<RequestHead> Head; ///< Absent for adopted streams.
     std::optional<std::size_t> Caller;
     Fingerprint Content;
-    std::uint64_t Base = 0; ///< First chunk kept here.
-    std::uint64_t Next = 0; ///< First chunk not yet here.
+    std::uint64_t Base = 0; ///< First chunk available on this host.
+    std::uint64_t Next = 0; ///< First chunk not yet received.
   };
-  /// A try whose chunks are awaited.
+  /// An attempt whose chunks are expected.
   struct PendingAttempt {
     RequestId Request;
     UpstreamId Upstream;
@@ -86,7 +89,7 @@
   void beginStop();
   void stopWhenIdle();
 
-  /// Chunks between two reports of progress.
+  /// Number of chunks between two progress events.
   static constexpr std::uint64_t ProgressInterval = 64;
 
   VirtualDeployment &Deployment;
--- a/tests/harness/VirtualPlatform.cpp
+++ b/tests/harness/VirtualPlatform.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// The driver gives up on an answer after this.
+/// Timeout of the driver for an answer.
 constexpr Duration AnswerTimeout = seconds(1);
-/// How long the log keeps a reader waiting for something new.
+/// Time that the log holds a read while there are no new records.
 constexpr Duration LogWait = milliseconds(500);
 
 } // namespace
--- a/tests/harness/VirtualReports.cpp
+++ b/tests/harness/VirtualReports.cpp
@@ -1,12 +1,12 @@
 /// \file
-/// Reports, memory and orders of a virtual deployment's upstreams.
+/// Load reports, memory holds and orders of a virtual deployment's upstreams.
 #include "harness/VirtualDeployment.h"
 
 namespace banyanpick {
 
 namespace {
 
-/// The driver gives up on an answer after this.
+/// Timeout of the driver for an answer.
 constexpr Duration AnswerTimeout = seconds(1);
 
 } // namespace
--- a/tests/harness/VirtualUpstreams.cpp
+++ b/tests/harness/VirtualUpstreams.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The upstreams' side of a virtual deployment.
+/// The upstreams of a virtual deployment: connections, attempts and streams.
 #include "base/Visitor.h"
 #include "harness/VirtualDeployment.h"
 
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// The driver gives up on a connection or an answer after this.
+/// Timeout of the driver for a connection or an answer.
 constexpr Duration AnswerTimeout = seconds(1);
-/// A poison request kills its engine this long after its start.
+/// Time from the start of a poison request to the crash of its engine.
 constexpr Duration PoisonDelay = milliseconds(50);
-/// A leaving upstream gets no new work later than this.
+/// Time after which a leaving upstream must get no new work.
 constexpr Duration MaxLeavingDelay = seconds(3);
-/// Engines are not relied upon to end jobs at their deadline.
+/// Engines run jobs far beyond the deadline, so that the deployment must cancel
+/// them itself.
 constexpr Duration EngineJobLimit = std::chrono::hours(1);
 
 } // namespace
@@ -104,11 +105,11 @@
   if (this->now() <= From.thawedAt() + seconds(1) ||
       !this->canLearnFrom(From.name(), "hostlist"))
     return;
-  this->violation(Upstream + " got new work from " + From.name() +
-                  " long after it began to leave");
+  this->violation(Upstream + " received new work from " + From.name() +
+                  " too long after it began to leave");
 }
 
-// --- tries
+// --- attempts
 
 void VirtualDeployment::dispatch(VirtualHost &From,
                                  const DispatchAttempt &Wanted,
