--- a/tests/auto/fakes/EngineModelTest.cpp
+++ b/tests/auto/fakes/EngineModelTest.cpp
@@ -25,23 +25,23 @@
 
 /// The moment at which each attempt gave its first chunk.
 std::map<std::uint64_t, Time> firstChunks(EngineModel &Engine) {
-  std::map<std::uint64_t, Time> Firsts;
+  std::map<std::uint64_t, Time> FirstChunkTimes;
   while (Engine.nextStep() != Never) {
     const Time Step = Engine.nextStep();
-    for (const EngineModel::Output &Each : Engine.advance(Step))
-      Firsts.emplace(Each.Attempt.Sequence, Step);
+    for (const EngineModel::Output &Output : Engine.advance(Step))
+      FirstChunkTimes.emplace(Output.Attempt.Sequence, Step);
   }
-  return Firsts;
+  return FirstChunkTimes;
 }
 
 TEST(EngineModel, PrefillsAtItsSpeedAndUrgentWorkOvertakes) {
   EngineModel Engine({});
   Engine.submit(job(1, 200'000, 1), Start);
   Engine.submit(job(2, 1'000, 1, 9), Start);
-  const auto Firsts = firstChunks(Engine);
+  const auto FirstChunkTimes = firstChunks(Engine);
   // The urgent one waits for the chunk that was running already.
-  EXPECT_LT(inSeconds(Firsts.at(2) - Start), 0.1);
-  EXPECT_NEAR(inSeconds(Firsts.at(1) - Start), 4.02, 0.01);
+  EXPECT_LT(inSeconds(FirstChunkTimes.at(2) - Start), 0.1);
+  EXPECT_NEAR(inSeconds(FirstChunkTimes.at(1) - Start), 4.02, 0.01);
 }
 
 TEST(EngineModel, SkipsCachedPrefixAndPublishesLate) {
@@ -81,33 +81,34 @@
 
 RC_GTEST_PROP(EngineModel, GivesEachChunkOnceAndLosesNoMemory, ()) {
   EngineModel Engine({});
-  std::map<std::uint64_t, std::uint64_t> Wanted;
-  std::map<std::uint64_t, std::uint64_t> Next;
-  const auto Take = [&Next](std::span<const EngineModel::Output> Given) {
-    for (const EngineModel::Output &Each : Given) {
-      RC_ASSERT(Each.FirstIndex == Next[Each.Attempt.Sequence]);
-      Next[Each.Attempt.Sequence] += Each.Count;
-    }
-  };
+  std::map<std::uint64_t, std::uint64_t> ExpectedCounts;
+  std::map<std::uint64_t, std::uint64_t> NextIndexes;
+  const auto CheckOutput =
+      [&NextIndexes](std::span<const EngineModel::Output> Outputs) {
+        for (const EngineModel::Output &Output : Outputs) {
+          RC_ASSERT(Output.FirstIndex == NextIndexes[Output.Attempt.Sequence]);
+          NextIndexes[Output.Attempt.Sequence] += Output.Count;
+        }
+      };
   Time Now = Start;
   for (std::uint64_t Sequence = 1; Sequence <= 60; ++Sequence) {
     Now += milliseconds(*rc::gen::inRange(0, 200));
-    Take(Engine.advance(Now));
+    CheckOutput(Engine.advance(Now));
     const auto Prompt = *rc::gen::inRange<std::uint64_t>(1, 390'000);
     const auto Output = *rc::gen::inRange<std::uint64_t>(1, 50);
     const auto Priority = *rc::gen::inRange<std::uint32_t>(0, 9);
     Engine.submit(job(Sequence, Prompt, Output, Priority), Now);
-    Wanted[Sequence] = Output;
+    ExpectedCounts[Sequence] = Output;
     if (*rc::gen::inRange(0, 4) == 0) {
       Engine.cancel(AttemptId{Incarnation(7), Sequence}, Now);
-      Wanted.erase(Sequence);
+      ExpectedCounts.erase(Sequence);
     }
     RC_ASSERT(Engine.heldTokens() <= Engine.shape().MemoryTokens);
   }
   while (Engine.nextStep() != Never)
-    Take(Engine.advance(Engine.nextStep()));
-  for (const auto &[Sequence, Count] : Wanted)
-    RC_ASSERT(Next[Sequence] == Count);
+    CheckOutput(Engine.advance(Engine.nextStep()));
+  for (const auto &[Sequence, Count] : ExpectedCounts)
+    RC_ASSERT(NextIndexes[Sequence] == Count);
   RC_ASSERT(Engine.heldTokens() == 0U);
 }
 
--- a/tests/fakes/EngineModel.cpp
+++ b/tests/fakes/EngineModel.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 /// Jobs that may wait before the engine says that it is busy.
-constexpr std::size_t MaximumWaiting = 512;
+constexpr std::size_t MaxWaiting = 512;
 
 /// Adds the task's prefill to the backlog of its priority.
 void addBacklog(std::vector<PriorityBacklog> &Backlog, std::uint32_t Priority,
                 std::uint64_t Tokens) {
-  for (PriorityBacklog &Each : Backlog) {
-    if (Each.Priority != Priority)
+  for (PriorityBacklog &Entry : Backlog) {
+    if (Entry.Priority != Priority)
       continue;
-    Each.PrefillTokens += Tokens;
+    Entry.PrefillTokens += Tokens;
     return;
   }
   Backlog.push_back({Priority, Tokens});
@@ -43,44 +43,46 @@
 
 } // namespace
 
-EngineModel::EngineModel(EngineShape ShapeGiven)
-    : Shape(std::move(ShapeGiven)),
+EngineModel::EngineModel(EngineShape InitialShape)
+    : Shape(std::move(InitialShape)),
       MeasuredPrefill(this->Shape.PrefillTokensPerSecond),
       MeasuredDecode(
           1 / inSeconds(this->Shape.StepBase + this->Shape.StepPerRequest)) {}
 
-EngineModel::Submitted EngineModel::submit(const EngineJob &Job, Time Now) {
+EngineModel::SubmitResult EngineModel::submit(const EngineJob &Job, Time Now) {
   if (this->Leaving)
-    return Submitted::Leaving;
+    return SubmitResult::Leaving;
   if (this->memoryNeeded(Job) > this->Shape.MemoryTokens)
-    return Submitted::NoMemory;
-  if (this->Waiting.size() >= MaximumWaiting)
-    return Submitted::Busy;
+    return SubmitResult::NoMemory;
+  if (this->Waiting.size() >= MaxWaiting)
+    return SubmitResult::Busy;
 
-  Task New;
-  New.Job = Job;
-  New.Prefill = std::max<std::uint64_t>(1, Job.PromptTokens + Job.StartIndex);
-  New.NextIndex = Job.StartIndex;
-  const auto Place =
+  Task NewTask;
+  NewTask.Job = Job;
+  NewTask.Prefill =
+      std::max<std::uint64_t>(1, Job.PromptTokens + Job.StartIndex);
+  NewTask.NextIndex = Job.StartIndex;
+  const auto Position =
       std::upper_bound(this->Waiting.begin(), this->Waiting.end(), Job.Priority,
                        [](std::uint32_t Priority, const Task &Other) {
                          return Priority > Other.Job.Priority;
                        });
-  this->Waiting.insert(Place, std::move(New));
+  this->Waiting.insert(Position, std::move(NewTask));
   if (this->StepEnds == Never)
     this->startStep(Now);
-  return Submitted::Accepted;
+  return SubmitResult::Accepted;
 }
 
 bool EngineModel::cancel(const AttemptId &Attempt, Time Now) {
-  const auto IsIt = [&Attempt](const Task &Each) {
-    return Each.Job.Attempt == Attempt;
+  const auto Matches = [&Attempt](const Task &Current) {
+    return Current.Job.Attempt == Attempt;
   };
-  std::erase_if(this->Waiting, IsIt);
-  const auto Found = std::find_if(this->Batch.begin(), this->Batch.end(), IsIt);
+  std::erase_if(this->Waiting, Matches);
+  const auto Found =
+      std::find_if(this->Batch.begin(), this->Batch.end(), Matches);
   if (Found == this->Batch.end())
     return true;
-  this->leave(*Found, false, Now);
+  this->removeTask(*Found, false, Now);
   this->Batch.erase(Found);
   return true;
 }
@@ -106,20 +108,20 @@
   Report.Running = static_cast<std::uint32_t>(this->Batch.size());
   Report.Queued = static_cast<std::uint32_t>(this->Waiting.size());
   Report.MemoryTokens = this->Shape.MemoryTokens;
-  Report.FreeMemoryTokens = this->Shape.MemoryTokens - this->Held;
+  Report.FreeMemoryTokens = this->Shape.MemoryTokens - this->HeldTokens;
   Report.PrefillTokensPerSecond = this->MeasuredPrefill;
   Report.DecodeTokensPerSecond = this->MeasuredDecode;
   Report.HighestFencing = this->HighestFencing;
   Report.Models = this->Shape.Models;
-  for (const Task &Each : this->Waiting) {
-    Report.QueuedPrefillTokens += Each.Prefill;
-    addBacklog(Report.Backlog, Each.Job.Priority, Each.Prefill);
+  for (const Task &Current : this->Waiting) {
+    Report.QueuedPrefillTokens += Current.Prefill;
+    addBacklog(Report.Backlog, Current.Job.Priority, Current.Prefill);
   }
-  for (const Task &Each : this->Batch) {
-    Report.QueuedPrefillTokens += Each.Prefill;
-    if (Each.Prefill > 0)
-      addBacklog(Report.Backlog, Each.Job.Priority, Each.Prefill);
-    Report.Holds.push_back(streamHold(Each.Job, Each.Memory));
+  for (const Task &Current : this->Batch) {
+    Report.QueuedPrefillTokens += Current.Prefill;
+    if (Current.Prefill > 0)
+      addBacklog(Report.Backlog, Current.Job.Priority, Current.Prefill);
+    Report.Holds.push_back(streamHold(Current.Job, Current.Memory));
   }
   for (const auto &[Id, Memory] : this->Holds)
     Report.Holds.push_back({HoldKind::GroupHold, Id.Maker.Value, Id.Sequence,
@@ -136,10 +138,10 @@
                            std::uint64_t Tokens, Time Deadline) {
   if (this->Holds.contains(Hold))
     return true;
-  if (this->Leaving || Tokens > this->Shape.MemoryTokens - this->Held)
+  if (this->Leaving || Tokens > this->Shape.MemoryTokens - this->HeldTokens)
     return false;
   this->Holds[Hold] = {Owner, Tokens, Deadline};
-  this->take(Tokens, this->StepBegan);
+  this->allocate(Tokens, this->StepBegan);
   return true;
 }
 
@@ -147,7 +149,7 @@
   const auto Found = this->Holds.find(Hold);
   if (Found == this->Holds.end())
     return;
-  this->Held -= Found->second.Tokens;
+  this->HeldTokens -= Found->second.Tokens;
   this->Holds.erase(Found);
 }
 
@@ -170,29 +172,29 @@
 }
 
 std::uint64_t EngineModel::memoryNeeded(const EngineJob &Job) const {
-  for (const HoldId &Each : Job.Holds)
-    if (this->Holds.contains(Each))
+  for (const HoldId &Hold : Job.Holds)
+    if (this->Holds.contains(Hold))
       return 0;
-  const std::uint64_t Whole = Job.PromptTokens + Job.OutputTokens;
-  return Job.HasGroup ? std::min(Whole, this->Shape.MemoryTokens / 2) : Whole;
+  const std::uint64_t TotalTokens = Job.PromptTokens + Job.OutputTokens;
+  return Job.HasGroup ? std::min(TotalTokens, this->Shape.MemoryTokens / 2)
+                      : TotalTokens;
 }
 
-void EngineModel::take(std::uint64_t Tokens, Time Now) {
-  this->Held += Tokens;
-  this->Cache.shrinkTo(this->Shape.MemoryTokens - this->Held, Now);
+void EngineModel::allocate(std::uint64_t Tokens, Time Now) {
+  this->HeldTokens += Tokens;
+  this->Cache.shrinkTo(this->Shape.MemoryTokens - this->HeldTokens, Now);
 }
 
 void EngineModel::admitWaiting(Time Now) {
-  while (!this->Waiting.empty() &&
-         this->Batch.size() < this->Shape.MaximumBatch) {
+  while (!this->Waiting.empty() && this->Batch.size() < this->Shape.MaxBatch) {
     Task &First = this->Waiting.front();
     First.Memory = this->memoryNeeded(First.Job);
     // The first in line is not overtaken, or a large job would never fit.
-    if (First.Memory > this->Shape.MemoryTokens - this->Held)
+    if (First.Memory > this->Shape.MemoryTokens - this->HeldTokens)
       return;
     const std::uint64_t Cached = this->Cache.cachedTokens(First.Job.Blocks);
     First.Prefill -= std::min(Cached, First.Prefill - 1);
-    this->take(First.Memory, Now);
+    this->allocate(First.Memory, Now);
     this->Batch.push_back(std::move(First));
     this->Waiting.pop_front();
   }
@@ -210,23 +212,23 @@
 Duration EngineModel::planStep() {
   std::uint64_t Decoding = 0;
   std::vector<Task *> Prefilling;
-  for (Task &Each : this->Batch) {
-    Each.StepPrefill = 0;
-    Each.StepDecodes = Each.Prefill == 0;
-    Decoding += Each.StepDecodes ? 1 : 0;
-    if (!Each.StepDecodes)
-      Prefilling.push_back(&Each);
+  for (Task &Current : this->Batch) {
+    Current.StepPrefill = 0;
+    Current.StepDecodes = Current.Prefill == 0;
+    Decoding += Current.StepDecodes ? 1 : 0;
+    if (!Current.StepDecodes)
+      Prefilling.push_back(&Current);
   }
   std::stable_sort(Prefilling.begin(), Prefilling.end(),
                    [](const Task *Left, const Task *Right) {
                      return Left->Job.Priority > Right->Job.Priority;
                    });
-  std::uint64_t Left = this->Shape.PrefillChunkTokens;
-  for (Task *Each : Prefilling) {
-    Each->StepPrefill = std::min(Left, Each->Prefill);
-    Left -= Each->StepPrefill;
+  std::uint64_t RemainingTokens = this->Shape.PrefillChunkTokens;
+  for (Task *Current : Prefilling) {
+    Current->StepPrefill = std::min(RemainingTokens, Current->Prefill);
+    RemainingTokens -= Current->StepPrefill;
   }
-  const std::uint64_t Chunk = this->Shape.PrefillChunkTokens - Left;
+  const std::uint64_t Chunk = this->Shape.PrefillChunkTokens - RemainingTokens;
   Duration Length = fromSeconds(static_cast<double>(Chunk) /
                                 this->Shape.PrefillTokensPerSecond);
   if (Decoding > 0)
@@ -236,32 +238,34 @@
 
 void EngineModel::finishStep(Time Now, std::vector<Output> &Out) {
   this->measureStep(Now - this->StepBegan);
-  for (Task &Each : this->Batch) {
-    Each.Prefill -= Each.StepPrefill;
-    Each.PrefillDone += Each.StepPrefill;
-    this->Prefilled += Each.StepPrefill;
+  for (Task &Current : this->Batch) {
+    Current.Prefill -= Current.StepPrefill;
+    Current.PrefillDone += Current.StepPrefill;
+    this->TotalPrefill += Current.StepPrefill;
     // The step that ends the prefill gives the first chunk.
-    const bool Gives =
-        Each.StepDecodes || (Each.StepPrefill > 0 && Each.Prefill == 0);
-    if (!Gives)
+    const bool ProducesChunk =
+        Current.StepDecodes ||
+        (Current.StepPrefill > 0 && Current.Prefill == 0);
+    if (!ProducesChunk)
       continue;
-    const std::uint64_t Index = Each.NextIndex++;
-    const bool Ended = Each.NextIndex >= Each.Job.OutputTokens;
-    Out.push_back({Each.Job.Attempt, Index, 1, Ended});
+    const std::uint64_t Index = Current.NextIndex++;
+    const bool Ended = Current.NextIndex >= Current.Job.OutputTokens;
+    Out.push_back({Current.Job.Attempt, Index, 1, Ended});
     if (Ended)
-      this->leave(Each, true, Now);
+      this->removeTask(Current, true, Now);
   }
-  std::erase_if(this->Batch, [](const Task &Each) {
-    return Each.NextIndex >= Each.Job.OutputTokens && Each.Prefill == 0;
+  std::erase_if(this->Batch, [](const Task &Current) {
+    return Current.NextIndex >= Current.Job.OutputTokens &&
+           Current.Prefill == 0;
   });
 }
 
 void EngineModel::measureStep(Duration Length) {
   std::uint64_t Chunk = 0;
   bool Decoded = false;
-  for (const Task &Each : this->Batch) {
-    Chunk += Each.StepPrefill;
-    Decoded = Decoded || Each.StepDecodes;
+  for (const Task &Current : this->Batch) {
+    Chunk += Current.StepPrefill;
+    Decoded = Decoded || Current.StepDecodes;
   }
   const double Seconds = inSeconds(std::max(Length, Duration(1)));
   if (Chunk > 0)
@@ -272,26 +276,27 @@
 }
 
 void EngineModel::dropExpired(Time Now) {
-  const auto IsExpired = [Now](const Task &Each) {
-    return Each.Job.Deadline != Time() && Each.Job.Deadline <= Now;
+  const auto IsExpired = [Now](const Task &Current) {
+    return Current.Job.Deadline != Time() && Current.Job.Deadline <= Now;
   };
   std::erase_if(this->Waiting, IsExpired);
-  for (const Task &Each : this->Batch)
-    if (IsExpired(Each))
-      this->leave(Each, false, Now);
+  for (const Task &Current : this->Batch)
+    if (IsExpired(Current))
+      this->removeTask(Current, false, Now);
   std::erase_if(this->Batch, IsExpired);
 }
 
-void EngineModel::leave(const Task &Gone, bool Whole, Time Now) {
-  this->Held -= Gone.Memory;
-  if (!Whole)
-    this->Wasted += Gone.PrefillDone;
-  const std::uint64_t Known =
-      Gone.Job.PromptTokens - std::min(Gone.Prefill, Gone.Job.PromptTokens);
-  const std::size_t Filled =
-      std::min<std::size_t>(Gone.Job.Blocks.size(), Known / PromptBlockTokens);
-  this->Cache.store(std::span(Gone.Job.Blocks).first(Filled), Now);
-  this->Cache.shrinkTo(this->Shape.MemoryTokens - this->Held, Now);
+void EngineModel::removeTask(const Task &Removed, bool Completed, Time Now) {
+  this->HeldTokens -= Removed.Memory;
+  if (!Completed)
+    this->WastedPrefill += Removed.PrefillDone;
+  const std::uint64_t PrefilledTokens =
+      Removed.Job.PromptTokens -
+      std::min(Removed.Prefill, Removed.Job.PromptTokens);
+  const std::size_t FilledBlocks = std::min<std::size_t>(
+      Removed.Job.Blocks.size(), PrefilledTokens / PromptBlockTokens);
+  this->Cache.store(std::span(Removed.Job.Blocks).first(FilledBlocks), Now);
+  this->Cache.shrinkTo(this->Shape.MemoryTokens - this->HeldTokens, Now);
 }
 
 } // namespace banyanpick
--- a/tests/fakes/EngineModel.h
+++ b/tests/fakes/EngineModel.h
@@ -25,7 +25,7 @@
   double PrefillTokensPerSecond = 50'000;  ///< With nothing else to do.
   Duration StepBase = milliseconds(8);     ///< A decode step with one request.
   Duration StepPerRequest = Duration(120); ///< More for each one beside it.
-  std::uint32_t MaximumBatch = 64;
+  std::uint32_t MaxBatch = 64;
   std::uint64_t PrefillChunkTokens = 2048; ///< Prefill done in one step.
   Duration CacheEventLag = milliseconds(300);
   bool ChecksFencing = true;
@@ -57,9 +57,9 @@
 public:
   explicit EngineModel(EngineShape Shape);
 
-  enum class Submitted { Accepted, Busy, NoMemory, Leaving };
+  enum class SubmitResult { Accepted, Busy, NoMemory, Leaving };
   /// Call advance() for the same time first.
-  Submitted submit(const EngineJob &Job, Time Now);
+  SubmitResult submit(const EngineJob &Job, Time Now);
   /// Drops the job and frees its memory; true also when it is unknown.
   bool cancel(const AttemptId &Attempt, Time Now);
 
@@ -90,11 +90,11 @@
 
   const EngineShape &shape() const { return this->Shape; }
   /// Memory held by anything at all; 0 when nothing leaks.
-  std::uint64_t heldTokens() const { return this->Held; }
+  std::uint64_t heldTokens() const { return this->HeldTokens; }
   /// Prefill done in all, in tokens.
-  std::uint64_t prefilledTokens() const { return this->Prefilled; }
+  std::uint64_t prefilledTokens() const { return this->TotalPrefill; }
   /// Prefill done for jobs that left before their end, in tokens.
-  std::uint64_t wastedPrefillTokens() const { return this->Wasted; }
+  std::uint64_t wastedPrefillTokens() const { return this->WastedPrefill; }
 
 private:
   /// A job with what is left of it.
@@ -114,14 +114,14 @@
   };
 
   std::uint64_t memoryNeeded(const EngineJob &Job) const;
-  void take(std::uint64_t Tokens, Time Now);
+  void allocate(std::uint64_t Tokens, Time Now);
   void admitWaiting(Time Now);
   void startStep(Time Now);
   Duration planStep();
   void finishStep(Time Now, std::vector<Output> &Out);
   void measureStep(Duration Length);
   void dropExpired(Time Now);
-  void leave(const Task &Gone, bool Whole, Time Now);
+  void removeTask(const Task &Removed, bool Completed, Time Now);
 
   EngineShape Shape;
   bool Leaving = false;
@@ -129,14 +129,14 @@
   std::vector<Task> Batch;
   std::map<HoldId, GroupMemory> Holds;
   PrefixCacheModel Cache;
-  std::uint64_t Held = 0;
+  std::uint64_t HeldTokens = 0;
   Time StepBegan{};
   Time StepEnds = Never;
   double MeasuredPrefill = 0; ///< Tokens a second.
   double MeasuredDecode = 0;  ///< Tokens a second of one job.
   LogOffset HighestFencing = 0;
-  std::uint64_t Prefilled = 0;
-  std::uint64_t Wasted = 0;
+  std::uint64_t TotalPrefill = 0;
+  std::uint64_t WastedPrefill = 0;
 };
 
 } // namespace banyanpick
--- a/tests/fakes/PrefixCacheModel.cpp
+++ b/tests/fakes/PrefixCacheModel.cpp
@@ -4,25 +4,26 @@
 
 std::uint64_t
 PrefixCacheModel::cachedTokens(std::span<const BlockHash> Blocks) {
-  std::uint64_t Found = 0;
+  std::uint64_t CachedBlocks = 0;
   for (const BlockHash Block : Blocks) {
-    const auto Place = this->Places.find(Block);
-    if (Place == this->Places.end())
+    const auto Position = this->Positions.find(Block);
+    if (Position == this->Positions.end())
       break;
-    this->Recency.splice(this->Recency.end(), this->Recency, Place->second);
-    ++Found;
+    this->Recency.splice(this->Recency.end(), this->Recency, Position->second);
+    ++CachedBlocks;
   }
-  return Found * PromptBlockTokens;
+  return CachedBlocks * PromptBlockTokens;
 }
 
 void PrefixCacheModel::store(std::span<const BlockHash> Blocks, Time Now) {
   for (const BlockHash Block : Blocks) {
-    const auto Place = this->Places.find(Block);
-    if (Place != this->Places.end()) {
-      this->Recency.splice(this->Recency.end(), this->Recency, Place->second);
+    const auto Position = this->Positions.find(Block);
+    if (Position != this->Positions.end()) {
+      this->Recency.splice(this->Recency.end(), this->Recency,
+                           Position->second);
       continue;
     }
-    this->Places[Block] = this->Recency.insert(this->Recency.end(), Block);
+    this->Positions[Block] = this->Recency.insert(this->Recency.end(), Block);
     this->publish(Block, true, Now);
   }
 }
@@ -31,7 +32,7 @@
   while (this->tokens() > Tokens) {
     const BlockHash Oldest = this->Recency.front();
     this->Recency.pop_front();
-    this->Places.erase(Oldest);
+    this->Positions.erase(Oldest);
     this->publish(Oldest, false, Now);
   }
 }
@@ -39,15 +40,15 @@
 std::vector<CacheEvent> PrefixCacheModel::eventsAfter(std::uint64_t Sequence,
                                                       Time Until) const {
   std::vector<CacheEvent> Result;
-  for (const DatedEvent &Each : this->Events)
-    if (Each.What.Sequence > Sequence && Each.At <= Until)
-      Result.push_back(Each.What);
+  for (const DatedEvent &Event : this->Events)
+    if (Event.Change.Sequence > Sequence && Event.At <= Until)
+      Result.push_back(Event.Change);
   return Result;
 }
 
 void PrefixCacheModel::publish(BlockHash Block, bool Stored, Time Now) {
   this->Events.push_back({{++this->LastSequence, Stored, Block}, Now});
-  if (this->Events.size() > EventsKept)
+  if (this->Events.size() > MaxEvents)
     this->Events.pop_front();
 }
 
--- a/tests/fakes/PrefixCacheModel.h
+++ b/tests/fakes/PrefixCacheModel.h
@@ -28,24 +28,24 @@
   void shrinkTo(std::uint64_t Tokens, Time Now);
 
   /// Events after the sequence that happened by \p Until. Only the newest
-  /// EventsKept are kept, so that a slow reader sees a gap.
+  /// MaxEvents are kept, so that a slow reader sees a gap.
   std::vector<CacheEvent> eventsAfter(std::uint64_t Sequence, Time Until) const;
 
   std::uint64_t tokens() const {
-    return this->Places.size() * PromptBlockTokens;
+    return this->Positions.size() * PromptBlockTokens;
   }
 
 private:
   struct DatedEvent {
-    CacheEvent What;
+    CacheEvent Change;
     Time At{};
   };
   void publish(BlockHash Block, bool Stored, Time Now);
 
-  static constexpr std::size_t EventsKept = 8192;
+  static constexpr std::size_t MaxEvents = 8192;
 
   std::list<BlockHash> Recency; ///< Least recently used first.
-  std::unordered_map<BlockHash, std::list<BlockHash>::iterator> Places;
+  std::unordered_map<BlockHash, std::list<BlockHash>::iterator> Positions;
   std::deque<DatedEvent> Events;
   std::uint64_t LastSequence = 0;
 };
--- a/tests/harness/VirtualUpstreams.cpp
+++ b/tests/harness/VirtualUpstreams.cpp
@@ -155,15 +155,15 @@
   Job.Deadline = this->now() + EngineJobLimit;
   Job.HasGroup = !Wanted.Holds.empty();
   Job.Holds = Wanted.Holds;
-  using Submitted = EngineModel::Submitted;
+  using SubmitResult = EngineModel::SubmitResult;
   using Why = AttemptRefused::Why;
-  const Submitted Answer = Engine.ReportsLeaving
-                               ? Submitted::Leaving
-                               : Engine.Model.submit(Job, this->now());
-  if (Answer != Submitted::Accepted) {
-    const Why Reason = Answer == Submitted::Busy      ? Why::Busy
-                       : Answer == Submitted::Leaving ? Why::Leaving
-                                                      : Why::NoMemory;
+  const SubmitResult Answer = Engine.ReportsLeaving
+                                  ? SubmitResult::Leaving
+                                  : Engine.Model.submit(Job, this->now());
+  if (Answer != SubmitResult::Accepted) {
+    const Why Reason = Answer == SubmitResult::Busy      ? Why::Busy
+                       : Answer == SubmitResult::Leaving ? Why::Leaving
+                                                         : Why::NoMemory;
     return this->endAfter(
         this->Net.delay(Engine.Listing.Id.Value, SentAttempt.From->name()),
         SentAttempt, AttemptRefused{Reason});
--- a/tests/standins/EngineService.cpp
+++ b/tests/standins/EngineService.cpp
@@ -73,11 +73,11 @@
   return toHex(Attempt.Maker.Value) + "-" + toHex(Attempt.Sequence);
 }
 
-std::string_view refusalText(EngineModel::Submitted Result) {
+std::string_view refusalText(EngineModel::SubmitResult Result) {
   switch (Result) {
-  case EngineModel::Submitted::NoMemory:
+  case EngineModel::SubmitResult::NoMemory:
     return "no-memory";
-  case EngineModel::Submitted::Leaving:
+  case EngineModel::SubmitResult::Leaving:
     return "leaving";
   default:
     return "busy";
@@ -207,19 +207,20 @@
   if (!this->hasModel(ModelId(Asked.value("model", ""))))
     return Each.answer(503, {{"refused", "no-model"}});
   const EngineJob Job = jobOf(Each, Asked);
-  const EngineModel::Submitted Result = this->submit(Job, hashOfPrompt(Prompt));
-  if (Result != EngineModel::Submitted::Accepted)
+  const EngineModel::SubmitResult Result =
+      this->submit(Job, hashOfPrompt(Prompt));
+  if (Result != EngineModel::SubmitResult::Accepted)
     return Each.answer(503, {{"refused", refusalText(Result)}});
   this->follow(Each, Job.Attempt, Job.StartIndex);
 }
 
-EngineModel::Submitted EngineService::submit(const EngineJob &Job,
-                                             std::uint64_t Hash) {
+EngineModel::SubmitResult EngineService::submit(const EngineJob &Job,
+                                                std::uint64_t Hash) {
   const std::lock_guard Lock(this->Guard);
   const Time Now = wallNow();
   this->takeOutputs(Now);
-  const EngineModel::Submitted Result = this->Model.submit(Job, Now);
-  if (Result == EngineModel::Submitted::Accepted)
+  const EngineModel::SubmitResult Result = this->Model.submit(Job, Now);
+  if (Result == EngineModel::SubmitResult::Accepted)
     this->Streams[Job.Attempt] = {Hash, Job.StartIndex, Job.Deadline, false,
                                   false};
   this->Changed.notify_all();
--- a/tests/standins/EngineService.h
+++ b/tests/standins/EngineService.h
@@ -32,7 +32,7 @@
   };
 
   void complete(Exchange &Each);
-  EngineModel::Submitted submit(const EngineJob &Job, std::uint64_t Hash);
+  EngineModel::SubmitResult submit(const EngineJob &Job, std::uint64_t Hash);
   void follow(Exchange &Each, const AttemptId &Attempt, std::uint64_t From);
   void streams(Exchange &Each, const std::string &Name);
   void holds(Exchange &Each, const std::string &Name);
