--- a/tests/auto/fakes/EngineModelTest.cpp
+++ b/tests/auto/fakes/EngineModelTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The modelled engine keeps its promises: whole answers in order, priorities,
-/// bounded memory that always comes back, and fencing.
+/// Tests that the simulated engine produces complete answers in order, follows
+/// priorities, frees all memory and checks fencing numbers.
 #include "fakes/EngineModel.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   return Job;
 }
 
-/// The moment at which each attempt gave its first chunk.
+/// Returns the time of the first chunk of each attempt.
 std::map<std::uint64_t, Time> firstChunks(EngineModel &Engine) {
   std::map<std::uint64_t, Time> FirstChunkTimes;
   while (Engine.nextStep() != Never) {
@@ -34,17 +34,17 @@
   return FirstChunkTimes;
 }
 
-TEST(EngineModel, PrefillsAtItsSpeedAndUrgentWorkOvertakes) {
+TEST(EngineModel, PrefillsAtConfiguredSpeedAndUrgentJobsOvertake) {
   EngineModel Engine({});
   Engine.submit(job(1, 200'000, 1), Start);
   Engine.submit(job(2, 1'000, 1, 9), Start);
   const auto FirstChunkTimes = firstChunks(Engine);
-  // The urgent one waits for the chunk that was running already.
+  // The urgent job only waits for the prefill chunk that is already running.
   EXPECT_LT(inSeconds(FirstChunkTimes.at(2) - Start), 0.1);
   EXPECT_NEAR(inSeconds(FirstChunkTimes.at(1) - Start), 4.02, 0.01);
 }
 
-TEST(EngineModel, SkipsCachedPrefixAndPublishesLate) {
+TEST(EngineModel, SkipsCachedPrefixAndPublishesEventsAfterLag) {
   EngineModel Engine({});
   EngineJob First = job(1, 4096, 1);
   First.Blocks = {11, 12, 13, 14};
@@ -69,7 +69,7 @@
   EXPECT_EQ(Ignoring.order(4, LoadModel{}), OrderResult::Accepted);
 }
 
-TEST(EngineModel, DropsJobsAtTheirDeadlineAndCountsTheWaste) {
+TEST(EngineModel, DropsExpiredJobsAndCountsWastedPrefill) {
   EngineModel Engine({});
   EngineJob Long = job(1, 200'000, 1);
   Long.Deadline = Start + seconds(1);
@@ -79,7 +79,7 @@
   EXPECT_GT(Engine.wastedPrefillTokens(), 40'000U);
 }
 
-RC_GTEST_PROP(EngineModel, GivesEachChunkOnceAndLosesNoMemory, ()) {
+RC_GTEST_PROP(EngineModel, ProducesEachChunkOnceAndLeaksNoMemory, ()) {
   EngineModel Engine({});
   std::map<std::uint64_t, std::uint64_t> ExpectedCounts;
   std::map<std::uint64_t, std::uint64_t> NextIndexes;
--- a/tests/fakes/EngineModel.cpp
+++ b/tests/fakes/EngineModel.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Jobs that may wait before the engine says that it is busy.
+/// Maximum number of waiting jobs. Further jobs are refused as busy.
 constexpr std::size_t MaxWaiting = 512;
 
-/// Adds the task's prefill to the backlog of its priority.
+/// Adds prefill tokens to the backlog of the priority.
 void addBacklog(std::vector<PriorityBacklog> &Backlog, std::uint32_t Priority,
                 std::uint64_t Tokens) {
   for (PriorityBacklog &Entry : Backlog) {
@@ -23,7 +23,7 @@
   Backlog.push_back({Priority, Tokens});
 }
 
-/// Weight of the newest step in the measured speeds.
+/// Weight of the latest step in the moving averages of the speeds.
 constexpr double SpeedSmoothing = 0.05;
 
 double smoothed(double Old, double Newest) {
@@ -189,7 +189,8 @@
   while (!this->Waiting.empty() && this->Batch.size() < this->Shape.MaxBatch) {
     Task &First = this->Waiting.front();
     First.Memory = this->memoryNeeded(First.Job);
-    // The first in line is not overtaken, or a large job would never fit.
+    // The first waiting job is not overtaken, or a large job could wait
+    // forever.
     if (First.Memory > this->Shape.MemoryTokens - this->HeldTokens)
       return;
     const std::uint64_t Cached = this->Cache.cachedTokens(First.Job.Blocks);
@@ -242,7 +243,7 @@
     Current.Prefill -= Current.StepPrefill;
     Current.PrefillDone += Current.StepPrefill;
     this->TotalPrefill += Current.StepPrefill;
-    // The step that ends the prefill gives the first chunk.
+    // The step that finishes the prefill also produces the first chunk.
     const bool ProducesChunk =
         Current.StepDecodes ||
         (Current.StepPrefill > 0 && Current.Prefill == 0);
--- a/tests/fakes/FakeRequestTable.h
+++ b/tests/fakes/FakeRequestTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// A table of running requests that tests fill by hand.
+/// Fakes of the request table and of the fleet view. Tests fill them directly.
 #pragma once
 
 #include "kernel/Services.h"
@@ -8,6 +8,7 @@
 
 namespace banyanpick {
 
+/// Request table with the entries that a test adds.
 class FakeRequestTable : public RequestTable {
 public:
   struct Entry {
@@ -62,7 +63,7 @@
   std::vector<StreamHandover> Adopted;
 };
 
-/// A fleet that tests fill by hand.
+/// Fleet view with the upstreams that a test adds.
 class FakeFleetView : public FleetView {
 public:
   Upstream &add(const std::string &Name, std::uint64_t Life = 1) {
--- a/tests/fakes/GatewayDeclarations.h
+++ b/tests/fakes/GatewayDeclarations.h
@@ -1,5 +1,5 @@
 /// \file
-/// The declarations that tests of gateways serve by.
+/// Gateway configuration and settings for tests.
 #pragma once
 
 #include "gateway/Configuration.h"
@@ -9,14 +9,14 @@
 
 namespace banyanpick {
 
-/// Four routes at `a.example`: `/safe/` (repeatable, two attempts), `/once/`
-/// (at most once), `/stream/` and, for long prompts, `/review/` (resumable, two
-/// attempts) to the service `desk`, or, for streams, to the model engines
-/// `ring`. One team, one key.
+/// Returns a configuration with four routes of the host `a.example`. `/safe/`
+/// (repeatable, two attempts) and `/once/` (at most once) lead to the service
+/// `desk`. `/stream/` and, for long prompts, `/review/` (both resumable, two
+/// attempts) lead to the model engines `ring`. There is one team with one key.
 std::shared_ptr<const GatewayConfiguration>
 gatewayDeclarations(std::uint64_t Version);
 
-/// Default settings of hosts that find each other by gossip.
+/// Returns the default settings, with host discovery by gossip.
 Settings gatewaySettingsForTests();
 
 } // namespace banyanpick
--- a/tests/fakes/PluginViews.h
+++ b/tests/fakes/PluginViews.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fakes of what plug-ins offer each other, and a bench that starts one
-/// plug-in among them.
+/// Fakes of the services that plug-ins provide to each other, and a test bench
+/// that starts one plug-in with them.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -104,7 +104,7 @@
   bool isQuarantined(Fingerprint, Time) const override { return false; }
 };
 
-/// One plug-in, started among fakes, as on the entry host \p Name.
+/// Runs one plug-in with fake services, as on the entry host \p Name.
 template <class PluginType> class PluginBench {
 public:
   explicit PluginBench(const std::string &Name)
@@ -123,13 +123,13 @@
     this->TestedPlugin.initialize(Context);
   }
 
-  /// The messages that \p Step sends.
+  /// Returns the peer messages that \p Step sends.
   std::vector<SendToPeer> sent(const std::function<void(Actions &)> &Step) {
     Actions Out;
     Step(Out);
     std::vector<SendToPeer> Result;
-    for (const Action &Message : Out.items()) {
-      if (const auto *Message = std::get_if<SendToPeer>(&Message))
+    for (const Action &Candidate : Out.items()) {
+      if (const auto *Message = std::get_if<SendToPeer>(&Candidate))
         Result.push_back(*Message);
     }
     return Result;
--- a/tests/fakes/PrefixCacheModel.h
+++ b/tests/fakes/PrefixCacheModel.h
@@ -1,6 +1,6 @@
 /// \file
-/// The prefix cache of a modelled engine: blocks in least recently used order
-/// inside whatever memory is free, with the events an engine publishes.
+/// The prefix cache of a simulated engine. It keeps blocks in least recently
+/// used order within the free memory and records cache events.
 #pragma once
 
 #include "kernel/Request.h"
@@ -15,20 +15,21 @@
 
 namespace banyanpick {
 
-/// Cached prompt blocks of one engine.
+/// An LRU cache of the prompt blocks of one engine.
 class PrefixCacheModel {
 public:
-  /// Tokens at the start of the prompt that are cached; marks them as used.
+  /// Returns the number of cached tokens at the start of the prompt, and marks
+  /// their blocks as used.
   std::uint64_t cachedTokens(std::span<const BlockHash> Blocks);
 
-  /// Stores the blocks; a block already there is marked as used.
+  /// Stores the blocks. Blocks that are already cached are marked as used.
   void store(std::span<const BlockHash> Blocks, Time Now);
 
-  /// Removes the least recently used blocks until at most \p Tokens are kept.
+  /// Evicts the least recently used blocks until at most \p Tokens are cached.
   void shrinkTo(std::uint64_t Tokens, Time Now);
 
-  /// Events after the sequence that happened by \p Until. Only the newest
-  /// MaxEvents are kept, so that a slow reader sees a gap.
+  /// Returns the events after \p Sequence that occurred by \p Until. Only the
+  /// latest MaxEvents are kept, so a slow reader sees a gap.
   std::vector<CacheEvent> eventsAfter(std::uint64_t Sequence, Time Until) const;
 
   std::uint64_t tokens() const {
--- a/tests/fakes/TestRequestBuilder.h
+++ b/tests/fakes/TestRequestBuilder.h
@@ -1,12 +1,13 @@
 /// \file
-/// Requests for tests of plug-ins: `TestRequestBuilder(7).team("a").build()`.
+/// Builds requests for tests of plug-ins:
+/// `TestRequestBuilder(7).team("a").build()`.
 #pragma once
 
 #include "kernel/Request.h"
 
 namespace banyanpick {
 
-/// Builds a request of an idempotent class on the model "m".
+/// Builds a request of an idempotent class for the model "m".
 class TestRequestBuilder {
 public:
   explicit TestRequestBuilder(std::uint64_t Id) {
@@ -44,7 +45,8 @@
     this->Req.Class.Idempotent = false;
     return *this;
   }
-  /// Promised \p Promise after \p Now, first token and whole answer.
+  /// Sets the arrival to \p Now. The first token and the complete answer are
+  /// due \p TimeLimit later.
   TestRequestBuilder &arrived(Time Now, Duration TimeLimit) {
     this->Req.ArrivedAt = Now;
     this->Req.FirstTokenBy = Now + TimeLimit;
@@ -59,7 +61,7 @@
   Request Req;
 };
 
-/// A try of the request on an upstream.
+/// Returns an attempt of the request on an upstream.
 inline Attempt attemptOf(const Request &Req, std::uint64_t Sequence,
                          const std::string &Upstream, std::uint64_t Life = 1) {
   Attempt Result;
