--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -243,7 +243,7 @@
     std::uint64_t MemoryTokens = 0; ///< Memory in use now and later.
     std::uint32_t ShortRunning = 0; ///< Requests with short prompts.
     /// Answers that are being decoded, by their allowed inter-token gap, and
-    /// their value, both in milliseconds; see PauseGroup.
+    /// their value, both in milliseconds; see GapGroup.
     struct Answers {
       double PauseMs = 0;
       double ValueMs = 0;
--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -41,7 +41,7 @@
 
 /// Shortest retry delay, as a share of the longest. The range spreads callers
 /// that are refused together. The delay is still long enough to show in their
-/// remaining time; see FirstTries.
+/// remaining time; see CallerRetryDetector.
 constexpr double MinRetryShare = 0.6;
 
 } // namespace
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -151,7 +151,7 @@
   Out.log(logEvent(events::EngineSlowdownChanged)
               .with("engine", Report.Engine.Value)
               .with("pace", Report.Slowdown)
-              .with("waiting", Report.QueuedPrompt)
+              .with("waiting", Report.Waiting)
               .with("running", Report.Running)
               .build());
   this->noteChange(true, Now);
