--- a/tests/auto/gateway/PromptQueueTest.cpp
+++ b/tests/auto/gateway/PromptQueueTest.cpp
@@ -12,8 +12,8 @@
 
 PromptQueue queue() { return PromptQueue(milliseconds(300), 0.25); }
 
-PromptQueue::Waiting prompt(std::uint64_t Request, std::uint64_t Tokens,
-                            double PrefillMs, double LeftMs = 3000) {
+PromptQueue::QueuedPrompt prompt(std::uint64_t Request, std::uint64_t Tokens,
+                                 double PrefillMs, double LeftMs = 3000) {
   return {Request, Tokens, PrefillMs, PrefillMs / 10, LeftMs};
 }
 
@@ -55,7 +55,7 @@
 TEST(PromptQueue, PromptsOfADeadHostAreDropped) {
   PromptQueue Queue = queue();
   const auto OwnPrompt = prompt(1, 400'000, 9000);
-  const std::vector<PromptQueue::Waiting> PeerPrompt = {
+  const std::vector<PromptQueue::QueuedPrompt> PeerPrompt = {
       prompt(7, 100'000, 900)};
   Queue.takePeer(HostId("h2"), PeerPrompt, Start);
   EXPECT_EQ(Queue.rank(OwnPrompt, Self, Start), 1U);
