--- a/tests/process/Deployment.cpp
+++ b/tests/process/Deployment.cpp
@@ -17,7 +17,7 @@
 
 namespace http = boost::beast::http;
 using nlohmann::json;
-using standins::askHttp;
+using standins::sendHttpRequest;
 
 constexpr Duration RequestTimeout = seconds(30);
 constexpr milliseconds PollInterval(20);
@@ -123,9 +123,10 @@
   Started.Process = std::make_unique<ChildProcess>(
       Programs + "/" + Program, std::move(Flags),
       this->Directory + "/" + Started.Name + ".log");
-  const standins::HttpQuestion Any{http::verb::get, "/health"};
+  const standins::OutgoingRequest Any{http::verb::get, "/health"};
   if (!eventually([&] {
-        return askHttp(Started.Address, Any, RequestTimeout).isComplete();
+        return sendHttpRequest(Started.Address, Any, RequestTimeout)
+            .isComplete();
       }))
     throw std::runtime_error(
         Started.Name + " does not answer:\n" +
@@ -200,13 +201,14 @@
 }
 
 void Deployment::setLogFaults(const json &Faults) const {
-  askHttp(this->Platform.Address,
-          {http::verb::post, "/admin/log", Faults.dump()}, RequestTimeout);
+  sendHttpRequest(this->Platform.Address,
+                  {http::verb::post, "/admin/log", Faults.dump()},
+                  RequestTimeout);
 }
 
 std::uint64_t Deployment::runCount(const std::string &Key) const {
-  return askHttp(this->Application.Address, {http::verb::get, "/counts"},
-                 RequestTimeout)
+  return sendHttpRequest(this->Application.Address,
+                         {http::verb::get, "/counts"}, RequestTimeout)
       .parsed()
       .value<std::uint64_t>(Key, 0);
 }
@@ -216,7 +218,8 @@
   eventually([&] {
     for (Member &Engine : this->Engines) {
       const json Load =
-          askHttp(Engine.Address, {http::verb::get, "/load"}, RequestTimeout)
+          sendHttpRequest(Engine.Address, {http::verb::get, "/load"},
+                          RequestTimeout)
               .parsed();
       if (Load.is_object() && Load.value("running", 0) > 0)
         Found = &Engine;
@@ -232,13 +235,13 @@
                                                  const std::string &Key) const {
   const json Body{
       {"class", "confirm"}, {"operation_key", Key}, {"body", json::object()}};
-  return askHttp(this->Hosts[Host].Address,
-                 {http::verb::post,
-                  "/v1/calls",
-                  Body.dump(),
-                  {{"Authorization", "Bearer " + team().Key},
-                   {"Content-Type", "application/json"}}},
-                 RequestTimeout);
+  return sendHttpRequest(this->Hosts[Host].Address,
+                         {http::verb::post,
+                          "/v1/calls",
+                          Body.dump(),
+                          {{"Authorization", "Bearer " + team().Key},
+                           {"Content-Type", "application/json"}}},
+                         RequestTimeout);
 }
 
 } // namespace banyanpick::process
--- a/tests/process/GatewayDeployment.cpp
+++ b/tests/process/GatewayDeployment.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 using nlohmann::json;
-using standins::askHttp;
-using standins::HttpQuestion;
 using standins::HttpReply;
+using standins::OutgoingRequest;
+using standins::sendHttpRequest;
 
 constexpr seconds RequestTimeout(10);
 /// The remaining time that callers send.
@@ -67,10 +67,11 @@
   }
   for (std::size_t Index = 0; Index < Faults.size(); ++Index)
     this->startUpstream(this->Upstreams[Index], Faults[Index]);
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = "/standin/ping";
-  eventually(
-      [&] { return askHttp(this->Store, Req, RequestTimeout).Status == 200; });
+  eventually([&] {
+    return sendHttpRequest(this->Store, Req, RequestTimeout).Status == 200;
+  });
   this->configure(1);
   for (Host &NewHost : this->Hosts)
     this->startHost(NewHost);
@@ -162,29 +163,29 @@
 GatewayDeployment::ask(std::size_t Host, const std::string &Path,
                        const std::string &Attempt, const std::string &Body,
                        std::vector<standins::HttpHeader> ExtraHeaders) const {
-  HttpQuestion Req =
+  OutgoingRequest Req =
       standins::demoQuestion({}, Path, Attempt, Body, CallerTimeout);
   for (standins::HttpHeader &Header : ExtraHeaders)
     Req.Headers.push_back(std::move(Header));
-  return askHttp(this->Hosts.at(Host).Callers, Req, RequestTimeout);
+  return sendHttpRequest(this->Hosts.at(Host).Callers, Req, RequestTimeout);
 }
 
 int GatewayDeployment::runCount(const std::string &Attempt) const {
   int Sum = 0;
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = "/standin/runs";
   for (const Upstream &Queried : this->Upstreams)
-    Sum += askHttp(Queried.Address, Req, RequestTimeout)
+    Sum += sendHttpRequest(Queried.Address, Req, RequestTimeout)
                .parsed()["runs"]
                .value(Attempt, 0);
   return Sum;
 }
 
 bool GatewayDeployment::anyUpstreamReceivedAKey() const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = "/standin/runs";
   for (const Upstream &Queried : this->Upstreams)
-    if (askHttp(Queried.Address, Req, RequestTimeout)
+    if (sendHttpRequest(Queried.Address, Req, RequestTimeout)
             .parsed()["saw_key"]
             .get<bool>())
       return true;
@@ -192,10 +193,10 @@
 }
 
 json GatewayDeployment::requestRecord(std::size_t Upstream) const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = "/standin/runs";
   const json Reply =
-      askHttp(this->Upstreams.at(Upstream).Address, Req, RequestTimeout)
+      sendHttpRequest(this->Upstreams.at(Upstream).Address, Req, RequestTimeout)
           .parsed();
   return Reply.is_object() ? Reply : json();
 }
@@ -223,17 +224,18 @@
 }
 
 unsigned GatewayDeployment::readiness(std::size_t Host) const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = std::string(platform::path::Readiness);
-  return askHttp(this->Hosts.at(Host).Readiness, Req, RequestTimeout).Status;
+  return sendHttpRequest(this->Hosts.at(Host).Readiness, Req, RequestTimeout)
+      .Status;
 }
 
 std::vector<std::string> GatewayDeployment::directory(std::size_t Host,
                                                       Duration Timeout) const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Target = std::string(platform::path::Resolution) + "?Name=demo.example";
   const json Reply =
-      askHttp(this->Hosts.at(Host).Directory, Req, Timeout).parsed();
+      sendHttpRequest(this->Hosts.at(Host).Directory, Req, Timeout).parsed();
   if (!Reply.is_object() || !Reply.contains("Addresses"))
     return {};
   return Reply["Addresses"].get<std::vector<std::string>>();
@@ -256,18 +258,18 @@
 
 void GatewayDeployment::put(const std::string &Topic, const std::string &Key,
                             const std::string &Value) const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Method = boost::beast::http::verb::post;
   Req.Target = fmt::format("/standin/put?Topic={}&Key={}", Topic, Key);
   Req.Body = Value;
-  askHttp(this->Store, Req, RequestTimeout);
+  sendHttpRequest(this->Store, Req, RequestTimeout);
 }
 
 void GatewayDeployment::control(const std::string &Target) const {
-  HttpQuestion Req;
+  OutgoingRequest Req;
   Req.Method = boost::beast::http::verb::post;
   Req.Target = Target;
-  askHttp(this->Store, Req, RequestTimeout);
+  sendHttpRequest(this->Store, Req, RequestTimeout);
 }
 
 } // namespace banyanpick::process
--- a/tests/process/GatewayTest.cpp
+++ b/tests/process/GatewayTest.cpp
@@ -221,12 +221,13 @@
 TEST(Gateway, ShowsItsMetrics) {
   GatewayDeployment Gateway({""}, 1);
   Gateway.ask(0, "/safe/x", "h1");
-  standins::HttpQuestion Req;
+  standins::OutgoingRequest Req;
   Req.Target = "/metrics";
   // The control thread counts the end shortly after the caller has its answer.
   std::string Page;
   EXPECT_TRUE(eventually([&] {
-    Page = standins::askHttp(Gateway.host(0).Metrics, Req, seconds(5)).Body;
+    Page = standins::sendHttpRequest(Gateway.host(0).Metrics, Req, seconds(5))
+               .Body;
     return Page.find(
                "banyanpick_relays_ended_total{label=\"delivered\"} 1\n") !=
            std::string::npos;
--- a/tests/soak/SoakTraffic.cpp
+++ b/tests/soak/SoakTraffic.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using standins::askHttp;
+using standins::sendHttpRequest;
 
 /// A caller asks a directory again after RefreshAfter and uses an answer for at
 /// most MaxAge, which is three times the TTL of one second that hosts name.
@@ -63,11 +63,11 @@
   Result.Payload = fmt::format("payload-{}", Number);
   Result.Host = Host;
   Result.Timeout = Timeout;
-  const standins::HttpQuestion Req = standins::demoQuestion(
+  const standins::OutgoingRequest Req = standins::demoQuestion(
       {}, pathOf(Kind), Result.Attempt, Result.Payload, Timeout);
   Result.Start = Clock::now();
-  Result.Reply =
-      askHttp(this->CallerLinks[Host]->address(), Req, Timeout + ReadSlack);
+  Result.Reply = sendHttpRequest(this->CallerLinks[Host]->address(), Req,
+                                 Timeout + ReadSlack);
   Result.End = Clock::now();
   return Result;
 }
--- a/tests/standins/Caller.cpp
+++ b/tests/standins/Caller.cpp
@@ -35,8 +35,8 @@
   return Text;
 }
 
-HttpQuestion completion(const WorkItem &Item, const std::string &Prompt,
-                        std::vector<HttpHeader> Headers) {
+OutgoingRequest completion(const WorkItem &Item, const std::string &Prompt,
+                           std::vector<HttpHeader> Headers) {
   const json Body{{"class", Item.Class},
                   {"prompt", Prompt},
                   {"max_tokens", Item.OutputTokens},
@@ -57,16 +57,16 @@
           {"Content-Type", "application/json"}};
 }
 
-HttpReply Caller::ask(const HttpQuestion &Question, std::size_t Turn,
-                      const PartReader &OnPart) {
+HttpReply Caller::ask(const OutgoingRequest &Question, std::size_t Turn,
+                      const PartHandler &OnPart) {
   const auto Addresses = this->Hosts.hosts(this->Team.Name);
   for (std::size_t I = 0; I < Addresses.size(); ++I) {
     const std::string &Address = Addresses[(Turn + I) % Addresses.size()];
-    HttpReply Reply = askHttp(Address, Question, Patience, OnPart);
+    HttpReply Reply = sendHttpRequest(Address, Question, Patience, OnPart);
     if (Reply.Ended != HttpReply::End::NotConnected)
       return Reply;
   }
-  this->Hosts.forget();
+  this->Hosts.invalidate();
   std::this_thread::sleep_for(ReconnectPause);
   return {};
 }
@@ -100,7 +100,7 @@
       continue;
     }
     ++Turn;
-    this->Hosts.forget();
+    this->Hosts.invalidate();
   }
   return Result;
 }
@@ -130,30 +130,30 @@
   }
 }
 
-HttpReply Caller::askStream(const HttpQuestion &Fresh, std::uint64_t Hash,
+HttpReply Caller::askStream(const OutgoingRequest &Fresh, std::uint64_t Hash,
                             std::size_t Turn, Received &Stream,
                             WorkResult &Result) {
   EventReader Reader([&](const ServerEvent &Event) {
     this->takeEvent(Event, Hash, Stream, Result);
   });
-  const auto OnPart = [&](std::string_view Part) { Reader.take(Part); };
+  const auto OnPart = [&](std::string_view Part) { Reader.addPart(Part); };
   if (Stream.Token.empty())
     return this->ask(Fresh, Turn, OnPart);
   ++Result.Resumed;
-  const HttpQuestion Resume{
+  const OutgoingRequest Resume{
       http::verb::get,
       fmt::format("/v1/resume?token={}&index={}", Stream.Token, Stream.Next),
       {},
       this->headers()};
   const std::string Redirect = std::exchange(Stream.Redirect, "");
   return Redirect.empty() ? this->ask(Resume, Turn, OnPart)
-                          : askHttp(Redirect, Resume, Patience, OnPart);
+                          : sendHttpRequest(Redirect, Resume, Patience, OnPart);
 }
 
 WorkResult Caller::runStreamed(const WorkItem &Item,
                                const std::string &Prompt) {
   const std::uint64_t Hash = hashOfPrompt(Prompt);
-  const HttpQuestion Fresh = completion(Item, Prompt, this->headers());
+  const OutgoingRequest Fresh = completion(Item, Prompt, this->headers());
   Received Stream(wallNow());
   const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
     const bool Resuming = !Stream.Token.empty();
@@ -177,7 +177,7 @@
 
 WorkResult Caller::runWhole(const WorkItem &Item, const std::string &Prompt) {
   const std::uint64_t Hash = hashOfPrompt(Prompt);
-  const HttpQuestion Question = completion(Item, Prompt, this->headers());
+  const OutgoingRequest Question = completion(Item, Prompt, this->headers());
   const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
     const HttpReply Reply = this->ask(Question, Turn);
     json Answer = Reply.isComplete() ? Reply.parsed() : json();
@@ -194,8 +194,8 @@
   const json Body{{"class", Item.Class},
                   {"operation_key", Key},
                   {"body", {{"lot", Item.Number}}}};
-  const HttpQuestion Question{http::verb::post, "/v1/calls", Body.dump(),
-                              this->headers()};
+  const OutgoingRequest Question{http::verb::post, "/v1/calls", Body.dump(),
+                                 this->headers()};
   const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
     const HttpReply Reply = this->ask(Question, Turn);
     if (Reply.Ended == HttpReply::End::Broken)
--- a/tests/standins/Caller.h
+++ b/tests/standins/Caller.h
@@ -62,13 +62,13 @@
   using AskOnce = std::function<nlohmann::json(std::size_t, WorkResult &)>;
 
   WorkResult askUntilSettled(const AskOnce &Ask, std::size_t FirstTurn);
-  HttpReply askStream(const HttpQuestion &Fresh, std::uint64_t Hash,
+  HttpReply askStream(const OutgoingRequest &Fresh, std::uint64_t Hash,
                       std::size_t Turn, Received &Stream, WorkResult &Result);
   WorkResult runStreamed(const WorkItem &Item, const std::string &Prompt);
   WorkResult runWhole(const WorkItem &Item, const std::string &Prompt);
   /// Asks a host; passes to the next one when it can't be reached.
-  HttpReply ask(const HttpQuestion &Question, std::size_t Turn,
-                const PartReader &OnPart = {});
+  HttpReply ask(const OutgoingRequest &Question, std::size_t Turn,
+                const PartHandler &OnPart = {});
   void takeEvent(const ServerEvent &Event, std::uint64_t Hash, Received &Stream,
                  WorkResult &Result) const;
   /// Whether \p Answer ends the request; if not, waits as it asks for.
--- a/tests/standins/DemoCaller.cpp
+++ b/tests/standins/DemoCaller.cpp
@@ -152,7 +152,7 @@
                    milliseconds(FLAGS_span_ms));
   auto Results = runAll(Items);
   const HttpReply Counts =
-      askHttp(FLAGS_application, {.Target = "/counts"}, CountsPatience);
+      sendHttpRequest(FLAGS_application, {.Target = "/counts"}, CountsPatience);
   if (!Counts.isComplete()) {
     fmt::print(stderr, "the application's counts can't be read\n");
     return 1;
--- a/tests/standins/EngineService.cpp
+++ b/tests/standins/EngineService.cpp
@@ -46,7 +46,7 @@
   std::vector<HoldId> Holds;
   while (!Text.empty()) {
     const std::string_view First = Text.substr(0, Text.find(','));
-    Holds.push_back(parseMadeId<HoldTag>(First));
+    Holds.push_back(parseSequencedId<HoldTag>(First));
     Text.remove_prefix(std::min(First.size() + 1, Text.size()));
   }
   return Holds;
@@ -55,15 +55,15 @@
 EngineJob jobOf(const Exchange &Each, const json &Asked) {
   const auto &Prompt = Asked.at("prompt").get_ref<const std::string &>();
   EngineJob Job;
-  Job.Attempt = parseMadeId<AttemptTag>(Each.header("X-Attempt"));
+  Job.Attempt = parseSequencedId<AttemptTag>(Each.header("X-Attempt"));
   Job.Owner = Each.header("X-Owner");
   Job.PromptTokens = std::max<std::uint64_t>(1, Prompt.size() / BytesPerToken);
   Job.OutputTokens = Asked.at("max_tokens").get<std::uint64_t>();
   Job.StartIndex = Asked.value<std::uint64_t>("start_index", 0);
   Job.Priority =
-      static_cast<std::uint32_t>(parseWhole(Each.header("X-Priority")));
+      static_cast<std::uint32_t>(parseInteger(Each.header("X-Priority")));
   Job.Blocks = blocksOf(Prompt);
-  Job.Deadline = fromMilliseconds(parseWhole(Each.header("X-Deadline")));
+  Job.Deadline = fromMilliseconds(parseInteger(Each.header("X-Deadline")));
   Job.Holds = holdsOf(Each.header("X-Holds"));
   Job.HasGroup = !Job.Holds.empty();
   return Job;
@@ -160,7 +160,7 @@
 }
 
 void EngineService::runSteps() {
-  std::unique_lock Lock(this->Guard);
+  std::unique_lock Lock(this->Mutex);
   for (;;) {
     const Time Now = wallNow();
     this->takeOutputs(Now);
@@ -194,7 +194,7 @@
 }
 
 bool EngineService::hasModel(const ModelId &Wanted) {
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   const auto &Models = this->Model.shape().Models;
   return std::find(Models.begin(), Models.end(), Wanted) != Models.end();
 }
@@ -216,7 +216,7 @@
 
 EngineModel::SubmitResult EngineService::submit(const EngineJob &Job,
                                                 std::uint64_t Hash) {
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   const Time Now = wallNow();
   this->takeOutputs(Now);
   const EngineModel::SubmitResult Result = this->Model.submit(Job, Now);
@@ -235,7 +235,7 @@
   for (;;) {
     Stream Now;
     {
-      std::unique_lock Lock(this->Guard);
+      std::unique_lock Lock(this->Mutex);
       this->Changed.wait(Lock, [&] {
         const auto Found = this->Streams.find(Attempt);
         if (Found == this->Streams.end())
@@ -266,10 +266,10 @@
 }
 
 void EngineService::streams(Exchange &Each, const std::string &Name) {
-  const auto Attempt = parseMadeId<AttemptTag>(Name);
+  const auto Attempt = parseSequencedId<AttemptTag>(Name);
   bool Known = false;
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     const auto Found = this->Streams.find(Attempt);
     Known = Found != this->Streams.end();
     if (Each.method() == http::verb::delete_) {
@@ -287,10 +287,10 @@
 }
 
 void EngineService::holds(Exchange &Each, const std::string &Name) {
-  const auto Hold = parseMadeId<HoldTag>(Name);
+  const auto Hold = parseSequencedId<HoldTag>(Name);
   bool Granted = true;
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     if (Each.method() == http::verb::delete_) {
       this->Model.releaseHold(Hold);
     } else {
@@ -309,7 +309,7 @@
   OrderResult Result;
   LogOffset Highest = 0;
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     Result =
         this->Model.order(Asked.at("fencing").get<LogOffset>(), orderOf(Asked));
     Highest = this->Model.report(wallNow()).HighestFencing;
@@ -321,7 +321,7 @@
 void EngineService::giveLoad(Exchange &Each) {
   LoadReport Report;
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     Report = this->Model.report(wallNow());
   }
   Each.answer(200, loadJson(Report));
@@ -331,7 +331,7 @@
   std::vector<CacheEvent> Events;
   std::string Life;
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     Events =
         this->Model.cacheEventsAfter(Each.queryNumber("after", 0), wallNow());
     Life = toHex(this->Model.shape().Life.Value);
@@ -348,7 +348,7 @@
 void EngineService::configure(Exchange &Each) {
   const json Wanted = json::parse(Each.body());
   {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     this->Model.setLeaving(Wanted.value("leaving", false));
   }
   Each.answer(200, json::object());
--- a/tests/standins/EngineService.h
+++ b/tests/standins/EngineService.h
@@ -44,7 +44,7 @@
   void takeOutputs(Time Now);
   void dropExpired(Time Now);
 
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Changed;
   EngineModel Model;
   std::map<AttemptId, Stream> Streams;
--- a/tests/standins/GatewayCaller.cpp
+++ b/tests/standins/GatewayCaller.cpp
@@ -59,10 +59,10 @@
   std::vector<std::string> Directories = split(FLAGS_directories);
   std::shuffle(Directories.begin(), Directories.end(), Numbers);
   for (const std::string &At : Directories) {
-    HttpQuestion Ask;
+    OutgoingRequest Ask;
     Ask.Target = std::string(platform::path::Resolution) +
                  "?Name=" + FLAGS_host + "&Zone=east";
-    const json Hosts = askHttp(At, Ask, seconds(1)).parsed();
+    const json Hosts = sendHttpRequest(At, Ask, seconds(1)).parsed();
     if (!Hosts.is_object() || Hosts.value("Addresses", json()).empty())
       continue;
     const json &Addresses = Hosts["Addresses"];
@@ -95,11 +95,11 @@
     if (At.empty() || Passed >= Deadline)
       continue;
     const HttpReply Reply =
-        askHttp(At,
-                demoQuestion({FLAGS_host, FLAGS_key}, pathOf(Of),
-                             fmt::format("demo-{}-{}", Number, Try), Payload,
-                             Deadline - Passed),
-                Deadline - Passed);
+        sendHttpRequest(At,
+                        demoQuestion({FLAGS_host, FLAGS_key}, pathOf(Of),
+                                     fmt::format("demo-{}-{}", Number, Try),
+                                     Payload, Deadline - Passed),
+                        Deadline - Passed);
     if (Reply.isComplete() && Reply.Status == 200) {
       ++(isOwn(Of, Reply.Body, Payload) ? Into.Whole : Into.Crossed);
       return;
@@ -119,9 +119,9 @@
 std::uint64_t countDoubled() {
   std::map<std::string, int> Runs;
   for (const std::string &At : split(FLAGS_upstreams)) {
-    HttpQuestion Ask;
+    OutgoingRequest Ask;
     Ask.Target = "/standin/runs";
-    const json Reply = askHttp(At, Ask, seconds(2)).parsed();
+    const json Reply = sendHttpRequest(At, Ask, seconds(2)).parsed();
     if (!Reply.is_object())
       continue;
     for (const auto &[Attempt, Count] : Reply["runs"].items())
--- a/tests/standins/GatewayDemo.cpp
+++ b/tests/standins/GatewayDemo.cpp
@@ -19,10 +19,10 @@
   return Result;
 }
 
-HttpQuestion demoQuestion(const DemoCaller &From, const std::string &Path,
-                          const std::string &Attempt, const std::string &Body,
-                          Duration Left) {
-  HttpQuestion Result;
+OutgoingRequest demoQuestion(const DemoCaller &From, const std::string &Path,
+                             const std::string &Attempt,
+                             const std::string &Body, Duration Left) {
+  OutgoingRequest Result;
   Result.Method = boost::beast::http::verb::post;
   Result.Target = Path;
   Result.Body = Body;
--- a/tests/standins/GatewayDemo.h
+++ b/tests/standins/GatewayDemo.h
@@ -25,8 +25,8 @@
 };
 
 /// A request of the caller that waits for \p Left.
-HttpQuestion demoQuestion(const DemoCaller &From, const std::string &Path,
-                          const std::string &Attempt, const std::string &Body,
-                          Duration Left);
+OutgoingRequest demoQuestion(const DemoCaller &From, const std::string &Path,
+                             const std::string &Attempt,
+                             const std::string &Body, Duration Left);
 
 } // namespace banyanpick::standins
--- a/tests/standins/HttpClient.cpp
+++ b/tests/standins/HttpClient.cpp
@@ -15,12 +15,12 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned HttpVersion = 11;
-constexpr std::uint64_t MaximumBodyBytes = 64ULL * 1024 * 1024;
+constexpr std::uint64_t MaxBodyBytes = 64ULL * 1024 * 1024;
 
 /// One connection whose steps each have a timeout.
 class Connection {
 public:
-  explicit Connection(Duration Patience) : Patience(Patience) {}
+  explicit Connection(Duration Timeout) : Timeout(Timeout) {}
 
   beast::error_code connect(const std::string &Address) {
     const auto Endpoint = parseEndpoint(Address);
@@ -29,15 +29,15 @@
     });
   }
 
-  beast::error_code send(const HttpQuestion &Question,
+  beast::error_code send(const OutgoingRequest &Req,
                          const std::string &Address) {
-    http::request<http::string_body> Request(Question.Method, Question.Target,
+    http::request<http::string_body> Request(Req.Method, Req.Target,
                                              HttpVersion);
     Request.set(http::field::host, Address);
     Request.set(http::field::connection, "close");
-    for (const HttpHeader &Each : Question.Headers)
-      Request.set(Each.Name, Each.Value);
-    Request.body() = Question.Body;
+    for (const HttpHeader &Header : Req.Headers)
+      Request.set(Header.Name, Header.Value);
+    Request.body() = Req.Body;
     Request.prepare_payload();
     return this->step([&](auto Done) {
       http::async_write(this->Stream, Request, std::move(Done));
@@ -45,10 +45,10 @@
   }
 
   /// Reads the reply part by part; what came stands in \p Reply.
-  beast::error_code receive(HttpReply &Reply, const PartReader &OnPart) {
+  beast::error_code receive(HttpReply &Reply, const PartHandler &OnPart) {
     http::response_parser<http::string_body> Parser;
     Parser.eager(true);
-    Parser.body_limit(MaximumBodyBytes);
+    Parser.body_limit(MaxBodyBytes);
     beast::flat_buffer Buffer;
     beast::error_code Failure;
     while (!Failure && !Parser.is_done()) {
@@ -70,7 +70,7 @@
   /// Runs one asynchronous step to its end or its timeout.
   template <class Begin> beast::error_code step(Begin Start) {
     beast::error_code Result;
-    this->Stream.expires_after(this->Patience);
+    this->Stream.expires_after(this->Timeout);
     Start(
         [&Result](beast::error_code Failure, auto &&...) { Result = Failure; });
     this->Io.restart();
@@ -78,7 +78,7 @@
     return Result;
   }
 
-  Duration Patience;
+  Duration Timeout;
   asio::io_context Io;
   beast::tcp_stream Stream{this->Io};
 };
@@ -89,30 +89,31 @@
   return nlohmann::json::parse(this->Body, nullptr, false);
 }
 
-HttpReply askHttp(const std::string &Address, const HttpQuestion &Question,
-                  Duration Patience, const PartReader &OnPart) {
+HttpReply sendHttpRequest(const std::string &Address,
+                          const OutgoingRequest &Req, Duration Timeout,
+                          const PartHandler &OnPart) {
   HttpReply Reply;
-  Connection Line(Patience);
-  if (Line.connect(Address))
+  Connection Link(Timeout);
+  if (Link.connect(Address))
     return Reply;
   Reply.Ended = HttpReply::End::Broken;
   // A server that refuses early may stop reading; its reply is still read.
-  const beast::error_code NotSent = Line.send(Question, Address);
-  const beast::error_code NotRead = Line.receive(Reply, OnPart);
-  const bool Answered = !NotRead && (!NotSent || Reply.Status != 0);
+  const beast::error_code SendFailure = Link.send(Req, Address);
+  const beast::error_code ReceiveFailure = Link.receive(Reply, OnPart);
+  const bool Answered = !ReceiveFailure && (!SendFailure || Reply.Status != 0);
   if (Answered)
     Reply.Ended = HttpReply::End::Complete;
   return Reply;
 }
 
-void EventReader::take(std::string_view Part) {
-  this->Rest += Part;
+void EventReader::addPart(std::string_view Part) {
+  this->Pending += Part;
   for (;;) {
-    const std::size_t End = this->Rest.find("\n\n");
+    const std::size_t End = this->Pending.find("\n\n");
     if (End == std::string::npos)
       return;
     ServerEvent Event;
-    std::string_view Lines = std::string_view(this->Rest).substr(0, End);
+    std::string_view Lines = std::string_view(this->Pending).substr(0, End);
     while (!Lines.empty()) {
       const std::string_view Line = Lines.substr(0, Lines.find('\n'));
       Lines.remove_prefix(std::min(Line.size() + 1, Lines.size()));
@@ -125,7 +126,7 @@
         Event.Data =
             nlohmann::json::parse(Line.substr(Colon + 2), nullptr, false);
     }
-    this->Rest.erase(0, End + 2);
+    this->Pending.erase(0, End + 2);
     this->OnEvent(Event);
   }
 }
--- a/tests/standins/HttpClient.h
+++ b/tests/standins/HttpClient.h
@@ -19,7 +19,7 @@
   std::string Value;
 };
 
-struct HttpQuestion {
+struct OutgoingRequest {
   boost::beast::http::verb Method = boost::beast::http::verb::get;
   std::string Target;
   std::string Body{};
@@ -38,12 +38,13 @@
 };
 
 /// Given each part of the body as it comes.
-using PartReader = std::function<void(std::string_view)>;
+using PartHandler = std::function<void(std::string_view)>;
 
 /// Asks once, on a connection of its own. Each step (connecting, sending, one
 /// read) may take \p Patience.
-HttpReply askHttp(const std::string &Address, const HttpQuestion &Question,
-                  Duration Patience, const PartReader &OnPart = {});
+HttpReply sendHttpRequest(const std::string &Address,
+                          const OutgoingRequest &Req, Duration Timeout,
+                          const PartHandler &OnPart = {});
 
 /// A server-sent event; the name is empty for plain data.
 struct ServerEvent {
@@ -56,11 +57,11 @@
 public:
   explicit EventReader(std::function<void(const ServerEvent &)> OnEvent)
       : OnEvent(std::move(OnEvent)) {}
-  void take(std::string_view Part);
+  void addPart(std::string_view Part);
 
 private:
   std::function<void(const ServerEvent &)> OnEvent;
-  std::string Rest;
+  std::string Pending;
 };
 
 } // namespace banyanpick::standins
--- a/tests/standins/HttpServer.cpp
+++ b/tests/standins/HttpServer.cpp
@@ -19,18 +19,18 @@
 using asio::ip::tcp;
 
 /// A million tokens are four million bytes before JSON quotes them.
-constexpr std::uint64_t MaximumBodyBytes = 64ULL * 1024 * 1024;
+constexpr std::uint64_t MaxBodyBytes = 64ULL * 1024 * 1024;
 
 constexpr unsigned HttpVersion = 11;
 
 /// Runs the handler; what it throws on a bad request becomes a typed error.
-void handleOne(Exchange &Each, const Handler &Handle) {
+void handleExchange(Exchange &Incoming, const Handler &Handle) {
   try {
-    Handle(Each);
+    Handle(Incoming);
   } catch (const nlohmann::json::exception &Problem) {
-    Each.answer(400, {{"error", {{"message", Problem.what()}}}});
+    Incoming.answer(400, {{"error", {{"message", Problem.what()}}}});
   } catch (const Error &Problem) {
-    Each.answer(400, {{"error", {{"message", Problem.what()}}}});
+    Incoming.answer(400, {{"error", {{"message", Problem.what()}}}});
   }
 }
 
@@ -38,20 +38,20 @@
   beast::flat_buffer Buffer;
   for (;;) {
     http::request_parser<http::string_body> Parser;
-    Parser.body_limit(MaximumBodyBytes);
+    Parser.body_limit(MaxBodyBytes);
     beast::error_code Failure;
     http::read(Socket, Buffer, Parser, Failure);
     if (Failure)
       return;
     const bool Persistent = Parser.keep_alive();
-    Exchange Each(Socket, Parser.release());
-    handleOne(Each, Handle);
-    if (!Persistent || !Each.keepsAlive())
+    Exchange Incoming(Socket, Parser.release());
+    handleExchange(Incoming, Handle);
+    if (!Persistent || !Incoming.keepsAlive())
       return;
   }
 }
 
-void serveOrHangUp(tcp::socket Socket, const Handler &Handle) {
+void serveUntilDisconnect(tcp::socket Socket, const Handler &Handle) {
   try {
     serveConnection(std::move(Socket), Handle);
   } catch (const std::exception &) {
@@ -81,36 +81,36 @@
 
 std::vector<std::string> Exchange::path() const {
   const auto Target = this->Request.target();
-  std::string_view Rest = pathOf({Target.data(), Target.size()});
+  std::string_view Remaining = pathOf({Target.data(), Target.size()});
   std::vector<std::string> Segments;
-  while (!Rest.empty()) {
-    Rest.remove_prefix(1);
-    const std::string_view Segment = Rest.substr(0, Rest.find('/'));
+  while (!Remaining.empty()) {
+    Remaining.remove_prefix(1);
+    const std::string_view Segment = Remaining.substr(0, Remaining.find('/'));
     Segments.emplace_back(Segment);
-    Rest.remove_prefix(Segment.size());
+    Remaining.remove_prefix(Segment.size());
   }
   return Segments;
 }
 
 std::string Exchange::queryText(std::string_view Name) const {
   const auto Target = this->Request.target();
-  const std::string_view Whole(Target.data(), Target.size());
-  const std::string Wanted = std::string(Name) + "=";
-  std::string_view Rest = Whole.substr(pathOf(Whole).size());
-  while (!Rest.empty()) {
-    Rest.remove_prefix(1);
-    const std::string_view Part = Rest.substr(0, Rest.find('&'));
-    Rest.remove_prefix(Part.size());
-    if (Part.substr(0, Wanted.size()) == Wanted)
-      return std::string(Part.substr(Wanted.size()));
+  const std::string_view TargetText(Target.data(), Target.size());
+  const std::string Prefix = std::string(Name) + "=";
+  std::string_view Remaining = TargetText.substr(pathOf(TargetText).size());
+  while (!Remaining.empty()) {
+    Remaining.remove_prefix(1);
+    const std::string_view Part = Remaining.substr(0, Remaining.find('&'));
+    Remaining.remove_prefix(Part.size());
+    if (Part.substr(0, Prefix.size()) == Prefix)
+      return std::string(Part.substr(Prefix.size()));
   }
   return {};
 }
 
 std::uint64_t Exchange::queryNumber(std::string_view Name,
-                                    std::uint64_t Otherwise) const {
+                                    std::uint64_t Default) const {
   const std::string Text = this->queryText(Name);
-  std::uint64_t Number = Otherwise;
+  std::uint64_t Number = Default;
   std::from_chars(Text.data(), Text.data() + Text.size(), Number);
   return Number;
 }
@@ -130,21 +130,21 @@
   http::write(this->Socket, Reply);
 }
 
-void Exchange::answer(unsigned Status, const Headers &Given,
+void Exchange::answer(unsigned Status, const Headers &AnswerHeaders,
                       const std::string &Body, std::size_t Missing) {
   http::response<http::string_body> Reply(static_cast<http::status>(Status),
                                           HttpVersion);
-  for (const auto &[Name, Value] : Given)
+  for (const auto &[Name, Value] : AnswerHeaders)
     Reply.set(Name, Value);
   Reply.body() = Body;
   Reply.content_length(Body.size() + Missing);
   http::write(this->Socket, Reply);
 }
 
-void Exchange::beginEvents(const Headers &Given) {
+void Exchange::beginEvents(const Headers &AnswerHeaders) {
   http::response<http::empty_body> Reply(http::status::ok, HttpVersion);
   Reply.set(http::field::content_type, "text/event-stream");
-  for (const auto &[Name, Value] : Given)
+  for (const auto &[Name, Value] : AnswerHeaders)
     Reply.set(Name, Value);
   Reply.chunked(true);
   http::response_serializer<http::empty_body> Serializer(Reply);
@@ -168,7 +168,8 @@
     if (Failure)
       continue;
     Socket.set_option(tcp::no_delay(true), Failure);
-    std::thread(serveOrHangUp, std::move(Socket), std::cref(Handle)).detach();
+    std::thread(serveUntilDisconnect, std::move(Socket), std::cref(Handle))
+        .detach();
   }
 }
 
--- a/tests/standins/HttpServer.h
+++ b/tests/standins/HttpServer.h
@@ -33,8 +33,7 @@
   /// The path's segments: `/v1/load` gives `v1` and `load`.
   std::vector<std::string> path() const;
   /// A number of the query, or \p Otherwise.
-  std::uint64_t queryNumber(std::string_view Name,
-                            std::uint64_t Otherwise) const;
+  std::uint64_t queryNumber(std::string_view Name, std::uint64_t Default) const;
   /// A text of the query, or an empty one.
   std::string queryText(std::string_view Name) const;
   std::string header(std::string_view Name) const;
@@ -43,15 +42,15 @@
 
   void answer(unsigned Status, const nlohmann::json &Body);
   /// \p Missing bytes fewer are sent than the length says.
-  void answer(unsigned Status, const Headers &Given, const std::string &Body,
-              std::size_t Missing = 0);
+  void answer(unsigned Status, const Headers &AnswerHeaders,
+              const std::string &Body, std::size_t Missing = 0);
   /// Starts a stream of server-sent events.
-  void beginEvents(const Headers &Given = {});
+  void beginEvents(const Headers &AnswerHeaders = {});
   /// Sends events already formatted; throws when the peer is gone.
   void sendEvents(const std::string &Formatted);
   void endEvents();
   /// Ends the connection without an answer.
-  void hangUp() { this->KeepsAlive = false; }
+  void disconnect() { this->KeepsAlive = false; }
 
   bool keepsAlive() const { return this->KeepsAlive; }
 
--- a/tests/standins/KeyedTopics.h
+++ b/tests/standins/KeyedTopics.h
@@ -34,8 +34,8 @@
     LogOffset end() const { return this->First + this->Records.size(); }
   };
 
-  std::mutex Guard;
-  std::condition_variable Came;
+  std::mutex Mutex;
+  std::condition_variable Appended;
   std::map<std::string, Log> Logs;
 };
 
--- a/tests/standins/PlatformLog.cpp
+++ b/tests/standins/PlatformLog.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::size_t MaximumRecordsInRead = 512;
+constexpr std::size_t MaxRecordsPerRead = 512;
 
 } // namespace
 
 LogOffset PlatformLog::append(std::string Bytes) {
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   this->Records.push_back(std::move(Bytes));
   if (this->RetainRecords != 0 && this->Records.size() > this->RetainRecords) {
     this->Records.pop_front();
@@ -21,35 +21,35 @@
   return this->Start + this->Records.size() - 1;
 }
 
-LogSlice PlatformLog::read(LogOffset From, milliseconds Patience) {
-  std::unique_lock Lock(this->Guard);
+LogSlice PlatformLog::read(LogOffset From, milliseconds MaxWait) {
+  std::unique_lock Lock(this->Mutex);
   const auto End = [this] { return this->Start + this->Records.size(); };
-  this->Appended.wait_for(Lock, Patience, [&] { return From < End(); });
+  this->Appended.wait_for(Lock, MaxWait, [&] { return From < End(); });
   LogSlice Slice;
   Slice.Start = this->Start;
   Slice.End = End();
   Slice.FirstOffset = std::clamp(From, Slice.Start, Slice.End);
   const std::size_t Skipped = Slice.FirstOffset - Slice.Start;
-  const std::size_t Given =
-      std::min(this->Records.size() - Skipped, MaximumRecordsInRead);
+  const std::size_t Count =
+      std::min(this->Records.size() - Skipped, MaxRecordsPerRead);
   const auto First =
       this->Records.begin() + static_cast<std::ptrdiff_t>(Skipped);
-  Slice.Records.assign(First, First + static_cast<std::ptrdiff_t>(Given));
+  Slice.Records.assign(First, First + static_cast<std::ptrdiff_t>(Count));
   return Slice;
 }
 
-void PlatformLog::setFaults(const LogFaults &Wanted) {
-  const std::lock_guard Lock(this->Guard);
-  this->Faults = Wanted;
+void PlatformLog::setFaults(const LogFaults &NewFaults) {
+  const std::lock_guard Lock(this->Mutex);
+  this->Faults = NewFaults;
 }
 
 LogFaults PlatformLog::faults() {
-  const std::lock_guard Lock(this->Guard);
+  const std::lock_guard Lock(this->Mutex);
   return this->Faults;
 }
 
-bool PlatformLog::losesThisAnswer() {
-  const std::lock_guard Lock(this->Guard);
+bool PlatformLog::consumeAnswerLoss() {
+  const std::lock_guard Lock(this->Mutex);
   if (this->Faults.LoseAnswers == 0)
     return false;
   --this->Faults.LoseAnswers;
--- a/tests/standins/PlatformLog.h
+++ b/tests/standins/PlatformLog.h
@@ -38,16 +38,16 @@
 
   LogOffset append(std::string Bytes);
   /// Waits up to \p Patience for a record at \p From.
-  LogSlice read(LogOffset From, milliseconds Patience);
+  LogSlice read(LogOffset From, milliseconds MaxWait);
 
-  void setFaults(const LogFaults &Wanted);
+  void setFaults(const LogFaults &NewFaults);
   LogFaults faults();
   /// Whether the answer to an append just taken is to be lost.
-  bool losesThisAnswer();
+  bool consumeAnswerLoss();
 
 private:
   std::uint64_t RetainRecords;
-  std::mutex Guard;
+  std::mutex Mutex;
   std::condition_variable Appended;
   std::deque<std::string> Records;
   LogOffset Start = 1;
--- a/tests/standins/Resolver.h
+++ b/tests/standins/Resolver.h
@@ -20,16 +20,16 @@
   std::vector<std::string> hosts(const std::string &Team);
 
   /// Forgets the answer: a host it named could not be reached.
-  void forget();
+  void invalidate();
 
 private:
-  void ask(const std::string &Team, Time Now);
+  void refresh(const std::string &Team, Time Now);
 
   std::vector<std::string> Seeds;
   std::string Zone;
-  std::mutex Guard;
-  std::vector<std::string> Known;
-  Time KeptUntil{};
+  std::mutex Mutex;
+  std::vector<std::string> CachedHosts;
+  Time ValidUntil{};
 };
 
 } // namespace banyanpick::standins
--- a/tests/standins/StandinApplication.cpp
+++ b/tests/standins/StandinApplication.cpp
@@ -49,7 +49,7 @@
     const std::string Key = Call.value("operation_key", "");
     milliseconds Pause;
     {
-      const std::lock_guard Lock(this->Guard);
+      const std::lock_guard Lock(this->Mutex);
       if (this->Refusals > 0) {
         --this->Refusals;
         return Each.answer(503, {{"refused", "busy"}});
@@ -60,7 +60,7 @@
     }
     std::this_thread::sleep_for(Pause);
     {
-      const std::lock_guard Lock(this->Guard);
+      const std::lock_guard Lock(this->Mutex);
       --this->Running;
     }
     Each.answer(
@@ -70,7 +70,7 @@
   }
 
   json load() {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     return {{"id", this->Id},
             {"life", toHex(this->Life)},
             {"measured_at", toMilliseconds(wallNow())},
@@ -88,7 +88,7 @@
   }
 
   json counts() {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     return this->Runs;
   }
 
@@ -96,7 +96,7 @@
   void configure(Exchange &Each) {
     const json Wanted = json::parse(Each.body());
     {
-      const std::lock_guard Lock(this->Guard);
+      const std::lock_guard Lock(this->Mutex);
       this->Delay = milliseconds(
           Wanted.value<std::int64_t>("delay_ms", this->Delay.count()));
       this->Refusals = Wanted.value("refusals", this->Refusals);
@@ -107,7 +107,7 @@
 
   std::string Id;
   std::uint64_t Life;
-  std::mutex Guard;
+  std::mutex Mutex;
   milliseconds Delay;
   std::uint64_t Refusals = 0;
   std::uint32_t Running = 0;
--- a/tests/standins/StandinPlatform.cpp
+++ b/tests/standins/StandinPlatform.cpp
@@ -57,8 +57,8 @@
     if (this->refused(Each))
       return;
     const LogOffset Offset = this->Log.append(Each.body());
-    if (this->Log.losesThisAnswer())
-      return Each.hangUp();
+    if (this->Log.consumeAnswerLoss())
+      return Each.disconnect();
     Each.answer(200, {{"offset", Offset}});
   }
 
@@ -74,7 +74,7 @@
       Records.push_back({{"offset", Slice.FirstOffset + I},
                          {"bytes", toBase64(Slice.Records[I])}});
     if (this->Log.faults().Down)
-      return Each.hangUp();
+      return Each.disconnect();
     Each.answer(200, {{"start", Slice.Start},
                       {"end", Slice.End},
                       {"records", std::move(Records)}});
--- a/tests/standins/StandinUpstream.cpp
+++ b/tests/standins/StandinUpstream.cpp
@@ -96,7 +96,7 @@
       Result.emplace_back(header::Leaving, "1");
     if (FLAGS_fault == "limit") {
       Result.emplace_back(header::Limit, FLAGS_limit);
-      const std::lock_guard Lock(this->Guard);
+      const std::lock_guard Lock(this->Mutex);
       if (!this->LimitedSince)
         this->LimitedSince = nowUs();
     }
@@ -116,7 +116,7 @@
     if (FLAGS_fault == "silent")
       std::this_thread::sleep_for(std::chrono::hours(1));
     if (FLAGS_fault == "cut") {
-      Each.hangUp();
+      Each.disconnect();
       return;
     }
     const bool Fails = FLAGS_fault == "error";
@@ -125,7 +125,7 @@
     const std::size_t Missing = FLAGS_fault == "truncate" ? 5 : 0;
     Each.answer(Fails ? 500 : 200, sealed(Attempt), Body, Missing);
     if (Missing > 0)
-      Each.hangUp();
+      Each.disconnect();
   }
 
   void stream(Exchange &Each, const std::string &Attempt) {
@@ -140,7 +140,7 @@
         std::this_thread::sleep_for(std::chrono::hours(1));
       if (FLAGS_fault == "cut" && Id == First + 3) {
         Each.sendEvents(demoEvent(Id).substr(0, 5));
-        Each.hangUp();
+        Each.disconnect();
         return;
       }
       Each.sendEvents(demoEvent(Id));
@@ -149,14 +149,14 @@
   }
 
   void noteArrival(const std::string &Attempt, bool TurnedAway) {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     this->AllArrivals.push_back({{"attempt", Attempt},
                                  {"at_us", nowUs()},
                                  {"turned_away", TurnedAway}});
   }
 
   void note(const Exchange &Each, const std::string &Attempt) {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     ++this->Runs[Attempt];
     if (this->RunsFile.is_open())
       this->RunsFile << Attempt << std::endl;
@@ -166,7 +166,7 @@
   }
 
   void showRuns(Exchange &Each) {
-    const std::lock_guard Lock(this->Guard);
+    const std::lock_guard Lock(this->Mutex);
     Each.answer(200, json{{"runs", this->Runs},
                           {"saw_key", this->SawKey},
                           {"limited_since_us", this->LimitedSince.value_or(0)},
@@ -174,7 +174,7 @@
                           {"all_arrivals", this->AllArrivals}});
   }
 
-  std::mutex Guard;
+  std::mutex Mutex;
   std::map<std::string, int> Runs;
   std::ofstream RunsFile{FLAGS_runs_file, std::ios::app};
   bool SawKey = false;
@@ -191,13 +191,14 @@
       {"Version", "v1"},
       {"Slots", 6},
       {"State", "ready"}};
-  HttpQuestion Put;
+  OutgoingRequest Put;
   Put.Method = boost::beast::http::verb::post;
   Put.Target = fmt::format("/standin/put?Topic={}&Key={}",
                            platform::topic::Engines, FLAGS_id);
   Put.Body = Entry.dump();
   for (int Try = 0; Try < 100; ++Try) {
-    if (askHttp(FLAGS_store, Put, std::chrono::seconds(1)).Status == 200)
+    if (sendHttpRequest(FLAGS_store, Put, std::chrono::seconds(1)).Status ==
+        200)
       return;
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
--- a/tests/standins/WireText.h
+++ b/tests/standins/WireText.h
@@ -39,14 +39,15 @@
 }
 
 /// `LIFE-SEQUENCE` in hexadecimal, as attempts and holds are named.
-template <class Tag> SequencedId<Tag> parseMadeId(std::string_view Text) {
+template <class Tag> SequencedId<Tag> parseSequencedId(std::string_view Text) {
   const std::size_t Dash = std::min(Text.find('-'), Text.size());
-  const std::string_view Rest = Text.substr(std::min(Dash + 1, Text.size()));
-  return {Incarnation(fromHex(Text.substr(0, Dash))), fromHex(Rest)};
+  const std::string_view SequenceText =
+      Text.substr(std::min(Dash + 1, Text.size()));
+  return {Incarnation(fromHex(Text.substr(0, Dash))), fromHex(SequenceText)};
 }
 
 /// A number given in decimal by a header; 0 when it is malformed.
-inline std::int64_t parseWhole(std::string_view Text) {
+inline std::int64_t parseInteger(std::string_view Text) {
   std::int64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
   return Value;
