--- a/tests/process/FailureTest.cpp
+++ b/tests/process/FailureTest.cpp
@@ -47,9 +47,9 @@
 }
 
 void expectComplete(const WorkResult &Result) {
-  EXPECT_EQ(Result.Ended, WorkResult::End::Whole) << Result.LastAnswer;
-  EXPECT_FALSE(Result.Doubled);
-  EXPECT_FALSE(Result.Crossed);
+  EXPECT_EQ(Result.Ended, WorkResult::End::Complete) << Result.LastAnswer;
+  EXPECT_FALSE(Result.Duplicated);
+  EXPECT_FALSE(Result.Misrouted);
 }
 
 std::string answerOf(const standins::HttpReply &Reply) {
--- a/tests/process/GatewayDeployment.cpp
+++ b/tests/process/GatewayDeployment.cpp
@@ -164,7 +164,7 @@
                        const std::string &Attempt, const std::string &Body,
                        std::vector<standins::HttpHeader> ExtraHeaders) const {
   OutgoingRequest Req =
-      standins::demoQuestion({}, Path, Attempt, Body, CallerTimeout);
+      standins::demoRequest({}, Path, Attempt, Body, CallerTimeout);
   for (standins::HttpHeader &Header : ExtraHeaders)
     Req.Headers.push_back(std::move(Header));
   return sendHttpRequest(this->Hosts.at(Host).Callers, Req, RequestTimeout);
--- a/tests/soak/SoakTraffic.cpp
+++ b/tests/soak/SoakTraffic.cpp
@@ -63,7 +63,7 @@
   Result.Payload = fmt::format("payload-{}", Number);
   Result.Host = Host;
   Result.Timeout = Timeout;
-  const standins::OutgoingRequest Req = standins::demoQuestion(
+  const standins::OutgoingRequest Req = standins::demoRequest(
       {}, pathOf(Kind), Result.Attempt, Result.Payload, Timeout);
   Result.Start = Clock::now();
   Result.Reply = sendHttpRequest(this->CallerLinks[Host]->address(), Req,
--- a/tests/standins/Caller.cpp
+++ b/tests/standins/Caller.cpp
@@ -14,21 +14,21 @@
 using nlohmann::json;
 
 /// Times a request is sent before its last refusal is taken as its answer.
-constexpr std::uint32_t MaximumTries = 12;
+constexpr std::uint32_t MaxAttempts = 12;
 
 /// Silence after which a connection is given up; longer than any promise.
-constexpr Duration Patience = seconds(20);
+constexpr Duration StepTimeout = seconds(20);
 
 /// Pause before another host is tried when none could be reached.
-constexpr milliseconds ReconnectPause(100);
-constexpr milliseconds LongestPause(3'000);
+constexpr milliseconds ReconnectDelay(100);
+constexpr milliseconds MaxRetryDelay(3'000);
 
-void pauseFor(std::int64_t Milliseconds) {
+void waitBeforeRetry(std::int64_t Milliseconds) {
   std::this_thread::sleep_for(
-      std::clamp(milliseconds(Milliseconds), ReconnectPause, LongestPause));
+      std::clamp(milliseconds(Milliseconds), ReconnectDelay, MaxRetryDelay));
 }
 
-std::string wholeText(std::uint64_t Count, std::uint64_t Hash) {
+std::string completeText(std::uint64_t Count, std::uint64_t Hash) {
   std::string Text;
   for (std::uint64_t I = 0; I < Count; ++I)
     Text += chunkText(I, Hash);
@@ -49,7 +49,7 @@
 WorkResult Caller::run(const WorkItem &Item) {
   const std::string Prompt = promptOf(Item);
   return Item.Kind == WorkKind::Streamed ? this->runStreamed(Item, Prompt)
-                                         : this->runWhole(Item, Prompt);
+                                         : this->runUnstreamed(Item, Prompt);
 }
 
 std::vector<HttpHeader> Caller::headers() const {
@@ -57,45 +57,45 @@
           {"Content-Type", "application/json"}};
 }
 
-HttpReply Caller::ask(const OutgoingRequest &Question, std::size_t Turn,
-                      const PartHandler &OnPart) {
+HttpReply Caller::send(const OutgoingRequest &Req, std::size_t Turn,
+                       const PartHandler &OnPart) {
   const auto Addresses = this->Hosts.hosts(this->Team.Name);
   for (std::size_t I = 0; I < Addresses.size(); ++I) {
     const std::string &Address = Addresses[(Turn + I) % Addresses.size()];
-    HttpReply Reply = sendHttpRequest(Address, Question, Patience, OnPart);
+    HttpReply Reply = sendHttpRequest(Address, Req, StepTimeout, OnPart);
     if (Reply.Ended != HttpReply::End::NotConnected)
       return Reply;
   }
   this->Hosts.invalidate();
-  std::this_thread::sleep_for(ReconnectPause);
+  std::this_thread::sleep_for(ReconnectDelay);
   return {};
 }
 
-bool Caller::settles(const json &Answer, WorkResult &Result) const {
+bool Caller::isFinal(const json &Answer, WorkResult &Result) const {
   Result.LastAnswer = Answer.dump();
   const std::string Kind = Answer.value("answer", "");
   const auto RetryAfterMs = Answer.value<std::int64_t>("come_back_after_ms", 0);
   Result.MayHaveRun = Result.MayHaveRun || Kind != "not-run";
   if (Kind == "whole") {
     Result.Ended =
-        Result.Incomplete ? WorkResult::End::Lost : WorkResult::End::Whole;
+        Result.Incomplete ? WorkResult::End::Lost : WorkResult::End::Complete;
     return true;
   }
   Result.Ended =
       Kind == "not-run" ? WorkResult::End::Refused : WorkResult::End::Failed;
   if (Kind == "outcome-unknown" || (RetryAfterMs == 0 && Kind != "in-progress"))
     return true;
-  pauseFor(RetryAfterMs);
+  waitBeforeRetry(RetryAfterMs);
   return false;
 }
 
-WorkResult Caller::askUntilSettled(const AskOnce &Ask, std::size_t FirstTurn) {
+WorkResult Caller::sendUntilFinal(const SendOnce &Send, std::size_t FirstTurn) {
   WorkResult Result;
   std::size_t Turn = FirstTurn;
-  for (; Result.Tries < MaximumTries; ++Result.Tries) {
-    const json Answer = Ask(Turn, Result);
+  for (; Result.Attempts < MaxAttempts; ++Result.Attempts) {
+    const json Answer = Send(Turn, Result);
     if (Answer.is_object() && Answer.contains("answer")) {
-      if (this->settles(Answer, Result))
+      if (this->isFinal(Answer, Result))
         return Result;
       continue;
     }
@@ -105,8 +105,8 @@
   return Result;
 }
 
-void Caller::takeEvent(const ServerEvent &Event, std::uint64_t Hash,
-                       Received &Stream, WorkResult &Result) const {
+void Caller::handleEvent(const ServerEvent &Event, std::uint64_t Hash,
+                         Received &Stream, WorkResult &Result) const {
   if (!Event.Data.is_object())
     return;
   if (Event.Name == "accepted") {
@@ -119,26 +119,26 @@
   } else if (Event.Name.empty()) {
     const auto Index = Event.Data.value<std::uint64_t>("index", 0);
     if (Event.Data.value("text", "") != chunkText(Index, Hash))
-      Result.Crossed = true;
+      Result.Misrouted = true;
     if (Index < Stream.Next)
-      Result.Doubled = true;
+      Result.Duplicated = true;
     if (Result.FirstTokenAfter == Duration())
-      Result.FirstTokenAfter = wallNow() - Stream.Began;
+      Result.FirstTokenAfter = wallNow() - Stream.StartedAt;
     // A gap keeps Next behind the count of the end mark.
     if (Index == Stream.Next)
       ++Stream.Next;
   }
 }
 
-HttpReply Caller::askStream(const OutgoingRequest &Fresh, std::uint64_t Hash,
-                            std::size_t Turn, Received &Stream,
-                            WorkResult &Result) {
+HttpReply Caller::sendStreamRequest(const OutgoingRequest &NewReq,
+                                    std::uint64_t Hash, std::size_t Turn,
+                                    Received &Stream, WorkResult &Result) {
   EventReader Reader([&](const ServerEvent &Event) {
-    this->takeEvent(Event, Hash, Stream, Result);
+    this->handleEvent(Event, Hash, Stream, Result);
   });
   const auto OnPart = [&](std::string_view Part) { Reader.addPart(Part); };
   if (Stream.Token.empty())
-    return this->ask(Fresh, Turn, OnPart);
+    return this->send(NewReq, Turn, OnPart);
   ++Result.Resumed;
   const OutgoingRequest Resume{
       http::verb::get,
@@ -146,69 +146,73 @@
       {},
       this->headers()};
   const std::string Redirect = std::exchange(Stream.Redirect, "");
-  return Redirect.empty() ? this->ask(Resume, Turn, OnPart)
-                          : sendHttpRequest(Redirect, Resume, Patience, OnPart);
+  return Redirect.empty()
+             ? this->send(Resume, Turn, OnPart)
+             : sendHttpRequest(Redirect, Resume, StepTimeout, OnPart);
 }
 
 WorkResult Caller::runStreamed(const WorkItem &Item,
                                const std::string &Prompt) {
   const std::uint64_t Hash = hashOfPrompt(Prompt);
-  const OutgoingRequest Fresh = completion(Item, Prompt, this->headers());
+  const OutgoingRequest NewReq = completion(Item, Prompt, this->headers());
   Received Stream(wallNow());
-  const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
+  const auto Send = [&](std::size_t Turn, WorkResult &Result) {
     const bool Resuming = !Stream.Token.empty();
-    const HttpReply Reply = this->askStream(Fresh, Hash, Turn, Stream, Result);
+    const HttpReply Reply =
+        this->sendStreamRequest(NewReq, Hash, Turn, Stream, Result);
     json Answer = std::exchange(Stream.Final, json());
     if (!Answer.is_object() && Reply.isComplete() && Reply.Status != 200)
       Answer = Reply.parsed();
-    const bool Whole =
+    const bool IsComplete =
         Answer.is_object() && Answer.value("answer", "") == "whole";
     Result.Incomplete =
-        Whole && Answer.value<std::uint64_t>("count", 0) != Stream.Next;
+        IsComplete && Answer.value<std::uint64_t>("count", 0) != Stream.Next;
     // A host that is gone took its stream along: ask anew.
-    const bool Unknown = Resuming && Reply.Status == 404;
-    Result.Restarted += Unknown ? 1 : 0;
-    if (Unknown || (Answer.is_object() && !Whole))
-      Stream = Received(Stream.Began);
+    const bool StreamUnknown = Resuming && Reply.Status == 404;
+    Result.Restarted += StreamUnknown ? 1 : 0;
+    if (StreamUnknown || (Answer.is_object() && !IsComplete))
+      Stream = Received(Stream.StartedAt);
     return Answer;
   };
-  return this->askUntilSettled(Ask, 0);
+  return this->sendUntilFinal(Send, 0);
 }
 
-WorkResult Caller::runWhole(const WorkItem &Item, const std::string &Prompt) {
+WorkResult Caller::runUnstreamed(const WorkItem &Item,
+                                 const std::string &Prompt) {
   const std::uint64_t Hash = hashOfPrompt(Prompt);
-  const OutgoingRequest Question = completion(Item, Prompt, this->headers());
-  const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
-    const HttpReply Reply = this->ask(Question, Turn);
+  const OutgoingRequest Req = completion(Item, Prompt, this->headers());
+  const auto Send = [&](std::size_t Turn, WorkResult &Result) {
+    const HttpReply Reply = this->send(Req, Turn);
     json Answer = Reply.isComplete() ? Reply.parsed() : json();
     if (Answer.is_object() && Answer.value("answer", "") == "whole")
-      Result.Crossed = Answer.value("text", "") !=
-                       wholeText(Answer.value<std::uint64_t>("count", 0), Hash);
+      Result.Misrouted =
+          Answer.value("text", "") !=
+          completeText(Answer.value<std::uint64_t>("count", 0), Hash);
     return Answer;
   };
-  return this->askUntilSettled(Ask, 0);
+  return this->sendUntilFinal(Send, 0);
 }
 
 WorkResult Caller::confirm(const WorkItem &Item, const std::string &Key,
-                           std::size_t Skipped) {
+                           std::size_t SkippedHosts) {
   const json Body{{"class", Item.Class},
                   {"operation_key", Key},
                   {"body", {{"lot", Item.Number}}}};
-  const OutgoingRequest Question{http::verb::post, "/v1/calls", Body.dump(),
-                                 this->headers()};
-  const auto Ask = [&](std::size_t Turn, WorkResult &Result) {
-    const HttpReply Reply = this->ask(Question, Turn);
+  const OutgoingRequest Req{http::verb::post, "/v1/calls", Body.dump(),
+                            this->headers()};
+  const auto Send = [&](std::size_t Turn, WorkResult &Result) {
+    const HttpReply Reply = this->send(Req, Turn);
     if (Reply.Ended == HttpReply::End::Broken)
       Result.MayHaveRun = true;
     json Answer = Reply.isComplete() ? Reply.parsed() : json();
     if (Answer.is_object() && Answer.value("answer", "") == "whole") {
       const json Run = Answer.value("result", json::object());
-      Result.Crossed = !Run.is_object() || Run.value("key", "") != Key ||
-                       Run.value("body", json::object()) != Body["body"];
+      Result.Misrouted = !Run.is_object() || Run.value("key", "") != Key ||
+                         Run.value("body", json::object()) != Body["body"];
     }
     return Answer;
   };
-  WorkResult Result = this->askUntilSettled(Ask, Skipped);
+  WorkResult Result = this->sendUntilFinal(Send, SkippedHosts);
   Result.Key = Key;
   return Result;
 }
--- a/tests/standins/Caller.h
+++ b/tests/standins/Caller.h
@@ -21,12 +21,12 @@
 
 /// How one request went.
 struct WorkResult {
-  enum class End { Whole, Refused, Failed, Lost } Ended = End::Lost;
-  bool Doubled = false;    ///< A chunk came twice, or two runs were answered.
-  bool Crossed = false;    ///< Something of another's answer came.
+  enum class End { Complete, Refused, Failed, Lost } Ended = End::Lost;
+  bool Duplicated = false; ///< A chunk came twice, or two runs were answered.
+  bool Misrouted = false;  ///< Something of another's answer came.
   bool Incomplete = false; ///< Told whole, but chunks are missing.
   bool MayHaveRun = false; ///< Some answer left open that it ran.
-  std::uint32_t Tries = 0;
+  std::uint32_t Attempts = 0;
   std::uint32_t Resumed = 0;
   std::uint32_t Restarted = 0;
   Duration FirstTokenAfter{};
@@ -44,35 +44,36 @@
   /// Sends the confirmation under the key; \p Skipped first hosts of the
   /// resolve answer are passed over.
   WorkResult confirm(const WorkItem &Item, const std::string &Key,
-                     std::size_t Skipped);
+                     std::size_t SkippedHosts);
 
 private:
   /// A stream as far as it was received.
   struct Received {
-    explicit Received(Time Began) : Began(Began) {}
+    explicit Received(Time StartedAt) : StartedAt(StartedAt) {}
 
     std::uint64_t Next = 0;
     std::string Token;
     std::string Redirect;
     nlohmann::json Final;
-    Time Began;
+    Time StartedAt;
   };
 
   /// Asks once at a turn; gives the final answer, or nothing.
-  using AskOnce = std::function<nlohmann::json(std::size_t, WorkResult &)>;
+  using SendOnce = std::function<nlohmann::json(std::size_t, WorkResult &)>;
 
-  WorkResult askUntilSettled(const AskOnce &Ask, std::size_t FirstTurn);
-  HttpReply askStream(const OutgoingRequest &Fresh, std::uint64_t Hash,
-                      std::size_t Turn, Received &Stream, WorkResult &Result);
+  WorkResult sendUntilFinal(const SendOnce &Send, std::size_t FirstTurn);
+  HttpReply sendStreamRequest(const OutgoingRequest &NewReq, std::uint64_t Hash,
+                              std::size_t Turn, Received &Stream,
+                              WorkResult &Result);
   WorkResult runStreamed(const WorkItem &Item, const std::string &Prompt);
-  WorkResult runWhole(const WorkItem &Item, const std::string &Prompt);
+  WorkResult runUnstreamed(const WorkItem &Item, const std::string &Prompt);
   /// Asks a host; passes to the next one when it can't be reached.
-  HttpReply ask(const OutgoingRequest &Question, std::size_t Turn,
-                const PartHandler &OnPart = {});
-  void takeEvent(const ServerEvent &Event, std::uint64_t Hash, Received &Stream,
-                 WorkResult &Result) const;
+  HttpReply send(const OutgoingRequest &Req, std::size_t Turn,
+                 const PartHandler &OnPart = {});
+  void handleEvent(const ServerEvent &Event, std::uint64_t Hash,
+                   Received &Stream, WorkResult &Result) const;
   /// Whether \p Answer ends the request; if not, waits as it asks for.
-  bool settles(const nlohmann::json &Answer, WorkResult &Result) const;
+  bool isFinal(const nlohmann::json &Answer, WorkResult &Result) const;
   std::vector<HttpHeader> headers() const;
 
   Resolver &Hosts;
--- a/tests/standins/DemoCaller.cpp
+++ b/tests/standins/DemoCaller.cpp
@@ -26,7 +26,7 @@
 
 using nlohmann::json;
 
-constexpr Duration CountsPatience = seconds(5);
+constexpr Duration CountsTimeout = seconds(5);
 
 std::vector<std::string> split(const std::string &Text) {
   std::vector<std::string> Parts;
@@ -46,43 +46,44 @@
 /// The better of two answers to the same confirmation.
 WorkResult combine(const WorkResult &First, const WorkResult &Second) {
   WorkResult Result = First.Ended <= Second.Ended ? First : Second;
-  Result.Crossed = First.Crossed || Second.Crossed;
+  Result.Misrouted = First.Misrouted || Second.Misrouted;
   Result.MayHaveRun = First.MayHaveRun || Second.MayHaveRun;
-  Result.Tries = First.Tries + Second.Tries;
+  Result.Attempts = First.Attempts + Second.Attempts;
   return Result;
 }
 
-WorkResult runConfirmation(Caller &Each, const WorkItem &Item) {
+WorkResult runConfirmation(Caller &Sender, const WorkItem &Item) {
   static std::atomic<std::uint64_t> Draws{std::random_device()()};
   const std::string Key =
       makeOperationKey(wallNow(), std::mt19937_64(Draws.fetch_add(1))());
-  WorkResult Other;
-  std::thread Beside;
+  WorkResult SecondResult;
+  std::thread SecondSender;
   if (Item.SentTwice)
-    Beside = std::thread([&] { Other = Each.confirm(Item, Key, 1); });
-  WorkResult Result = Each.confirm(Item, Key, 0);
+    SecondSender =
+        std::thread([&] { SecondResult = Sender.confirm(Item, Key, 1); });
+  WorkResult Result = Sender.confirm(Item, Key, 0);
   if (Item.SentTwice) {
-    Beside.join();
-    return combine(Result, Other);
+    SecondSender.join();
+    return combine(Result, SecondResult);
   }
-  if (Item.SentAgain)
-    return combine(Result, Each.confirm(Item, Key, 1));
+  if (Item.SentAfterAnswer)
+    return combine(Result, Sender.confirm(Item, Key, 1));
   return Result;
 }
 
 /// Holds the application's own counts against what callers were told.
 void checkRuns(std::vector<WorkResult> &Results, const json &Counts) {
-  for (WorkResult &Each : Results) {
-    if (Each.Key.empty())
+  for (WorkResult &Result : Results) {
+    if (Result.Key.empty())
       continue;
-    const auto Runs = Counts.value<std::uint64_t>(Each.Key, 0);
+    const auto Runs = Counts.value<std::uint64_t>(Result.Key, 0);
     if (Runs > 1)
-      Each.Doubled = true;
-    if (Runs == 0 && Each.Ended == WorkResult::End::Whole)
-      Each.Ended = WorkResult::End::Lost;
+      Result.Duplicated = true;
+    if (Runs == 0 && Result.Ended == WorkResult::End::Complete)
+      Result.Ended = WorkResult::End::Lost;
     // Every answer said that it did not run, and it did.
-    if (Runs > 0 && !Each.MayHaveRun)
-      Each.Ended = WorkResult::End::Lost;
+    if (Runs > 0 && !Result.MayHaveRun)
+      Result.Ended = WorkResult::End::Lost;
   }
 }
 
@@ -91,59 +92,61 @@
   Resolver Hosts(split(FLAGS_hosts), FLAGS_zone);
   std::vector<WorkResult> Results(Items.size());
   std::atomic<std::size_t> NextItem{0};
-  const auto Began = std::chrono::steady_clock::now();
+  const auto StartedAt = std::chrono::steady_clock::now();
   const auto Work = [&] {
     for (std::size_t I = NextItem++; I < Items.size(); I = NextItem++) {
       const WorkItem &Item = Items[I];
-      std::this_thread::sleep_until(Began + Item.StartAfter);
-      Caller Each(Hosts, Teams.at(Item.Team));
+      std::this_thread::sleep_until(StartedAt + Item.StartAfter);
+      Caller Sender(Hosts, Teams.at(Item.Team));
       Results[I] = Item.Kind == WorkKind::Confirmation
                        ? runConfirmation(Each, Item)
-                       : Each.run(Item);
+                       : Sender.run(Item);
     }
   };
   std::vector<std::thread> Callers;
   for (std::uint64_t I = 0; I < FLAGS_callers; ++I)
     Callers.emplace_back(Work);
-  for (std::thread &Each : Callers)
-    Each.join();
+  for (std::thread &Thread : Callers)
+    Thread.join();
   return Results;
 }
 
 void printResult(const WorkItem &Item, const WorkResult &Result) {
   constexpr std::array Ends{"whole", "refused", "failed", "lost"};
-  fmt::print(stderr,
-             "{} {} {} tokens: {}{}{}, {} tries, {} resumed, {} restarted, "
-             "first token {} ms {}\n",
-             Item.Number, Item.Class, Item.PromptTokens,
-             Ends[static_cast<std::size_t>(Result.Ended)],
-             Result.Doubled ? " doubled" : "", Result.Crossed ? " crossed" : "",
-             Result.Tries + 1, Result.Resumed, Result.Restarted,
-             Result.FirstTokenAfter.count() / 1000,
-             Result.LastAnswer.substr(0, 200));
+  fmt::print(
+      stderr,
+      "{} {} {} tokens: {}{}{}, {} tries, {} resumed, {} restarted, "
+      "first token {} ms {}\n",
+      Item.Number, Item.Class, Item.PromptTokens,
+      Ends[static_cast<std::size_t>(Result.Ended)],
+      Result.Duplicated ? " doubled" : "", Result.Misrouted ? " crossed" : "",
+      Result.Attempts + 1, Result.Resumed, Result.Restarted,
+      Result.FirstTokenAfter.count() / 1000, Result.LastAnswer.substr(0, 200));
 }
 
 int report(const std::vector<WorkItem> &Items,
            const std::vector<WorkResult> &Results) {
   std::array<std::uint64_t, 4> Ends{};
-  std::uint64_t Doubled = 0;
-  std::uint64_t Crossed = 0;
+  std::uint64_t Duplicated = 0;
+  std::uint64_t Misrouted = 0;
   for (std::size_t I = 0; I < Items.size(); ++I) {
-    const WorkResult &Each = Results[I];
-    ++Ends[static_cast<std::size_t>(Each.Ended)];
-    Doubled += Each.Doubled ? 1 : 0;
-    Crossed += Each.Crossed ? 1 : 0;
-    const bool Plain =
-        Each.Ended == WorkResult::End::Whole && !Each.Doubled && !Each.Crossed;
-    if (!Plain || FLAGS_verbose)
-      printResult(Items[I], Each);
+    const WorkResult &Result = Results[I];
+    ++Ends[static_cast<std::size_t>(Result.Ended)];
+    Duplicated += Result.Duplicated ? 1 : 0;
+    Misrouted += Result.Misrouted ? 1 : 0;
+    const bool AsExpected = Result.Ended == WorkResult::End::Complete &&
+                            !Result.Duplicated && !Result.Misrouted;
+    if (!AsExpected || FLAGS_verbose)
+      printResult(Items[I], Result);
   }
   fmt::print("demo: sent={} whole={} refused={} failed={} lost={} doubled={} "
              "crossed={}\n",
-             Items.size(), Ends[0], Ends[1], Ends[2], Ends[3], Doubled,
-             Crossed);
-  const bool Enough = Ends[0] * 100 >= Items.size() * 95;
-  return Ends[3] == 0 && Doubled == 0 && Crossed == 0 && Enough ? 0 : 1;
+             Items.size(), Ends[0], Ends[1], Ends[2], Ends[3], Duplicated,
+             Misrouted);
+  const bool EnoughComplete = Ends[0] * 100 >= Items.size() * 95;
+  return Ends[3] == 0 && Duplicated == 0 && Misrouted == 0 && EnoughComplete
+             ? 0
+             : 1;
 }
 
 int runDemo() {
@@ -152,7 +155,7 @@
                    milliseconds(FLAGS_span_ms));
   auto Results = runAll(Items);
   const HttpReply Counts =
-      sendHttpRequest(FLAGS_application, {.Target = "/counts"}, CountsPatience);
+      sendHttpRequest(FLAGS_application, {.Target = "/counts"}, CountsTimeout);
   if (!Counts.isComplete()) {
     fmt::print(stderr, "the application's counts can't be read\n");
     return 1;
--- a/tests/standins/GatewayCaller.cpp
+++ b/tests/standins/GatewayCaller.cpp
@@ -33,108 +33,110 @@
 /// A caller's patience with one request.
 constexpr seconds Deadline(8);
 /// Tries of one request in all; a promise that it did not run allows another.
-constexpr int MostTries = 4;
+constexpr int MaxAttempts = 4;
 /// Of a hundred requests, so many must be whole.
-constexpr double WholeWanted = 0.95;
+constexpr double MinCompleteShare = 0.95;
 
 std::vector<std::string> split(const std::string &Text) {
   std::vector<std::string> Result;
   std::istringstream In(Text);
-  for (std::string Each; std::getline(In, Each, ',');)
-    Result.push_back(Each);
+  for (std::string Part; std::getline(In, Part, ',');)
+    Result.push_back(Part);
   return Result;
 }
 
 struct Counts {
-  std::atomic<std::uint64_t> Whole = 0;
+  std::atomic<std::uint64_t> Complete = 0;
   std::atomic<std::uint64_t> Refused = 0;
   std::atomic<std::uint64_t> Failed = 0;
   std::atomic<std::uint64_t> Lost = 0;
-  std::atomic<std::uint64_t> Crossed = 0;
+  std::atomic<std::uint64_t> Misrouted = 0;
 };
 
 enum class Kind { Safe, Once, Stream };
 
-std::string hostFor(std::mt19937 &Numbers) {
+std::string resolveHost(std::mt19937 &Rng) {
   std::vector<std::string> Directories = split(FLAGS_directories);
-  std::shuffle(Directories.begin(), Directories.end(), Numbers);
-  for (const std::string &At : Directories) {
-    OutgoingRequest Ask;
-    Ask.Target = std::string(platform::path::Resolution) +
+  std::shuffle(Directories.begin(), Directories.end(), Rng);
+  for (const std::string &Address : Directories) {
+    OutgoingRequest Req;
+    Req.Target = std::string(platform::path::Resolution) +
                  "?Name=" + FLAGS_host + "&Zone=east";
-    const json Hosts = sendHttpRequest(At, Ask, seconds(1)).parsed();
+    const json Hosts = sendHttpRequest(Address, Req, seconds(1)).parsed();
     if (!Hosts.is_object() || Hosts.value("Addresses", json()).empty())
       continue;
     const json &Addresses = Hosts["Addresses"];
-    return Addresses[Numbers() % Addresses.size()];
+    return Addresses[Rng() % Addresses.size()];
   }
   return {};
 }
 
 /// Whether the body is the answer to this very request, whole.
-bool isOwn(Kind Of, const std::string &Body, const std::string &Payload) {
-  return Of == Kind::Stream ? Body == demoStream(FLAGS_events)
-                            : Body.ends_with(": " + Payload);
+bool isOwn(Kind RequestKind, const std::string &Body,
+           const std::string &Payload) {
+  return RequestKind == Kind::Stream ? Body == demoStream(FLAGS_events)
+                                     : Body.ends_with(": " + Payload);
 }
 
-std::string pathOf(Kind Of) {
-  if (Of == Kind::Stream)
+std::string pathOf(Kind RequestKind) {
+  if (RequestKind == Kind::Stream)
     return "/stream/x";
-  return Of == Kind::Safe ? "/safe/x" : "/once/x";
+  return RequestKind == Kind::Safe ? "/safe/x" : "/once/x";
 }
 
-void sendOne(std::uint32_t Number, Counts &Into) {
-  std::mt19937 Numbers(Number);
-  const Kind Of = static_cast<Kind>(Number % 3);
+void sendRequest(std::uint32_t Number, Counts &Totals) {
+  std::mt19937 Rng(Number);
+  const Kind RequestKind = static_cast<Kind>(Number % 3);
   const std::string Payload = fmt::format("payload-{}", Number);
   const auto Start = std::chrono::steady_clock::now();
-  for (int Try = 0; Try < MostTries; ++Try) {
-    const auto Passed = std::chrono::duration_cast<Duration>(
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+    const auto Elapsed = std::chrono::duration_cast<Duration>(
         std::chrono::steady_clock::now() - Start);
-    const std::string At = hostFor(Numbers);
-    if (At.empty() || Passed >= Deadline)
+    const std::string Address = resolveHost(Rng);
+    if (Address.empty() || Elapsed >= Deadline)
       continue;
-    const HttpReply Reply =
-        sendHttpRequest(At,
-                        demoQuestion({FLAGS_host, FLAGS_key}, pathOf(Of),
-                                     fmt::format("demo-{}-{}", Number, Try),
-                                     Payload, Deadline - Passed),
-                        Deadline - Passed);
+    const HttpReply Reply = sendHttpRequest(
+        Address,
+        demoRequest({FLAGS_host, FLAGS_key}, pathOf(RequestKind),
+                    fmt::format("demo-{}-{}", Number, Attempt), Payload,
+                    Deadline - Elapsed),
+        Deadline - Elapsed);
     if (Reply.isComplete() && Reply.Status == 200) {
-      ++(isOwn(Of, Reply.Body, Payload) ? Into.Whole : Into.Crossed);
+      ++(isOwn(RequestKind, Reply.Body, Payload) ? Totals.Complete
+                                                 : Totals.Misrouted);
       return;
     }
-    const bool Promised =
+    const bool NotExecuted =
         Reply.Ended == HttpReply::End::NotConnected || Reply.Status == 503;
-    if (Of == Kind::Once && !Promised) {
+    if (RequestKind == Kind::Once && !NotExecuted) {
       // A host may be killed with the request: then nobody can tell.
-      ++Into.Failed;
+      ++Totals.Failed;
       return;
     }
     std::this_thread::sleep_for(milliseconds(100));
   }
-  ++Into.Refused;
+  ++Totals.Refused;
 }
 
-std::uint64_t countDoubled() {
+std::uint64_t countDuplicated() {
   std::map<std::string, int> Runs;
-  for (const std::string &At : split(FLAGS_upstreams)) {
-    OutgoingRequest Ask;
-    Ask.Target = "/standin/runs";
-    const json Reply = sendHttpRequest(At, Ask, seconds(2)).parsed();
+  for (const std::string &Address : split(FLAGS_upstreams)) {
+    OutgoingRequest Req;
+    Req.Target = "/standin/runs";
+    const json Reply = sendHttpRequest(Address, Req, seconds(2)).parsed();
     if (!Reply.is_object())
       continue;
     for (const auto &[Attempt, Count] : Reply["runs"].items())
       Runs[Attempt] += Count.get<int>();
   }
-  std::uint64_t Doubled = 0;
+  std::uint64_t Duplicated = 0;
   for (const auto &[Attempt, Count] : Runs) {
     std::uint32_t Number = 0;
     if (std::sscanf(Attempt.c_str(), "demo-%u-", &Number) == 1 &&
         static_cast<Kind>(Number % 3) == Kind::Once && Count > 1)
-      ++Doubled;
+      ++Duplicated;
   }
-  return Doubled;
+  return Duplicated;
 }
 
 } // namespace
@@ -146,22 +148,22 @@
   Counts Result;
   std::vector<std::thread> Threads;
   for (std::uint32_t Number = 0; Number < FLAGS_requests; ++Number) {
-    Threads.emplace_back(sendOne, Number, std::ref(Result));
+    Threads.emplace_back(sendRequest, Number, std::ref(Result));
     std::this_thread::sleep_for(
         std::chrono::milliseconds(FLAGS_span_ms / FLAGS_requests));
   }
-  for (std::thread &Each : Threads)
-    Each.join();
-  const std::uint64_t Doubled = countDoubled();
+  for (std::thread &Thread : Threads)
+    Thread.join();
+  const std::uint64_t Duplicated = countDuplicated();
   const std::uint64_t Ended =
-      Result.Whole + Result.Refused + Result.Failed + Result.Crossed;
+      Result.Complete + Result.Refused + Result.Failed + Result.Misrouted;
   const std::uint64_t Lost = FLAGS_requests - Ended;
   fmt::print("demo: sent={} whole={} refused={} failed={} lost={} doubled={} "
              "crossed={}\n",
-             FLAGS_requests, Result.Whole.load(), Result.Refused.load(),
-             Result.Failed.load(), Lost, Doubled, Result.Crossed.load());
-  const bool Good =
-      Lost == 0 && Doubled == 0 && Result.Crossed == 0 &&
-      static_cast<double>(Result.Whole) >= WholeWanted * FLAGS_requests;
-  return Good ? 0 : 1;
+             FLAGS_requests, Result.Complete.load(), Result.Refused.load(),
+             Result.Failed.load(), Lost, Duplicated, Result.Misrouted.load());
+  const bool Succeeded =
+      Lost == 0 && Duplicated == 0 && Result.Misrouted == 0 &&
+      static_cast<double>(Result.Complete) >= MinCompleteShare * FLAGS_requests;
+  return Succeeded ? 0 : 1;
 }
--- a/tests/standins/GatewayDemo.cpp
+++ b/tests/standins/GatewayDemo.cpp
@@ -19,18 +19,20 @@
   return Result;
 }
 
-OutgoingRequest demoQuestion(const DemoCaller &From, const std::string &Path,
-                             const std::string &Attempt,
-                             const std::string &Body, Duration Left) {
+OutgoingRequest demoRequest(const DemoCaller &Caller, const std::string &Path,
+                            const std::string &Attempt, const std::string &Body,
+                            Duration Timeout) {
   OutgoingRequest Result;
   Result.Method = boost::beast::http::verb::post;
   Result.Target = Path;
   Result.Body = Body;
-  const auto LeftMs = std::chrono::duration_cast<milliseconds>(Left).count();
-  Result.Headers = {{"Host", From.Host},
-                    {"Authorization", "Bearer " + From.Key},
-                    {std::string(header::AttemptId), Attempt},
-                    {std::string(header::Remaining), std::to_string(LeftMs)}};
+  const auto TimeoutMs =
+      std::chrono::duration_cast<milliseconds>(Timeout).count();
+  Result.Headers = {
+      {"Host", Caller.Host},
+      {"Authorization", "Bearer " + Caller.Key},
+      {std::string(header::AttemptId), Attempt},
+      {std::string(header::Remaining), std::to_string(TimeoutMs)}};
   return Result;
 }
 
--- a/tests/standins/GatewayDemo.h
+++ b/tests/standins/GatewayDemo.h
@@ -25,8 +25,8 @@
 };
 
 /// A request of the caller that waits for \p Left.
-OutgoingRequest demoQuestion(const DemoCaller &From, const std::string &Path,
-                             const std::string &Attempt,
-                             const std::string &Body, Duration Left);
+OutgoingRequest demoRequest(const DemoCaller &Caller, const std::string &Path,
+                            const std::string &Attempt, const std::string &Body,
+                            Duration Timeout);
 
 } // namespace banyanpick::standins
--- a/tests/standins/Workload.cpp
+++ b/tests/standins/Workload.cpp
@@ -13,13 +13,13 @@
 constexpr std::uint64_t BytesPerToken = 4;
 
 /// Prompts up to this length are sent under the class for short ones.
-constexpr std::uint64_t LongestShortPrompt = 8'000;
+constexpr std::uint64_t MaxShortPrompt = 8'000;
 
 /// A range of prompt lengths with its share of the model requests in 1,000.
 struct LengthBand {
   std::uint64_t Share;
-  std::uint64_t Shortest;
-  std::uint64_t Longest;
+  std::uint64_t MinLength;
+  std::uint64_t MaxLength;
 };
 constexpr std::array<LengthBand, 5> LengthBands{{{650, 1'000, 8'000},
                                                  {250, 8'001, 40'000},
@@ -31,63 +31,63 @@
 constexpr std::uint64_t ConfirmationsOneIn = 5;
 
 /// The longest prompt of all is sent for certain, one in so many requests.
-constexpr std::uint64_t LongestOneIn = 150;
-constexpr std::uint64_t LongestPrompt = 1'000'000;
+constexpr std::uint64_t MaxPromptOneIn = 150;
+constexpr std::uint64_t MaxPrompt = 1'000'000;
 
-std::uint64_t drawLength(Random &Numbers) {
-  std::uint64_t Draw = Numbers.below(1'000);
+std::uint64_t drawLength(Random &Rng) {
+  std::uint64_t Draw = Rng.below(1'000);
   for (const LengthBand &Band : LengthBands) {
     if (Draw < Band.Share)
-      return Band.Shortest + Numbers.below(Band.Longest - Band.Shortest + 1);
+      return Band.MinLength + Rng.below(Band.MaxLength - Band.MinLength + 1);
     Draw -= Band.Share;
   }
-  return LengthBands.front().Shortest;
+  return LengthBands.front().MinLength;
 }
 
-void makeConfirmation(WorkItem &Item, Random &Numbers) {
+void makeConfirmation(WorkItem &Item, Random &Rng) {
   Item.Kind = WorkKind::Confirmation;
   Item.Class = "confirm";
-  const std::uint64_t Draw = Numbers.below(3);
+  const std::uint64_t Draw = Rng.below(3);
   Item.SentTwice = Draw == 0;
-  Item.SentAgain = Draw == 1;
+  Item.SentAfterAnswer = Draw == 1;
 }
 
-void makePrompt(WorkItem &Item, Random &Numbers) {
-  Item.Kind = Numbers.below(3) == 0 ? WorkKind::Whole : WorkKind::Streamed;
-  Item.PromptTokens = drawLength(Numbers);
-  if (Item.Number % LongestOneIn == LongestOneIn / 3)
-    Item.PromptTokens = LongestPrompt;
-  Item.Class = Item.PromptTokens <= LongestShortPrompt ? "short" : "long";
-  Item.OutputTokens = 8 + Numbers.below(120);
+void makePrompt(WorkItem &Item, Random &Rng) {
+  Item.Kind = Rng.below(3) == 0 ? WorkKind::Unstreamed : WorkKind::Streamed;
+  Item.PromptTokens = drawLength(Rng);
+  if (Item.Number % MaxPromptOneIn == MaxPromptOneIn / 3)
+    Item.PromptTokens = MaxPrompt;
+  Item.Class = Item.PromptTokens <= MaxShortPrompt ? "short" : "long";
+  Item.OutputTokens = 8 + Rng.below(120);
 }
 
 } // namespace
 
 std::vector<WorkItem> makeWorkload(std::uint64_t Seed, std::uint64_t Count,
                                    std::size_t Teams, Duration Span) {
-  Random Numbers(Seed);
+  Random Rng(Seed);
   std::vector<WorkItem> Items(Count);
   for (std::uint64_t I = 0; I < Count; ++I) {
     WorkItem &Item = Items[I];
     Item.Number = I;
-    Item.Team = Numbers.below(Teams);
+    Item.Team = Rng.below(Teams);
     Item.StartAfter =
         Span * static_cast<std::int64_t>(I) / static_cast<std::int64_t>(Count);
-    if (Numbers.below(ConfirmationsOneIn) == 0)
-      makeConfirmation(Item, Numbers);
+    if (Rng.below(ConfirmationsOneIn) == 0)
+      makeConfirmation(Item, Rng);
     else
-      makePrompt(Item, Numbers);
+      makePrompt(Item, Rng);
   }
   return Items;
 }
 
 std::string promptOf(const WorkItem &Item) {
-  const std::string Piece = fmt::format("request {} asks; ", Item.Number);
+  const std::string Phrase = fmt::format("request {} asks; ", Item.Number);
   const std::size_t Length = Item.PromptTokens * BytesPerToken;
   std::string Prompt;
-  Prompt.reserve(Length + Piece.size());
+  Prompt.reserve(Length + Phrase.size());
   while (Prompt.size() < Length)
-    Prompt += Piece;
+    Prompt += Phrase;
   Prompt.resize(Length);
   return Prompt;
 }
--- a/tests/standins/Workload.h
+++ b/tests/standins/Workload.h
@@ -10,7 +10,7 @@
 
 namespace banyanpick::standins {
 
-enum class WorkKind { Streamed, Whole, Confirmation };
+enum class WorkKind { Streamed, Unstreamed, Confirmation };
 
 /// One request of the caller.
 struct WorkItem {
@@ -20,9 +20,9 @@
   std::string Class;
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
-  Duration StartAfter{};  ///< Since the first one.
-  bool SentTwice = false; ///< To two hosts at once; confirmations only.
-  bool SentAgain = false; ///< After its answer; confirmations only.
+  Duration StartAfter{};        ///< Since the first one.
+  bool SentTwice = false;       ///< To two hosts at once; confirmations only.
+  bool SentAfterAnswer = false; ///< After its answer; confirmations only.
 };
 
 /// \p Count requests spread evenly over \p Span.
