--- a/tests/standins/EngineService.cpp
+++ b/tests/standins/EngineService.cpp
@@ -22,10 +22,10 @@
 constexpr std::string_view CrashMarker = "CRASH-ENGINE";
 
 /// How long ended streams can still be attached to.
-constexpr Duration StreamsKept = seconds(30);
+constexpr Duration StreamRetention = seconds(30);
 
 /// The longest sleep between two looks at the modelled engine.
-constexpr milliseconds LongestSleep(20);
+constexpr milliseconds MaxSleep(20);
 
 constexpr std::uint64_t BytesPerToken = 4;
 constexpr std::uint64_t BlockBytes = PromptBlockTokens * BytesPerToken;
@@ -52,19 +52,19 @@
   return Holds;
 }
 
-EngineJob jobOf(const Exchange &Each, const json &Asked) {
-  const auto &Prompt = Asked.at("prompt").get_ref<const std::string &>();
+EngineJob jobOf(const Exchange &Incoming, const json &Body) {
+  const auto &Prompt = Body.at("prompt").get_ref<const std::string &>();
   EngineJob Job;
-  Job.Attempt = parseSequencedId<AttemptTag>(Each.header("X-Attempt"));
-  Job.Owner = Each.header("X-Owner");
+  Job.Attempt = parseSequencedId<AttemptTag>(Incoming.header("X-Attempt"));
+  Job.Owner = Incoming.header("X-Owner");
   Job.PromptTokens = std::max<std::uint64_t>(1, Prompt.size() / BytesPerToken);
-  Job.OutputTokens = Asked.at("max_tokens").get<std::uint64_t>();
-  Job.StartIndex = Asked.value<std::uint64_t>("start_index", 0);
+  Job.OutputTokens = Body.at("max_tokens").get<std::uint64_t>();
+  Job.StartIndex = Body.value<std::uint64_t>("start_index", 0);
   Job.Priority =
-      static_cast<std::uint32_t>(parseInteger(Each.header("X-Priority")));
+      static_cast<std::uint32_t>(parseInteger(Incoming.header("X-Priority")));
   Job.Blocks = blocksOf(Prompt);
-  Job.Deadline = fromMilliseconds(parseInteger(Each.header("X-Deadline")));
-  Job.Holds = holdsOf(Each.header("X-Holds"));
+  Job.Deadline = fromMilliseconds(parseInteger(Incoming.header("X-Deadline")));
+  Job.Holds = holdsOf(Incoming.header("X-Holds"));
   Job.HasGroup = !Job.Holds.empty();
   return Job;
 }
@@ -96,15 +96,15 @@
 
 json loadJson(const LoadReport &Report) {
   json Models = json::array();
-  for (const ModelId &Each : Report.Models)
-    Models.push_back(Each.Value);
+  for (const ModelId &ModelName : Report.Models)
+    Models.push_back(ModelName.Value);
   json Holds = json::array();
-  for (const HoldReport &Each : Report.Holds)
-    Holds.push_back(holdJson(Each));
+  for (const HoldReport &Hold : Report.Holds)
+    Holds.push_back(holdJson(Hold));
   json Backlog = json::array();
-  for (const PriorityBacklog &Each : Report.Backlog)
-    Backlog.push_back(
-        {{"priority", Each.Priority}, {"prefill_tokens", Each.PrefillTokens}});
+  for (const PriorityBacklog &Entry : Report.Backlog)
+    Backlog.push_back({{"priority", Entry.Priority},
+                       {"prefill_tokens", Entry.PrefillTokens}});
   return {{"id", Report.Id.Value},
           {"life", toHex(Report.Life.Value)},
           {"measured_at", toMilliseconds(Report.MeasuredAt)},
@@ -122,15 +122,15 @@
           {"backlog", std::move(Backlog)}};
 }
 
-OrderBody orderOf(const json &Asked) {
-  const std::string Action = Asked.at("action").get<std::string>();
-  const ModelId Model(Asked.value("model", ""));
+OrderBody orderOf(const json &Body) {
+  const std::string Action = Body.at("action").get<std::string>();
+  const ModelId Model(Body.value("model", ""));
   if (Action == "load")
-    return LoadModel{Model, Asked.value("weights", "")};
+    return LoadModel{Model, Body.value("weights", "")};
   if (Action == "unload")
     return UnloadModel{Model};
   if (Action == "role")
-    return ChangeRole{Asked.value("takes_long", false)};
+    return ChangeRole{Body.value("takes_long", false)};
   throw Error(ErrorKind::BadInput, "unknown action " + Action,
               "give load, unload or role");
 }
@@ -139,86 +139,86 @@
 
 EngineService::EngineService(EngineShape Shape) : Model(std::move(Shape)) {}
 
-void EngineService::handle(Exchange &Each) {
-  const auto Path = Each.path();
+void EngineService::handle(Exchange &Incoming) {
+  const auto Path = Incoming.path();
   const std::string First = Path.empty() ? "" : Path[0];
   if (First == "v1" && Path.size() == 2 && Path[1] == "completions")
-    return this->complete(Each);
+    return this->complete(Incoming);
   if (First == "v1" && Path.size() == 3 && Path[1] == "streams")
-    return this->streams(Each, Path[2]);
+    return this->streams(Incoming, Path[2]);
   if (First == "load")
-    return this->giveLoad(Each);
+    return this->answerLoad(Incoming);
   if (First == "cache-events")
-    return this->giveCacheEvents(Each);
+    return this->answerCacheEvents(Incoming);
   if (First == "holds" && Path.size() == 2)
-    return this->holds(Each, Path[1]);
+    return this->holds(Incoming, Path[1]);
   if (First == "orders")
-    return this->orders(Each);
+    return this->orders(Incoming);
   if (First == "admin")
-    return this->configure(Each);
-  Each.answer(404, {{"error", {{"message", "no such path"}}}});
+    return this->configure(Incoming);
+  Incoming.answer(404, {{"error", {{"message", "no such path"}}}});
 }
 
 void EngineService::runSteps() {
   std::unique_lock Lock(this->Mutex);
   for (;;) {
     const Time Now = wallNow();
-    this->takeOutputs(Now);
+    this->recordOutputs(Now);
     this->dropExpired(Now);
     const Duration Sleep =
         this->Model.nextStep() == Never
-            ? Duration(LongestSleep)
-            : std::min<Duration>(this->Model.nextStep() - Now, LongestSleep);
+            ? Duration(MaxSleep)
+            : std::min<Duration>(this->Model.nextStep() - Now, MaxSleep);
     this->Changed.wait_for(Lock, Sleep);
   }
 }
 
-void EngineService::takeOutputs(Time Now) {
+void EngineService::recordOutputs(Time Now) {
   const auto Outputs = this->Model.advance(Now);
-  for (const EngineModel::Output &Each : Outputs) {
-    Stream &Given = this->Streams[Each.Attempt];
-    Given.Produced = Each.FirstIndex + Each.Count;
-    Given.Ended = Each.Ended;
+  for (const EngineModel::Output &Output : Outputs) {
+    Stream &Target = this->Streams[Output.Attempt];
+    Target.Produced = Output.FirstIndex + Output.Count;
+    Target.Ended = Output.Ended;
   }
   if (!Outputs.empty())
     this->Changed.notify_all();
 }
 
 void EngineService::dropExpired(Time Now) {
-  for (auto &[Attempt, Each] : this->Streams)
-    if (Each.Deadline <= Now && !Each.Ended)
-      Each.Dropped = true;
-  std::erase_if(this->Streams, [Now](const auto &Each) {
-    return Each.second.Deadline + StreamsKept <= Now;
+  for (auto &[Attempt, Stored] : this->Streams)
+    if (Stored.Deadline <= Now && !Stored.Ended)
+      Stored.Dropped = true;
+  std::erase_if(this->Streams, [Now](const auto &Stored) {
+    return Stored.second.Deadline + StreamRetention <= Now;
   });
 }
 
-bool EngineService::hasModel(const ModelId &Wanted) {
+bool EngineService::hasModel(const ModelId &Requested) {
   const std::lock_guard Lock(this->Mutex);
   const auto &Models = this->Model.shape().Models;
-  return std::find(Models.begin(), Models.end(), Wanted) != Models.end();
+  return std::find(Models.begin(), Models.end(), Requested) != Models.end();
 }
 
-void EngineService::complete(Exchange &Each) {
-  const json Asked = json::parse(Each.body());
-  const auto &Prompt = Asked.at("prompt").get_ref<const std::string &>();
+void EngineService::complete(Exchange &Incoming) {
+  const json Body = json::parse(Incoming.body());
+  const auto &Prompt = Body.at("prompt").get_ref<const std::string &>();
   if (Prompt.find(CrashMarker) != std::string::npos)
     _exit(EXIT_FAILURE);
-  if (!this->hasModel(ModelId(Asked.value("model", ""))))
-    return Each.answer(503, {{"refused", "no-model"}});
-  const EngineJob Job = jobOf(Each, Asked);
+  if (!this->hasModel(ModelId(Body.value("model", ""))))
+    return Incoming.answer(503, {{"refused", "no-model"}});
+  const EngineJob Job = jobOf(Incoming, Body);
   const EngineModel::SubmitResult Result =
       this->submit(Job, hashOfPrompt(Prompt));
   if (Result != EngineModel::SubmitResult::Accepted)
-    return Each.answer(503, {{"refused", refusalText(Result)}});
-  this->follow(Each, Job.Attempt, Job.StartIndex);
+    return Incoming.answer(503, {{"refused", refusalText(Result)}});
+  this->sendStream(Incoming, Job.Attempt, Job.StartIndex);
 }
 
 EngineModel::SubmitResult EngineService::submit(const EngineJob &Job,
                                                 std::uint64_t Hash) {
   const std::lock_guard Lock(this->Mutex);
   const Time Now = wallNow();
-  this->takeOutputs(Now);
+  this->recordOutputs(Now);
   const EngineModel::SubmitResult Result = this->Model.submit(Job, Now);
   if (Result == EngineModel::SubmitResult::Accepted)
     this->Streams[Job.Attempt] = {Hash, Job.StartIndex, Job.Deadline, false,
@@ -227,113 +227,112 @@
   return Result;
 }
 
-void EngineService::follow(Exchange &Each, const AttemptId &Attempt,
-                           std::uint64_t From) {
+void EngineService::sendStream(Exchange &Incoming, const AttemptId &Attempt,
+                               std::uint64_t From) {
   const std::string Name = attemptText(Attempt);
-  Each.beginEvents();
+  Incoming.beginEvents();
   std::uint64_t Next = From;
   for (;;) {
-    Stream Now;
+    Stream Current;
     {
       std::unique_lock Lock(this->Mutex);
       this->Changed.wait(Lock, [&] {
         const auto Found = this->Streams.find(Attempt);
         if (Found == this->Streams.end())
-          Now.Dropped = true;
+          Current.Dropped = true;
         else
-          Now = Found->second;
-        return Now.Produced > Next || Now.Ended || Now.Dropped;
+          Current = Found->second;
+        return Current.Produced > Next || Current.Ended || Current.Dropped;
       });
     }
     std::string Events;
-    for (; Next < Now.Produced; ++Next)
+    for (; Next < Current.Produced; ++Next)
       Events += fmt::format("data: {}\n\n",
                             json{{"attempt", Name},
                                  {"index", Next},
-                                 {"text", chunkText(Next, Now.PromptHash)}}
+                                 {"text", chunkText(Next, Current.PromptHash)}}
                                 .dump());
-    if (Now.Ended)
+    if (Current.Ended)
       Events += fmt::format("event: end\ndata: {}\n\n",
                             json{{"attempt", Name}, {"count", Next}}.dump());
-    else if (Now.Dropped)
+    else if (Current.Dropped)
       Events += fmt::format(
           "event: error\ndata: {}\n\n",
           json{{"attempt", Name}, {"message", "cancelled or too late"}}.dump());
-    Each.sendEvents(Events);
-    if (Now.Ended || Now.Dropped)
-      return Each.endEvents();
+    Incoming.sendEvents(Events);
+    if (Current.Ended || Current.Dropped)
+      return Incoming.endEvents();
   }
 }
 
-void EngineService::streams(Exchange &Each, const std::string &Name) {
+void EngineService::streams(Exchange &Incoming, const std::string &Name) {
   const auto Attempt = parseSequencedId<AttemptTag>(Name);
-  bool Known = false;
+  bool Exists = false;
   {
     const std::lock_guard Lock(this->Mutex);
     const auto Found = this->Streams.find(Attempt);
-    Known = Found != this->Streams.end();
-    if (Each.method() == http::verb::delete_) {
+    Exists = Found != this->Streams.end();
+    if (Incoming.method() == http::verb::delete_) {
       this->Model.cancel(Attempt, wallNow());
-      if (Known && !Found->second.Ended)
+      if (Exists && !Found->second.Ended)
         Found->second.Dropped = true;
       this->Changed.notify_all();
     }
   }
-  if (Each.method() == http::verb::delete_)
-    return Each.answer(200, json::object());
-  if (!Known)
-    return Each.answer(404, {{"error", {{"message", "no such stream"}}}});
-  this->follow(Each, Attempt, Each.queryNumber("from", 0));
+  if (Incoming.method() == http::verb::delete_)
+    return Incoming.answer(200, json::object());
+  if (!Exists)
+    return Incoming.answer(404, {{"error", {{"message", "no such stream"}}}});
+  this->sendStream(Incoming, Attempt, Incoming.queryNumber("from", 0));
 }
 
-void EngineService::holds(Exchange &Each, const std::string &Name) {
+void EngineService::holds(Exchange &Incoming, const std::string &Name) {
   const auto Hold = parseSequencedId<HoldTag>(Name);
   bool Granted = true;
   {
     const std::lock_guard Lock(this->Mutex);
-    if (Each.method() == http::verb::delete_) {
+    if (Incoming.method() == http::verb::delete_) {
       this->Model.releaseHold(Hold);
     } else {
-      const json Asked = json::parse(Each.body());
+      const json Body = json::parse(Incoming.body());
       Granted = this->Model.takeHold(
-          Hold, Asked.value("owner", ""),
-          Asked.at("tokens").get<std::uint64_t>(),
-          fromMilliseconds(Asked.at("deadline").get<std::int64_t>()));
+          Hold, Body.value("owner", ""), Body.at("tokens").get<std::uint64_t>(),
+          fromMilliseconds(Body.at("deadline").get<std::int64_t>()));
     }
   }
-  Each.answer(Granted ? 200 : 409, json::object());
+  Incoming.answer(Granted ? 200 : 409, json::object());
 }
 
-void EngineService::orders(Exchange &Each) {
-  const json Asked = json::parse(Each.body());
+void EngineService::orders(Exchange &Incoming) {
+  const json Body = json::parse(Incoming.body());
   OrderResult Result;
   LogOffset Highest = 0;
   {
     const std::lock_guard Lock(this->Mutex);
     Result =
-        this->Model.order(Asked.at("fencing").get<LogOffset>(), orderOf(Asked));
+        this->Model.order(Body.at("fencing").get<LogOffset>(), orderOf(Body));
     Highest = this->Model.report(wallNow()).HighestFencing;
   }
   const bool Accepted = Result == OrderResult::Accepted;
-  Each.answer(Accepted ? 200 : 412, {{"highest_fencing", Highest}});
+  Incoming.answer(Accepted ? 200 : 412, {{"highest_fencing", Highest}});
 }
 
-void EngineService::giveLoad(Exchange &Each) {
+void EngineService::answerLoad(Exchange &Incoming) {
   LoadReport Report;
   {
     const std::lock_guard Lock(this->Mutex);
     Report = this->Model.report(wallNow());
   }
-  Each.answer(200, loadJson(Report));
+  Incoming.answer(200, loadJson(Report));
 }
 
-void EngineService::giveCacheEvents(Exchange &Each) {
+void EngineService::answerCacheEvents(Exchange &Incoming) {
   std::vector<CacheEvent> Events;
   std::string Life;
   {
     const std::lock_guard Lock(this->Mutex);
-    Events =
-        this->Model.cacheEventsAfter(Each.queryNumber("after", 0), wallNow());
+    Events = this->Model.cacheEventsAfter(Incoming.queryNumber("after", 0),
+                                          wallNow());
     Life = toHex(this->Model.shape().Life.Value);
   }
   json Listed = json::array();
@@ -341,17 +340,17 @@
     Listed.push_back({{"sequence", Event.Sequence},
                       {"stored", Event.Stored},
                       {"block", toHex(Event.Block)}});
-  Each.answer(200, {{"life", Life}, {"events", std::move(Listed)}});
+  Incoming.answer(200, {{"life", Life}, {"events", std::move(Listed)}});
 }
 
 /// `{"leaving": B}`.
-void EngineService::configure(Exchange &Each) {
-  const json Wanted = json::parse(Each.body());
+void EngineService::configure(Exchange &Incoming) {
+  const json Requested = json::parse(Incoming.body());
   {
     const std::lock_guard Lock(this->Mutex);
-    this->Model.setLeaving(Wanted.value("leaving", false));
+    this->Model.setLeaving(Requested.value("leaving", false));
   }
-  Each.answer(200, json::object());
+  Incoming.answer(200, json::object());
 }
 
 } // namespace banyanpick::standins
--- a/tests/standins/EngineService.h
+++ b/tests/standins/EngineService.h
@@ -17,7 +17,7 @@
 public:
   explicit EngineService(EngineShape Shape);
 
-  void handle(Exchange &Each);
+  void handle(Exchange &Incoming);
   /// Runs the modelled engine in real time; never returns.
   [[noreturn]] void runSteps();
 
@@ -31,17 +31,18 @@
     bool Dropped = false; ///< Cancelled, or past its deadline.
   };
 
-  void complete(Exchange &Each);
+  void complete(Exchange &Incoming);
   EngineModel::SubmitResult submit(const EngineJob &Job, std::uint64_t Hash);
-  void follow(Exchange &Each, const AttemptId &Attempt, std::uint64_t From);
-  void streams(Exchange &Each, const std::string &Name);
-  void holds(Exchange &Each, const std::string &Name);
-  void orders(Exchange &Each);
-  void giveLoad(Exchange &Each);
-  void giveCacheEvents(Exchange &Each);
-  void configure(Exchange &Each);
+  void sendStream(Exchange &Incoming, const AttemptId &Attempt,
+                  std::uint64_t From);
+  void streams(Exchange &Incoming, const std::string &Name);
+  void holds(Exchange &Incoming, const std::string &Name);
+  void orders(Exchange &Incoming);
+  void answerLoad(Exchange &Incoming);
+  void answerCacheEvents(Exchange &Incoming);
+  void configure(Exchange &Incoming);
   bool hasModel(const ModelId &Model);
-  void takeOutputs(Time Now);
+  void recordOutputs(Time Now);
   void dropExpired(Time Now);
 
   std::mutex Mutex;
--- a/tests/standins/StandinApplication.cpp
+++ b/tests/standins/StandinApplication.cpp
@@ -27,32 +27,33 @@
   Application(std::string Id, std::uint64_t Life, std::uint64_t DelayMs)
       : Id(std::move(Id)), Life(Life), Delay(DelayMs) {}
 
-  void handle(Exchange &Each) {
-    const auto Path = Each.path();
+  void handle(Exchange &Incoming) {
+    const auto Path = Incoming.path();
     const std::string First = Path.empty() ? "" : Path[0];
     if (First == "run")
-      return this->run(Each);
+      return this->run(Incoming);
     if (First == "load")
-      return Each.answer(200, this->load());
+      return Incoming.answer(200, this->load());
     if (First == "counts")
-      return Each.answer(200, this->counts());
+      return Incoming.answer(200, this->counts());
     if (First == "admin")
-      return this->configure(Each);
-    if (Each.method() == http::verb::delete_)
-      return Each.answer(200, json::object()); // Nothing here can be cancelled.
-    Each.answer(404, {{"error", {{"message", "no such path"}}}});
+      return this->configure(Incoming);
+    if (Incoming.method() == http::verb::delete_)
+      return Incoming.answer(200,
+                             json::object()); // Nothing here can be cancelled.
+    Incoming.answer(404, {{"error", {{"message", "no such path"}}}});
   }
 
 private:
-  void run(Exchange &Each) {
-    const json Call = json::parse(Each.body());
+  void run(Exchange &Incoming) {
+    const json Call = json::parse(Incoming.body());
     const std::string Key = Call.value("operation_key", "");
     milliseconds Pause;
     {
       const std::lock_guard Lock(this->Mutex);
       if (this->Refusals > 0) {
         --this->Refusals;
-        return Each.answer(503, {{"refused", "busy"}});
+        return Incoming.answer(503, {{"refused", "busy"}});
       }
       ++this->Runs[Key];
       ++this->Running;
@@ -63,8 +64,8 @@
       const std::lock_guard Lock(this->Mutex);
       --this->Running;
     }
-    Each.answer(
-        200, {{"attempt", Each.header("X-Attempt")},
+    Incoming.answer(
+        200, {{"attempt", Incoming.header("X-Attempt")},
               {"result",
                {{"key", Key}, {"body", Call.value("body", json::object())}}}});
   }
@@ -93,8 +94,8 @@
   }
 
   /// `{"delay_ms": N, "refusals": N, "leaving": B}`, all optional.
-  void configure(Exchange &Each) {
-    const json Wanted = json::parse(Each.body());
+  void configure(Exchange &Incoming) {
+    const json Wanted = json::parse(Incoming.body());
     {
       const std::lock_guard Lock(this->Mutex);
       this->Delay = milliseconds(
@@ -102,7 +103,7 @@
       this->Refusals = Wanted.value("refusals", this->Refusals);
       this->Leaving = Wanted.value("leaving", this->Leaving);
     }
-    Each.answer(200, json::object());
+    Incoming.answer(200, json::object());
   }
 
   std::string Id;
@@ -124,5 +125,6 @@
   const std::uint64_t Life =
       FLAGS_life == "random" ? std::random_device()() : fromHex(FLAGS_life);
   Application Service(FLAGS_id, Life, FLAGS_delay_ms);
-  serveHttp(FLAGS_listen, [&](Exchange &Each) { Service.handle(Each); });
+  serveHttp(FLAGS_listen,
+            [&](Exchange &Incoming) { Service.handle(Incoming); });
 }
--- a/tests/standins/StandinEngine.cpp
+++ b/tests/standins/StandinEngine.cpp
@@ -54,5 +54,6 @@
   using namespace banyanpick::standins;
   EngineService Service(shapeFromFlags());
   std::thread([&Service] { Service.runSteps(); }).detach();
-  serveHttp(FLAGS_listen, [&](Exchange &Each) { Service.handle(Each); });
+  serveHttp(FLAGS_listen,
+            [&](Exchange &Incoming) { Service.handle(Incoming); });
 }
--- a/tests/standins/StandinPlatform.cpp
+++ b/tests/standins/StandinPlatform.cpp
@@ -21,92 +21,92 @@
 namespace http = boost::beast::http;
 using nlohmann::json;
 
-constexpr std::uint64_t LongestWaitMs = 30'000;
+constexpr std::uint64_t MaxWaitMs = 30'000;
 
 class Platform {
 public:
   Platform(std::uint64_t RetainRecords, json Hosts)
       : Log(RetainRecords), Hosts(std::move(Hosts)) {}
 
-  void handle(Exchange &Each) {
-    const auto Path = Each.path();
+  void handle(Exchange &Incoming) {
+    const auto Path = Incoming.path();
     const std::string First = Path.empty() ? "" : Path[0];
-    if (First == "log" && Each.method() == http::verb::post)
-      return this->append(Each);
+    if (First == "log" && Incoming.method() == http::verb::post)
+      return this->append(Incoming);
     if (First == "log")
-      return this->read(Each);
+      return this->read(Incoming);
     if (First == "hosts")
-      return this->listHosts(Each);
+      return this->listHosts(Incoming);
     if (First == "admin" && Path.size() == 2)
-      return this->configure(Each, Path[1]);
-    Each.answer(404, {{"error", {{"message", "no such path"}}}});
+      return this->configure(Incoming, Path[1]);
+    Incoming.answer(404, {{"error", {{"message", "no such path"}}}});
   }
 
 private:
   /// Delays as asked for; true when the log is down and said so.
-  bool refused(Exchange &Each) {
+  bool refused(Exchange &Incoming) {
     const LogFaults Faults = this->Log.faults();
     std::this_thread::sleep_for(Faults.Delay);
     if (!Faults.Down)
       return false;
-    Each.answer(503, {{"error", {{"message", "the log is down"}}}});
+    Incoming.answer(503, {{"error", {{"message", "the log is down"}}}});
     return true;
   }
 
-  void append(Exchange &Each) {
-    if (this->refused(Each))
+  void append(Exchange &Incoming) {
+    if (this->refused(Incoming))
       return;
-    const LogOffset Offset = this->Log.append(Each.body());
+    const LogOffset Offset = this->Log.append(Incoming.body());
     if (this->Log.consumeAnswerLoss())
-      return Each.disconnect();
-    Each.answer(200, {{"offset", Offset}});
+      return Incoming.disconnect();
+    Incoming.answer(200, {{"offset", Offset}});
   }
 
-  void read(Exchange &Each) {
-    if (this->refused(Each))
+  void read(Exchange &Incoming) {
+    if (this->refused(Incoming))
       return;
     const std::uint64_t WaitMs =
-        std::min(Each.queryNumber("wait_ms", 0), LongestWaitMs);
+        std::min(Incoming.queryNumber("wait_ms", 0), MaxWaitMs);
     const LogSlice Slice =
-        this->Log.read(Each.queryNumber("from", 1), milliseconds(WaitMs));
+        this->Log.read(Incoming.queryNumber("from", 1), milliseconds(WaitMs));
     json Records = json::array();
     for (std::size_t I = 0; I < Slice.Records.size(); ++I)
       Records.push_back({{"offset", Slice.FirstOffset + I},
                          {"bytes", toBase64(Slice.Records[I])}});
     if (this->Log.faults().Down)
-      return Each.disconnect();
-    Each.answer(200, {{"start", Slice.Start},
-                      {"end", Slice.End},
-                      {"records", std::move(Records)}});
+      return Incoming.disconnect();
+    Incoming.answer(200, {{"start", Slice.Start},
+                          {"end", Slice.End},
+                          {"records", std::move(Records)}});
   }
 
-  void listHosts(Exchange &Each) {
-    json Shown;
+  void listHosts(Exchange &Incoming) {
+    json CurrentHosts;
     {
-      const std::lock_guard Lock(this->HostsGuard);
-      Shown = this->Hosts;
+      const std::lock_guard Lock(this->HostsMutex);
+      CurrentHosts = this->Hosts;
     }
-    Each.answer(200, Shown);
+    Incoming.answer(200, CurrentHosts);
   }
 
   /// `/admin/log {"down", "lose_answers", "delay_ms"}`, each off when absent;
   /// `/admin/hosts` with a whole new host list.
-  void configure(Exchange &Each, const std::string &What) {
-    const json Wanted = json::parse(Each.body());
-    if (What == "log")
+  void configure(Exchange &Incoming, const std::string &Subject) {
+    const json Wanted = json::parse(Incoming.body());
+    if (Subject == "log")
       this->Log.setFaults(
           {Wanted.value("down", false),
            Wanted.value<std::uint64_t>("lose_answers", 0),
            milliseconds(Wanted.value<std::int64_t>("delay_ms", 0))});
-    if (What == "hosts") {
-      const std::lock_guard Lock(this->HostsGuard);
+    if (Subject == "hosts") {
+      const std::lock_guard Lock(this->HostsMutex);
       this->Hosts = Wanted;
     }
-    Each.answer(200, json::object());
+    Incoming.answer(200, json::object());
   }
 
   PlatformLog Log;
-  std::mutex HostsGuard;
+  std::mutex HostsMutex;
   json Hosts;
 };
 
@@ -124,5 +124,6 @@
   gflags::ParseCommandLineFlags(&Count, &Values, true);
   using namespace banyanpick::standins;
   Platform Service(FLAGS_retain_records, readHosts(FLAGS_hosts));
-  serveHttp(FLAGS_listen, [&](Exchange &Each) { Service.handle(Each); });
+  serveHttp(FLAGS_listen,
+            [&](Exchange &Incoming) { Service.handle(Incoming); });
 }
--- a/tests/standins/StandinStore.cpp
+++ b/tests/standins/StandinStore.cpp
@@ -31,38 +31,38 @@
 
 class StoreService {
 public:
-  void serve(Exchange &Each) {
-    const std::string Path = "/" + Each.path().front();
+  void serve(Exchange &Incoming) {
+    const std::string Path = "/" + Incoming.path().front();
     if (Path == "/standin") {
-      this->control(Each);
+      this->control(Incoming);
       return;
     }
     if (this->Down) {
-      Each.answer(503, json::object());
+      Incoming.answer(503, json::object());
       return;
     }
-    const std::string Topic = Each.queryText("Topic");
+    const std::string Topic = Incoming.queryText("Topic");
     if (Path == platform::path::Read)
-      this->read(Each, Topic);
+      this->read(Incoming, Topic);
     else if (Path == platform::path::Newest)
-      this->newest(Each, Topic);
+      this->newest(Incoming, Topic);
     else if (Path == platform::path::Append)
-      this->append(Each, Topic);
+      this->append(Incoming, Topic);
     else
-      Each.answer(404, json::object());
+      Incoming.answer(404, json::object());
   }
 
 private:
-  void control(Exchange &Each) {
-    const std::string What = Each.path().at(1);
-    const std::string Topic = Each.queryText("Topic");
-    if (What == "put")
-      this->put(Topic, Each.queryText("Key"), Each.body());
-    else if (What == "compact")
+  void control(Exchange &Incoming) {
+    const std::string Operation = Incoming.path().at(1);
+    const std::string Topic = Incoming.queryText("Topic");
+    if (Operation == "put")
+      this->put(Topic, Incoming.queryText("Key"), Incoming.body());
+    else if (Operation == "compact")
       this->Topics.compact(Topic);
-    else if (What == "down")
-      this->Down = Each.queryNumber("On", 1) != 0;
-    Each.answer(200, json::object());
+    else if (Operation == "down")
+      this->Down = Incoming.queryNumber("On", 1) != 0;
+    Incoming.answer(200, json::object());
   }
 
   void put(const std::string &Topic, std::string Key, const std::string &Body) {
@@ -73,39 +73,39 @@
     this->Topics.append(Topic, std::move(Record));
   }
 
-  void read(Exchange &Each, const std::string &Topic) {
-    const LogOffset From = Each.queryNumber("From", 0);
+  void read(Exchange &Incoming, const std::string &Topic) {
+    const LogOffset From = Incoming.queryNumber("From", 0);
     const LogOffset First = this->Topics.first(Topic);
     if (From < First) {
-      Each.answer(410, json{{"FirstOffset", First}});
+      Incoming.answer(410, json{{"FirstOffset", First}});
       return;
     }
-    const milliseconds Wait(Each.queryNumber("WaitMs", 0));
+    const milliseconds Wait(Incoming.queryNumber("WaitMs", 0));
     const auto Records = this->Topics.read(Topic, From, Wait);
     std::string Body = bigEndian(this->Topics.end(Topic)) + bigEndian(First);
     for (const KeyedRecord &Record : Records)
       Body += platform::writeFrame(Record);
-    Each.answer(200, Headers{}, Body);
+    Incoming.answer(200, Headers{}, Body);
   }
 
-  void newest(Exchange &Each, const std::string &Topic) {
+  void newest(Exchange &Incoming, const std::string &Topic) {
     json Items = json::array();
     const LogOffset End = this->Topics.end(Topic);
     for (const KeyedRecord &Record : this->Topics.newest(Topic))
       Items.push_back({{"Key", Record.Key},
                        {"Value", toBase64(*Record.Value)},
                        {"Offset", Record.Offset}});
-    Each.answer(
+    Incoming.answer(
         200, json{{"Items", Items}, {"Truncated", false}, {"EndOffset", End}});
   }
 
-  void append(Exchange &Each, const std::string &Topic) {
+  void append(Exchange &Incoming, const std::string &Topic) {
     // A read's body begins with two offsets; an append's with the records.
-    const std::string Body = std::string(16, '\0') + Each.body();
+    const std::string Body = std::string(16, '\0') + Incoming.body();
     LogOffset Offset = this->Topics.end(Topic);
     for (KeyedRecord &Record : platform::readFrames(Body, 0).Records)
       Offset = this->Topics.append(Topic, std::move(Record));
-    Each.answer(200, json{{"Offset", Offset}, {"EndOffset", Offset + 1}});
+    Incoming.answer(200, json{{"Offset", Offset}, {"EndOffset", Offset + 1}});
   }
 
   KeyedTopics Topics;
@@ -119,5 +119,5 @@
   using namespace banyanpick::standins;
   gflags::ParseCommandLineFlags(&Count, &Values, true);
   StoreService Service;
-  serveHttp(FLAGS_listen, [&](Exchange &Each) { Service.serve(Each); });
+  serveHttp(FLAGS_listen, [&](Exchange &Incoming) { Service.serve(Incoming); });
 }
--- a/tests/standins/StandinUpstream.cpp
+++ b/tests/standins/StandinUpstream.cpp
@@ -48,7 +48,7 @@
 using nlohmann::json;
 namespace header = platform::header;
 
-void pause() {
+void waitForPause() {
   std::this_thread::sleep_for(std::chrono::milliseconds(FLAGS_pause_ms));
 }
 
@@ -60,27 +60,27 @@
 
 class UpstreamService {
 public:
-  void serve(Exchange &Each) {
-    if (Each.path().front() == "standin") {
-      this->showRuns(Each);
+  void serve(Exchange &Incoming) {
+    if (Incoming.path().front() == "standin") {
+      this->showRuns(Incoming);
       return;
     }
-    const std::string Attempt = Each.header(header::AttemptId);
-    if (Each.header(header::ExpectedInstance) != FLAGS_id) {
-      Each.answer(421, this->headers(Attempt), "");
+    const std::string Attempt = Incoming.header(header::AttemptId);
+    if (Incoming.header(header::ExpectedInstance) != FLAGS_id) {
+      Incoming.answer(421, this->headers(Attempt), "");
       return;
     }
-    const bool Rests = FLAGS_fault == "rest";
-    this->noteArrival(Attempt, Rests);
-    if (Rests || FLAGS_fault == "refuse") {
-      refuse(Each, Attempt);
+    const bool BacksOff = FLAGS_fault == "rest";
+    this->recordArrival(Attempt, BacksOff);
+    if (BacksOff || FLAGS_fault == "refuse") {
+      refuse(Incoming, Attempt);
       return;
     }
-    this->note(Each, Attempt);
-    if (Each.path().front() == "stream")
-      stream(Each, Attempt);
+    this->recordRun(Incoming, Attempt);
+    if (Incoming.path().front() == "stream")
+      sendStream(Incoming, Attempt);
     else
-      whole(Each, Attempt);
+      answerComplete(Incoming, Attempt);
   }
 
 private:
@@ -88,7 +88,7 @@
     return {{std::string(header::AttemptId),
              FLAGS_fault == "foreign" ? "other" : Attempt}};
   }
-  Headers sealed(const std::string &Attempt) {
+  Headers sealedHeaders(const std::string &Attempt) {
     Headers Result = headers(Attempt);
     if (FLAGS_fault != "unsealed")
       Result.emplace_back(header::Seal, "seal-of-" + FLAGS_id);
@@ -103,75 +103,76 @@
     return Result;
   }
 
-  static void refuse(Exchange &Each, const std::string &Attempt) {
-    Headers Given = headers(Attempt);
-    Given.emplace_back(header::NotExecuted, "1");
+  static void refuse(Exchange &Incoming, const std::string &Attempt) {
+    Headers AnswerHeaders = headers(Attempt);
+    AnswerHeaders.emplace_back(header::NotExecuted, "1");
     if (FLAGS_fault == "rest")
-      Given.emplace_back("Retry-After", FLAGS_rest);
-    Each.answer(503, Given, "");
+      AnswerHeaders.emplace_back("Retry-After", FLAGS_rest);
+    Incoming.answer(503, AnswerHeaders, "");
   }
 
-  void whole(Exchange &Each, const std::string &Attempt) {
-    pause();
+  void answerComplete(Exchange &Incoming, const std::string &Attempt) {
+    waitForPause();
     if (FLAGS_fault == "silent")
       std::this_thread::sleep_for(std::chrono::hours(1));
     if (FLAGS_fault == "cut") {
-      Each.disconnect();
+      Incoming.disconnect();
       return;
     }
     const bool Fails = FLAGS_fault == "error";
-    const std::string Body = fmt::format(
-        "{} by {}: {}", Each.header(header::Tenant), FLAGS_id, Each.body());
+    const std::string Body =
+        fmt::format("{} by {}: {}", Incoming.header(header::Tenant), FLAGS_id,
+                    Incoming.body());
     const std::size_t Missing = FLAGS_fault == "truncate" ? 5 : 0;
-    Each.answer(Fails ? 500 : 200, sealed(Attempt), Body, Missing);
+    Incoming.answer(Fails ? 500 : 200, sealedHeaders(Attempt), Body, Missing);
     if (Missing > 0)
-      Each.disconnect();
+      Incoming.disconnect();
   }
 
-  void stream(Exchange &Each, const std::string &Attempt) {
+  void sendStream(Exchange &Incoming, const std::string &Attempt) {
     if (FLAGS_fault == "silent")
       std::this_thread::sleep_for(std::chrono::hours(1));
-    const std::string After = Each.header(header::LastEvent);
+    const std::string After = Incoming.header(header::LastEvent);
     const std::uint64_t First = After.empty() ? 1 : std::stoull(After) + 1;
-    Each.beginEvents(sealed(Attempt));
+    Incoming.beginEvents(sealedHeaders(Attempt));
     for (std::uint64_t Id = First; Id <= FLAGS_events; ++Id) {
-      pause();
+      waitForPause();
       if (FLAGS_fault == "stall" && Id == First + 3)
         std::this_thread::sleep_for(std::chrono::hours(1));
       if (FLAGS_fault == "cut" && Id == First + 3) {
-        Each.sendEvents(demoEvent(Id).substr(0, 5));
-        Each.disconnect();
+        Incoming.sendEvents(demoEvent(Id).substr(0, 5));
+        Incoming.disconnect();
         return;
       }
-      Each.sendEvents(demoEvent(Id));
+      Incoming.sendEvents(demoEvent(Id));
     }
-    Each.endEvents();
+    Incoming.endEvents();
   }
 
-  void noteArrival(const std::string &Attempt, bool TurnedAway) {
+  void recordArrival(const std::string &Attempt, bool Refused) {
     const std::lock_guard Lock(this->Mutex);
-    this->AllArrivals.push_back({{"attempt", Attempt},
-                                 {"at_us", nowUs()},
-                                 {"turned_away", TurnedAway}});
+    this->AllArrivals.push_back(
+        {{"attempt", Attempt}, {"at_us", nowUs()}, {"turned_away", Refused}});
   }
 
-  void note(const Exchange &Each, const std::string &Attempt) {
+  void recordRun(const Exchange &Incoming, const std::string &Attempt) {
     const std::lock_guard Lock(this->Mutex);
     ++this->Runs[Attempt];
     if (this->RunsFile.is_open())
       this->RunsFile << Attempt << std::endl;
-    this->SawKey |= !Each.header("Authorization").empty();
+    this->SawKey |= !Incoming.header("Authorization").empty();
     if (this->LimitedSince)
       this->Arrivals.push_back({{"attempt", Attempt}, {"at_us", nowUs()}});
   }
 
-  void showRuns(Exchange &Each) {
+  void showRuns(Exchange &Incoming) {
     const std::lock_guard Lock(this->Mutex);
-    Each.answer(200, json{{"runs", this->Runs},
-                          {"saw_key", this->SawKey},
-                          {"limited_since_us", this->LimitedSince.value_or(0)},
-                          {"arrivals", this->Arrivals},
-                          {"all_arrivals", this->AllArrivals}});
+    Incoming.answer(200,
+                    json{{"runs", this->Runs},
+                         {"saw_key", this->SawKey},
+                         {"limited_since_us", this->LimitedSince.value_or(0)},
+                         {"arrivals", this->Arrivals},
+                         {"all_arrivals", this->AllArrivals}});
   }
 
   std::mutex Mutex;
@@ -196,7 +197,7 @@
   Put.Target = fmt::format("/standin/put?Topic={}&Key={}",
                            platform::topic::Engines, FLAGS_id);
   Put.Body = Entry.dump();
-  for (int Try = 0; Try < 100; ++Try) {
+  for (int Attempt = 0; Attempt < 100; ++Attempt) {
     if (sendHttpRequest(FLAGS_store, Put, std::chrono::seconds(1)).Status ==
         200)
       return;
@@ -212,5 +213,5 @@
   gflags::ParseCommandLineFlags(&Count, &Values, true);
   std::thread(registerSelf).detach();
   UpstreamService Service;
-  serveHttp(FLAGS_listen, [&](Exchange &Each) { Service.serve(Each); });
+  serveHttp(FLAGS_listen, [&](Exchange &Incoming) { Service.serve(Incoming); });
 }
