--- a/tests/standins/Caller.cpp
+++ b/tests/standins/Caller.cpp
@@ -13,13 +13,13 @@
 namespace http = boost::beast::http;
 using nlohmann::json;
 
-/// Times a request is sent before its last refusal is taken as its answer.
+/// Maximum number of attempts. The last refusal is the final answer.
 constexpr std::uint32_t MaxAttempts = 12;
 
-/// Silence after which a connection is given up; longer than any promise.
+/// Timeout of each connection step; longer than the time limit of any class.
 constexpr Duration StepTimeout = seconds(20);
 
-/// Pause before another host is tried when none could be reached.
+/// Delay before the next attempt when no host could be reached.
 constexpr milliseconds ReconnectDelay(100);
 constexpr milliseconds MaxRetryDelay(3'000);
 
@@ -124,7 +124,7 @@
       Result.Duplicated = true;
     if (Result.FirstTokenAfter == Duration())
       Result.FirstTokenAfter = wallNow() - Stream.StartedAt;
-    // A gap keeps Next behind the count of the end mark.
+    // After a gap, Next stays below the count in the end event.
     if (Index == Stream.Next)
       ++Stream.Next;
   }
@@ -167,7 +167,7 @@
         Answer.is_object() && Answer.value("answer", "") == "whole";
     Result.Incomplete =
         IsComplete && Answer.value<std::uint64_t>("count", 0) != Stream.Next;
-    // A host that is gone took its stream along: ask anew.
+    // The stream is lost with its host. The request is sent anew.
     const bool StreamUnknown = Resuming && Reply.Status == 404;
     Result.Restarted += StreamUnknown ? 1 : 0;
     if (StreamUnknown || (Answer.is_object() && !IsComplete))
--- a/tests/standins/Caller.h
+++ b/tests/standins/Caller.h
@@ -1,6 +1,6 @@
 /// \file
-/// One caller: sends a request until it has a final answer that asking again
-/// would not change, and verifies what it got.
+/// A caller that sends a request until it has a final answer, and verifies the
+/// answer.
 #pragma once
 
 #include "standins/HttpClient.h"
@@ -13,19 +13,21 @@
 
 namespace banyanpick::standins {
 
-/// A team with the key that its callers present.
+/// A team and the key of its callers.
 struct CallerTeam {
   std::string Name;
   std::string Key; ///< `team.secret`.
 };
 
-/// How one request went.
+/// The outcome of one request.
 struct WorkResult {
   enum class End { Complete, Refused, Failed, Lost } Ended = End::Lost;
-  bool Duplicated = false; ///< A chunk came twice, or two runs were answered.
-  bool Misrouted = false;  ///< Something of another's answer came.
-  bool Incomplete = false; ///< Told whole, but chunks are missing.
-  bool MayHaveRun = false; ///< Some answer left open that it ran.
+  bool Duplicated = false; ///< A chunk was received twice, or the request ran
+                           ///< more than once.
+  bool Misrouted = false;  ///< Parts of another answer were received.
+  bool Incomplete = false; ///< Answered as complete, but chunks are
+                           ///< missing.
+  bool MayHaveRun = false; ///< Some answer did not exclude a run.
   std::uint32_t Attempts = 0;
   std::uint32_t Resumed = 0;
   std::uint32_t Restarted = 0;
@@ -34,6 +36,8 @@
   std::string LastAnswer;
 };
 
+/// Sends requests of one team. Retries refusals after the delay that they ask
+/// for, resumes streams, and uses other hosts when one can't be reached.
 class Caller {
 public:
   Caller(Resolver &Hosts, CallerTeam Team)
@@ -41,13 +45,13 @@
 
   WorkResult run(const WorkItem &Item);
 
-  /// Sends the confirmation under the key; \p Skipped first hosts of the
-  /// resolve answer are passed over.
+  /// Sends the confirmation with the operation key. Begins after the first
+  /// \p SkippedHosts hosts of the resolve answer.
   WorkResult confirm(const WorkItem &Item, const std::string &Key,
                      std::size_t SkippedHosts);
 
 private:
-  /// A stream as far as it was received.
+  /// The part of a stream received so far.
   struct Received {
     explicit Received(Time StartedAt) : StartedAt(StartedAt) {}
 
@@ -58,7 +62,8 @@
     Time StartedAt;
   };
 
-  /// Asks once at a turn; gives the final answer, or nothing.
+  /// Sends the request once, beginning with the host of the turn. Returns the
+  /// final answer, or null.
   using SendOnce = std::function<nlohmann::json(std::size_t, WorkResult &)>;
 
   WorkResult sendUntilFinal(const SendOnce &Send, std::size_t FirstTurn);
@@ -67,12 +72,13 @@
                               WorkResult &Result);
   WorkResult runStreamed(const WorkItem &Item, const std::string &Prompt);
   WorkResult runUnstreamed(const WorkItem &Item, const std::string &Prompt);
-  /// Asks a host; passes to the next one when it can't be reached.
+  /// Sends a request to a host, or to the next one that can be reached.
   HttpReply send(const OutgoingRequest &Req, std::size_t Turn,
                  const PartHandler &OnPart = {});
   void handleEvent(const ServerEvent &Event, std::uint64_t Hash,
                    Received &Stream, WorkResult &Result) const;
-  /// Whether \p Answer ends the request; if not, waits as it asks for.
+  /// Returns whether \p Answer ends the request. If not, waits for the retry
+  /// delay of the answer.
   bool isFinal(const nlohmann::json &Answer, WorkResult &Result) const;
   std::vector<HttpHeader> headers() const;
 
--- a/tests/standins/ChunkText.h
+++ b/tests/standins/ChunkText.h
@@ -1,5 +1,5 @@
 /// \file
-/// The text of the answers that the engine stand-in gives.
+/// The answer text of the engine stand-in.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,9 @@
 
 std::uint64_t hashOfPrompt(std::string_view Prompt);
 
-/// The text of chunk \p Index of the answer to a prompt, so that a caller can
-/// tell its own answer, whole and in order.
+/// Returns the text of chunk \p Index of the answer to a prompt. It identifies
+/// prompt and index, so that a caller can check that it receives its own answer
+/// completely and in order.
 std::string chunkText(std::uint64_t Index, std::uint64_t PromptHash);
 
 } // namespace banyanpick::standins
--- a/tests/standins/DemoCaller.cpp
+++ b/tests/standins/DemoCaller.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The demonstration's caller: sends a fixed mix, verifies every answer and
-/// the application's own counts, and prints one line.
+/// The caller of the demonstration. Sends a fixed mix of requests, verifies
+/// every answer and the run counts of the application, and prints one summary
+/// line.
 #include "standins/Caller.h"
 #include "standins/WireText.h"
 
@@ -43,7 +44,8 @@
   return Teams;
 }
 
-/// The better of two answers to the same confirmation.
+/// Combines the results of two sends of the same confirmation. The better one
+/// counts.
 WorkResult combine(const WorkResult &First, const WorkResult &Second) {
   WorkResult Result = First.Ended <= Second.Ended ? First : Second;
   Result.Misrouted = First.Misrouted || Second.Misrouted;
@@ -71,7 +73,7 @@
   return Result;
 }
 
-/// Holds the application's own counts against what callers were told.
+/// Checks the application's run counts against the answers to the callers.
 void checkRuns(std::vector<WorkResult> &Results, const json &Counts) {
   for (WorkResult &Result : Results) {
     if (Result.Key.empty())
@@ -81,7 +83,7 @@
       Result.Duplicated = true;
     if (Runs == 0 && Result.Ended == WorkResult::End::Complete)
       Result.Ended = WorkResult::End::Lost;
-    // Every answer said that it did not run, and it did.
+    // Every answer said that the request did not run, but it did.
     if (Runs > 0 && !Result.MayHaveRun)
       Result.Ended = WorkResult::End::Lost;
   }
@@ -99,7 +101,7 @@
       std::this_thread::sleep_until(StartedAt + Item.StartAfter);
       Caller Sender(Hosts, Teams.at(Item.Team));
       Results[I] = Item.Kind == WorkKind::Confirmation
-                       ? runConfirmation(Each, Item)
+                       ? runConfirmation(Sender, Item)
                        : Sender.run(Item);
     }
   };
@@ -115,7 +117,7 @@
   constexpr std::array Ends{"whole", "refused", "failed", "lost"};
   fmt::print(
       stderr,
-      "{} {} {} tokens: {}{}{}, {} tries, {} resumed, {} restarted, "
+      "{} {} {} tokens: {}{}{}, {} attempts, {} resumed, {} restarted, "
       "first token {} ms {}\n",
       Item.Number, Item.Class, Item.PromptTokens,
       Ends[static_cast<std::size_t>(Result.Ended)],
@@ -157,7 +159,7 @@
   const HttpReply Counts =
       sendHttpRequest(FLAGS_application, {.Target = "/counts"}, CountsTimeout);
   if (!Counts.isComplete()) {
-    fmt::print(stderr, "the application's counts can't be read\n");
+    fmt::print(stderr, "can't read the run counts of the application\n");
     return 1;
   }
   checkRuns(Results, Counts.parsed());
--- a/tests/standins/EngineService.cpp
+++ b/tests/standins/EngineService.cpp
@@ -18,13 +18,13 @@
 namespace http = boost::beast::http;
 using nlohmann::json;
 
-/// A prompt with this text ends the process that runs it.
+/// A prompt that contains this text makes the engine process exit.
 constexpr std::string_view CrashMarker = "CRASH-ENGINE";
 
-/// How long ended streams can still be attached to.
+/// Time after the deadline during which a stream is kept for attaching.
 constexpr Duration StreamRetention = seconds(30);
 
-/// The longest sleep between two looks at the modelled engine.
+/// Maximum time between two checks of the simulated engine.
 constexpr milliseconds MaxSleep(20);
 
 constexpr std::uint64_t BytesPerToken = 4;
@@ -41,7 +41,7 @@
   return Blocks;
 }
 
-/// `ID,ID`, as X-Holds gives them.
+/// Parses the holds of the header X-Holds: `ID,ID`.
 std::vector<HoldId> holdsOf(std::string_view Text) {
   std::vector<HoldId> Holds;
   while (!Text.empty()) {
@@ -343,7 +343,7 @@
   Incoming.answer(200, {{"life", Life}, {"events", std::move(Listed)}});
 }
 
-/// `{"leaving": B}`.
+/// Sets options of the body: `{"leaving": B}`.
 void EngineService::configure(Exchange &Incoming) {
   const json Requested = json::parse(Incoming.body());
   {
--- a/tests/standins/EngineService.h
+++ b/tests/standins/EngineService.h
@@ -1,6 +1,6 @@
 /// \file
-/// A model engine as a service: the modelled engine run in real time, with the
-/// streams it gives.
+/// The HTTP service of the engine stand-in. Runs the simulated engine in real
+/// time and serves its streams.
 #pragma once
 
 #include "fakes/EngineModel.h"
@@ -13,22 +13,23 @@
 
 namespace banyanpick::standins {
 
+/// Serves the engine protocol with an EngineModel. Safe to use from any thread.
 class EngineService {
 public:
   explicit EngineService(EngineShape Shape);
 
   void handle(Exchange &Incoming);
-  /// Runs the modelled engine in real time; never returns.
+  /// Runs the simulated engine in real time. Never returns.
   [[noreturn]] void runSteps();
 
 private:
-  /// One try with the chunks that came out of it so far.
+  /// One attempt and its progress.
   struct Stream {
     std::uint64_t PromptHash = 0;
-    std::uint64_t Produced = 0; ///< Chunks before this index came out.
+    std::uint64_t Produced = 0; ///< Index after the last produced chunk.
     Time Deadline{};
     bool Ended = false;
-    bool Dropped = false; ///< Cancelled, or past its deadline.
+    bool Dropped = false; ///< Cancelled or expired.
   };
 
   void complete(Exchange &Incoming);
--- a/tests/standins/GatewayCaller.cpp
+++ b/tests/standins/GatewayCaller.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The caller of the gateway's demonstration: asks the directory for hosts,
-/// sends requests of three kinds at a steady rate, and counts what came of
-/// them. Ends with one line:
+/// The caller of the gateway's demonstration. Asks the directory for hosts,
+/// sends requests of three kinds at a steady rate, and counts their outcomes.
+/// Ends with one line:
 ///   demo: sent=N whole=N refused=N failed=N lost=0 doubled=0 crossed=0
 #include "platform/WireNames.h"
 #include "standins/GatewayDemo.h"
@@ -30,11 +30,12 @@
 
 using nlohmann::json;
 
-/// A caller's patience with one request.
+/// Time limit for one request with all its attempts.
 constexpr seconds Deadline(8);
-/// Tries of one request in all; a promise that it did not run allows another.
+/// Maximum number of attempts of one request. A request that may run at most
+/// once is repeated only after an answer that excludes a run.
 constexpr int MaxAttempts = 4;
-/// Of a hundred requests, so many must be whole.
+/// Minimum share of complete answers.
 constexpr double MinCompleteShare = 0.95;
 
 std::vector<std::string> split(const std::string &Text) {
@@ -71,7 +72,7 @@
   return {};
 }
 
-/// Whether the body is the answer to this very request, whole.
+/// Returns whether the body is the complete answer to this request.
 bool isOwn(Kind RequestKind, const std::string &Body,
            const std::string &Payload) {
   return RequestKind == Kind::Stream ? Body == demoStream(FLAGS_events)
@@ -109,7 +110,8 @@
     const bool NotExecuted =
         Reply.Ended == HttpReply::End::NotConnected || Reply.Status == 503;
     if (RequestKind == Kind::Once && !NotExecuted) {
-      // A host may be killed with the request: then nobody can tell.
+      // The host may have been killed during the request, so the outcome is
+      // unknown.
       ++Totals.Failed;
       return;
     }
--- a/tests/standins/GatewayDemo.h
+++ b/tests/standins/GatewayDemo.h
@@ -1,5 +1,6 @@
 /// \file
-/// What the gateway's demonstration and process tests send and expect.
+/// Requests and expected answers of the gateway's demonstration and process
+/// tests.
 #pragma once
 
 #include "base/Time.h"
@@ -10,21 +11,21 @@
 
 namespace banyanpick::standins {
 
-/// Events of a stream, unless the stand-in is told another number.
+/// Default number of events in a stream of the stand-in.
 inline constexpr std::uint32_t DemoEvents = 10;
 
-/// One event of the stand-in upstream's streams.
+/// Returns one event of the stand-in upstream's streams.
 std::string demoEvent(std::uint64_t Id);
-/// A whole stream.
+/// Returns a complete stream.
 std::string demoStream(std::uint32_t Events = DemoEvents);
 
-/// Who asks.
+/// Host name and key that a caller sends.
 struct DemoCaller {
   std::string Host = "demo.example";
   std::string Key = "demo-key";
 };
 
-/// A request of the caller that waits for \p Left.
+/// Returns a request of the caller with the remaining time \p Timeout.
 OutgoingRequest demoRequest(const DemoCaller &Caller, const std::string &Path,
                             const std::string &Attempt, const std::string &Body,
                             Duration Timeout);
--- a/tests/standins/HttpClient.cpp
+++ b/tests/standins/HttpClient.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned HttpVersion = 11;
 constexpr std::uint64_t MaxBodyBytes = 64ULL * 1024 * 1024;
 
-/// One connection whose steps each have a timeout.
+/// One connection with a timeout for each step.
 class Connection {
 public:
   explicit Connection(Duration Timeout) : Timeout(Timeout) {}
@@ -44,7 +44,7 @@
     });
   }
 
-  /// Reads the reply part by part; what came stands in \p Reply.
+  /// Reads the reply part by part into \p Reply.
   beast::error_code receive(HttpReply &Reply, const PartHandler &OnPart) {
     http::response_parser<http::string_body> Parser;
     Parser.eager(true);
@@ -67,7 +67,7 @@
   }
 
 private:
-  /// Runs one asynchronous step to its end or its timeout.
+  /// Runs one asynchronous step until it ends or times out.
   template <class Begin> beast::error_code step(Begin Start) {
     beast::error_code Result;
     this->Stream.expires_after(this->Timeout);
@@ -97,7 +97,7 @@
   if (Link.connect(Address))
     return Reply;
   Reply.Ended = HttpReply::End::Broken;
-  // A server that refuses early may stop reading; its reply is still read.
+  // A server that refuses early may stop reading. Its reply is still read.
   const beast::error_code SendFailure = Link.send(Req, Address);
   const beast::error_code ReceiveFailure = Link.receive(Reply, OnPart);
   const bool Answered = !ReceiveFailure && (!SendFailure || Reply.Status != 0);
--- a/tests/standins/HttpClient.h
+++ b/tests/standins/HttpClient.h
@@ -1,6 +1,6 @@
 /// \file
-/// A small blocking HTTP client with timeouts, and a reader of server-sent
-/// events, for the caller and the process tests.
+/// A small blocking HTTP client with timeouts, and a parser of server-sent
+/// events, for the stand-in callers and the process tests.
 #pragma once
 
 #include "base/Time.h"
@@ -26,33 +26,33 @@
   std::vector<HttpHeader> Headers{};
 };
 
-/// How one exchange went.
+/// The result of one exchange.
 struct HttpReply {
   enum class End { NotConnected, Broken, Complete } Ended = End::NotConnected;
   unsigned Status = 0;
-  std::string Body; ///< What came of it, also when it broke off.
+  std::string Body; ///< The received part when broken off.
 
   bool isComplete() const { return this->Ended == End::Complete; }
-  /// The body as JSON; a discarded value when it is none.
+  /// Returns the body as JSON, or a discarded value when it is malformed.
   nlohmann::json parsed() const;
 };
 
-/// Given each part of the body as it comes.
+/// Called with each part of the body as it arrives.
 using PartHandler = std::function<void(std::string_view)>;
 
-/// Asks once, on a connection of its own. Each step (connecting, sending, one
-/// read) may take \p Patience.
+/// Sends one request on a new connection. \p Timeout limits each step:
+/// connecting, sending and each read.
 HttpReply sendHttpRequest(const std::string &Address,
                           const OutgoingRequest &Req, Duration Timeout,
                           const PartHandler &OnPart = {});
 
-/// A server-sent event; the name is empty for plain data.
+/// A server-sent event. The name is empty for plain data.
 struct ServerEvent {
   std::string Name;
   nlohmann::json Data;
 };
 
-/// Cuts a body that comes in parts into server-sent events.
+/// Parses server-sent events from a body that arrives in parts.
 class EventReader {
 public:
   explicit EventReader(std::function<void(const ServerEvent &)> OnEvent)
--- a/tests/standins/HttpServer.cpp
+++ b/tests/standins/HttpServer.cpp
@@ -23,7 +23,7 @@
 
 constexpr unsigned HttpVersion = 11;
 
-/// Runs the handler; what it throws on a bad request becomes a typed error.
+/// Runs the handler. Answers 400 when it throws because of a bad request.
 void handleExchange(Exchange &Incoming, const Handler &Handle) {
   try {
     Handle(Incoming);
@@ -55,7 +55,7 @@
   try {
     serveConnection(std::move(Socket), Handle);
   } catch (const std::exception &) {
-    // The peer is gone; its connection ends with the socket.
+    // The peer has disconnected. The socket is closed on return.
   }
 }
 
@@ -74,7 +74,8 @@
   const auto Ip = asio::ip::make_address(
       std::string(Text.substr(0, std::min(Colon, Text.size()))), Failure);
   if (Failure || Port == 0)
-    throw Error(ErrorKind::BadInput, fmt::format("'{}' is no address", Text),
+    throw Error(ErrorKind::BadInput,
+                fmt::format("'{}' is not an address", Text),
                 "give an IP number and a port, such as 127.0.0.1:7000");
   return {Ip, Port};
 }
--- a/tests/standins/HttpServer.h
+++ b/tests/standins/HttpServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// A small blocking HTTP server for stand-ins: one thread a connection.
+/// A small blocking HTTP server for stand-ins, with one thread per connection.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,39 +17,40 @@
 using HttpRequest =
     boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Splits `ip:port`; throws Error(BadInput) when it is malformed.
+/// Parses `ip:port`. Throws Error(BadInput) when it is malformed.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view Text);
 
-/// Headers of an answer.
+/// Headers of an answer as pairs of name and value.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/// One request and the way to answer it.
+/// One request and its answer.
 class Exchange {
 public:
   Exchange(boost::asio::ip::tcp::socket &Socket, HttpRequest Request)
       : Socket(Socket), Request(std::move(Request)) {}
 
   boost::beast::http::verb method() const { return this->Request.method(); }
-  /// The path's segments: `/v1/load` gives `v1` and `load`.
+  /// Returns the segments of the path: `v1` and `load` for `/v1/load`.
   std::vector<std::string> path() const;
-  /// A number of the query, or \p Otherwise.
+  /// Returns a number of the query, or \p Default.
   std::uint64_t queryNumber(std::string_view Name, std::uint64_t Default) const;
-  /// A text of the query, or an empty one.
+  /// Returns a text of the query, or an empty text.
   std::string queryText(std::string_view Name) const;
   std::string header(std::string_view Name) const;
   const HttpRequest &request() const { return this->Request; }
   const std::string &body() const { return this->Request.body(); }
 
   void answer(unsigned Status, const nlohmann::json &Body);
-  /// \p Missing bytes fewer are sent than the length says.
+  /// Sends an answer whose content length is \p Missing bytes more than its
+  /// body.
   void answer(unsigned Status, const Headers &AnswerHeaders,
               const std::string &Body, std::size_t Missing = 0);
   /// Starts a stream of server-sent events.
   void beginEvents(const Headers &AnswerHeaders = {});
-  /// Sends events already formatted; throws when the peer is gone.
+  /// Sends formatted events. Throws when the peer has disconnected.
   void sendEvents(const std::string &Formatted);
   void endEvents();
-  /// Ends the connection without an answer.
+  /// Closes the connection after this exchange, also without an answer.
   void disconnect() { this->KeepsAlive = false; }
 
   bool keepsAlive() const { return this->KeepsAlive; }
@@ -62,7 +63,8 @@
 
 using Handler = std::function<void(Exchange &)>;
 
-/// Serves \p Handle at \p Listen, `ip:port`, until the process ends.
+/// Serves \p Handle at the address \p Listen, `ip:port`, until the process
+/// ends.
 [[noreturn]] void serveHttp(std::string_view Listen, const Handler &Handle);
 
 } // namespace banyanpick::standins
--- a/tests/standins/KeyedTopics.h
+++ b/tests/standins/KeyedTopics.h
@@ -1,5 +1,5 @@
 /// \file
-/// The records of a store of keyed topics.
+/// In-memory records of a store of keyed topics.
 #pragma once
 
 #include "relay/OrderedStore.h"
@@ -10,18 +10,18 @@
 
 namespace banyanpick::standins {
 
-/// Safe from any thread.
+/// Keeps the records of all topics. Safe to use from any thread.
 class KeyedTopics {
 public:
-  /// Gives the record's offset.
+  /// Appends a record and returns its offset.
   LogOffset append(const std::string &Topic, KeyedRecord Record);
-  /// Records from the offset on; waits for one no longer than \p Wait.
+  /// Returns the records from the offset on. Waits up to \p Wait for the first.
   std::vector<KeyedRecord> read(const std::string &Topic, LogOffset From,
                                 Duration Wait);
-  /// The newest record of each key that has a value.
+  /// Returns the newest record of each key, without deleted keys.
   std::vector<KeyedRecord> newest(const std::string &Topic);
   LogOffset end(const std::string &Topic);
-  /// Drops the history; the newest records stay.
+  /// Drops the history. The newest records of the keys stay.
   void compact(const std::string &Topic);
   LogOffset first(const std::string &Topic);
 
--- a/tests/standins/PlatformLog.h
+++ b/tests/standins/PlatformLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's append-only log, kept in memory, with the faults that tests
-/// ask for.
+/// An in-memory stand-in for the platform's append-only log, with fault
+/// injection.
 #pragma once
 
 #include "base/StrongId.h"
@@ -15,14 +15,14 @@
 
 namespace banyanpick::standins {
 
-/// What goes wrong with the log now.
+/// The injected faults of the log.
 struct LogFaults {
   bool Down = false;
-  std::uint64_t LoseAnswers = 0; ///< Appends to take without an answer.
+  std::uint64_t LoseAnswers = 0; ///< Next appends left without an answer.
   milliseconds Delay{};
 };
 
-/// Records from FirstOffset on, and the ends of what is kept.
+/// Records from FirstOffset on, and the range of the kept offsets.
 struct LogSlice {
   LogOffset Start = 1;
   LogOffset End = 1;
@@ -30,19 +30,20 @@
   std::vector<std::string> Records;
 };
 
+/// An append-only log. Safe to use from any thread.
 class PlatformLog {
 public:
-  /// Keeps the last \p RetainRecords; 0 keeps all.
+  /// Keeps the last \p RetainRecords records, or all when it is 0.
   explicit PlatformLog(std::uint64_t RetainRecords)
       : RetainRecords(RetainRecords) {}
 
   LogOffset append(std::string Bytes);
-  /// Waits up to \p Patience for a record at \p From.
+  /// Returns records from \p From on. Waits up to \p MaxWait for the first.
   LogSlice read(LogOffset From, milliseconds MaxWait);
 
   void setFaults(const LogFaults &NewFaults);
   LogFaults faults();
-  /// Whether the answer to an append just taken is to be lost.
+  /// Returns whether the answer to an append must be lost, and counts it.
   bool consumeAnswerLoss();
 
 private:
--- a/tests/standins/Resolver.h
+++ b/tests/standins/Resolver.h
@@ -1,5 +1,6 @@
 /// \file
-/// Asks which entry hosts to use and keeps the answer for its time to live.
+/// Resolves the entry hosts of a team and caches the answer for its time to
+/// live.
 #pragma once
 
 #include "base/Time.h"
@@ -10,16 +11,18 @@
 
 namespace banyanpick::standins {
 
+/// Resolves entry hosts. Safe to use from any thread.
 class Resolver {
 public:
-  /// \p Seeds are hosts that are asked in turn until one answers.
+  /// Asks the hosts \p Seeds in turn until one answers.
   explicit Resolver(std::vector<std::string> Seeds, std::string Zone)
       : Seeds(std::move(Seeds)), Zone(std::move(Zone)) {}
 
-  /// The entry hosts for the team, best first; empty when nobody answers.
+  /// Returns the entry hosts for the team, best first, or none when no seed
+  /// answers.
   std::vector<std::string> hosts(const std::string &Team);
 
-  /// Forgets the answer: a host it named could not be reached.
+  /// Drops the cached answer. Called when a host could not be reached.
   void invalidate();
 
 private:
--- a/tests/standins/StandinApplication.cpp
+++ b/tests/standins/StandinApplication.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Stand-in for a plain application service that counts its runs by operation
-/// key.
+/// Stand-in for an application service. Counts its runs by operation key.
 #include "standins/HttpServer.h"
 #include "standins/WireText.h"
 
@@ -40,7 +39,7 @@
       return this->configure(Incoming);
     if (Incoming.method() == http::verb::delete_)
       return Incoming.answer(200,
-                             json::object()); // Nothing here can be cancelled.
+                             json::object()); // Runs are not cancelled.
     Incoming.answer(404, {{"error", {{"message", "no such path"}}}});
   }
 
@@ -93,7 +92,8 @@
     return this->Runs;
   }
 
-  /// `{"delay_ms": N, "refusals": N, "leaving": B}`, all optional.
+  /// Sets options of the body, each of them optional:
+  /// `{"delay_ms": N, "refusals": N, "leaving": B}`.
   void configure(Exchange &Incoming) {
     const json Wanted = json::parse(Incoming.body());
     {
--- a/tests/standins/StandinEngine.cpp
+++ b/tests/standins/StandinEngine.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Stand-in for a model engine: batching, priorities, memory and cache of the
-/// modelled engine, served in real time.
+/// Stand-in for a model engine. Serves the simulated engine with its batching,
+/// priorities, memory and cache in real time.
 #include "standins/EngineService.h"
 #include "standins/WireText.h"
 
@@ -29,8 +29,9 @@
   return Models;
 }
 
-/// Every duration of the shape is divided by the speed, so that the modelled
-/// engine runs on the wall clock.
+/// Returns the shape of the engine. Step times are divided by the speed and the
+/// prefill rate is multiplied by it, so that the simulated engine can run on
+/// the wall clock.
 EngineShape shapeFromFlags() {
   EngineShape Shape;
   Shape.Id = UpstreamId(FLAGS_id);
--- a/tests/standins/StandinPlatform.cpp
+++ b/tests/standins/StandinPlatform.cpp
@@ -43,7 +43,8 @@
   }
 
 private:
-  /// Delays as asked for; true when the log is down and said so.
+  /// Applies the configured delay. Answers 503 and returns true when the log is
+  /// down.
   bool refused(Exchange &Incoming) {
     const LogFaults Faults = this->Log.faults();
     std::this_thread::sleep_for(Faults.Delay);
@@ -89,8 +90,8 @@
     Incoming.answer(200, CurrentHosts);
   }
 
-  /// `/admin/log {"down", "lose_answers", "delay_ms"}`, each off when absent;
-  /// `/admin/hosts` with a whole new host list.
+  /// `/admin/log {"down", "lose_answers", "delay_ms"}` sets the faults; each is
+  /// off when absent. `/admin/hosts` replaces the host list.
   void configure(Exchange &Incoming, const std::string &Subject) {
     const json Wanted = json::parse(Incoming.body());
     if (Subject == "log")
--- a/tests/standins/StandinStore.cpp
+++ b/tests/standins/StandinStore.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// A small store of keyed topics that speaks the platform's protocol.
+/// A small store of keyed topics that implements the platform's protocol.
 ///
-/// Beside it, for tests: `POST /standin/put?Topic=T&Key=K` writes a record as
-/// the operator or an upstream would (an empty body drops the key),
+/// Control requests for tests: `POST /standin/put?Topic=T&Key=K` writes a
+/// record as the operator or an upstream would (an empty body deletes the key),
 /// `POST /standin/compact?Topic=T` drops a topic's history, and
-/// `POST /standin/down?On=1` makes it refuse everything else.
+/// `POST /standin/down?On=1` makes the store refuse all other requests.
 #include "base/Base64.h"
 #include "platform/RecordFrames.h"
 #include "platform/WireNames.h"
@@ -100,7 +100,8 @@
   }
 
   void append(Exchange &Incoming, const std::string &Topic) {
-    // A read's body begins with two offsets; an append's with the records.
+    // The body of a read begins with two offsets, which the parser expects. The
+    // body of an append has only the records.
     const std::string Body = std::string(16, '\0') + Incoming.body();
     LogOffset Offset = this->Topics.end(Topic);
     for (KeyedRecord &Record : platform::readFrames(Body, 0).Records)
--- a/tests/standins/StandinUpstream.cpp
+++ b/tests/standins/StandinUpstream.cpp
@@ -1,20 +1,22 @@
 /// \file
-/// A small upstream that speaks the platform's protocol: it streams events
-/// where the path begins with `/stream/` and answers whole else. It registers
-/// itself in the store.
+/// A small upstream that implements the platform's protocol. It streams events
+/// for paths that begin with `/stream/`, sends a complete answer otherwise, and
+/// registers itself in the store.
 ///
-/// --fault makes it fail each request: `cut` breaks a stream off in the middle
-/// of an event, `error` answers 500, `refuse` says that it did not run it,
-/// `foreign` answers another request, `truncate` sends too little, `unsealed`
-/// leaves the seal out, `silent` never answers, and `stall` gives three events
-/// of a stream and nothing more. `limit` does not fail: every answer names how
-/// many requests a second it takes (--limit). `rest` turns away what comes
-/// while it rests and asks each time for as much rest as --rest says. `leaving`
-/// says in every answer that it leaves, as its registration does not.
+/// --fault sets how each request fails: `cut` aborts a stream in the middle of
+/// an event and other answers before they begin, `error` answers 500 to
+/// requests that are not streams, `refuse` answers that the request did not
+/// run, `foreign` names another attempt in the answer, `truncate` sends fewer
+/// bytes than announced, `unsealed` omits the seal, `silent` never answers, and
+/// `stall` sends three events of a stream and then nothing. `limit` is not a
+/// failure: every answer announces the accepted requests per second (--limit).
+/// `rest` refuses every request and asks for a backoff of --rest seconds.
+/// `leaving` announces in every answer that the upstream is leaving, while its
+/// registration does not.
 ///
-/// `GET /standin/runs` gives how often it ran each request, which came when
-/// since its first answer that named a limit, and which came when at all with
-/// what each was answered, by the machine's steady clock.
+/// `GET /standin/runs` returns the number of runs of each attempt, the arrivals
+/// since the first answer with a limit, and all arrivals with a mark for those
+/// refused by `rest`. Times are microseconds of the steady clock.
 #include "platform/WireNames.h"
 #include "standins/GatewayDemo.h"
 #include "standins/HttpServer.h"
@@ -180,7 +182,7 @@
   std::ofstream RunsFile{FLAGS_runs_file, std::ios::app};
   bool SawKey = false;
   std::optional<std::int64_t> LimitedSince;
-  json Arrivals = json::array(); ///< Since then.
+  json Arrivals = json::array(); ///< Since LimitedSince.
   json AllArrivals = json::array();
 };
 
--- a/tests/standins/WireText.h
+++ b/tests/standins/WireText.h
@@ -1,5 +1,5 @@
 /// \file
-/// Small pieces of the published protocols that the stand-ins share.
+/// Text forms of the published protocols that the stand-ins share.
 #pragma once
 
 #include "base/StrongId.h"
@@ -13,7 +13,7 @@
 
 namespace banyanpick::standins {
 
-/// The wall clock on the project's scale.
+/// Returns the wall-clock time in the project's resolution.
 inline Time wallNow() {
   return Time(std::chrono::duration_cast<Duration>(
       std::chrono::system_clock::now().time_since_epoch()));
@@ -38,7 +38,8 @@
   return Value;
 }
 
-/// `LIFE-SEQUENCE` in hexadecimal, as attempts and holds are named.
+/// Parses the name of an attempt or hold: `LIFE-SEQUENCE` in hexadecimal, where
+/// LIFE is the incarnation of the host.
 template <class Tag> SequencedId<Tag> parseSequencedId(std::string_view Text) {
   const std::size_t Dash = std::min(Text.find('-'), Text.size());
   const std::string_view SequenceText =
@@ -46,7 +47,7 @@
   return {Incarnation(fromHex(Text.substr(0, Dash))), fromHex(SequenceText)};
 }
 
-/// A number given in decimal by a header; 0 when it is malformed.
+/// Parses a decimal number of a header. Returns 0 when it is malformed.
 inline std::int64_t parseInteger(std::string_view Text) {
   std::int64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
--- a/tests/standins/Workload.cpp
+++ b/tests/standins/Workload.cpp
@@ -12,10 +12,11 @@
 
 constexpr std::uint64_t BytesPerToken = 4;
 
-/// Prompts up to this length are sent under the class for short ones.
+/// Maximum prompt length in tokens of the class "short".
 constexpr std::uint64_t MaxShortPrompt = 8'000;
 
-/// A range of prompt lengths with its share of the model requests in 1,000.
+/// A range of prompt lengths in tokens, with its share per 1,000 model
+/// requests.
 struct LengthBand {
   std::uint64_t Share;
   std::uint64_t MinLength;
@@ -27,10 +28,11 @@
                                                  {15, 100'001, 400'000},
                                                  {5, 400'001, 1'000'000}}};
 
-/// One in this many requests is a confirmation.
+/// On average, one of this many requests is a confirmation.
 constexpr std::uint64_t ConfirmationsOneIn = 5;
 
-/// The longest prompt of all is sent for certain, one in so many requests.
+/// One of this many requests has a prompt of MaxPrompt tokens, independent of
+/// the drawn length, unless it is a confirmation.
 constexpr std::uint64_t MaxPromptOneIn = 150;
 constexpr std::uint64_t MaxPrompt = 1'000'000;
 
--- a/tests/standins/Workload.h
+++ b/tests/standins/Workload.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the demonstration sends: a fixed mix for a fixed seed.
+/// The requests of the demonstration: a fixed mix for each seed.
 #pragma once
 
 #include "base/Time.h"
@@ -20,19 +20,21 @@
   std::string Class;
   std::uint64_t PromptTokens = 0;
   std::uint64_t OutputTokens = 0;
-  Duration StartAfter{};        ///< Since the first one.
+  Duration StartAfter{};        ///< After the start of the demonstration.
   bool SentTwice = false;       ///< To two hosts at once; confirmations only.
-  bool SentAfterAnswer = false; ///< After its answer; confirmations only.
+  bool SentAfterAnswer = false; ///< Sent again after its answer;
+                                ///< confirmations only.
 };
 
-/// \p Count requests spread evenly over \p Span.
+/// Returns \p Count requests spread evenly over \p Span.
 std::vector<WorkItem> makeWorkload(std::uint64_t Seed, std::uint64_t Count,
                                    std::size_t Teams, Duration Span);
 
-/// The item's prompt: four bytes a token, different for each number.
+/// Returns the prompt of the item: four bytes per token, different for each
+/// number.
 std::string promptOf(const WorkItem &Item);
 
-/// A UUIDv7 of this moment (RFC 9562, section 5.7).
+/// Returns a UUIDv7 with the time \p Now (RFC 9562, section 5.7).
 std::string makeOperationKey(Time Now, std::uint64_t Random);
 
 } // namespace banyanpick::standins
