--- a/tests/harness/FakeApplication.h
+++ b/tests/harness/FakeApplication.h
@@ -26,8 +26,8 @@
   std::uint32_t AnswersToLose = 0;
   std::uint32_t RunsToFail = 0;
   std::map<std::string, std::uint32_t> Runs;
-  std::vector<std::function<void()>>
-      DeferredWork; ///< Messages received while frozen.
+  /// Messages received while frozen.
+  std::vector<std::function<void()>> DeferredWork;
 
   LoadReport report(Time Now) const {
     LoadReport Report;
--- a/tests/harness/FakeEngine.h
+++ b/tests/harness/FakeEngine.h
@@ -66,11 +66,11 @@
   double CacheEventLoss = 0;
   LoadReport LastReport;
   Time PumpAt = Never;
-  std::map<AttemptId, EngineStream>
-      Streams; ///< By the attempt that started it.
+  /// Streams by the attempt that started them.
+  std::map<AttemptId, EngineStream> Streams;
   std::vector<ReceivedOrder> Orders;
-  std::vector<std::function<void()>>
-      DeferredWork; ///< Messages received while frozen.
+  /// Messages received while frozen.
+  std::vector<std::function<void()>> DeferredWork;
 
   /// Returns the attempt that started the stream to which \p Attempt is
   /// attached, or \p Attempt itself when there is none.
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -132,7 +132,7 @@
   /// Creates a kernel with the settings of this deployment.
   std::unique_ptr<Kernel> makeKernel(const HostListing &Listing,
                                      Incarnation Life, std::uint64_t Seed);
-  /// Called for each peer message that leaves an entry host.
+  /// Called for each peer message that is sent and not lost.
   std::function<void(const PeerMessage &)> OnPeerMessage;
 
 private:
@@ -141,7 +141,7 @@
   Incarnation newIncarnation();
   void publishHostList();
 
-  // Each of the following executes one action of \p From.
+  // Each of the following executes one action of a host.
   void dispatch(VirtualHost &From, const DispatchAttempt &Wanted,
                 const RequestHead &Head);
   void cancel(VirtualHost &From, const CancelAttempt &Wanted);
