--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -84,7 +84,7 @@
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Declared = &Context.services().get<RouteView>();
   this->Trust = &Context.services().get<EngineTrustView>();
-  this->Room = &Context.services().get<EngineQuota>();
+  this->Quota = &Context.services().get<EngineQuota>();
   this->Gate = &Context.services().get<EngineGate>();
   this->RandomNumbers = &Context.random();
   this->OwnZone = Context.self().Zone;
@@ -137,7 +137,7 @@
   // A report request also counts as a request, and an engine that limits
   // requests or is backing off accepts few or none.
   const bool AcceptsRequests =
-      !this->Room->isLimited(Engine) && !this->Gate->blocked(Engine, Now);
+      !this->Quota->isLimited(Engine) && !this->Gate->blocked(Engine, Now);
   if (!AcceptsRequests)
     return;
   if (const RegisteredEngine *Registered = this->Directory->find(Engine))
@@ -387,7 +387,7 @@
       continue;
     if (const auto Closed = this->Gate->blocked(Registered->Record.Id, Now)) {
       if (Closed->Reason == EngineBlocked::Why::AtLimit)
-        this->Room->requestQuota(Registered->Record.Id, Now);
+        this->Quota->requestQuota(Registered->Record.Id, Now);
       Found.Closed.push_back(*Closed);
       continue;
     }
@@ -402,7 +402,7 @@
                                       const EngineParameters *Model, Time Now) {
   EngineState Result;
   Result.Engine = &Registered;
-  Result.IsLimited = this->Room->isLimited(Registered.Record.Id);
+  Result.IsLimited = this->Quota->isLimited(Registered.Record.Id);
   const auto Found = this->Loads.find(Registered.Record.Id);
   const EngineLoad Empty;
   const EngineLoad &Load = Found == this->Loads.end() ? Empty : Found->second;
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -123,7 +123,7 @@
   const RouteView *Declared = nullptr;
   const EngineDirectory *Directory = nullptr;
   const EngineTrustView *Trust = nullptr;
-  EngineQuota *Room = nullptr;
+  EngineQuota *Quota = nullptr;
   const EngineGate *Gate = nullptr;
   Random *RandomNumbers = nullptr;
   ZoneId OwnZone;
--- a/src/plugins/enginesignals/EngineSignalsPlugin.cpp
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.cpp
@@ -13,7 +13,7 @@
 void EngineSignalsPlugin::initialize(PluginContext &Context) {
   this->Directory = &Context.services().get<EngineDirectory>();
   this->Active = &Context.services().get<ActiveHostsView>();
-  this->Room = &Context.services().get<EngineQuota>();
+  this->Quota = &Context.services().get<EngineQuota>();
   this->Self = Context.self().Host;
   Context.services().provide<EngineGate>(*this);
   Context.services().list<EngineObserver>().add(*this);
@@ -44,9 +44,9 @@
   if (this->OwnBackoffs.isBackingOff(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::BackingOff,
                          this->OwnBackoffs.until(Engine) - Now};
-  if (!this->Room->hasQuota(Engine, Now))
+  if (!this->Quota->hasQuota(Engine, Now))
     return EngineBlocked{EngineBlocked::Why::AtLimit,
-                         this->Room->quotaAvailableAfter(Engine, Now)};
+                         this->Quota->quotaAvailableAfter(Engine, Now)};
   return std::nullopt;
 }
 
--- a/src/plugins/enginesignals/EngineSignalsPlugin.h
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.h
@@ -47,7 +47,7 @@
 
   EngineDirectory *Directory = nullptr;
   const ActiveHostsView *Active = nullptr;
-  const EngineQuota *Room = nullptr;
+  const EngineQuota *Quota = nullptr;
   HostId Self;
   EngineBackoffs OwnBackoffs; ///< Backoffs requested of this host.
   /// Backoffs requested of other hosts, from their reports.
