--- a/src/plugins/enginelimits/QuotaAllocator.cpp
+++ b/src/plugins/enginelimits/QuotaAllocator.cpp
@@ -78,8 +78,8 @@
   return Result;
 }
 
-Duration QuotaAllocator::until(double Wanted) const {
-  return fromSeconds(std::max(0.0, Wanted - this->Quota) / this->PerSecond);
+Duration QuotaAllocator::until(double Amount) const {
+  return fromSeconds(std::max(0.0, Amount - this->Quota) / this->PerSecond);
 }
 
 std::optional<Duration> QuotaAllocator::waitOf(const HostId &Host,
--- a/src/plugins/enginelimits/QuotaAllocator.h
+++ b/src/plugins/enginelimits/QuotaAllocator.h
@@ -67,7 +67,7 @@
   double burst() const;
   void accrue(Time Now);
   /// Returns the time until the bucket holds \p Wanted requests.
-  Duration until(double Wanted) const;
+  Duration until(double Amount) const;
 
   double PerSecond = 0;
   double Quota = 1;
--- a/src/plugins/engineload/Deferral.cpp
+++ b/src/plugins/engineload/Deferral.cpp
@@ -47,13 +47,13 @@
 } // namespace
 
 double slotScarcity(std::span<const EngineState> States) {
-  double Taken = 0;
+  double Running = 0;
   double All = 0;
   for (const EngineState &State : States) {
-    Taken += State.Running;
+    Running += State.Running;
     All += State.Running + State.FreeSlots;
   }
-  const double Share = Taken / std::max(All, 1.0);
+  const double Share = Running / std::max(All, 1.0);
   return std::max(0.0, Share - ScarcityThreshold) / (1 - ScarcityThreshold);
 }
 
--- a/src/plugins/engineload/EngineLoadPlugin.cpp
+++ b/src/plugins/engineload/EngineLoadPlugin.cpp
@@ -69,8 +69,9 @@
       std::ranges::count(Closed, Reason, &EngineBlocked::Reason));
 }
 
-DeferralTimes deferralTimes(const EngineRequirements &Wanted) {
-  return {Wanted.Objective, Wanted.Waited, Wanted.Left, Wanted.MayRetryLater};
+DeferralTimes deferralTimes(const EngineRequirements &Requirements) {
+  return {Requirements.Objective, Requirements.Waited, Requirements.Left,
+          Requirements.MayRetryLater};
 }
 
 } // namespace
@@ -170,20 +171,21 @@
     this->askReport(Attempt.Engine, Now, Out);
 }
 
-EngineChoice EngineLoadPlugin::choose(const EngineRequirements &Wanted,
+EngineChoice EngineLoadPlugin::choose(const EngineRequirements &Requirements,
                                       Time Now) {
-  const EngineParameters *Model = this->parametersOf(Wanted.Service);
-  const EngineShare Share = this->Active->shareOf(Wanted.Service);
-  Candidates Found = this->candidates(Wanted, Model, Share, false, Now);
+  const EngineParameters *Model = this->parametersOf(Requirements.Service);
+  const EngineShare Share = this->Active->shareOf(Requirements.Service);
+  Candidates Found = this->candidates(Requirements, Model, Share, false, Now);
   // An engine of another host's share is better than none, and so is an engine
   // that failed recently.
   if (Found.States.empty() && !Share.Parts.empty())
-    Found = this->candidates(Wanted, Model, EngineShare(), false, Now);
+    Found = this->candidates(Requirements, Model, EngineShare(), false, Now);
   if (Found.States.empty())
-    Found = this->candidates(Wanted, Model, EngineShare(), true, Now);
+    Found = this->candidates(Requirements, Model, EngineShare(), true, Now);
   if (Found.States.empty() && !Found.Closed.empty())
-    return this->chooseClosed(Found.Closed, Wanted);
-  EngineChoice Result = this->chooseAmong(Found.States, Wanted, Model, Now);
+    return this->chooseClosed(Found.Closed, Requirements);
+  EngineChoice Result =
+      this->chooseAmong(Found.States, Requirements, Model, Now);
   if (auto *Chosen = std::get_if<SelectedEngine>(&Result)) {
     Chosen->AtLimit = countClosed(Found.Closed, EngineBlocked::Why::AtLimit);
     Chosen->BackingOff =
@@ -194,13 +196,13 @@
 
 EngineChoice
 EngineLoadPlugin::chooseClosed(std::span<const EngineBlocked> Closed,
-                               const EngineRequirements &Wanted) {
+                               const EngineRequirements &Requirements) {
   const Duration Soonest = opensAfter(Closed);
-  const bool OutlastsDeadline = Soonest >= Wanted.Left;
+  const bool OutlastsDeadline = Soonest >= Requirements.Left;
   // Wait for an engine that opens soon. Callers that have retried once also
   // wait, because they are not asked to retry again.
   if (Soonest == Duration::max() || Soonest <= MaxLocalWait ||
-      (!Wanted.MayRetryLater && !OutlastsDeadline))
+      (!Requirements.MayRetryLater && !OutlastsDeadline))
     return NoEngine{};
   const double Draw = this->RandomNumbers->fraction();
   if (OutlastsDeadline)
@@ -208,7 +210,7 @@
         RetryLater::Why::Blocked,
         fromSeconds(inSeconds(Soonest) * (1 + Draw * RetrySpread))};
   return RetryLater{RetryLater::Why::Blocked,
-                    retryAfter(deferralTimes(Wanted), Draw, Soonest)};
+                    retryAfter(deferralTimes(Requirements), Draw, Soonest)};
 }
 
 void EngineLoadPlugin::forget(const RequestId &Request, Time Now) {
@@ -216,29 +218,29 @@
     this->Reports.noteUrgent(Now);
 }
 
-PromptWork EngineLoadPlugin::workOf(const EngineRequirements &Wanted,
+PromptWork EngineLoadPlugin::workOf(const EngineRequirements &Requirements,
                                     const EngineParameters *Model) {
   PromptWork Result;
-  Result.PromptTokens = Wanted.PromptTokens;
-  Result.Tokens = Wanted.PromptTokens + Wanted.OutputTokens;
+  Result.PromptTokens = Requirements.PromptTokens;
+  Result.Tokens = Requirements.PromptTokens + Requirements.OutputTokens;
   Result.PrefillMs =
-      Model ? prefillMs(*Model, Wanted.PromptTokens) : UnknownWorkMs;
-  Result.MaxGapMs = boundMs(Wanted.MaxEventGap);
-  Result.ValueMs =
-      Model ? valueMs(*Model, Wanted.PromptTokens, Wanted.OutputTokens)
-            : UnknownWorkMs;
+      Model ? prefillMs(*Model, Requirements.PromptTokens) : UnknownWorkMs;
+  Result.MaxGapMs = boundMs(Requirements.MaxEventGap);
+  Result.ValueMs = Model ? valueMs(*Model, Requirements.PromptTokens,
+                                   Requirements.OutputTokens)
+                         : UnknownWorkMs;
   return Result;
 }
 
-EngineChoice EngineLoadPlugin::chooseAmong(std::span<const EngineState> States,
-                                           const EngineRequirements &Wanted,
-                                           const EngineParameters *Model,
-                                           Time Now) {
+EngineChoice
+EngineLoadPlugin::chooseAmong(std::span<const EngineState> States,
+                              const EngineRequirements &Requirements,
+                              const EngineParameters *Model, Time Now) {
   if (States.empty())
     return NoEngine{};
-  const PromptWork Work = workOf(Wanted, Model);
-  if (Model && !this->isShort(*Model, Wanted.Service, Work.PrefillMs))
-    return this->chooseShared(States, Wanted, Work, *Model, Now);
+  const PromptWork Work = workOf(Requirements, Model);
+  if (Model && !this->isShort(*Model, Requirements.Service, Work.PrefillMs))
+    return this->chooseShared(States, Requirements, Work, *Model, Now);
   const std::uint32_t Slots =
       Model ? Model->Slots : States.front().Engine->Record.Slots;
   std::uint32_t ShortRunning = 0;
@@ -250,39 +252,38 @@
             : States.size();
   const PromptPlacement Place =
       placeShort(States, Front, Slots, Work, this->Weights);
-  const DeferralTimes Times = deferralTimes(Wanted);
-  if (Model && Wanted.MayRetryLater &&
+  const DeferralTimes Times = deferralTimes(Requirements);
+  if (Model && Requirements.MayRetryLater &&
       wouldBeLate(States[Place.Chosen], Place, *Model, Times, this->Weights))
     return RetryLater{RetryLater::Why::TooLate,
                       retryAfter(Times, this->RandomNumbers->fraction())};
   SelectedEngine Result = toChosen(States, Place, Model, true);
-  if (Model && !Wanted.MayRetryLater)
+  if (Model && !Requirements.MayRetryLater)
     Result.Urgency = RetriedUrgency;
   return Result;
 }
 
-EngineChoice EngineLoadPlugin::chooseShared(std::span<const EngineState> States,
-                                            const EngineRequirements &Wanted,
-                                            const PromptWork &Work,
-                                            const EngineParameters &Model,
-                                            Time Now) {
+EngineChoice EngineLoadPlugin::chooseShared(
+    std::span<const EngineState> States, const EngineRequirements &Requirements,
+    const PromptWork &Work, const EngineParameters &Model, Time Now) {
   PlacementTimes Times;
-  Times.ObjectiveMs = inMilliseconds(Wanted.Objective - Wanted.Waited);
-  Times.LateMs = inMilliseconds(Wanted.Left) * PrefillShare;
+  Times.ObjectiveMs =
+      inMilliseconds(Requirements.Objective - Requirements.Waited);
+  Times.LateMs = inMilliseconds(Requirements.Left) * PrefillShare;
   const std::optional<PromptPlacement> Place =
       this->placeLong(States, Work, Model.MemoryTokens, Times);
   const double Scarcity = slotScarcity(States);
-  if (Place && cannotBeServed(*Place, deferralTimes(Wanted), Scarcity)) {
-    this->forget(Wanted.Request, Now);
+  if (Place && cannotBeServed(*Place, deferralTimes(Requirements), Scarcity)) {
+    this->forget(Requirements.Request, Now);
     return RetryLater{RetryLater::Why::TooLate,
-                      retryAfter(deferralTimes(Wanted), 0)};
+                      retryAfter(deferralTimes(Requirements), 0)};
   }
   if (!Place ||
-      !isWorthServingNow(*Place, Work, deferralTimes(Wanted), Scarcity))
-    return this->deferLong(Wanted, Scarcity, Now);
+      !isWorthServingNow(*Place, Work, deferralTimes(Requirements), Scarcity))
+    return this->deferLong(Requirements, Scarcity, Now);
   EngineWork::QueuedPrompt Own;
-  Own.Request = Wanted.Request.Value;
-  Own.Tokens = Wanted.PromptTokens;
+  Own.Request = Requirements.Request.Value;
+  Own.Tokens = Requirements.PromptTokens;
   Own.PrefillMs = Work.PrefillMs;
   Own.NeededMs = Place->FirstTokenMs - Place->StartMs;
   Own.LeftMs = Times.ObjectiveMs;
@@ -297,11 +298,11 @@
   return AwaitTurn{fromMilliseconds(std::clamp(UntilMs, MinPollMs, MaxPollMs))};
 }
 
-EngineChoice EngineLoadPlugin::deferLong(const EngineRequirements &Wanted,
+EngineChoice EngineLoadPlugin::deferLong(const EngineRequirements &Requirements,
                                          double Scarcity, Time Now) {
   // Leave the queue, so that prompts that can be sent are not blocked.
-  this->forget(Wanted.Request, Now);
-  const DeferralTimes Times = deferralTimes(Wanted);
+  this->forget(Requirements.Request, Now);
+  const DeferralTimes Times = deferralTimes(Requirements);
   if (shouldRetryLater(Times, Scarcity))
     return RetryLater{RetryLater::Why::TooLate,
                       retryAfter(Times, this->RandomNumbers->fraction())};
@@ -367,12 +368,12 @@
 }
 
 EngineLoadPlugin::Candidates EngineLoadPlugin::candidates(
-    const EngineRequirements &Wanted, const EngineParameters *Model,
+    const EngineRequirements &Requirements, const EngineParameters *Model,
     const EngineShare &Share, bool IncludeAvoided, Time Now) {
   Candidates Found;
   std::vector<EngineState> &Result = Found.States;
   for (const RegisteredEngine *Registered :
-       this->Directory->ofService(Wanted.Service)) {
+       this->Directory->ofService(Requirements.Service)) {
     if (!Share.takes(Registered->NameHash))
       continue;
     const bool IsAvoided =
@@ -382,7 +383,7 @@
     const bool IsExcluded =
         Registered->Standing == EngineStanding::Leaving ||
         (IsAvoided && !IncludeAvoided) ||
-        std::ranges::count(Wanted.Excluded, Registered->Record.Id) != 0;
+        std::ranges::count(Requirements.Excluded, Registered->Record.Id) != 0;
     if (IsExcluded)
       continue;
     if (const auto Closed = this->Gate->blocked(Registered->Record.Id, Now)) {
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -26,7 +26,8 @@
   void handle(const Event &Received, Time Now, Actions &Out) override;
   Time nextWake() const override;
 
-  EngineChoice choose(const EngineRequirements &Wanted, Time Now) override;
+  EngineChoice choose(const EngineRequirements &Requirements,
+                      Time Now) override;
   void forget(const RequestId &Request, Time Now) override;
 
   void attemptSent(const RelayAttempt &Attempt, Time Now,
@@ -63,24 +64,24 @@
   /// Returns the eligible engines of the share. With \p IncludeAvoided, engines
   /// that failed recently, or that asked other hosts for a backoff, are
   /// included.
-  Candidates candidates(const EngineRequirements &Wanted,
+  Candidates candidates(const EngineRequirements &Requirements,
                         const EngineParameters *Model, const EngineShare &Share,
                         bool IncludeAvoided, Time Now);
   EngineState stateOf(const RegisteredEngine &Registered,
                       const EngineParameters *Model, Time Now);
   EngineChoice chooseAmong(std::span<const EngineState> States,
-                           const EngineRequirements &Wanted,
+                           const EngineRequirements &Requirements,
                            const EngineParameters *Model, Time Now);
   /// Called when no eligible engine accepts another request.
   EngineChoice chooseClosed(std::span<const EngineBlocked> Closed,
-                            const EngineRequirements &Wanted);
+                            const EngineRequirements &Requirements);
   EngineChoice chooseShared(std::span<const EngineState> States,
-                            const EngineRequirements &Wanted,
+                            const EngineRequirements &Requirements,
                             const PromptWork &Work,
                             const EngineParameters &Model, Time Now);
   /// Defers a long prompt: it waits here, or its caller retries later.
-  EngineChoice deferLong(const EngineRequirements &Wanted, double Scarcity,
-                         Time Now);
+  EngineChoice deferLong(const EngineRequirements &Requirements,
+                         double Scarcity, Time Now);
   /// Returns the placement of a long prompt. One engine holds the whole prompt
   /// if one has enough memory.
   std::optional<PromptPlacement> placeLong(std::span<const EngineState> States,
@@ -94,7 +95,7 @@
   /// gap bounds of the service's running answers.
   bool isShort(const EngineParameters &Model, const ServiceId &Service,
                double PrefillMs);
-  static PromptWork workOf(const EngineRequirements &Wanted,
+  static PromptWork workOf(const EngineRequirements &Requirements,
                            const EngineParameters *Model);
   static SelectedEngine toChosen(std::span<const EngineState> States,
                                  const PromptPlacement &Place,
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -11,10 +11,10 @@
 /// Returns the indices of the matching engines.
 template <class Predicate>
 std::vector<std::size_t> indicesOf(std::span<const EngineState> States,
-                                   Predicate IsWanted) {
+                                   Predicate Matches) {
   std::vector<std::size_t> Result;
   for (std::size_t Index = 0; Index < States.size(); ++Index)
-    if (IsWanted(States[Index]))
+    if (Matches(States[Index]))
       Result.push_back(Index);
   return Result;
 }
@@ -22,7 +22,7 @@
 /// Returns the best engines for a part of this length: those with the lowest
 /// value of delayed answers, then those that end first.
 std::vector<std::size_t> bestEnginesFor(std::span<const EngineState> States,
-                                        std::span<const std::size_t> Among,
+                                        std::span<const std::size_t> Candidates,
                                         double PartMs, std::size_t Count) {
   struct Ranked {
     double DelayedValue = 0;
@@ -30,8 +30,8 @@
     std::size_t Index = 0;
   };
   std::vector<Ranked> All;
-  All.reserve(Among.size());
-  for (const std::size_t Index : Among) {
+  All.reserve(Candidates.size());
+  for (const std::size_t Index : Candidates) {
     const EngineState &State = States[Index];
     All.push_back({State.delayedValue(PartMs),
                    State.endMs(PartMs) + State.ExtraMs, Index});
@@ -48,7 +48,7 @@
 
 /// A split of the prompt into even parts.
 struct Sharing {
-  std::vector<std::size_t> Taken;
+  std::vector<std::size_t> Engines;
   double AheadMs = 0;
   double StartMs = 0;
   double FirstTokenMs = 0;
@@ -57,12 +57,12 @@
 
 /// \p Among has at least \p Count engines.
 Sharing sharingAmong(std::span<const EngineState> States,
-                     std::span<const std::size_t> Among, const PromptWork &Work,
-                     std::size_t Count) {
+                     std::span<const std::size_t> Candidates,
+                     const PromptWork &Work, std::size_t Count) {
   const double PartMs = Work.PrefillMs / static_cast<double>(Count);
   Sharing Result;
-  Result.Taken = bestEnginesFor(States, Among, PartMs, Count);
-  for (const std::size_t Index : Result.Taken) {
+  Result.Engines = bestEnginesFor(States, Candidates, PartMs, Count);
+  for (const std::size_t Index : Result.Engines) {
     const EngineState &State = States[Index];
     Result.AheadMs = std::max(Result.AheadMs, State.BacklogMs);
     Result.StartMs = std::max(Result.StartMs, State.startMs());
@@ -77,7 +77,7 @@
 public:
   void offer(Sharing Candidate, const PromptWork &Work,
              const PlacementTimes &Times, const PlacementWeights &Weights) {
-    const bool IsFirst = this->Best.Taken.empty();
+    const bool IsFirst = this->Best.Engines.empty();
     this->SoonestMs = IsFirst
                           ? Candidate.FirstTokenMs
                           : std::min(this->SoonestMs, Candidate.FirstTokenMs);
@@ -100,7 +100,7 @@
     Result.FirstTokenMs = this->Best.FirstTokenMs;
     Result.SoonestMs = this->SoonestMs;
     Result.GainMs = this->BestGain;
-    std::ranges::remove_copy(this->Best.Taken,
+    std::ranges::remove_copy(this->Best.Engines,
                              std::back_inserter(Result.Helpers), Decoder);
     return Result;
   }
@@ -123,9 +123,9 @@
 /// answer: one with enough memory, preferably one with tighter gap bounds, and
 /// with the fewest running requests.
 std::size_t decoderAmong(std::span<const EngineState> States,
-                         std::span<const std::size_t> Taken,
+                         std::span<const std::size_t> Engines,
                          const PromptWork &Work) {
-  return *std::ranges::min_element(Taken, {}, [&](std::size_t Index) {
+  return *std::ranges::min_element(Engines, {}, [&](std::size_t Index) {
     const EngineState &State = States[Index];
     const bool Full = Work.Tokens > State.FreeTokens || State.FreeSlots == 0;
     return std::tuple(Full, !hasTighterGaps(State, Work.MaxGapMs),
@@ -134,14 +134,16 @@
 }
 
 PromptPlacement placeAmong(std::span<const EngineState> States,
-                           std::span<const std::size_t> Among,
+                           std::span<const std::size_t> Candidates,
                            const PromptWork &Work, const PlacementTimes &Times,
                            const PlacementWeights &Weights) {
-  const std::size_t MaxParts = std::min(Among.size(), Weights.MaxHelpers + 1);
+  const std::size_t MaxParts =
+      std::min(Candidates.size(), Weights.MaxHelpers + 1);
   BestSharing Found;
   for (std::size_t Count = 1; Count <= MaxParts; ++Count)
-    Found.offer(sharingAmong(States, Among, Work, Count), Work, Times, Weights);
-  return Found.placedAt(decoderAmong(States, Found.best().Taken, Work));
+    Found.offer(sharingAmong(States, Candidates, Work, Count), Work, Times,
+                Weights);
+  return Found.placedAt(decoderAmong(States, Found.best().Engines, Work));
 }
 
 /// Returns whether the end of the engine's current prefill is predictable.
@@ -206,22 +208,22 @@
   BestSharing Found;
   for (std::size_t Count = 2; Count <= MaxParts; ++Count) {
     const std::uint64_t Share = evenShare(Work.Tokens, Count);
-    const auto Roomy = indicesOf(States, [&](const EngineState &State) {
+    const auto WithMemory = indicesOf(States, [&](const EngineState &State) {
       // A memory reservation takes several requests to the engine.
       return Share + Margin <= State.FreeTokens && State.FreeSlots > 0 &&
              !State.IsLimited && isPredictable(State, Weights);
     });
-    if (Roomy.size() >= Count)
-      Found.offer(sharingAmong(States, Roomy, Work, Count), Work, Times,
+    if (WithMemory.size() >= Count)
+      Found.offer(sharingAmong(States, WithMemory, Work, Count), Work, Times,
                   Weights);
   }
   const Sharing &Best = Found.best();
-  if (Best.Taken.empty())
+  if (Best.Engines.empty())
     return std::nullopt;
   PromptWork Part = Work;
-  Part.Tokens = evenShare(Work.Tokens, Best.Taken.size());
+  Part.Tokens = evenShare(Work.Tokens, Best.Engines.size());
   PromptPlacement Result =
-      Found.placedAt(decoderAmong(States, Best.Taken, Part));
+      Found.placedAt(decoderAmong(States, Best.Engines, Part));
   Result.Helpers.insert(Result.Helpers.begin(), Result.Chosen);
   Result.ReservingHelpers = Result.Helpers.size();
   Result.ReservedTokens = Part.Tokens;
--- a/src/plugins/enginememory/EngineMemoryPlugin.cpp
+++ b/src/plugins/enginememory/EngineMemoryPlugin.cpp
@@ -127,8 +127,8 @@
                                 Time Now, Actions &Out) {
   if (Reserved.Decided)
     return;
-  const auto CountOf = [&](Stage Wanted) {
-    return std::ranges::count(Reserved.Shares, Wanted, &Share::Status);
+  const auto CountOf = [&](Stage Status) {
+    return std::ranges::count(Reserved.Shares, Status, &Share::Status);
   };
   const bool All = CountOf(Stage::Held) ==
                    static_cast<std::ptrdiff_t>(Reserved.Shares.size());
