--- a/src/app/GatewayTraffic.cpp
+++ b/src/app/GatewayTraffic.cpp
@@ -17,8 +17,8 @@
 /// body is not read.
 constexpr std::size_t MaxReportBytes = 256ULL * 1024;
 
-/// How many names of unknown headers are logged. Further names are only
-/// counted.
+/// Maximum number of unknown header names that are logged. Further names are
+/// only counted.
 constexpr std::size_t MaxUnknownHeaders = 32;
 
 StoreObserved storeObserved(StoreObserved::Part Part, bool Reachable,
@@ -397,8 +397,8 @@
     this->count("announcements", std::holds_alternative<AppendAccepted>(Result)
                                      ? "taken"
                                      : "failed");
-    // A lost withdrawal is not retried: peers detect the death of a host that
-    // stops.
+    // A failed withdrawal is not retried, because peers detect the death of a
+    // stopped host.
     if (std::holds_alternative<AppendAccepted>(Result) || !Present)
       co_return;
     Pause.expires_after(Retry);
--- a/src/app/GatewayTraffic.h
+++ b/src/app/GatewayTraffic.h
@@ -93,8 +93,8 @@
   std::shared_ptr<KeyedFollower> Engines;
   HttpClient Client;
   EngineLinkPool Links;
-  /// Prevents a relay that was dispatched before an upstream requested a
-  /// backoff from being sent after the request.
+  /// The backoffs that upstreams requested. A relay that control dispatched
+  /// before it learned of a backoff is not sent during the backoff.
   EngineBackoffs Backoffs;
   PendingAnswers<AnswerResolve> ResolveAnswers;
   std::map<RequestId, std::shared_ptr<CallerSide>> Callers;
--- a/src/libs/relay/EngineRun.cpp
+++ b/src/libs/relay/EngineRun.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// Requests with larger bodies are written while the answer is read. A request
-/// of up to this size fits into the socket buffers of a connection. Writing a
-/// larger one can block until the upstream reads it, and the upstream may
-/// answer before it has read the whole body.
+/// whose header and body are no larger fits into the socket buffers of a
+/// connection. Writing a larger one can block until the upstream reads it, and
+/// the upstream may answer before it has read the whole body.
 constexpr std::size_t MaxSequentialWriteBytes = 16ULL * 1024;
 
 /// Returns the `timeout=N` parameter of the Keep-Alive header, or zero.
@@ -185,7 +185,8 @@
   Listener.OnSignals(this->Protocol.signalsOf(Head, *CallerReq));
   const AnswerClass Class = this->Protocol.classifyAnswer(Head, *CallerReq);
   if (const auto *NotRun = std::get_if<NotRunAnswer>(&Class)) {
-    // The body is not read, so the connection is not reused.
+    // Reading the body only to reuse the connection is not worthwhile, so the
+    // connection is closed.
     co_return NotRun->Details;
   }
   if (const auto *Invalid = std::get_if<InvalidAnswer>(&Class))
--- a/src/plugins/enginelimits/EngineLimitsPlugin.cpp
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.cpp
@@ -17,10 +17,11 @@
 /// over which an engine counts its requests.
 constexpr milliseconds LeaseTtl(400);
 
-/// Interval after which an unanswered request is repeated, before it expires.
+/// Interval after which an unanswered request for quota is repeated. It ends
+/// before the request expires at the allocator; see RequestTtl.
 constexpr milliseconds RequestRetry(400);
 
-/// Quota is requested while a request for the engine was this recent.
+/// How long quota is still requested after the last request for the engine.
 constexpr milliseconds WantedFor(600);
 
 /// Limit in requests a second that is assumed when a limit cannot be parsed and
--- a/src/plugins/enginelimits/EngineLimitsPlugin.h
+++ b/src/plugins/enginelimits/EngineLimitsPlugin.h
@@ -17,8 +17,8 @@
 /// Tracks the limits that engines name in their answers: requests per second,
 /// from all hosts together. A host that reads a limit reports it to the others
 /// at once. From then on, a request to the engine requires quota. One active
-/// host, which all hosts compute alike, leases the quota to the hosts that
-/// request it.
+/// host, the allocator, leases the quota to the hosts that request it. All
+/// hosts compute the same allocator for an engine.
 class EngineLimitsPlugin : public Plugin,
                            public EngineQuota,
                            public RelayObserver,
@@ -42,12 +42,12 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  /// State of one engine that names a limit, or did.
+  /// State of one engine that names a limit or named one earlier.
   struct LimitedEngine {
     LimitState State;
     HostId Allocator;
     HeldQuota Held;
-    std::uint32_t HeldShown = 0; ///< Last value of the gauge.
+    std::uint32_t HeldShown = 0; ///< Held quota that the gauge shows.
     Time WantedAt{};          ///< When a request was last meant for the engine.
     Time NextRequest = Never; ///< When to request quota next.
     Time RequestedAt{};       ///< When quota was last requested.
--- a/src/plugins/engineload/EngineLoad.h
+++ b/src/plugins/engineload/EngineLoad.h
@@ -13,10 +13,11 @@
 /// The work of one attempt on one engine.
 struct LoadItem {
   AttemptId Attempt;
-  /// Until the first token, alone on the engine; 0 once decoding.
+  /// Predicted time until the first token if nothing else ran on the engine; 0
+  /// once decoding.
   double PrefillMs = 0;
   std::uint64_t MemoryTokens = 0;
-  /// One engine prefills the prompt beside running answers.
+  /// The prompt is short: one engine prefills it beside running answers.
   bool IsShort = false;
   GapGroup Answer; ///< Value 0 on engines that prefill only a part.
   bool IsDecoding = false;
@@ -43,7 +44,7 @@
   std::uint64_t memoryTokens(Time Now) const;
   /// Returns the context length of the running answers, in tokens.
   std::uint64_t contextTokens(Time Now) const;
-  /// Returns the requests with short prompts, in prefill or decoding.
+  /// Returns the number of requests with short prompts, in prefill or decoding.
   std::uint32_t shortRunning(Time Now) const;
   /// Returns the running answers, grouped by their inter-event gap bound.
   std::vector<GapGroup> answers(Time Now) const;
--- a/src/plugins/engineload/SharedPlacement.cpp
+++ b/src/plugins/engineload/SharedPlacement.cpp
@@ -55,7 +55,8 @@
   double DelayedValueMs = 0; ///< In the unit of GapGroup::ValueMs.
 };
 
-/// \p Among has at least \p Count engines.
+/// Returns the split over the \p Count best engines of \p Candidates, which has
+/// at least \p Count engines.
 Sharing sharingAmong(std::span<const EngineState> States,
                      std::span<const std::size_t> Candidates,
                      const PromptWork &Work, std::size_t Count) {
@@ -112,7 +113,8 @@
 };
 
 /// Returns whether the engine already decodes answers with a shorter gap bound.
-/// No long part is placed there, which also protects one more answer.
+/// Long parts are not placed on such an engine, so that they do not delay
+/// another answer there either.
 bool hasTighterGaps(const EngineState &State, double MaxGapMs) {
   return std::ranges::any_of(State.Answers, [&](const GapGroup &Group) {
     return Group.GapMs < MaxGapMs;
@@ -166,7 +168,7 @@
   if (FirstTokenMs <= BudgetMs)
     return 1;
   if (FirstTokenMs <= Times.ObjectiveMs) {
-    // The prediction error is of this order, so the value falls gradually.
+    // Predictions err by a part of this range, so the value falls gradually.
     const double Share =
         (FirstTokenMs - BudgetMs) / (Times.ObjectiveMs - BudgetMs);
     return 1 - Share * (1 - Weights.LateShare);
@@ -209,7 +211,8 @@
   for (std::size_t Count = 2; Count <= MaxParts; ++Count) {
     const std::uint64_t Share = evenShare(Work.Tokens, Count);
     const auto WithMemory = indicesOf(States, [&](const EngineState &State) {
-      // A memory reservation takes several requests to the engine.
+      // A memory reservation takes several requests to the engine, so limited
+      // engines are excluded.
       return Share + Margin <= State.FreeTokens && State.FreeSlots > 0 &&
              !State.IsLimited && isPredictable(State, Weights);
     });
--- a/src/plugins/engineload/SharedPlacement.h
+++ b/src/plugins/engineload/SharedPlacement.h
@@ -8,10 +8,11 @@
 
 namespace banyanpick {
 
-/// Splits the prompt evenly over the number of engines with the highest gain:
-/// the value of the answer at its predicted time, less the value of the answers
-/// that the parts would delay. Parts on many engines are short and fit into the
-/// gaps of running answers; where they do not fit, idle engines are used.
+/// Splits the prompt into even parts, one for each engine. Selects the number
+/// of parts with the highest gain: the value of the answer at its predicted
+/// time, less the value of the running answers that the parts would delay. Many
+/// parts are short, so that they fit into the inter-token gaps of running
+/// answers; where they do not fit, idle engines are used.
 PromptPlacement placeShared(std::span<const EngineState> States,
                             const PromptWork &Work, const PlacementTimes &Times,
                             const PlacementWeights &Weights);
@@ -28,7 +29,7 @@
 /// The chosen engine is the first of the helpers.
 ///
 /// Such prompts are placed beside running answers, because their parts are
-/// small enough: waiting for idle engines took longer than callers wait.
+/// small enough. Waiting for idle engines took longer than callers wait.
 ///
 /// Returns nothing while too few engines have memory for a part.
 std::optional<PromptPlacement>
@@ -37,8 +38,8 @@
                       const PlacementTimes &Times,
                       const PlacementWeights &Weights);
 
-/// Returns the value of an answer with this first-token time, as a share of an
-/// answer in time.
+/// Returns the value of an answer whose first token arrives at \p FirstTokenMs,
+/// as a share of the value of an answer in time.
 double creditAt(double FirstTokenMs, const PlacementTimes &Times,
                 const PlacementWeights &Weights);
 
--- a/src/plugins/limits/ShareTracker.cpp
+++ b/src/plugins/limits/ShareTracker.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Fraction of the total demand that is added to the demand of each host, so
-/// that a host without demand keeps some units for its first request.
+/// Fraction of the total demand that is added to the demand of each host of the
+/// split, so that a host without demand keeps some units for its first request.
 constexpr double IdleDemand = 0.03;
 
-/// Transfers smaller than this part of the whole limit are not sent.
+/// Transfers smaller than the whole limit divided by this number are not worth
+/// a message.
 constexpr std::uint64_t MinMoveDivisor = 50;
 
 /// Computes the units that should have moved from one host to another since the
@@ -116,7 +117,7 @@
     return;
   const PeerBalance Peer = Found->second;
   // A host without a base share returns no more units to another host than it
-  // received from that host.
+  // received from that host, so the difference is not negative.
   this->Held += Peer.Sent - Peer.Received;
   this->Balances.erase(Found);
 }
--- a/src/plugins/limits/ShareTracker.h
+++ b/src/plugins/limits/ShareTracker.h
@@ -1,9 +1,9 @@
 /// \file
-/// The units of a team's limit that one host holds in one split. Hosts transfer
-/// units by cumulative counts, as in a bounded counter (Balegas et al., 2015).
-/// The sender reduces its own share before it sends a message. A repeated
-/// message has no effect. A lost message reduces the capacity until the message
-/// is repeated.
+/// The units of a team's limit that one host holds in one split, which divides
+/// the limit among hosts. Hosts transfer units by cumulative counts, as in a
+/// bounded counter (Balegas et al., 2015). The sender reduces its own share
+/// before it sends a message. A repeated message has no effect. A lost message
+/// reduces the capacity until the message is repeated.
 #pragma once
 
 #include "plugins/limits/ShareView.h"
--- a/src/plugins/log/LogPlugin.cpp
+++ b/src/plugins/log/LogPlugin.cpp
@@ -1,4 +1,3 @@
-/// \file
 #include "plugins/log/LogPlugin.h"
 
 #include "base/EventNumbers.h"
--- a/src/plugins/membership/PeerTable.cpp
+++ b/src/plugins/membership/PeerTable.cpp
@@ -14,12 +14,14 @@
 /// A peer is not suspected for one lost message.
 constexpr std::uint32_t MinUnanswered = 2;
 
-/// Each wrong suspicion lengthens the suspicion timeout of the host, so that a
-/// host that is hard to reach is no longer suspected again and again.
+/// Maximum number of refutations that count. Each one lengthens the suspicion
+/// timeout of the host, so that a host that is hard to reach is no longer
+/// suspected again and again.
 constexpr double MaxRefutations = 4;
+/// Time after which one refutation fewer counts.
 constexpr seconds RefutationDecay(4);
 
-/// Upper bound of the lateness that a host may report.
+/// Upper bound of the reported lateness that lengthens the suspicion timeout.
 constexpr seconds MaxReportedLateness(3);
 
 double currentRefutations(const PeerRecord &Record, Time Now) {
--- a/src/plugins/membership/PeerTable.h
+++ b/src/plugins/membership/PeerTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Holds the known state of the other entry hosts.
+/// The state of the other entry hosts, as known on this host.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -30,7 +30,7 @@
   Time ProbedAt = Never; ///< When the first unanswered heartbeat was sent.
   Time LastProbedAt{};   ///< When the last heartbeat was sent.
   std::uint32_t Unanswered = 0; ///< Heartbeats sent since the peer was heard.
-  Duration Late{};              ///< How late the peer reports that it runs.
+  Duration Late{};              ///< Lateness of its timers, as it reports.
   double Refutations = 0;       ///< Recent refutations; decays over time.
   Time RefutedAt{};
   bool SuspectedHere = false; ///< This host itself detected the failure.
@@ -87,7 +87,8 @@
                    bool AcceptUnconfirmed, Time Now);
   /// Records a heartbeat that was sent to the peer and expects an answer.
   void noteProbe(std::size_t Index, std::uint64_t Sequence, Time Now);
-  /// Extends the answers of a sample of the peers to all peers in state alive.
+  /// Records all peers in state alive as heard at \p HeardAt, because a sample
+  /// of the peers has answered.
   void noteSample(Time HeardAt);
   /// Marks silent peers as suspect or dead, and removes expired ones.
   /// \p TimeoutMultiplier lengthens the suspicion timeout.
--- a/src/plugins/quarantine/SuspectTracker.cpp
+++ b/src/plugins/quarantine/SuspectTracker.cpp
@@ -14,7 +14,7 @@
 /// Time after which a suspect's run on a peer expires without further notices.
 constexpr Duration PeerRunTimeout = seconds(120);
 
-/// Time slots of suspects with shared evidence.
+/// Number of time slots over which suspects with shared evidence are spread.
 constexpr std::uint64_t Slots = 4;
 constexpr Duration SlotLength = milliseconds(250);
 
--- a/src/plugins/quarantine/SuspectTracker.h
+++ b/src/plugins/quarantine/SuspectTracker.h
@@ -66,8 +66,8 @@
   /// Called when a peer starts to run the suspect on this upstream.
   void setPeerRun(Fingerprint Content, const UpstreamId &Upstream, Time Now);
   /// Called when a peer no longer runs the suspect. The run still counts for
-  /// CommonCause, because the peer may have detected the death of the upstream
-  /// before this host does.
+  /// the time SuspectPolicy::CommonCause, because the peer may have detected
+  /// the death of the upstream before this host does.
   void endPeerRun(Fingerprint Content, Time Now);
   /// Called when the content completed, was quarantined or was released.
   /// Returns whether it was a suspect.
@@ -88,7 +88,7 @@
     Fingerprint Content;
     TeamId Team;
     std::vector<UpstreamId> Upstreams; ///< More than one for a group.
-    bool IsCounted = false;            ///< The upstream's death is recorded.
+    bool IsCounted = false; ///< The death of an upstream is recorded.
   };
   struct Suspicion {
     std::uint32_t Deaths = 0;
