--- a/tests/auto/manyhosts/HostSimulation.h
+++ b/tests/auto/manyhosts/HostSimulation.h
@@ -40,8 +40,8 @@
   std::size_t peakBufferedBytes(std::size_t Host) const {
     return this->Hosts[Host].PeakBufferedBytes;
   }
-  /// Returns the number of pairs of running, connected hosts of which one has
-  /// the other in a state other than alive.
+  /// Returns the number of ordered pairs of running, connected hosts of which
+  /// the first regards the second as not alive.
   std::size_t falseSuspicions() const;
 
   void run(Duration For);
@@ -101,12 +101,13 @@
   /// begun after two seconds.
   void sendRequest(std::size_t Host, Duration RunsFor);
 
-  /// Returns the hosts that the given host returns to a caller now.
+  /// Returns the hosts that \p Host would name now in its answer to a resolve
+  /// request.
   std::vector<std::size_t> resolvedHosts(std::size_t Host);
   std::uint64_t versionAt(std::size_t Host) const;
   bool knowsLeaving(std::size_t Host, std::size_t Engine) const;
 
-  /// Counts of all hosts since the last call.
+  /// Counts over all hosts since the last call of takeTally().
   struct Tally {
     std::map<std::string, std::uint64_t> Messages; ///< By kind.
     std::uint64_t StoreReads = 0; ///< Reads of configuration and registry.
--- a/tests/harness/VirtualDeployment.h
+++ b/tests/harness/VirtualDeployment.h
@@ -181,10 +181,10 @@
   void sendChunks(FakeEngine &Engine, EngineStream &Stream, ChunkBatch Chunks);
   void storeInLog(const std::vector<LogRecord> &Records);
 
+  enum class Reachability { Open, Cut, Refused };
   /// Runs \p Work at the upstream after the network delay. Returns Cut when
   /// messages to the upstream are dropped, and Refused when the upstream does
   /// not run.
-  enum class Reachability { Open, Cut, Refused };
   Reachability sendToUpstream(const std::string &From,
                               const std::string &Upstream,
                               std::function<void()> Work);
@@ -195,7 +195,7 @@
   void replyAfter(Duration Delay, VirtualHost &To, Incarnation Life,
                   Event Answer);
 
-  // The following update the caller records.
+  // Each of the following updates the records of callers.
   void accepted(std::size_t Caller, VirtualHost &From,
                 const std::string &Token);
   void chunksTo(std::size_t Caller, VirtualHost &From, Fingerprint Content,
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -17,7 +17,7 @@
 using standins::demoStream;
 
 /// Allowed lateness of an answer after the timeout of its caller. It covers the
-/// timers of both sides and other load on the machine.
+/// inaccuracy of the timers on both sides and other load on the machine.
 constexpr milliseconds LatenessMargin(1500);
 /// Time after a fault during which it may still affect requests, because data
 /// is read again from another source and hosts reconnect to each other.
