--- a/src/libs/http/HttpServer.h
+++ b/src/libs/http/HttpServer.h
@@ -53,7 +53,7 @@
   Task<bool> serveOne(std::shared_ptr<Connection> Peer);
   Task<bool> serveBody(std::shared_ptr<Connection> Peer,
                        Connection::Parser &Parser);
-  /// Reads the body, for which the caller has reserved a part of the budget of
+  /// Reads the body, for which serveBody() has reserved a part of the budget of
   /// all bodies. Returns false if the connection must be closed.
   Task<bool> readBody(std::shared_ptr<Connection> Peer,
                       Connection::Parser &Parser);
--- a/src/plugins/membership/PeerTable.h
+++ b/src/plugins/membership/PeerTable.h
@@ -30,7 +30,7 @@
   Time ProbedAt = Never; ///< When the first unanswered heartbeat was sent.
   Time LastProbedAt{};   ///< When the last heartbeat was sent.
   std::uint32_t Unanswered = 0; ///< Heartbeats sent since the peer was heard.
-  Duration Late{};              ///< Lateness of its timers, as it reports.
+  Duration Late{};              ///< Delay of its heartbeats, as it reports.
   double Refutations = 0;       ///< Recent refutations; decays over time.
   Time RefutedAt{};
   bool SuspectedHere = false; ///< This host itself detected the failure.
