--- a/src/libs/kernel/Action.h
+++ b/src/libs/kernel/Action.h
@@ -74,7 +74,8 @@
 
   bool operator==(const DispatchAttempt &) const = default;
 };
-/// Drops the attempt and asks the upstream to free its resources.
+/// Drops the attempt and asks the upstream to free the resources that it holds
+/// for the attempt.
 struct CancelAttempt {
   AttemptId Attempt;
   UpstreamId Upstream;
--- a/src/libs/kernel/PeerMessage.h
+++ b/src/libs/kernel/PeerMessage.h
@@ -254,7 +254,8 @@
 
     bool operator==(const Item &) const = default;
   };
-  std::vector<Item> Items; ///< The sender has no work on other engines.
+  /// Engines that are not listed have no work from the sender.
+  std::vector<Item> Items;
   /// A prompt that waits at the sender until several engines can prefill it
   /// together.
   struct QueuedPrompt {
--- a/src/libs/wire/PeerCodec.cpp
+++ b/src/libs/wire/PeerCodec.cpp
@@ -376,7 +376,7 @@
   Result.EnginesKnownTo = In.engines_known_to();
   Result.EnginesDigest = In.engines_digest();
   // Larger values are clamped to one day so that time arithmetic can't
-  // overflow.
+  // overflow. Receivers treat all values above one day alike.
   constexpr std::uint64_t OldestUs = 86'400'000'000;
   if (In.has_store_age_us())
     Result.StoreAge = Duration(std::min(In.store_age_us(), OldestUs));
--- a/src/libs/wire/WireChecks.h
+++ b/src/libs/wire/WireChecks.h
@@ -34,8 +34,8 @@
 }
 
 /// Returns an age or a wait in milliseconds, clamped to the range from zero to
-/// one day so that time arithmetic can't overflow. Throws when it is not
-/// finite.
+/// one day so that time arithmetic can't overflow. Receivers treat all values
+/// above one day alike. Throws when it is not finite.
 inline double checkedMilliseconds(double Milliseconds) {
   constexpr double LongestMs = 86'400'000;
   return std::clamp(checkedNumber(Milliseconds), 0.0, LongestMs);
--- a/tests/auto/gatewayrandom/GatewaySimulation.cpp
+++ b/tests/auto/gatewayrandom/GatewaySimulation.cpp
@@ -18,7 +18,8 @@
 constexpr milliseconds ReadPause(50);
 constexpr milliseconds StoreRetry(400);
 constexpr seconds ReadWait(2);
-/// Time without faults before the checks.
+/// Time without faults before the checks. The deployment must recover within
+/// this time after the last fault.
 constexpr seconds QuietFor(16);
 /// All requests of the last part of the quiet time must be answered completely.
 constexpr seconds CalmFor(5);
