--- a/src/plugins/engineload/Deferral.h
+++ b/src/plugins/engineload/Deferral.h
@@ -39,7 +39,7 @@
 /// Returns whether the first token would come after the caller's deadline on
 /// every engine; such a prompt is refused at once. While slots are scarce, this
 /// includes a prompt whose first token would leave no time to decode the
-/// answer.
+/// answer, because it would only take engine time from other prompts.
 bool cannotBeServed(const PromptPlacement &Place, const DeferralTimes &Times,
                     double Scarcity);
 
--- a/src/plugins/engineload/EngineLoadPlugin.h
+++ b/src/plugins/engineload/EngineLoadPlugin.h
@@ -105,7 +105,7 @@
   void remove(const RelayAttempt &Attempt, Time Now);
   void takePeerWork(const HostId &From, const EngineWork &Work, Time Now);
   void reportWork(Time Now, Actions &Out);
-  /// the change is reported without the rate limit for short work.
+  /// \p Soon: the change is reported without the rate limit for short work.
   void noteChange(bool Soon, Time Now);
   bool isReportedSoon(const RelayAttempt &Attempt) const;
   /// Returns the peers that select engines and therefore need this host's
--- a/src/plugins/engineload/SharedPlacement.h
+++ b/src/plugins/engineload/SharedPlacement.h
@@ -29,7 +29,8 @@
 /// The chosen engine is the first of the helpers.
 ///
 /// Such prompts are placed beside running answers, because their parts are
-/// small enough. Waiting for idle engines took longer than callers wait.
+/// small enough. While most engines decode, waiting for idle engines took
+/// longer than callers wait.
 ///
 /// Returns nothing while too few engines have memory for a part.
 std::optional<PromptPlacement>
--- a/src/plugins/enginesignals/EngineSignalsPlugin.h
+++ b/src/plugins/enginesignals/EngineSignalsPlugin.h
@@ -40,7 +40,8 @@
                 Actions &Out);
   /// Returns whether the engine was not known to leave.
   bool startLeaving(const UpstreamId &Engine, Time Now, Actions &Out);
-  /// Sends the current signals to hosts that have become active.
+  /// Sends the current signals to hosts that have become active, because they
+  /// did not receive the earlier reports.
   void sendToNewcomers(Time Now, Actions &Out);
   void sendTo(std::span<const HostId> To, const EngineSignals &Message,
               Actions &Out) const;
--- a/src/plugins/enginetrust/TrustRecord.cpp
+++ b/src/plugins/enginetrust/TrustRecord.cpp
@@ -11,8 +11,8 @@
 /// Minimum number of answers for a significant share of failures.
 constexpr std::uint32_t MinAnswers = 5;
 
-/// Consecutive broken answers that eject an engine. A single lost answer is
-/// tolerated.
+/// Consecutive broken answers that eject an engine. A single lost answer among
+/// many does not show that the engine is faulty.
 constexpr std::uint32_t BrokenInARow = 2;
 
 /// Maximum number of times that an ejection time is doubled.
--- a/tests/auto/gateway/QuotaAllocatorTest.cpp
+++ b/tests/auto/gateway/QuotaAllocatorTest.cpp
@@ -111,7 +111,7 @@
   std::uint64_t Number = 0;
   double Used = 0;
   std::vector<std::pair<Time, double>> Uses;
-  // The rate has a lower bound.
+  // An engine with a lower limit still gets occasional requests.
   const double Rate = std::max(PerSecond, MinRate);
   for (int Step = 0; Step < 200; ++Step) {
     Now += milliseconds(*rc::gen::inRange(0, 200));
