--- a/src/plugins/relays/CallerRetryDetector.h
+++ b/src/plugins/relays/CallerRetryDetector.h
@@ -13,7 +13,8 @@
 /// Recognizes retries of callers by their remaining time. A request only states
 /// how long its caller still waits. Callers of one route start with similar
 /// times, so a request with clearly less time is a retry. A caller that has
-/// retried once must not be asked to retry again.
+/// retried once might not retry again after a second refusal, so it must not be
+/// asked to.
 class CallerRetryDetector {
 public:
   /// Records the request and returns whether it is a first attempt.
--- a/src/plugins/relays/RelaysPlugin.cpp
+++ b/src/plugins/relays/RelaysPlugin.cpp
@@ -19,9 +19,10 @@
 constexpr milliseconds MinAttemptTime(20);
 
 /// Share of the retry budget's constant part that the active hosts may use. The
-/// other hosts have the remainder, for callers that kept an earlier address.
-/// The share is not larger because a host that replaces a dead one gets its
-/// part while the dead host's retries are still in the window.
+/// other hosts have the remainder, for callers that still use an earlier answer
+/// of host discovery. The share is not larger because a host that replaces a
+/// dead one gets its part while the dead host's retries are still in the
+/// window.
 constexpr double ActiveHostsBudgetShare = 0.6;
 
 /// Whether the attempt is lost with the engine: it runs there, or the engine
--- a/src/plugins/relays/RunningRelay.h
+++ b/src/plugins/relays/RunningRelay.h
@@ -33,9 +33,11 @@
   bool IsLimitedByRoute = false; ///< The deadline is the route's time limit.
 
   std::optional<RelayAttempt> LiveAttempt;
-  Time AnswerTimeoutAt = Never;     ///< When the live attempt is abandoned.
-  std::vector<UpstreamId> RanOn;    ///< Engines where it ran or may have run.
-  std::vector<UpstreamId> NotRunOn; ///< Engines that recently did not run it.
+  Time AnswerTimeoutAt = Never;  ///< When the live attempt is abandoned.
+  std::vector<UpstreamId> RanOn; ///< Engines where it ran or may have run.
+  /// Engines that recently refused it or were not reached. It certainly did not
+  /// run there.
+  std::vector<UpstreamId> NotRunOn;
   std::uint32_t Sends = 0;
   /// Set while memory is being reserved.
   std::optional<SelectedEngine> PendingReservation;
--- a/src/plugins/routing/RoutingSettings.h
+++ b/src/plugins/routing/RoutingSettings.h
@@ -30,7 +30,7 @@
   std::uint64_t OwnCandidates = 0;   ///< Sampled in the own zone.
   std::uint64_t OtherCandidates = 0; ///< Sampled in other zones.
   Duration CrossZoneDelay{};         ///< Added for engines of other zones.
-  Duration EngineQueue{};            ///< Maximum wait ahead on an engine.
+  Duration EngineQueue{};            ///< Maximum wait for prefill on an engine.
   Duration LongQueue{};              ///< The same for long prompts.
   std::uint64_t LongPrompt = 0;      ///< Uncached tokens of a long prompt.
   Duration StepDelay{};      ///< Remaining time of a lower-priority step.
