--- a/src/plugins/fleet/UpstreamTable.cpp
+++ b/src/plugins/fleet/UpstreamTable.cpp
@@ -10,7 +10,8 @@
 constexpr std::size_t MaxPastIncarnations = 8;
 /// Relayed reports arrive less often than answers to own polls.
 constexpr int RelayedStaleFactor = 3;
-/// Consecutive refused connections after which the upstream counts as dead.
+/// Consecutive refused connections after which no process is assumed to listen
+/// at the address, so that the upstream counts as dead.
 constexpr std::uint32_t RefusalsUntilDead = 2;
 
 template <class Index, class Key>
--- a/src/plugins/groups/GroupReservation.h
+++ b/src/plugins/groups/GroupReservation.h
@@ -25,7 +25,7 @@
   std::uint64_t TokensEach = 0;
   Time Deadline{};            ///< Deadline of the request and of its holds.
   std::uint32_t Attempts = 0; ///< Attempts started so far.
-  Time Due{}; ///< Timeout of the pending hold, or time of the next attempt.
+  Time Due{}; ///< Timeout of the requested hold, or time of the next attempt.
   enum class State { Waiting, Acquiring, Acquired } Status = State::Waiting;
 
   /// Returns a reservation with all members pending, in engine order.
--- a/src/plugins/log/AppendQueue.h
+++ b/src/plugins/log/AppendQueue.h
@@ -43,8 +43,8 @@
   /// Queues the record and returns its id.
   RecordId add(LogRecordBody Body);
 
-  /// Stops appending the record. Returns true if the record was never sent to
-  /// the log and never will be.
+  /// Stops appending the record. Returns true if the record never reached the
+  /// log and never will. A refused append does not count as reaching the log.
   bool withdraw(const RecordId &Id);
 
   /// Sends the next append when none is in flight and \p Gap has passed since
@@ -56,8 +56,8 @@
   void addForPeer(LogRecord Record);
 
   /// Returns the records to send to the host that appends for this one, when
-  /// \p Gap has passed since the last call that returned records. They count as
-  /// appended without an answer and are returned again when a read that started
+  /// \p Gap has passed since records were last sent. They count as appended
+  /// without an answer and are returned again when a read that started
   /// \p Timeout later did not show them.
   std::vector<LogRecord> takeForAppender(Duration Gap, Duration Timeout,
                                          Time Now);
--- a/src/plugins/membership/MembershipPlugin.h
+++ b/src/plugins/membership/MembershipPlugin.h
@@ -53,7 +53,7 @@
   Heartbeat makeHeartbeat(Time Now);
   void contactSeeds(Time Now, Actions &Out);
   /// Returns the hosts that this one shares engines with. It probes them in
-  /// every interval.
+  /// every interval, because it needs the most current view of them.
   std::span<const HostId> partners() const;
   /// Returns the time between two heartbeats.
   Duration heartbeatInterval() const;
