--- a/src/app/RelayEntry.h
+++ b/src/app/RelayEntry.h
@@ -84,7 +84,8 @@
   struct Delivery {
     std::string Events; ///< Formatted; may be empty.
     std::uint64_t NextIndex = 0;
-    /// Another connection reads the stream now, or the next chunk is lost.
+    /// Another connection reads the stream now, or the next chunk is lost. The
+    /// writer must stop.
     bool Replaced = false;
     bool Last = false; ///< Events include the final event.
   };
--- a/src/tools/HostTransport.h
+++ b/src/tools/HostTransport.h
@@ -30,7 +30,7 @@
   std::string Problem; ///< Why there is no complete response.
 };
 
-/// Sends one request to one host.
+/// Sends one request to one host, without retries.
 class HostTransport {
 public:
   virtual ~HostTransport() = default;
--- a/tests/auto/fakes/EngineModelTest.cpp
+++ b/tests/auto/fakes/EngineModelTest.cpp
@@ -1,6 +1,7 @@
 /// \file
 /// Tests that the simulated engine produces complete answers in order, follows
-/// priorities, frees all memory and checks fencing numbers.
+/// priorities, stays within its memory, frees all of it and checks fencing
+/// numbers.
 #include "fakes/EngineModel.h"
 
 #include <gtest/gtest.h>
--- a/tests/bench/Workload.h
+++ b/tests/bench/Workload.h
@@ -46,8 +46,9 @@
 /// Returns the requests per second that just saturate the engines.
 double saturation(const DeploymentShape &Shape);
 
-/// Returns Poisson arrivals at \p Load times the saturation. \p WithLongPrompts
-/// only removes the longest prompts; all other arrivals stay the same.
+/// Returns Poisson arrivals at \p Load times the saturation. The longest
+/// prompts are left out unless \p WithLongPrompts is set; all other arrivals
+/// are the same in both cases.
 std::vector<Arrival> makeWorkload(const DeploymentShape &Shape, double Load,
                                   Duration Length, std::uint64_t Seed,
                                   bool WithLongPrompts);
--- a/tests/soak/FaultPlan.h
+++ b/tests/soak/FaultPlan.h
@@ -70,9 +70,10 @@
 /// Returns the fault with its target, for the report.
 std::string describe(const Disruption &Fault);
 
-/// Whether the fault may interrupt or delay a request to \p Host: a fault of
-/// the host itself or, for a stream, of its upstream. All other requests get a
-/// final answer in time, whatever fails behind the host.
+/// Whether the fault may interrupt or delay a request to \p Host: a kill or
+/// pause of the host, a failed link to its callers or, for a stream, the same
+/// faults of an upstream. All other requests get a final answer in time,
+/// whatever fails behind the host, and also when the host is asked to stop.
 bool mayBreakRequests(const Disruption &Fault, std::size_t Host, bool IsStream);
 
 /// Returns bursts of overlapping faults. The plan depends only on \p Seed and
--- a/tests/standins/Caller.h
+++ b/tests/standins/Caller.h
@@ -1,6 +1,7 @@
 /// \file
 /// A caller that sends a request until it has a final answer, and verifies the
-/// answer.
+/// answer. An answer is final when sending the request again would not change
+/// it.
 #pragma once
 
 #include "standins/HttpClient.h"
--- a/tests/standins/Workload.cpp
+++ b/tests/standins/Workload.cpp
@@ -32,7 +32,8 @@
 constexpr std::uint64_t ConfirmationsOneIn = 5;
 
 /// One of this many requests has a prompt of MaxPrompt tokens, independent of
-/// the drawn length, unless it is a confirmation.
+/// the drawn length, unless it is a confirmation. A random draw alone might
+/// never send the longest prompt.
 constexpr std::uint64_t MaxPromptOneIn = 150;
 constexpr std::uint64_t MaxPrompt = 1'000'000;
 
