--- a/tests/auto/catalogue/CatalogueJsonTest.cpp
+++ b/tests/auto/catalogue/CatalogueJsonTest.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST(CatalogueJson, ErrorsNamePathOfInvalidMember) {
-  const auto errorWith = [](std::string_view Pointer, const json &Value) {
+  const auto ErrorWith = [](std::string_view Pointer, const json &Value) {
     json Source = toJson(sampleSet());
     Source[json::json_pointer(std::string(Pointer))] = Value;
     return errorFor(Source);
@@ -57,9 +57,9 @@
       {"/changes", "changes is not a list"},
   };
   for (const auto &[Pointer, Expected] : Cases)
-    EXPECT_NE(errorWith(Pointer, "a b").find(Expected), std::string::npos)
-        << errorWith(Pointer, "a b");
-  EXPECT_NE(errorWith("/changes/2/body/urgency", 10).find("0 to 9"),
+    EXPECT_NE(ErrorWith(Pointer, "a b").find(Expected), std::string::npos)
+        << ErrorWith(Pointer, "a b");
+  EXPECT_NE(ErrorWith("/changes/2/body/urgency", 10).find("0 to 9"),
             std::string::npos);
   EXPECT_NE(errorFor(json::array()).find("not an object"), std::string::npos);
 }
--- a/tests/soak/FaultInjector.cpp
+++ b/tests/soak/FaultInjector.cpp
@@ -16,37 +16,37 @@
           return;
         this->Stopping.insert(Failure.Host);
         this->DownHosts.insert(Failure.Host);
-        this->Deployed.host(Failure.Host).Process->signal(SIGTERM);
+        this->Gateway.host(Failure.Host).Process->signal(SIGTERM);
       },
-      [&](const HostKilled &Failure) {
-        this->Stopping.erase(Failure.Host);
-        this->DownHosts.insert(Failure.Host);
-        this->Deployed.host(Failure.Host).Process->kill();
+      [&](const HostKilled &Kill) {
+        this->Stopping.erase(Kill.Host);
+        this->DownHosts.insert(Kill.Host);
+        this->Gateway.host(Kill.Host).Process->kill();
       },
       [&](const HostPaused &Failure) {
-        this->Deployed.host(Failure.Host).Process->signal(SIGSTOP);
+        this->Gateway.host(Failure.Host).Process->signal(SIGSTOP);
       },
-      [&](const UpstreamKilled &Failure) {
-        auto &Killed = this->Deployed.upstream(Failure.Upstream);
-        if (!this->DownUpstreams.insert(Failure.Upstream).second)
+      [&](const UpstreamKilled &Kill) {
+        auto &Killed = this->Gateway.upstream(Kill.Upstream);
+        if (!this->DownUpstreams.insert(Kill.Upstream).second)
           return;
         Killed.Process->kill();
         this->Writes.add(
-            [this, Id = Killed.Id] { this->Deployed.unregister(Id); });
+            [this, Id = Killed.Id] { this->Gateway.unregister(Id); });
       },
       [&](const UpstreamPaused &Failure) {
-        this->Deployed.upstream(Failure.Upstream).Process->signal(SIGSTOP);
+        this->Gateway.upstream(Failure.Upstream).Process->signal(SIGSTOP);
       },
       [&](const StoreRefusing &) {
         this->Writes.add(
-            [this] { this->Deployed.control("/standin/down?On=1"); });
+            [this] { this->Gateway.control("/standin/down?On=1"); });
       },
-      [&](const StorePaused &) { this->Deployed.store().signal(SIGSTOP); },
+      [&](const StorePaused &) { this->Gateway.store().signal(SIGSTOP); },
       [&](const StoreCompacted &) {
         for (const auto Topic :
              {platform::topic::Declarations, platform::topic::Engines})
           this->Writes.add([this, Topic] {
-            this->Deployed.control(
+            this->Gateway.control(
                 fmt::format("/standin/compact?Topic={}", Topic));
           });
       },
@@ -68,7 +68,7 @@
   return match(
       Fault,
       [&](const HostStopped &Failure) {
-        auto &Host = this->Deployed.host(Failure.Host);
+        auto &Host = this->Gateway.host(Failure.Host);
         if (!this->DownHosts.contains(Failure.Host))
           return true;
         if (Host.Process->isAlive())
@@ -78,39 +78,37 @@
               fmt::format("host {} ended with code {} after a planned stop",
                           Failure.Host, Host.Process->wait()));
         this->DownHosts.erase(Failure.Host);
-        this->Deployed.startHost(Host);
+        this->Gateway.startHost(Host);
         return true;
       },
-      [&](const HostKilled &Failure) {
-        auto &Host = this->Deployed.host(Failure.Host);
-        if (this->DownHosts.contains(Failure.Host) &&
-            !Host.Process->isAlive()) {
-          this->DownHosts.erase(Failure.Host);
-          this->Deployed.startHost(Host);
+      [&](const HostKilled &Kill) {
+        auto &Host = this->Gateway.host(Kill.Host);
+        if (this->DownHosts.contains(Kill.Host) && !Host.Process->isAlive()) {
+          this->DownHosts.erase(Kill.Host);
+          this->Gateway.startHost(Host);
         }
         return true;
       },
       [&](const HostPaused &Failure) {
-        this->Deployed.host(Failure.Host).Process->signal(SIGCONT);
+        this->Gateway.host(Failure.Host).Process->signal(SIGCONT);
         return true;
       },
-      [&](const UpstreamKilled &Failure) {
-        if (this->DownUpstreams.erase(Failure.Upstream) > 0)
-          this->Deployed.replaceUpstream(
-              this->Deployed.upstream(Failure.Upstream));
+      [&](const UpstreamKilled &Kill) {
+        if (this->DownUpstreams.erase(Kill.Upstream) > 0)
+          this->Gateway.replaceUpstream(this->Gateway.upstream(Kill.Upstream));
         return true;
       },
       [&](const UpstreamPaused &Failure) {
-        this->Deployed.upstream(Failure.Upstream).Process->signal(SIGCONT);
+        this->Gateway.upstream(Failure.Upstream).Process->signal(SIGCONT);
         return true;
       },
       [&](const StoreRefusing &) {
         this->Writes.add(
-            [this] { this->Deployed.control("/standin/down?On=0"); });
+            [this] { this->Gateway.control("/standin/down?On=0"); });
         return true;
       },
       [&](const StorePaused &) {
-        this->Deployed.store().signal(SIGCONT);
+        this->Gateway.store().signal(SIGCONT);
         return true;
       },
       [&](const StoreLinkFailed &Failure) {
@@ -130,14 +128,14 @@
 
 void FaultInjector::configure(bool Extra) {
   this->Writes.add([this, Version = ++this->Version, Extra] {
-    this->Deployed.configure(Version, Extra);
+    this->Gateway.configure(Version, Extra);
   });
 }
 
 void FaultInjector::checkUnexpectedExits(std::vector<std::string> &Violations) {
-  for (std::size_t Index = 0; Index < this->Deployed.hosts(); ++Index)
+  for (std::size_t Index = 0; Index < this->Gateway.hosts(); ++Index)
     if (!this->DownHosts.contains(Index) &&
-        !this->Deployed.host(Index).Process->isAlive())
+        !this->Gateway.host(Index).Process->isAlive())
       Violations.push_back(
           fmt::format("host {} ended without an injected fault", Index));
   Violations.insert(Violations.end(), this->StopProblems.begin(),
--- a/tests/soak/FaultInjector.h
+++ b/tests/soak/FaultInjector.h
@@ -21,8 +21,8 @@
 /// Injects and undoes faults. Used from one thread.
 class FaultInjector {
 public:
-  FaultInjector(process::GatewayDeployment &Deployed, SoakLinks &Links)
-      : Deployed(Deployed), Links(Links) {}
+  FaultInjector(process::GatewayDeployment &Gateway, SoakLinks &Links)
+      : Gateway(Gateway), Links(Links) {}
 
   void inject(const Disruption &Fault);
   /// Undoes a fault. Returns false if the caller must retry later, because
@@ -38,7 +38,7 @@
   void waitForStore() { this->Writes.waitUntilDone(); }
 
 private:
-  process::GatewayDeployment &Deployed;
+  process::GatewayDeployment &Gateway;
   SoakLinks &Links;
   std::set<std::size_t> Stopping; ///< Hosts asked to stop and not killed since.
   std::set<std::size_t> DownHosts;
