--- a/src/plugins/fleet/EngineFollowers.cpp
+++ b/src/plugins/fleet/EngineFollowers.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-bool goesBefore(const UpstreamId &Of, const HostId &First,
-                const HostId &Second) {
-  const std::uint64_t FirstWeight = rendezvousWeight(Of.Value, First.Value);
-  const std::uint64_t SecondWeight = rendezvousWeight(Of.Value, Second.Value);
+bool ranksBefore(const UpstreamId &Engine, const HostId &First,
+                 const HostId &Second) {
+  const std::uint64_t FirstWeight = rendezvousWeight(Engine.Value, First.Value);
+  const std::uint64_t SecondWeight =
+      rendezvousWeight(Engine.Value, Second.Value);
   if (FirstWeight != SecondWeight)
     return FirstWeight > SecondWeight;
   return First < Second;
@@ -21,12 +22,12 @@
 
 bool EngineFollowers::update(const MembershipView &Members) {
   std::vector<HostId> Next;
-  for (const Member &Each : Members.peers()) {
+  for (const Member &Peer : Members.peers()) {
     const bool Stays =
-        Each.State == MemberState::Alive || Each.State == MemberState::Suspect;
-    if (Stays && Each.Life != Incarnation() &&
-        Each.Listing.Zone == Members.selfZone())
-      Next.push_back(Each.Listing.Id);
+        Peer.State == MemberState::Alive || Peer.State == MemberState::Suspect;
+    if (Stays && Peer.Life != Incarnation() &&
+        Peer.Listing.Zone == Members.selfZone())
+      Next.push_back(Peer.Listing.Id);
   }
   const bool Changed = this->Self != Members.self() || Next != this->Others;
   this->Self = Members.self();
@@ -34,18 +35,18 @@
   return Changed;
 }
 
-std::size_t EngineFollowers::ownRank(const UpstreamId &Of) const {
-  return std::ranges::count_if(this->Others, [&](const HostId &Each) {
-    return goesBefore(Of, Each, this->Self);
+std::size_t EngineFollowers::ownRank(const UpstreamId &Engine) const {
+  return std::ranges::count_if(this->Others, [&](const HostId &Host) {
+    return ranksBefore(Engine, Host, this->Self);
   });
 }
 
-bool EngineFollowers::standsIn(const UpstreamId &Of,
-                               const MembershipView &Members) const {
-  return std::ranges::none_of(Members.peers(), [&](const Member &Each) {
-    return Each.State == MemberState::Alive &&
-           Each.Listing.Zone == Members.selfZone() &&
-           goesBefore(Of, Each.Listing.Id, this->Self);
+bool EngineFollowers::isStandIn(const UpstreamId &Engine,
+                                const MembershipView &Members) const {
+  return std::ranges::none_of(Members.peers(), [&](const Member &Peer) {
+    return Peer.State == MemberState::Alive &&
+           Peer.Listing.Zone == Members.selfZone() &&
+           ranksBefore(Engine, Peer.Listing.Id, this->Self);
   });
 }
 
--- a/src/plugins/fleet/EngineFollowers.h
+++ b/src/plugins/fleet/EngineFollowers.h
@@ -17,9 +17,9 @@
   bool update(const MembershipView &Members);
 
   /// This host's place for the upstream.
-  std::size_t ownRank(const UpstreamId &Of) const;
+  std::size_t ownRank(const UpstreamId &Engine) const;
   /// Whether the hosts before this one are all under suspicion.
-  bool standsIn(const UpstreamId &Of, const MembershipView &Members) const;
+  bool isStandIn(const UpstreamId &Engine, const MembershipView &Members) const;
 
   /// The other hosts of the zone.
   const std::vector<HostId> &others() const { return this->Others; }
--- a/src/plugins/fleet/FleetNames.h
+++ b/src/plugins/fleet/FleetHelpers.h
@@ -13,9 +13,9 @@
 std::string_view name(UpstreamState State);
 
 /// Whether the load differs enough to be worth telling.
-bool differsMuch(const LoadReport &First, const LoadReport &Second);
+bool differsSignificantly(const LoadReport &First, const LoadReport &Second);
 
 /// The zones in a list separated by commas.
-std::set<ZoneId> zonesIn(std::string_view List);
+std::set<ZoneId> parseZones(std::string_view List);
 
 } // namespace banyanpick
--- a/src/plugins/fleet/FleetPlugin.cpp
+++ b/src/plugins/fleet/FleetPlugin.cpp
@@ -3,7 +3,7 @@
 #include "base/EventNumbers.h"
 #include "base/Visitor.h"
 #include "kernel/PluginRegistry.h"
-#include "plugins/fleet/FleetNames.h"
+#include "plugins/fleet/FleetHelpers.h"
 
 #include <algorithm>
 
@@ -14,53 +14,55 @@
 /// Peers' words on their work are dropped after this many of their intervals.
 constexpr int WorkIntervalsKept = 4;
 /// Upstreams named in one message on work.
-constexpr std::size_t MostWorkItems = 12;
+constexpr std::size_t MaxWorkItems = 12;
 /// With so many peers to tell, work is told at the interval of the settings;
 /// with more it is told less often, so that the bytes sent stay the same.
 constexpr std::size_t PeersAtFullRate = 4;
 /// Hosts that poll an upstream when not all of them do.
-constexpr std::size_t PollersEach = 2;
+constexpr std::size_t PollersPerUpstream = 2;
 
 } // namespace
 
 void FleetPlugin::initialize(PluginContext &Context) {
   const Settings &Values = Context.settings();
-  const std::string_view In = "fleet";
+  const std::string_view Section = "fleet";
   this->Offered = &Context.services();
   this->Members = &Context.services().get<MembershipView>();
-  this->PollInterval = Values.span(In, "load_poll_interval");
-  this->PollTimeout = Values.span(In, "load_poll_timeout");
-  this->StaleAfter = Values.span(In, "stale_after");
-  this->RelayInterval = Values.span(In, "relay_interval");
-  this->WorkInterval = Values.span(In, "work_interval");
-  this->FullPollHosts = Values.whole(In, "full_poll_hosts");
-  this->FollowedZones = zonesIn(Values.text(In, "zones"));
-  this->Table = UpstreamTable({this->StaleAfter, Values.span(In, "dead_after"),
-                               Values.span(In, "unlisted_grace"),
-                               Values.span(In, "forget_after")});
+  this->PollInterval = Values.span(Section, "load_poll_interval");
+  this->PollTimeout = Values.span(Section, "load_poll_timeout");
+  this->StaleAfter = Values.span(Section, "stale_after");
+  this->RelayInterval = Values.span(Section, "relay_interval");
+  this->WorkInterval = Values.span(Section, "work_interval");
+  this->FullPollHosts = Values.whole(Section, "full_poll_hosts");
+  this->FollowedZones = parseZones(Values.text(Section, "zones"));
+  this->Table =
+      UpstreamTable({this->StaleAfter, Values.span(Section, "dead_after"),
+                     Values.span(Section, "unlisted_grace"),
+                     Values.span(Section, "forget_after")});
   Context.services().provide<FleetView>(*this);
   Context.services().list<RequestObserver>().add(*this);
   Context.services().list<MembershipObserver>().add(*this);
   Context.services().list<StatusContributor>().add(*this);
 }
 
-void FleetPlugin::handle(const Event &What, Time Now, Actions &Out) {
+void FleetPlugin::handle(const Event &Incoming, Time Now, Actions &Out) {
   match(
-      What, [&](const HostListRead &List) { this->takeList(List, Now); },
+      Incoming,
+      [&](const HostListRead &List) { this->applyHostList(List, Now); },
       [&](const LoadReported &Load) {
-        this->takePollAnswer(Load.Report, Now, Out);
+        this->handlePollAnswer(Load.Report, Now, Out);
       },
       [&](const LoadPollFailed &Failure) {
-        this->takePollFailure(Failure, Now);
+        this->handlePollFailure(Failure, Now);
       },
-      [&](const PeerMessageReceived &Is) {
-        this->takePeerMessage(Is.Message, Now);
+      [&](const PeerMessageReceived &Received) {
+        this->handlePeerMessage(Received.Message, Now);
       },
       [](const auto &) {});
   if (Now >= this->NextPoll)
     this->poll(Now, Out);
   if (Now >= this->NextWork)
-    this->tellWork(Now, Out);
+    this->sendWork(Now, Out);
   this->announceChanges(Now, Out);
 }
 
@@ -70,54 +72,54 @@
 
 void FleetPlugin::checkInvariants(InvariantMonitor &Monitor, Time) const {
   std::uint64_t Outstanding = 0;
-  for (const Upstream &Each : this->Table.upstreams()) {
-    Outstanding += Each.OutstandingHere;
-    const std::uint32_t *At = this->Table.position(Each.Listing.Id);
-    Monitor.require(At && &this->Table.upstreams()[*At] == &Each,
+  for (const Upstream &Entry : this->Table.upstreams()) {
+    Outstanding += Entry.OutstandingHere;
+    const std::uint32_t *Index = this->Table.position(Entry.Listing.Id);
+    Monitor.require(Index && &this->Table.upstreams()[*Index] == &Entry,
                     "each upstream is found by its name");
   }
-  Monitor.require(Outstanding <= this->Ledger.attempts(),
+  Monitor.require(Outstanding <= this->Tracker.attempts(),
                   "no upstream is charged for an attempt that ended");
 }
 
 const Upstream *FleetPlugin::find(const UpstreamId &Id) const {
-  const std::uint32_t *At = this->Table.position(Id);
-  return At ? &this->Table.upstreams()[*At] : nullptr;
+  const std::uint32_t *Index = this->Table.position(Id);
+  return Index ? &this->Table.upstreams()[*Index] : nullptr;
 }
 
-void FleetPlugin::dispatched(const Request &Asked, const Attempt &Started,
-                             Time Now, Actions &) {
-  this->Ledger.add(Asked, Started);
+void FleetPlugin::dispatched(const Request &ClientRequest,
+                             const Attempt &Started, Time Now, Actions &) {
+  this->Tracker.add(ClientRequest, Started);
   this->refreshWork(Started.Upstream);
   this->WorkChanged = true;
   this->NextWork = std::min(this->NextWork, Now + this->WorkInterval);
 }
 
-void FleetPlugin::firstToken(const Request &, const Attempt &Of, Time,
+void FleetPlugin::firstToken(const Request &, const Attempt &Attempted, Time,
                              Actions &) {
-  this->Ledger.noteFirstToken(Of.Id);
-  this->refreshWork(Of.Upstream);
+  this->Tracker.noteFirstToken(Attempted.Id);
+  this->refreshWork(Attempted.Upstream);
   this->WorkChanged = true;
 }
 
 void FleetPlugin::attemptEnded(const Request &, const Attempt &Ended,
                                const AttemptOutcome &Outcome, Time Now,
                                Actions &Out) {
-  this->Ledger.remove(Ended.Id);
+  this->Tracker.remove(Ended.Id);
   this->refreshWork(Ended.Upstream);
   this->WorkChanged = true;
-  const std::uint32_t *At = this->Table.position(Ended.Upstream);
-  if (!At)
+  const std::uint32_t *Index = this->Table.position(Ended.Upstream);
+  if (!Index)
     return;
   const auto *Refused = std::get_if<AttemptRefused>(&Outcome);
   if (Refused && Refused->Reason == AttemptRefused::Why::Leaving)
-    this->Table.noteLeaving(*At, Ended.UpstreamLife, SignSource::OwnExperience,
-                            Now);
+    this->Table.noteLeaving(*Index, Ended.UpstreamLife,
+                            ReportSource::OwnObservation, Now);
   const auto *Broken = std::get_if<AttemptBroken>(&Outcome);
   if (Broken && Broken->UpstreamDied &&
-      Ended.UpstreamLife == this->Table.upstreams()[*At].Listing.Life) {
-    this->Table.noteRefused(*At, Now);
-    this->pollOne(this->Table.upstreams()[*At], Now, Out);
+      Ended.UpstreamLife == this->Table.upstreams()[*Index].Listing.Life) {
+    this->Table.noteRefused(*Index, Now);
+    this->pollOne(this->Table.upstreams()[*Index], Now, Out);
   }
   this->announceChanges(Now, Out);
 }
@@ -125,118 +127,119 @@
 void FleetPlugin::memberChanged(const Member &Changed, Time, Actions &Out) {
   // It may be new, or have missed the notices while it was paused or cut off.
   if (Changed.State == MemberState::Alive)
-    this->remindOfLeaving(Changed.Listing.Id, Out);
+    this->sendLeavingNotices(Changed.Listing.Id, Out);
 }
 
-void FleetPlugin::remindOfLeaving(const HostId &Peer, Actions &Out) const {
-  for (const Upstream &Each : this->Table.upstreams())
-    if (Each.State == UpstreamState::Leaving)
-      Out.add(SendToPeer{Peer, UpstreamNotice{Each.Listing.Id,
-                                              Each.Listing.Life, true, false}});
+void FleetPlugin::sendLeavingNotices(const HostId &Peer, Actions &Out) const {
+  for (const Upstream &Entry : this->Table.upstreams())
+    if (Entry.State == UpstreamState::Leaving)
+      Out.add(
+          SendToPeer{Peer, UpstreamNotice{Entry.Listing.Id, Entry.Listing.Life,
+                                          true, false}});
 }
 
-void FleetPlugin::remindNextPeer(Actions &Out) {
+void FleetPlugin::resendLeavingToNextPeer(Actions &Out) {
   // Notices may be lost; each peer in turn hears them again.
   const std::vector<HostId> Peers = this->Members->livePeers();
   if (!Peers.empty())
-    this->remindOfLeaving(Peers[this->Reminded++ % Peers.size()], Out);
+    this->sendLeavingNotices(Peers[this->ResendCount++ % Peers.size()], Out);
 }
 
 void FleetPlugin::contribute(StatusReport &Report, Time Now) const {
-  for (const Upstream &Each : this->Table.upstreams())
+  for (const Upstream &Entry : this->Table.upstreams())
     Report.Upstreams.push_back(
-        {Each.Listing.Id, Each.Listing.Kind, Each.Listing.Zone,
-         std::string(name(Each.State)), Each.Report.QueuedPrefillTokens,
-         Each.Report.FreeMemoryTokens, Each.Report.MemoryTokens,
-         Each.Report.Running,
-         Each.ReportAt == Time{} ? Duration(0) : Now - Each.ReportAt});
+        {Entry.Listing.Id, Entry.Listing.Kind, Entry.Listing.Zone,
+         std::string(name(Entry.State)), Entry.Report.QueuedPrefillTokens,
+         Entry.Report.FreeMemoryTokens, Entry.Report.MemoryTokens,
+         Entry.Report.Running,
+         Entry.ReportAt == Time{} ? Duration(0) : Now - Entry.ReportAt});
 }
 
-void FleetPlugin::takeList(const HostListRead &List, Time Now) {
+void FleetPlugin::applyHostList(const HostListRead &List, Time Now) {
   std::vector<UpstreamListing> Followed;
-  for (const UpstreamListing &Each : List.Upstreams)
-    if (this->isFollowed(Each))
-      Followed.push_back(Each);
-  if (!this->Table.takeList(Followed, Now))
+  for (const UpstreamListing &Listing : List.Upstreams)
+    if (this->isFollowed(Listing))
+      Followed.push_back(Listing);
+  if (!this->Table.applyHostList(Followed, Now))
     return;
-  for (const Upstream &Each : this->Table.upstreams())
-    this->refreshWork(Each.Listing.Id);
-  std::erase_if(this->Polls, [this](const auto &Each) {
-    return !this->Table.position(Each.first);
+  for (const Upstream &Entry : this->Table.upstreams())
+    this->refreshWork(Entry.Listing.Id);
+  std::erase_if(this->Polls, [this](const auto &Entry) {
+    return !this->Table.position(Entry.first);
   });
   this->NextPoll = Now;
 }
 
-void FleetPlugin::takePollAnswer(const LoadReport &Report, Time Now,
-                                 Actions &Out) {
-  const std::uint32_t *At = this->Table.position(Report.Id);
-  if (!At)
+void FleetPlugin::handlePollAnswer(const LoadReport &Report, Time Now,
+                                   Actions &Out) {
+  const std::uint32_t *Index = this->Table.position(Report.Id);
+  if (!Index)
     return;
-  this->Polls[Report.Id].AskedAt = Never;
-  this->Table.takeOwnReport(*At, Report, Now);
-  this->Ledger.noteReport(Report.Id, Report.MeasuredAt);
+  this->Polls[Report.Id].PollSentAt = Never;
+  this->Table.applyOwnReport(*Index, Report, Now);
+  this->Tracker.noteReport(Report.Id, Report.MeasuredAt);
   this->refreshWork(Report.Id);
   if (!this->followsAll())
     this->relay(Report, Now, Out);
 }
 
-void FleetPlugin::takePollFailure(const LoadPollFailed &Failure, Time Now) {
-  const std::uint32_t *At = this->Table.position(Failure.Upstream);
-  if (!At)
+void FleetPlugin::handlePollFailure(const LoadPollFailed &Failure, Time Now) {
+  const std::uint32_t *Index = this->Table.position(Failure.Upstream);
+  if (!Index)
     return;
-  this->Polls[Failure.Upstream].AskedAt = Never;
+  this->Polls[Failure.Upstream].PollSentAt = Never;
   if (Failure.Refused)
-    this->Table.noteRefused(*At, Now);
+    this->Table.noteRefused(*Index, Now);
 }
 
-void FleetPlugin::takePeerMessage(const PeerMessage &Message, Time Now) {
+void FleetPlugin::handlePeerMessage(const PeerMessage &Message, Time Now) {
   match(
       Message.Body,
       [&](const WorkSent &Work) {
-        for (const UpstreamId &Each :
-             this->Ledger.takePeerWork(Message.From, Work, Now))
-          this->refreshWork(Each);
+        for (const UpstreamId &Id :
+             this->Tracker.applyPeerWork(Message.From, Work, Now))
+          this->refreshWork(Id);
       },
-      [&](const UpstreamNotice &Notice) { this->takeNotice(Notice, Now); },
+      [&](const UpstreamNotice &Notice) { this->handleNotice(Notice, Now); },
       [&](const LoadRelayed &Load) {
-        const std::uint32_t *At = this->Table.position(Load.Report.Id);
-        if (!At)
+        const std::uint32_t *Index = this->Table.position(Load.Report.Id);
+        if (!Index)
           return;
-        this->Table.takeRelayedReport(*At, Load.Report, Now);
-        this->Ledger.noteReport(Load.Report.Id, Load.Report.MeasuredAt);
+        this->Table.applyRelayedReport(*Index, Load.Report, Now);
+        this->Tracker.noteReport(Load.Report.Id, Load.Report.MeasuredAt);
         this->refreshWork(Load.Report.Id);
       },
       [](const auto &) {});
 }
 
-void FleetPlugin::takeNotice(const UpstreamNotice &Notice, Time Now) {
-  const std::uint32_t *At = this->Table.position(Notice.Upstream);
-  if (!At)
+void FleetPlugin::handleNotice(const UpstreamNotice &Notice, Time Now) {
+  const std::uint32_t *Index = this->Table.position(Notice.Upstream);
+  if (!Index)
     return;
   if (Notice.Leaving)
-    this->Table.noteLeaving(*At, Notice.Life, SignSource::Peer, Now);
+    this->Table.noteLeaving(*Index, Notice.Life, ReportSource::Peer, Now);
   if (Notice.Dead)
-    this->Table.noteDead(*At, Notice.Life, Now);
+    this->Table.noteDead(*Index, Notice.Life, Now);
 }
 
 void FleetPlugin::relay(const LoadReport &Report, Time Now, Actions &Out) {
-  const bool Mine = this->Followers.ownRank(Report.Id) == 0 ||
-                    this->Followers.standsIn(Report.Id, *this->Members);
-  Polling &Of = this->Polls[Report.Id];
-  const bool Urgent = Report.Life != Of.Relayed.Life ||
-                      Report.Leaving != Of.Relayed.Leaving ||
-                      Report.Models != Of.Relayed.Models;
+  const bool IsRelayer = this->Followers.ownRank(Report.Id) == 0 ||
+                         this->Followers.isStandIn(Report.Id, *this->Members);
+  PollRecord &Poll = this->Polls[Report.Id];
+  const bool Urgent = Report.Life != Poll.Relayed.Life ||
+                      Report.Leaving != Poll.Relayed.Leaving ||
+                      Report.Models != Poll.Relayed.Models;
   // Half of what receivers wait before they call the upstream unknown.
-  const Duration Wait = differsMuch(Report, Of.Relayed)
+  const Duration Wait = differsSignificantly(Report, Poll.Relayed)
                             ? this->RelayInterval
                             : this->StaleAfter * 3 / 2;
-  if (!Mine || (!Urgent && Now < Of.RelayedAt + Wait))
+  if (!IsRelayer || (!Urgent && Now < Poll.RelayedAt + Wait))
     return;
-  Of.RelayedAt = Now;
-  Of.Relayed = Report;
-  Of.Relayed.Holds.clear();
-  for (const HostId &Each : this->Followers.others())
-    Out.add(SendToPeer{Each, LoadRelayed{Of.Relayed}});
+  Poll.RelayedAt = Now;
+  Poll.Relayed = Report;
+  Poll.Relayed.Holds.clear();
+  for (const HostId &Peer : this->Followers.others())
+    Out.add(SendToPeer{Peer, LoadRelayed{Poll.Relayed}});
 }
 
 void FleetPlugin::poll(Time Now, Actions &Out) {
@@ -244,69 +247,70 @@
   const bool WasPaused =
       this->NextPoll != Time{} && Now > this->NextPoll + this->StaleAfter / 2;
   if (WasPaused)
-    this->JudgeFrom = Now + this->StaleAfter;
+    this->DetectFailuresFrom = Now + this->StaleAfter;
   this->NextPoll = Now + this->PollInterval;
-  if (Now >= this->JudgeFrom)
-    this->Table.age(Now);
-  this->remindNextPeer(Out);
+  if (Now >= this->DetectFailuresFrom)
+    this->Table.detectFailures(Now);
+  this->resendLeavingToNextPeer(Out);
   this->Followers.update(*this->Members);
   const bool All = this->followsAll();
-  for (const Upstream &Each : this->Table.upstreams())
-    if (All || this->Followers.ownRank(Each.Listing.Id) < PollersEach)
-      this->pollOne(Each, Now, Out);
-  const Time Oldest = Now - this->tellInterval() * WorkIntervalsKept;
-  for (const UpstreamId &Each : this->Ledger.dropPeerWorkBefore(Oldest))
-    this->refreshWork(Each);
+  for (const Upstream &Entry : this->Table.upstreams())
+    if (All || this->Followers.ownRank(Entry.Listing.Id) < PollersPerUpstream)
+      this->pollOne(Entry, Now, Out);
+  const Time Oldest = Now - this->workSendInterval() * WorkIntervalsKept;
+  for (const UpstreamId &Id : this->Tracker.expirePeerWork(Oldest))
+    this->refreshWork(Id);
 }
 
-void FleetPlugin::pollOne(const Upstream &Of, Time Now, Actions &Out) {
-  Polling &Kept = this->Polls[Of.Listing.Id];
-  const bool Asked =
-      Kept.AskedAt != Never && Now < Kept.AskedAt + this->PollTimeout;
-  if (Asked)
+void FleetPlugin::pollOne(const Upstream &Target, Time Now, Actions &Out) {
+  PollRecord &Poll = this->Polls[Target.Listing.Id];
+  const bool PollPending =
+      Poll.PollSentAt != Never && Now < Poll.PollSentAt + this->PollTimeout;
+  if (PollPending)
     return;
-  Kept.AskedAt = Now;
-  Out.add(PollLoad{Of.Listing.Id, Of.Listing.At});
+  Poll.PollSentAt = Now;
+  Out.add(PollLoad{Target.Listing.Id, Target.Listing.At});
 }
 
-void FleetPlugin::tellWork(Time Now, Actions &Out) {
-  const bool Idle = this->Ledger.attempts() == 0 && !this->WorkChanged;
-  this->NextWork = Idle ? Never : Now + this->tellInterval();
+void FleetPlugin::sendWork(Time Now, Actions &Out) {
+  const bool Idle = this->Tracker.attempts() == 0 && !this->WorkChanged;
+  this->NextWork = Idle ? Never : Now + this->workSendInterval();
   if (Idle)
     return;
   this->WorkChanged = false;
-  const WorkSent Work = this->Ledger.toTell(MostWorkItems);
-  for (const HostId &Each : this->toldOfWork())
-    Out.add(SendToPeer{Each, Work});
+  const WorkSent Work = this->Tracker.ownReport(MaxWorkItems);
+  for (const HostId &Peer : this->workReceivers())
+    Out.add(SendToPeer{Peer, Work});
 }
 
-std::vector<HostId> FleetPlugin::toldOfWork() const {
+std::vector<HostId> FleetPlugin::workReceivers() const {
   return this->followsAll() ? this->Members->livePeers()
                             : this->Followers.others();
 }
 
-Duration FleetPlugin::tellInterval() const {
-  const std::size_t Told = this->toldOfWork().size();
-  return this->WorkInterval * std::max(Told, PeersAtFullRate) / PeersAtFullRate;
+Duration FleetPlugin::workSendInterval() const {
+  const std::size_t Receivers = this->workReceivers().size();
+  return this->WorkInterval * std::max(Receivers, PeersAtFullRate) /
+         PeersAtFullRate;
 }
 
-void FleetPlugin::refreshWork(const UpstreamId &On) {
-  const std::uint32_t *At = this->Table.position(On);
-  if (!At)
+void FleetPlugin::refreshWork(const UpstreamId &Id) {
+  const std::uint32_t *Index = this->Table.position(Id);
+  if (!Index)
     return;
-  Upstream &Of = this->Table.at(*At);
-  const OwnWork Own = this->Ledger.own(On);
-  Of.UnreportedPrefillTokens = Own.UnreportedPrefillTokens;
-  Of.OutstandingHere = Own.Requests;
-  Of.OutstandingTokensHere = Own.Tokens;
-  const PeerWork Peers = this->Ledger.ofPeers(On);
-  Of.PeerPrefillTokens = Peers.PrefillTokens;
-  Of.PeerRequests = Peers.Requests;
+  Upstream &Target = this->Table.at(*Index);
+  const OwnWork Own = this->Tracker.own(Id);
+  Target.UnreportedPrefillTokens = Own.UnreportedPrefillTokens;
+  Target.OutstandingHere = Own.Requests;
+  Target.OutstandingTokensHere = Own.Tokens;
+  const PeerWork Peers = this->Tracker.ofPeers(Id);
+  Target.PeerPrefillTokens = Peers.PrefillTokens;
+  Target.PeerRequests = Peers.Requests;
 }
 
 void FleetPlugin::announceChanges(Time Now, Actions &Out) {
   for (const UpstreamChange &Change : this->Table.takeChanges()) {
-    const Upstream Changed = this->Table.upstreams()[Change.At];
+    const Upstream Changed = this->Table.upstreams()[Change.Index];
     Out.log(logEvent(events::UpstreamChanged)
                 .with("upstream", Changed.Listing.Id.Value)
                 .with("life", Changed.Listing.Life.Value)
@@ -315,11 +319,11 @@
     const UpstreamNotice Notice{Changed.Listing.Id, Changed.Listing.Life,
                                 Changed.State == UpstreamState::Leaving,
                                 Changed.State == UpstreamState::Dead};
-    if (Change.TellPeers)
-      for (const HostId &Each : this->Members->livePeers())
-        Out.add(SendToPeer{Each, Notice});
-    for (FleetObserver *Each : this->Offered->list<FleetObserver>().all())
-      Each->upstreamChanged(Changed, Now, Out);
+    if (Change.NotifyPeers)
+      for (const HostId &Peer : this->Members->livePeers())
+        Out.add(SendToPeer{Peer, Notice});
+    for (FleetObserver *Observer : this->Offered->list<FleetObserver>().all())
+      Observer->upstreamChanged(Changed, Now, Out);
   }
 }
 
@@ -333,33 +337,33 @@
 }
 
 std::vector<SettingDeclaration> FleetPlugin::settings() {
-  const std::string In = "fleet";
-  return {{In, "load_poll_interval", SettingKind::Span, "250ms",
+  const std::string Section = "fleet";
+  return {{Section, "load_poll_interval", SettingKind::Span, "250ms",
            "How often an upstream is asked for its load.", 10e3, 60e6},
-          {In, "load_poll_timeout", SettingKind::Span, "2s",
+          {Section, "load_poll_timeout", SettingKind::Span, "2s",
            "An unanswered load poll is repeated after so long.", 10e3, 60e6},
-          {In, "stale_after", SettingKind::Span, "3s",
+          {Section, "stale_after", SettingKind::Span, "3s",
            "An upstream without a report for so long counts as unknown.", 100e3,
            600e6},
-          {In, "dead_after", SettingKind::Span, "15s",
+          {Section, "dead_after", SettingKind::Span, "15s",
            "An upstream without a report for so long counts as dead.", 1e6,
            3600e6},
-          {In, "unlisted_grace", SettingKind::Span, "2s",
+          {Section, "unlisted_grace", SettingKind::Span, "2s",
            "An upstream out of the host list for so long gets no new work.", 0,
            600e6},
-          {In, "forget_after", SettingKind::Span, "1min",
+          {Section, "forget_after", SettingKind::Span, "1min",
            "An upstream out of the host list and silent for so long is "
            "forgotten.",
            1e6, 86400e6},
-          {In, "full_poll_hosts", SettingKind::Whole, "12",
+          {Section, "full_poll_hosts", SettingKind::Whole, "12",
            "Up to so many entry hosts, each polls every upstream; with more, "
            "two of each zone do and pass the reports on.",
            1, 1024},
-          {In, "relay_interval", SettingKind::Span, "2s",
+          {Section, "relay_interval", SettingKind::Span, "2s",
            "How often a changed report is passed on at most.", 10e3, 60e6},
-          {In, "work_interval", SettingKind::Span, "200ms",
+          {Section, "work_interval", SettingKind::Span, "200ms",
            "How often peers are told of work sent to upstreams.", 10e3, 10e6},
-          {In, "zones", SettingKind::Text, "",
+          {Section, "zones", SettingKind::Text, "",
            "Zones whose upstreams are used, separated by commas; empty: all."}};
 }
 
--- a/src/plugins/fleet/FleetPlugin.h
+++ b/src/plugins/fleet/FleetPlugin.h
@@ -5,7 +5,7 @@
 #include "kernel/Plugin.h"
 #include "plugins/fleet/EngineFollowers.h"
 #include "plugins/fleet/UpstreamTable.h"
-#include "plugins/fleet/WorkLedger.h"
+#include "plugins/fleet/WorkTracker.h"
 
 #include <set>
 
@@ -21,7 +21,7 @@
 public:
   // Plugin
   void initialize(PluginContext &Context) override;
-  void handle(const Event &What, Time Now, Actions &Out) override;
+  void handle(const Event &Incoming, Time Now, Actions &Out) override;
   Time nextWake() const override;
   void checkInvariants(InvariantMonitor &Monitor, Time Now) const override;
 
@@ -40,11 +40,11 @@
   const Upstream *find(const UpstreamId &Id) const override;
 
   // RequestObserver
-  void dispatched(const Request &Asked, const Attempt &Started, Time Now,
-                  Actions &Out) override;
-  void firstToken(const Request &Asked, const Attempt &Of, Time Now,
-                  Actions &Out) override;
-  void attemptEnded(const Request &Asked, const Attempt &Ended,
+  void dispatched(const Request &ClientRequest, const Attempt &Started,
+                  Time Now, Actions &Out) override;
+  void firstToken(const Request &ClientRequest, const Attempt &Attempted,
+                  Time Now, Actions &Out) override;
+  void attemptEnded(const Request &ClientRequest, const Attempt &Ended,
                     const AttemptOutcome &Outcome, Time Now,
                     Actions &Out) override;
 
@@ -58,38 +58,38 @@
 
 private:
   /// What is kept of the polling of one upstream.
-  struct Polling {
-    Time AskedAt = Never; ///< Not answered yet; Never: nothing is asked.
+  struct PollRecord {
+    Time PollSentAt = Never; ///< Not answered yet; Never: nothing is asked.
     Time RelayedAt{};
     LoadReport Relayed; ///< What the peers were told last.
   };
 
-  void takeList(const HostListRead &List, Time Now);
-  void takePollAnswer(const LoadReport &Report, Time Now, Actions &Out);
-  void takePollFailure(const LoadPollFailed &Failure, Time Now);
-  void takePeerMessage(const PeerMessage &Message, Time Now);
-  void takeNotice(const UpstreamNotice &Notice, Time Now);
+  void applyHostList(const HostListRead &List, Time Now);
+  void handlePollAnswer(const LoadReport &Report, Time Now, Actions &Out);
+  void handlePollFailure(const LoadPollFailed &Failure, Time Now);
+  void handlePeerMessage(const PeerMessage &Message, Time Now);
+  void handleNotice(const UpstreamNotice &Notice, Time Now);
   void relay(const LoadReport &Report, Time Now, Actions &Out);
   void poll(Time Now, Actions &Out);
-  void pollOne(const Upstream &Of, Time Now, Actions &Out);
-  void tellWork(Time Now, Actions &Out);
-  std::vector<HostId> toldOfWork() const;
-  Duration tellInterval() const;
-  void refreshWork(const UpstreamId &On);
+  void pollOne(const Upstream &Target, Time Now, Actions &Out);
+  void sendWork(Time Now, Actions &Out);
+  std::vector<HostId> workReceivers() const;
+  Duration workSendInterval() const;
+  void refreshWork(const UpstreamId &Id);
   /// Tells the peer which upstreams are leaving.
-  void remindOfLeaving(const HostId &Peer, Actions &Out) const;
-  void remindNextPeer(Actions &Out);
+  void sendLeavingNotices(const HostId &Peer, Actions &Out) const;
+  void resendLeavingToNextPeer(Actions &Out);
   void announceChanges(Time Now, Actions &Out);
   bool followsAll() const;
   bool isFollowed(const UpstreamListing &Listing) const;
 
-  std::uint64_t Reminded = 0; ///< Peers reminded of leaving upstreams.
+  std::uint64_t ResendCount = 0; ///< Peers reminded of leaving upstreams.
   const MembershipView *Members = nullptr;
   Services *Offered = nullptr;
   UpstreamTable Table;
-  WorkLedger Ledger;
+  WorkTracker Tracker;
   EngineFollowers Followers;
-  std::unordered_map<UpstreamId, Polling> Polls;
+  std::unordered_map<UpstreamId, PollRecord> Polls;
   std::set<ZoneId> FollowedZones; ///< Empty: all.
   Duration PollInterval{};
   Duration PollTimeout{};
@@ -98,7 +98,7 @@
   Duration WorkInterval{};
   std::size_t FullPollHosts = 0;
   Time NextPoll{};
-  Time JudgeFrom{};
+  Time DetectFailuresFrom{};
   Time NextWork = Never;
   bool WorkChanged = false;
 };
--- a/src/plugins/fleet/UpstreamTable.cpp
+++ b/src/plugins/fleet/UpstreamTable.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /// Lives over that are remembered of one upstream.
-constexpr std::size_t MostPastLives = 8;
+constexpr std::size_t MaxPastIncarnations = 8;
 /// Relayed reports come more rarely than own polls are answered.
 constexpr int RelayedStaleFactor = 3;
 /// Refused connections in a row after which nothing listens there.
-constexpr std::uint32_t RefusalsOfTheDead = 2;
+constexpr std::uint32_t RefusalsUntilDead = 2;
 
 template <class Index, class Key>
-std::span<const std::uint32_t> lookUp(const Index &In, const Key &Wanted) {
-  const auto Found = In.find(Wanted);
-  if (Found == In.end())
+std::span<const std::uint32_t> lookUp(const Index &Map, const Key &Wanted) {
+  const auto Found = Map.find(Wanted);
+  if (Found == Map.end())
     return {};
   return Found->second;
 }
@@ -38,227 +38,232 @@
   return lookUp(this->ByService, Service);
 }
 
-bool UpstreamTable::takeList(std::span<const UpstreamListing> Listed,
-                             Time Now) {
+bool UpstreamTable::applyHostList(std::span<const UpstreamListing> Listed,
+                                  Time Now) {
   bool Added = false;
   bool Reindex = false;
-  for (Record &Each : this->Records)
-    Each.UnlistedAt = std::min(Each.UnlistedAt, Now);
-  for (const UpstreamListing &Each : Listed) {
-    if (const std::uint32_t *Found = this->position(Each.Id)) {
-      Reindex |= this->takeListing(*Found, Each, Now);
+  for (UpstreamRecord &Record : this->Records)
+    Record.UnlistedAt = std::min(Record.UnlistedAt, Now);
+  for (const UpstreamListing &Listing : Listed) {
+    if (const std::uint32_t *Found = this->position(Listing.Id)) {
+      Reindex |= this->applyListing(*Found, Listing, Now);
       continue;
     }
     // Appended for now; the sort below brings everything into order.
     Added = true;
     Upstream New;
-    New.Listing = Each;
-    this->Positions.emplace(Each.Id,
-                            static_cast<std::uint32_t>(this->Known.size()));
-    this->Known.push_back(std::move(New));
-    Record Fresh;
-    Fresh.Leaving = Each.Leaving;
+    New.Listing = Listing;
+    this->Positions.emplace(Listing.Id,
+                            static_cast<std::uint32_t>(this->Upstreams.size()));
+    this->Upstreams.push_back(std::move(New));
+    UpstreamRecord Fresh;
+    Fresh.Leaving = Listing.Leaving;
     this->Records.push_back(std::move(Fresh));
-    this->Changed[Each.Id];
+    this->Changed[Listing.Id];
   }
-  const std::size_t Before = this->Known.size();
-  this->forgetUnlisted(Now);
-  const bool Moved = Added || this->Known.size() != Before;
+  const std::size_t Before = this->Upstreams.size();
+  this->removeUnlisted(Now);
+  const bool Moved = Added || this->Upstreams.size() != Before;
   if (Moved || Reindex)
     this->rebuildIndexes();
-  for (std::uint32_t At = 0; At < this->Known.size(); ++At)
-    this->publish(At, Now);
+  for (std::uint32_t Index = 0; Index < this->Upstreams.size(); ++Index)
+    this->updateState(Index, Now);
   return Moved;
 }
 
-bool UpstreamTable::takeListing(std::uint32_t At,
-                                const UpstreamListing &Listing, Time Now) {
-  Upstream &Of = this->Known[At];
-  Record &Kept = this->Records[At];
-  Kept.UnlistedAt = Never;
-  const bool IsOver = std::ranges::count(Kept.Past, Listing.Life) != 0;
+bool UpstreamTable::applyListing(std::uint32_t Index,
+                                 const UpstreamListing &Listing, Time Now) {
+  Upstream &Entry = this->Upstreams[Index];
+  UpstreamRecord &Record = this->Records[Index];
+  Record.UnlistedAt = Never;
+  const bool HasEnded =
+      std::ranges::count(Record.PastIncarnations, Listing.Life) != 0;
   // The list lags: what the upstream itself just said goes first.
-  const bool HeardLately = Kept.OwnReportAt != Time{} &&
-                           Now < Kept.OwnReportAt + this->Timeouts.StaleAfter;
-  if (Listing.Life != Of.Listing.Life && !IsOver && !HeardLately)
-    this->changeLife(At, Listing.Life);
-  if (Listing.Leaving && Listing.Life == Of.Listing.Life)
-    this->noteLeaving(At, Listing.Life, SignSource::OwnExperience, Now);
-  const bool Reindex = Of.Listing.Kind != Listing.Kind ||
-                       Of.Listing.Application != Listing.Application;
-  const Incarnation Life = Of.Listing.Life;
-  Of.Listing = Listing;
-  Of.Listing.Life = Life;
+  const bool HeardRecently =
+      Record.OwnReportAt != Time{} &&
+      Now < Record.OwnReportAt + this->Timeouts.StaleAfter;
+  if (Listing.Life != Entry.Listing.Life && !HasEnded && !HeardRecently)
+    this->changeIncarnation(Index, Listing.Life);
+  if (Listing.Leaving && Listing.Life == Entry.Listing.Life)
+    this->noteLeaving(Index, Listing.Life, ReportSource::OwnObservation, Now);
+  const bool Reindex = Entry.Listing.Kind != Listing.Kind ||
+                       Entry.Listing.Application != Listing.Application;
+  const Incarnation Life = Entry.Listing.Life;
+  Entry.Listing = Listing;
+  Entry.Listing.Life = Life;
   return Reindex;
 }
 
-void UpstreamTable::takeOwnReport(std::uint32_t At, const LoadReport &Report,
-                                  Time Now) {
+void UpstreamTable::applyOwnReport(std::uint32_t Index,
+                                   const LoadReport &Report, Time Now) {
   // An answer to our poll is from the life that runs now.
-  if (Report.Life != this->Known[At].Listing.Life)
-    this->changeLife(At, Report.Life);
-  Record &Kept = this->Records[At];
-  Kept.OwnReportAt = Now;
-  Kept.LastWasRelayed = false;
-  Kept.Dead = false;
-  Kept.Refusals = 0;
-  this->store(At, Report, Now);
+  if (Report.Life != this->Upstreams[Index].Listing.Life)
+    this->changeIncarnation(Index, Report.Life);
+  UpstreamRecord &Record = this->Records[Index];
+  Record.OwnReportAt = Now;
+  Record.LastWasRelayed = false;
+  Record.Dead = false;
+  Record.Refusals = 0;
+  this->storeReport(Index, Report, Now);
 }
 
-void UpstreamTable::takeRelayedReport(std::uint32_t At,
-                                      const LoadReport &Report, Time Now) {
-  Record &Kept = this->Records[At];
-  const Upstream &Of = this->Known[At];
-  const bool IsOver = std::ranges::count(Kept.Past, Report.Life) != 0;
-  if (IsOver || Report.MeasuredAt <= Of.Report.MeasuredAt)
+void UpstreamTable::applyRelayedReport(std::uint32_t Index,
+                                       const LoadReport &Report, Time Now) {
+  UpstreamRecord &Record = this->Records[Index];
+  const Upstream &Entry = this->Upstreams[Index];
+  const bool HasEnded =
+      std::ranges::count(Record.PastIncarnations, Report.Life) != 0;
+  if (HasEnded || Report.MeasuredAt <= Entry.Report.MeasuredAt)
     return;
-  if (Report.Life != Of.Listing.Life)
-    this->changeLife(At, Report.Life);
-  if (Kept.Dead && Report.MeasuredAt > Kept.DeadAt)
-    Kept.Dead = false;
-  Kept.LastWasRelayed = true;
-  LoadReport Joined = Report;
-  Joined.Holds = Of.Report.Holds; // Peers pass them not on.
-  this->store(At, Joined, Now);
+  if (Report.Life != Entry.Listing.Life)
+    this->changeIncarnation(Index, Report.Life);
+  if (Record.Dead && Report.MeasuredAt > Record.DeadAt)
+    Record.Dead = false;
+  Record.LastWasRelayed = true;
+  LoadReport Merged = Report;
+  Merged.Holds = Entry.Report.Holds; // Peers pass them not on.
+  this->storeReport(Index, Merged, Now);
 }
 
-void UpstreamTable::noteLeaving(std::uint32_t At, Incarnation Life,
-                                SignSource From, Time Now) {
-  Record &Kept = this->Records[At];
-  if (Life != this->Known[At].Listing.Life || Kept.Leaving)
+void UpstreamTable::noteLeaving(std::uint32_t Index, Incarnation Life,
+                                ReportSource Source, Time Now) {
+  UpstreamRecord &Record = this->Records[Index];
+  if (Life != this->Upstreams[Index].Listing.Life || Record.Leaving)
     return;
-  Kept.Leaving = true;
-  Kept.HeardFromPeer = From == SignSource::Peer;
-  this->publish(At, Now);
+  Record.Leaving = true;
+  Record.ReportedByPeer = Source == ReportSource::Peer;
+  this->updateState(Index, Now);
 }
 
-void UpstreamTable::noteRefused(std::uint32_t At, Time Now) {
-  Record &Kept = this->Records[At];
-  if (++Kept.Refusals < RefusalsOfTheDead || Kept.Dead)
+void UpstreamTable::noteRefused(std::uint32_t Index, Time Now) {
+  UpstreamRecord &Record = this->Records[Index];
+  if (++Record.Refusals < RefusalsUntilDead || Record.Dead)
     return;
-  Kept.Dead = true;
-  Kept.DeadAt = Now;
-  Kept.HeardFromPeer = false;
-  this->publish(At, Now);
+  Record.Dead = true;
+  Record.DeadAt = Now;
+  Record.ReportedByPeer = false;
+  this->updateState(Index, Now);
 }
 
-void UpstreamTable::noteDead(std::uint32_t At, Incarnation Life, Time Now) {
-  Record &Kept = this->Records[At];
-  const bool HeardLately = Kept.OwnReportAt != Time{} &&
-                           Now < Kept.OwnReportAt + this->Timeouts.StaleAfter;
+void UpstreamTable::noteDead(std::uint32_t Index, Incarnation Life, Time Now) {
+  UpstreamRecord &Record = this->Records[Index];
+  const bool HeardRecently =
+      Record.OwnReportAt != Time{} &&
+      Now < Record.OwnReportAt + this->Timeouts.StaleAfter;
   // Who hears it himself knows better; his own polls will tell.
-  if (Life != this->Known[At].Listing.Life || Kept.Dead ||
-      (HeardLately && Kept.Refusals == 0))
+  if (Life != this->Upstreams[Index].Listing.Life || Record.Dead ||
+      (HeardRecently && Record.Refusals == 0))
     return;
-  Kept.Dead = true;
-  Kept.DeadAt = Now;
-  Kept.HeardFromPeer = true;
-  this->publish(At, Now);
+  Record.Dead = true;
+  Record.DeadAt = Now;
+  Record.ReportedByPeer = true;
+  this->updateState(Index, Now);
 }
 
-void UpstreamTable::age(Time Now) {
-  for (std::uint32_t At = 0; At < this->Known.size(); ++At) {
-    Record &Kept = this->Records[At];
-    const Time HeardAt = this->Known[At].ReportAt;
+void UpstreamTable::detectFailures(Time Now) {
+  for (std::uint32_t Index = 0; Index < this->Upstreams.size(); ++Index) {
+    UpstreamRecord &Record = this->Records[Index];
+    const Time HeardAt = this->Upstreams[Index].ReportAt;
     const bool Silent =
         HeardAt != Time{} && Now >= HeardAt + this->Timeouts.DeadAfter;
-    if (Silent && !Kept.Dead) {
-      Kept.Dead = true;
-      Kept.DeadAt = Now;
-      Kept.HeardFromPeer = false;
+    if (Silent && !Record.Dead) {
+      Record.Dead = true;
+      Record.DeadAt = Now;
+      Record.ReportedByPeer = false;
     }
-    this->publish(At, Now);
+    this->updateState(Index, Now);
   }
 }
 
 std::vector<UpstreamChange> UpstreamTable::takeChanges() {
   std::vector<UpstreamChange> Result;
-  for (const auto &[Id, TellPeers] : this->Changed)
-    if (const std::uint32_t *At = this->position(Id))
-      Result.push_back({*At, TellPeers});
+  for (const auto &[Id, NotifyPeers] : this->Changed)
+    if (const std::uint32_t *Index = this->position(Id))
+      Result.push_back({*Index, NotifyPeers});
   this->Changed.clear();
   return Result;
 }
 
-void UpstreamTable::changeLife(std::uint32_t At, Incarnation Life) {
-  Upstream &Of = this->Known[At];
-  Record &Kept = this->Records[At];
-  std::erase(Kept.Past, Life);
-  Kept.Past.push_back(Of.Listing.Life);
-  if (Kept.Past.size() > MostPastLives)
-    Kept.Past.erase(Kept.Past.begin());
-  Of.Listing.Life = Life;
-  Of.Report = LoadReport{};
-  Of.ReportAt = Time{};
-  Kept.Leaving = false;
-  Kept.Dead = false;
-  Kept.Refusals = 0;
-  this->Changed[Of.Listing.Id];
+void UpstreamTable::changeIncarnation(std::uint32_t Index, Incarnation Life) {
+  Upstream &Entry = this->Upstreams[Index];
+  UpstreamRecord &Record = this->Records[Index];
+  std::erase(Record.PastIncarnations, Life);
+  Record.PastIncarnations.push_back(Entry.Listing.Life);
+  if (Record.PastIncarnations.size() > MaxPastIncarnations)
+    Record.PastIncarnations.erase(Record.PastIncarnations.begin());
+  Entry.Listing.Life = Life;
+  Entry.Report = LoadReport{};
+  Entry.ReportAt = Time{};
+  Record.Leaving = false;
+  Record.Dead = false;
+  Record.Refusals = 0;
+  this->Changed[Entry.Listing.Id];
 }
 
-void UpstreamTable::store(std::uint32_t At, const LoadReport &Report,
-                          Time Now) {
-  Upstream &Of = this->Known[At];
-  const bool Reindex = Of.Report.Models != Report.Models;
-  if (Report.MeasuredAt >= Of.Report.MeasuredAt)
-    Of.Report = Report;
-  Of.ReportAt = Now;
+void UpstreamTable::storeReport(std::uint32_t Index, const LoadReport &Report,
+                                Time Now) {
+  Upstream &Entry = this->Upstreams[Index];
+  const bool Reindex = Entry.Report.Models != Report.Models;
+  if (Report.MeasuredAt >= Entry.Report.MeasuredAt)
+    Entry.Report = Report;
+  Entry.ReportAt = Now;
   if (Report.Leaving)
-    this->noteLeaving(At, Report.Life, SignSource::OwnExperience, Now);
-  this->publish(At, Now);
+    this->noteLeaving(Index, Report.Life, ReportSource::OwnObservation, Now);
+  this->updateState(Index, Now);
   if (Reindex)
     this->rebuildIndexes();
 }
 
-UpstreamState UpstreamTable::stateOf(std::uint32_t At, Time Now) const {
-  const Upstream &Of = this->Known[At];
-  const Record &Kept = this->Records[At];
-  const bool Unlisted = Kept.UnlistedAt != Never &&
-                        Now >= Kept.UnlistedAt + this->Timeouts.UnlistedGrace;
-  if (Kept.Dead)
+UpstreamState UpstreamTable::stateOf(std::uint32_t Index, Time Now) const {
+  const Upstream &Entry = this->Upstreams[Index];
+  const UpstreamRecord &Record = this->Records[Index];
+  const bool Unlisted = Record.UnlistedAt != Never &&
+                        Now >= Record.UnlistedAt + this->Timeouts.UnlistedGrace;
+  if (Record.Dead)
     return UpstreamState::Dead;
-  if (Kept.Leaving || Unlisted)
+  if (Record.Leaving || Unlisted)
     return UpstreamState::Leaving;
-  const bool Fresh =
-      Of.ReportAt != Time{} && Now < Of.ReportAt + this->Timeouts.StaleAfter;
+  const bool Fresh = Entry.ReportAt != Time{} &&
+                     Now < Entry.ReportAt + this->Timeouts.StaleAfter;
   return Fresh ? UpstreamState::Live : UpstreamState::Unknown;
 }
 
-void UpstreamTable::publish(std::uint32_t At, Time Now) {
-  Upstream &Of = this->Known[At];
-  const UpstreamState Next = this->stateOf(At, Now);
-  if (Next == Of.State)
+void UpstreamTable::updateState(std::uint32_t Index, Time Now) {
+  Upstream &Entry = this->Upstreams[Index];
+  const UpstreamState Next = this->stateOf(Index, Now);
+  if (Next == Entry.State)
     return;
-  Of.State = Next;
+  Entry.State = Next;
   const bool Closed =
       Next == UpstreamState::Leaving || Next == UpstreamState::Dead;
-  this->Changed[Of.Listing.Id] = Closed && !this->Records[At].HeardFromPeer;
+  this->Changed[Entry.Listing.Id] =
+      Closed && !this->Records[Index].ReportedByPeer;
 }
 
-void UpstreamTable::forgetUnlisted(Time Now) {
-  std::vector<Upstream> Known;
-  std::vector<Record> Records;
+void UpstreamTable::removeUnlisted(Time Now) {
+  std::vector<Upstream> Upstreams;
+  std::vector<UpstreamRecord> Records;
   std::vector<std::uint32_t> Order;
-  for (std::uint32_t At = 0; At < this->Known.size(); ++At) {
-    const Time UnlistedAt = this->Records[At].UnlistedAt;
-    const Time LastSign = std::max(UnlistedAt, this->Known[At].ReportAt);
+  for (std::uint32_t Index = 0; Index < this->Upstreams.size(); ++Index) {
+    const Time UnlistedAt = this->Records[Index].UnlistedAt;
+    const Time LastSeen = std::max(UnlistedAt, this->Upstreams[Index].ReportAt);
     const bool Forget =
-        UnlistedAt != Never && Now >= LastSign + this->Timeouts.ForgetAfter;
+        UnlistedAt != Never && Now >= LastSeen + this->Timeouts.ForgetAfter;
     if (!Forget)
-      Order.push_back(At);
+      Order.push_back(Index);
   }
-  const auto IdAt = [this](std::uint32_t At) -> const UpstreamId & {
-    return this->Known[At].Listing.Id;
+  const auto IdAt = [this](std::uint32_t Index) -> const UpstreamId & {
+    return this->Upstreams[Index].Listing.Id;
   };
-  if (Order.size() == this->Known.size() &&
+  if (Order.size() == this->Upstreams.size() &&
       std::ranges::is_sorted(Order, {}, IdAt))
     return;
   std::ranges::sort(Order, {}, IdAt);
-  for (const std::uint32_t At : Order) {
-    Known.push_back(std::move(this->Known[At]));
-    Records.push_back(std::move(this->Records[At]));
+  for (const std::uint32_t Index : Order) {
+    Upstreams.push_back(std::move(this->Upstreams[Index]));
+    Records.push_back(std::move(this->Records[Index]));
   }
-  this->Known = std::move(Known);
+  this->Upstreams = std::move(Upstreams);
   this->Records = std::move(Records);
 }
 
@@ -266,13 +271,13 @@
   this->Positions.clear();
   this->ByModel.clear();
   this->ByService.clear();
-  for (std::uint32_t At = 0; At < this->Known.size(); ++At) {
-    const Upstream &Each = this->Known[At];
-    this->Positions.emplace(Each.Listing.Id, At);
-    if (Each.Listing.Kind == UpstreamKind::Application)
-      this->ByService[Each.Listing.Application].push_back(At);
-    for (const ModelId &Model : Each.Report.Models)
-      this->ByModel[Model].push_back(At);
+  for (std::uint32_t Index = 0; Index < this->Upstreams.size(); ++Index) {
+    const Upstream &Entry = this->Upstreams[Index];
+    this->Positions.emplace(Entry.Listing.Id, Index);
+    if (Entry.Listing.Kind == UpstreamKind::Application)
+      this->ByService[Entry.Listing.Application].push_back(Index);
+    for (const ModelId &Model : Entry.Report.Models)
+      this->ByModel[Model].push_back(Index);
   }
 }
 
--- a/src/plugins/fleet/WorkLedger.h
+++ b/src/plugins/fleet/WorkTracker.h
@@ -24,47 +24,47 @@
 
 /// Keeps attempts from their dispatch to their end, and the latest word of
 /// each peer.
-class WorkLedger {
+class WorkTracker {
 public:
-  void add(const Request &Asked, const Attempt &Started);
+  void add(const Request &ClientRequest, const Attempt &Started);
   /// The prefill is done: nothing of it is ahead any more.
   void noteFirstToken(const AttemptId &Id);
   void remove(const AttemptId &Id);
   /// A report measured then shows what was sent before.
-  void noteReport(const UpstreamId &On, Time MeasuredAt);
+  void noteReport(const UpstreamId &Target, Time MeasuredAt);
 
   /// Replaces what the peer said before; returns the upstreams concerned.
-  std::vector<UpstreamId> takePeerWork(const HostId &From, const WorkSent &Work,
-                                       Time Now);
+  std::vector<UpstreamId> applyPeerWork(const HostId &From,
+                                        const WorkSent &Work, Time Now);
   /// Drops what peers said before that time; returns the upstreams concerned.
-  std::vector<UpstreamId> dropPeerWorkBefore(Time Oldest);
+  std::vector<UpstreamId> expirePeerWork(Time Oldest);
 
-  OwnWork own(const UpstreamId &On) const;
-  PeerWork ofPeers(const UpstreamId &On) const;
+  OwnWork own(const UpstreamId &Target) const;
+  PeerWork ofPeers(const UpstreamId &Target) const;
   /// At most \p Most upstreams, those with the most prefill first.
-  WorkSent toTell(std::size_t Most) const;
+  WorkSent ownReport(std::size_t MaxUpstreams) const;
   std::size_t attempts() const { return this->Attempts.size(); }
 
 private:
-  struct Running {
-    UpstreamId On;
+  struct RunningAttempt {
+    UpstreamId Target;
     Time SentAt{};
     std::uint64_t PrefillTokens = 0; ///< Not yet reported or done.
     std::uint64_t Tokens = 0;
   };
-  struct PeerWord {
-    Time At{};
+  struct PeerReport {
+    Time ReceivedAt{};
     std::vector<WorkSent::Item> Items;
   };
 
-  void settlePrefill(Running &Of);
-  std::vector<UpstreamId> forget(const PeerWord &Word);
+  void settlePrefill(RunningAttempt &Running);
+  std::vector<UpstreamId> subtractReport(const PeerReport &Report);
 
-  std::unordered_map<AttemptId, Running> Attempts;
+  std::unordered_map<AttemptId, RunningAttempt> Attempts;
   std::unordered_map<UpstreamId, std::vector<AttemptId>> ByUpstream;
   std::unordered_map<UpstreamId, OwnWork> Own;
   std::unordered_map<UpstreamId, PeerWork> Peers;
-  std::map<HostId, PeerWord> Words;
+  std::map<HostId, PeerReport> PeerReports;
 };
 
 } // namespace banyanpick
--- a/tests/auto/fleet/FleetBench.h
+++ b/tests/auto/fleet/FleetBench.h
@@ -34,12 +34,12 @@
     return Result;
   }
 
-  std::vector<Action> feed(const Event &What) {
+  std::vector<Action> feed(const Event &Incoming) {
     Actions Out;
-    this->Tested.handle(What, this->Now, Out);
+    this->Tested.handle(Incoming, this->Now, Out);
     return Out.take();
   }
-  void list(std::vector<UpstreamListing> Upstreams) {
+  void setHostList(std::vector<UpstreamListing> Upstreams) {
     this->Listed = std::move(Upstreams);
     this->feed(HostListRead{{}, this->Listed});
   }
@@ -51,12 +51,12 @@
     return this->Tested.find(UpstreamId(Name))->State;
   }
   /// Passes time; the host list is read again, polls stay unanswered.
-  std::vector<Action> pass(Duration Span) {
+  std::vector<Action> advance(Duration Span) {
     std::vector<Action> Result;
     for (const Time End = this->Now + Span; this->Now < End;) {
       this->Now += milliseconds(100);
-      for (Action &Each : this->feed(HostListRead{{}, this->Listed}))
-        Result.push_back(std::move(Each));
+      for (Action &Output : this->feed(HostListRead{{}, this->Listed}))
+        Result.push_back(std::move(Output));
     }
     return Result;
   }
@@ -65,18 +65,20 @@
   std::vector<UpstreamListing> Listed;
 };
 
-template <class Wanted> std::size_t countOf(const std::vector<Action> &Among) {
+template <class ActionType>
+std::size_t countActions(const std::vector<Action> &Items) {
   std::size_t Result = 0;
-  for (const Action &Each : Among)
-    Result += std::holds_alternative<Wanted>(Each);
+  for (const Action &Output : Items)
+    Result += std::holds_alternative<ActionType>(Output);
   return Result;
 }
 
 /// How many of the messages sent have this body.
-template <class Body> std::size_t sentOf(const std::vector<Action> &Among) {
+template <class Body>
+std::size_t countMessages(const std::vector<Action> &Items) {
   std::size_t Result = 0;
-  for (const Action &Each : Among)
-    if (const auto *Sent = std::get_if<SendToPeer>(&Each))
+  for (const Action &Output : Items)
+    if (const auto *Sent = std::get_if<SendToPeer>(&Output))
       Result += std::holds_alternative<Body>(Sent->Body);
   return Result;
 }
--- a/tests/auto/fleet/FleetRelayTest.cpp
+++ b/tests/auto/fleet/FleetRelayTest.cpp
@@ -24,16 +24,16 @@
     this->feed(List);
   }
   static std::string name(int Index) { return "h" + std::to_string(Index); }
-  std::vector<Action> feed(const Event &What) {
+  std::vector<Action> feed(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(What, this->Now, Out);
+    this->Bench.Tested.handle(Incoming, this->Now, Out);
     return Out.take();
   }
   std::vector<UpstreamId> polled() {
     this->Now += seconds(1);
     std::vector<UpstreamId> Result;
-    for (const Action &Each : this->feed(Tick{}))
-      if (const auto *Poll = std::get_if<PollLoad>(&Each))
+    for (const Action &Output : this->feed(Tick{}))
+      if (const auto *Poll = std::get_if<PollLoad>(&Output))
         Result.push_back(Poll->Upstream);
     return Result;
   }
@@ -45,11 +45,11 @@
 TEST(FleetRelayTest, TwoHostsPollEachEngine) {
   std::map<UpstreamId, int> Pollers;
   for (int Index = 0; Index < Hosts; ++Index) {
-    ManyHosts Of(Index);
+    ManyHosts Host(Index);
     // Polls of the first round are unanswered; count them after the timeout.
-    Of.Now += seconds(2);
-    for (const UpstreamId &Each : Of.polled())
-      ++Pollers[Each];
+    Host.Now += seconds(2);
+    for (const UpstreamId &Id : Host.polled())
+      ++Pollers[Id];
   }
   EXPECT_EQ(Pollers.size(), static_cast<std::size_t>(Engines));
   for (const auto &[Engine, Count] : Pollers)
@@ -60,32 +60,32 @@
   const LoadReport Report = FleetBench::report("e7", 1, Time(seconds(1000)));
   int Relaying = 0;
   for (int Index = 0; Index < Hosts; ++Index) {
-    ManyHosts Of(Index);
-    const auto First = Of.feed(LoadReported{Report});
-    Relaying += sentOf<LoadRelayed>(First) == Hosts - 1;
-    EXPECT_EQ(sentOf<LoadRelayed>(Of.feed(LoadReported{Report})), 0u);
+    ManyHosts Host(Index);
+    const auto First = Host.feed(LoadReported{Report});
+    Relaying += countMessages<LoadRelayed>(First) == Hosts - 1;
+    EXPECT_EQ(countMessages<LoadRelayed>(Host.feed(LoadReported{Report})), 0u);
   }
   EXPECT_EQ(Relaying, 1);
 }
 
 TEST(FleetRelayTest, RelayedReportMakesLiveAndAnOlderOneChangesNothing) {
-  ManyHosts Of(0);
-  const auto Hear = [&](const LoadReport &Report) {
-    Of.feed(PeerMessageReceived{
+  ManyHosts Host(0);
+  const auto Receive = [&](const LoadReport &Report) {
+    Host.feed(PeerMessageReceived{
         {HostId("h1"), Incarnation(1), LoadRelayed{Report}}});
   };
   LoadReport Newer = FleetBench::report("e7", 1, Time(seconds(1000)));
   Newer.Running = 5;
-  Hear(Newer);
-  const Upstream &Seen = *Of.Bench.Tested.find(UpstreamId("e7"));
-  EXPECT_EQ(Seen.State, UpstreamState::Live);
-  Of.Now += seconds(6);
-  Of.feed(Tick{});
-  EXPECT_EQ(Seen.State, UpstreamState::Live) << "the next may be on its way";
+  Receive(Newer);
+  const Upstream &Engine = *Host.Bench.Tested.find(UpstreamId("e7"));
+  EXPECT_EQ(Engine.State, UpstreamState::Live);
+  Host.Now += seconds(6);
+  Host.feed(Tick{});
+  EXPECT_EQ(Engine.State, UpstreamState::Live) << "the next may be on its way";
   LoadReport Older = FleetBench::report("e7", 9, Time(seconds(999)));
-  Hear(Older);
-  EXPECT_EQ(Seen.Listing.Life, Incarnation(1));
-  EXPECT_EQ(Seen.Report.Running, 5u);
+  Receive(Older);
+  EXPECT_EQ(Engine.Listing.Life, Incarnation(1));
+  EXPECT_EQ(Engine.Report.Running, 5u);
 }
 
 } // namespace
