--- a/src/plugins/fleet/EngineFollowers.h
+++ b/src/plugins/fleet/EngineFollowers.h
@@ -1,27 +1,28 @@
 /// \file
-/// Which entry hosts look after an upstream: poll it, pass its load on, and
-/// free its memory.
+/// Selects the entry hosts that are responsible for an upstream: that poll it,
+/// relay its load and free its memory.
 #pragma once
 
 #include "kernel/Services.h"
 
 namespace banyanpick {
 
-/// The place of this host among the hosts of its zone that stay, by rendezvous
-/// hash over the upstream's name: 0 looks after it, 1 stands by. Hosts with
-/// the same view agree; while views differ two may think they are first, so
-/// whatever the first one does must be harmless twice.
+/// Ranks this host among the remaining hosts of its zone, by rendezvous hash
+/// over the upstream's name. Rank 0 is responsible for the upstream, rank 1 is
+/// its standby. Hosts with the same view agree. While views differ, two hosts
+/// may both have rank 0, so every action of rank 0 must be idempotent.
 class EngineFollowers {
 public:
-  /// Takes the present hosts in; true when they have changed.
+  /// Reads the present hosts and returns whether they have changed.
   bool update(const MembershipView &Members);
 
-  /// This host's place for the upstream.
+  /// Returns this host's rank for the upstream.
   std::size_t ownRank(const UpstreamId &Engine) const;
-  /// Whether the hosts before this one are all under suspicion.
+  /// Returns whether no host that ranks before this one is alive, so that this
+  /// host acts in their place. Suspect hosts don't count as alive.
   bool isStandIn(const UpstreamId &Engine, const MembershipView &Members) const;
 
-  /// The other hosts of the zone.
+  /// Returns the other hosts of the zone.
   const std::vector<HostId> &others() const { return this->Others; }
 
 private:
--- a/src/plugins/fleet/FleetHelpers.cpp
+++ b/src/plugins/fleet/FleetHelpers.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A tenth of the greater value is worth telling.
+/// A difference above this share of the greater value is significant.
 constexpr double SignificantShare = 0.1;
 
 bool differsSignificantly(double First, double Second) {
--- a/src/plugins/fleet/FleetHelpers.h
+++ b/src/plugins/fleet/FleetHelpers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Small helpers over upstreams and their reports.
+/// Helpers for upstream states, load reports and settings.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,13 +9,13 @@
 
 namespace banyanpick {
 
-/// The state's name as it stands in logs and the status page.
+/// Returns the name of the state as shown in logs and on the status page.
 std::string_view name(UpstreamState State);
 
-/// Whether the load differs enough to be worth telling.
+/// Returns whether the loads differ enough to relay the new one.
 bool differsSignificantly(const LoadReport &First, const LoadReport &Second);
 
-/// The zones in a list separated by commas.
+/// Returns the zones in a list separated by commas.
 std::set<ZoneId> parseZones(std::string_view List);
 
 } // namespace banyanpick
--- a/src/plugins/fleet/FleetPlugin.cpp
+++ b/src/plugins/fleet/FleetPlugin.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Peers' words on their work are dropped after this many of their intervals.
+/// Work reports of peers expire after this number of their intervals.
 constexpr int WorkIntervalsKept = 4;
-/// Upstreams named in one message on work.
+/// Maximum number of upstreams in one work report.
 constexpr std::size_t MaxWorkItems = 12;
-/// With so many peers to tell, work is told at the interval of the settings;
-/// with more it is told less often, so that the bytes sent stay the same.
+/// Up to this number of peers, work is reported at the configured interval.
+/// With more peers it is reported less often, so that the bytes sent stay the
+/// same.
 constexpr std::size_t PeersAtFullRate = 4;
-/// Hosts that poll an upstream when not all of them do.
+/// Hosts of a zone that poll an upstream when not all of them do.
 constexpr std::size_t PollersPerUpstream = 2;
 
 } // namespace
@@ -125,7 +126,8 @@
 }
 
 void FleetPlugin::memberChanged(const Member &Changed, Time, Actions &Out) {
-  // It may be new, or have missed the notices while it was paused or cut off.
+  // The peer may be new, or have missed notices while it was paused or
+  // partitioned.
   if (Changed.State == MemberState::Alive)
     this->sendLeavingNotices(Changed.Listing.Id, Out);
 }
@@ -139,7 +141,7 @@
 }
 
 void FleetPlugin::resendLeavingToNextPeer(Actions &Out) {
-  // Notices may be lost; each peer in turn hears them again.
+  // Notices may be lost, so they are sent again to each peer in turn.
   const std::vector<HostId> Peers = this->Members->livePeers();
   if (!Peers.empty())
     this->sendLeavingNotices(Peers[this->ResendCount++ % Peers.size()], Out);
@@ -229,7 +231,7 @@
   const bool Urgent = Report.Life != Poll.Relayed.Life ||
                       Report.Leaving != Poll.Relayed.Leaving ||
                       Report.Models != Poll.Relayed.Models;
-  // Half of what receivers wait before they call the upstream unknown.
+  // Half the time after which receivers treat the upstream as unknown.
   const Duration Wait = differsSignificantly(Report, Poll.Relayed)
                             ? this->RelayInterval
                             : this->StaleAfter * 3 / 2;
@@ -243,7 +245,7 @@
 }
 
 void FleetPlugin::poll(Time Now, Actions &Out) {
-  // After a pause of this process silence says nothing of the upstreams.
+  // After a pause of this process, silence says nothing about the upstreams.
   const bool WasPaused =
       this->NextPoll != Time{} && Now > this->NextPoll + this->StaleAfter / 2;
   if (WasPaused)
--- a/src/plugins/fleet/FleetPlugin.h
+++ b/src/plugins/fleet/FleetPlugin.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plug-in that knows the upstreams and how they are doing.
+/// The plug-in that tracks the upstreams, their state and their load.
 #pragma once
 
 #include "kernel/Plugin.h"
@@ -11,8 +11,8 @@
 
 namespace banyanpick {
 
-/// Joins the host list, load reports, what the peers say and what the tries of
-/// this host met.
+/// Merges the host list, load reports, messages of peers and the outcomes of
+/// this host's attempts.
 class FleetPlugin : public Plugin,
                     public FleetView,
                     public RequestObserver,
@@ -57,11 +57,11 @@
   static std::vector<SettingDeclaration> settings();
 
 private:
-  /// What is kept of the polling of one upstream.
+  /// The state of polling one upstream.
   struct PollRecord {
-    Time PollSentAt = Never; ///< Not answered yet; Never: nothing is asked.
+    Time PollSentAt = Never; ///< The unanswered poll; Never: none is pending.
     Time RelayedAt{};
-    LoadReport Relayed; ///< What the peers were told last.
+    LoadReport Relayed; ///< The last report relayed to the peers.
   };
 
   void applyHostList(const HostListRead &List, Time Now);
@@ -76,14 +76,14 @@
   std::vector<HostId> workReceivers() const;
   Duration workSendInterval() const;
   void refreshWork(const UpstreamId &Id);
-  /// Tells the peer which upstreams are leaving.
+  /// Sends the peer a notice for each upstream that is leaving.
   void sendLeavingNotices(const HostId &Peer, Actions &Out) const;
   void resendLeavingToNextPeer(Actions &Out);
   void announceChanges(Time Now, Actions &Out);
   bool followsAll() const;
   bool isFollowed(const UpstreamListing &Listing) const;
 
-  std::uint64_t ResendCount = 0; ///< Peers reminded of leaving upstreams.
+  std::uint64_t ResendCount = 0; ///< Resends so far; selects the next peer.
   const MembershipView *Members = nullptr;
   Services *Offered = nullptr;
   UpstreamTable Table;
--- a/src/plugins/fleet/UpstreamTable.cpp
+++ b/src/plugins/fleet/UpstreamTable.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Lives over that are remembered of one upstream.
+/// Past incarnations remembered for each upstream.
 constexpr std::size_t MaxPastIncarnations = 8;
-/// Relayed reports come more rarely than own polls are answered.
+/// Relayed reports arrive less often than answers to own polls.
 constexpr int RelayedStaleFactor = 3;
-/// Refused connections in a row after which nothing listens there.
+/// Consecutive refused connections after which the upstream counts as dead.
 constexpr std::uint32_t RefusalsUntilDead = 2;
 
 template <class Index, class Key>
@@ -45,11 +45,11 @@
   for (UpstreamRecord &Record : this->Records)
     Record.UnlistedAt = std::min(Record.UnlistedAt, Now);
   for (const UpstreamListing &Listing : Listed) {
-    if (const std::uint32_t *Found = this->position(Listing.Id)) {
-      Reindex |= this->applyListing(*Found, Listing, Now);
+    if (const std::uint32_t *Position = this->position(Listing.Id)) {
+      Reindex |= this->applyListing(*Position, Listing, Now);
       continue;
     }
-    // Appended for now; the sort below brings everything into order.
+    // Appended here; removeUnlisted() below restores the order.
     Added = true;
     Upstream New;
     New.Listing = Listing;
@@ -78,7 +78,8 @@
   Record.UnlistedAt = Never;
   const bool HasEnded =
       std::ranges::count(Record.PastIncarnations, Listing.Life) != 0;
-  // The list lags: what the upstream itself just said goes first.
+  // The list may be out of date, so a recent report of the upstream itself
+  // takes precedence.
   const bool HeardRecently =
       Record.OwnReportAt != Time{} &&
       Now < Record.OwnReportAt + this->Timeouts.StaleAfter;
@@ -96,7 +97,7 @@
 
 void UpstreamTable::applyOwnReport(std::uint32_t Index,
                                    const LoadReport &Report, Time Now) {
-  // An answer to our poll is from the life that runs now.
+  // An answer to an own poll comes from the incarnation that runs now.
   if (Report.Life != this->Upstreams[Index].Listing.Life)
     this->changeIncarnation(Index, Report.Life);
   UpstreamRecord &Record = this->Records[Index];
@@ -121,7 +122,7 @@
     Record.Dead = false;
   Record.LastWasRelayed = true;
   LoadReport Merged = Report;
-  Merged.Holds = Entry.Report.Holds; // Peers pass them not on.
+  Merged.Holds = Entry.Report.Holds; // Peers don't relay holds.
   this->storeReport(Index, Merged, Now);
 }
 
@@ -150,7 +151,7 @@
   const bool HeardRecently =
       Record.OwnReportAt != Time{} &&
       Now < Record.OwnReportAt + this->Timeouts.StaleAfter;
-  // Who hears it himself knows better; his own polls will tell.
+  // A host with recent reports of its own relies on its own polls instead.
   if (Life != this->Upstreams[Index].Listing.Life || Record.Dead ||
       (HeardRecently && Record.Refusals == 0))
     return;
--- a/src/plugins/fleet/UpstreamTable.h
+++ b/src/plugins/fleet/UpstreamTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Every upstream with its life and state, and the indexes over them.
+/// Holds all upstreams with their incarnation and state, and indexes over them.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,25 +9,25 @@
 
 namespace banyanpick {
 
-/// When silence of an upstream is taken for more than silence.
+/// Timeouts for the state of an upstream.
 struct UpstreamTimeouts {
-  Duration StaleAfter{};    ///< Without a report its state is unknown.
-  Duration DeadAfter{};     ///< Polled in vain for so long.
-  Duration UnlistedGrace{}; ///< Out of the host list for so long: leaving.
-  Duration ForgetAfter{};   ///< Out of the host list and silent: forgotten.
+  Duration StaleAfter{};    ///< Without a report for this long: unknown.
+  Duration DeadAfter{};     ///< Without a report for this long: dead.
+  Duration UnlistedGrace{}; ///< Out of the host list for this long: leaving.
+  Duration ForgetAfter{};   ///< Unlisted and silent for this long: removed.
 };
 
-/// Who says that an upstream leaves or is dead.
+/// The source of a report that an upstream is leaving or dead.
 enum class ReportSource { OwnObservation, Peer };
 
-/// One upstream whose state or life changed.
+/// An upstream whose state or incarnation changed.
 struct UpstreamChange {
   std::uint32_t Index = 0;
   bool NotifyPeers = false;
 };
 
-/// The upstreams, ordered by name. A life that is leaving stays closed; only a
-/// later life reopens.
+/// The upstreams, ordered by name. An incarnation that is leaving gets no new
+/// work any more; only a later incarnation does.
 class UpstreamTable {
 public:
   UpstreamTable() = default;
@@ -35,43 +35,42 @@
 
   std::span<const Upstream> upstreams() const { return this->Upstreams; }
   Upstream &at(std::uint32_t Index) { return this->Upstreams[Index]; }
-  /// Nothing known of that name: null.
+  /// Returns the position of the upstream, or null if the name is unknown.
   const std::uint32_t *position(const UpstreamId &Id) const;
   std::span<const std::uint32_t> enginesWith(const ModelId &Model) const;
   std::span<const std::uint32_t> applications(const std::string &Service) const;
 
-  /// Takes the host list in; true when positions have changed.
+  /// Applies the host list and returns whether positions have changed.
   bool applyHostList(std::span<const UpstreamListing> Listed, Time Now);
-  /// Takes in what the upstream answered to this host's own poll.
+  /// Applies the answer of the upstream to this host's own poll.
   void applyOwnReport(std::uint32_t Index, const LoadReport &Report, Time Now);
-  /// Takes in a report that a peer passed on; it may be late.
+  /// Applies a report relayed by a peer. The report may be out of date.
   void applyRelayedReport(std::uint32_t Index, const LoadReport &Report,
                           Time Now);
-  /// That life of the upstream takes no new work.
+  /// Records that this incarnation of the upstream accepts no new work.
   void noteLeaving(std::uint32_t Index, Incarnation Life, ReportSource Source,
                    Time Now);
-  /// A connection to the upstream was refused or reset.
+  /// Records that a connection to the upstream was refused or reset.
   void noteRefused(std::uint32_t Index, Time Now);
-  /// A peer found that life dead.
+  /// Records that a peer found this incarnation dead.
   void noteDead(std::uint32_t Index, Incarnation Life, Time Now);
-  /// Judges the silent.
+  /// Marks upstreams as dead or unknown that have sent no report in time.
   void detectFailures(Time Now);
 
-  /// What changed since the last call, ordered by position.
+  /// Returns the changes since the last call, ordered by position.
   std::vector<UpstreamChange> takeChanges();
 
 private:
   struct UpstreamRecord {
-    std::vector<Incarnation>
-        PastIncarnations; ///< Lives that are over, the newest last.
-    bool Leaving = false; ///< The present life was said to leave.
+    std::vector<Incarnation> PastIncarnations; ///< Newest last.
+    bool Leaving = false; ///< The present incarnation was reported as leaving.
     bool Dead = false;
     Time DeadAt{};
     Time OwnReportAt{};
     Time UnlistedAt = Never;
     bool LastWasRelayed = false; ///< The last report came from a peer.
     std::uint32_t Refusals = 0;  ///< Since the last report.
-    bool ReportedByPeer = false; ///< The last sign came from a peer.
+    bool ReportedByPeer = false; ///< The last state report came from a peer.
   };
 
   bool applyListing(std::uint32_t Index, const UpstreamListing &Listing,
@@ -85,11 +84,11 @@
 
   UpstreamTimeouts Timeouts;
   std::vector<Upstream> Upstreams;
-  std::vector<UpstreamRecord> Records; ///< Beside Known.
+  std::vector<UpstreamRecord> Records; ///< In the same order as Upstreams.
   std::unordered_map<UpstreamId, std::uint32_t> Positions;
   std::unordered_map<ModelId, std::vector<std::uint32_t>> ByModel;
   std::unordered_map<std::string, std::vector<std::uint32_t>> ByService;
-  std::map<UpstreamId, bool> Changed; ///< Whether peers should hear of it.
+  std::map<UpstreamId, bool> Changed; ///< Whether to notify peers.
 };
 
 } // namespace banyanpick
--- a/src/plugins/fleet/WorkTracker.cpp
+++ b/src/plugins/fleet/WorkTracker.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A report shows an attempt when it was measured this much after sending.
+/// A load report includes an attempt if it was measured at least this long
+/// after the attempt was sent.
 constexpr Duration DispatchTravel = milliseconds(10);
 
 } // namespace
--- a/src/plugins/fleet/WorkTracker.h
+++ b/src/plugins/fleet/WorkTracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Work that load reports may not show yet: this host's and its peers'.
+/// Tracks work of this host and its peers that load reports may not show yet.
 #pragma once
 
 #include "kernel/Services.h"
@@ -9,39 +9,42 @@
 
 namespace banyanpick {
 
-/// What of this host's attempts one upstream has.
+/// The attempts of this host on one upstream.
 struct OwnWork {
   std::uint64_t UnreportedPrefillTokens = 0;
-  std::uint64_t Tokens = 0; ///< Prompt and output bounds.
+  std::uint64_t Tokens = 0; ///< Prompt tokens and bounds of the output.
   std::uint32_t Requests = 0;
 };
 
-/// What peers say they have on one upstream.
+/// The work that peers report on one upstream.
 struct PeerWork {
   std::uint64_t PrefillTokens = 0;
   std::uint32_t Requests = 0;
 };
 
-/// Keeps attempts from their dispatch to their end, and the latest word of
-/// each peer.
+/// Tracks attempts from their dispatch to their end, and the latest work report
+/// of each peer.
 class WorkTracker {
 public:
   void add(const Request &ClientRequest, const Attempt &Started);
-  /// The prefill is done: nothing of it is ahead any more.
+  /// Records that the prefill of the attempt is done.
   void noteFirstToken(const AttemptId &Id);
   void remove(const AttemptId &Id);
-  /// A report measured then shows what was sent before.
+  /// Records that a load report measured at \p MeasuredAt includes all attempts
+  /// sent before.
   void noteReport(const UpstreamId &Target, Time MeasuredAt);
 
-  /// Replaces what the peer said before; returns the upstreams concerned.
+  /// Replaces the peer's previous report and returns the upstreams affected.
   std::vector<UpstreamId> applyPeerWork(const HostId &From,
                                         const WorkSent &Work, Time Now);
-  /// Drops what peers said before that time; returns the upstreams concerned.
+  /// Drops reports of peers older than \p Oldest and returns the upstreams
+  /// affected.
   std::vector<UpstreamId> expirePeerWork(Time Oldest);
 
   OwnWork own(const UpstreamId &Target) const;
   PeerWork ofPeers(const UpstreamId &Target) const;
-  /// At most \p Most upstreams, those with the most prefill first.
+  /// Returns this host's work report with at most \p MaxUpstreams upstreams,
+  /// those with the most prefill first.
   WorkSent ownReport(std::size_t MaxUpstreams) const;
   std::size_t attempts() const { return this->Attempts.size(); }
 
@@ -49,7 +52,7 @@
   struct RunningAttempt {
     UpstreamId Target;
     Time SentAt{};
-    std::uint64_t PrefillTokens = 0; ///< Not yet reported or done.
+    std::uint64_t PrefillTokens = 0; ///< Neither reported nor done yet.
     std::uint64_t Tokens = 0;
   };
   struct PeerReport {
--- a/tests/auto/fleet/FleetBench.h
+++ b/tests/auto/fleet/FleetBench.h
@@ -1,5 +1,5 @@
 /// \file
-/// The fleet plug-in among fakes, with upstreams that answer its polls.
+/// Runs the fleet plug-in with fakes and upstreams that answer its polls.
 #pragma once
 
 #include "fakes/PluginViews.h"
@@ -15,7 +15,7 @@
 public:
   FleetBench() : PluginBench<FleetPlugin>("host-a") {}
 
-  /// An engine as the host list shows it.
+  /// Returns an engine as listed in the host list.
   static UpstreamListing engine(const std::string &Name,
                                 std::uint64_t Life = 1) {
     UpstreamListing Result;
@@ -43,14 +43,14 @@
     this->Listed = std::move(Upstreams);
     this->feed(HostListRead{{}, this->Listed});
   }
-  /// The engine answers a poll now.
+  /// Answers a poll on behalf of the engine.
   std::vector<Action> answer(const std::string &Name, std::uint64_t Life = 1) {
     return this->feed(LoadReported{report(Name, Life, this->Now)});
   }
   UpstreamState state(const std::string &Name) const {
     return this->Tested.find(UpstreamId(Name))->State;
   }
-  /// Passes time; the host list is read again, polls stay unanswered.
+  /// Advances the time. The host list is read again; polls stay unanswered.
   std::vector<Action> advance(Duration Span) {
     std::vector<Action> Result;
     for (const Time End = this->Now + Span; this->Now < End;) {
@@ -73,7 +73,7 @@
   return Result;
 }
 
-/// How many of the messages sent have this body.
+/// Returns how many of the sent messages have this body.
 template <class Body>
 std::size_t countMessages(const std::vector<Action> &Items) {
   std::size_t Result = 0;
--- a/tests/auto/fleet/FleetRelayTest.cpp
+++ b/tests/auto/fleet/FleetRelayTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// With many entry hosts few poll an upstream and pass its load on.
+/// Checks that with many entry hosts only a few poll an upstream and relay its
+/// load.
 #include <gtest/gtest.h>
 
 #include "FleetBench.h"
@@ -56,7 +57,7 @@
     EXPECT_EQ(Count, 2) << Engine.Value;
 }
 
-TEST(FleetRelayTest, OneOfThemPassesAReportOnOnce) {
+TEST(FleetRelayTest, OnePollerRelaysAReportOnce) {
   const LoadReport Report = FleetBench::report("e7", 1, Time(seconds(1000)));
   int Relaying = 0;
   for (int Index = 0; Index < Hosts; ++Index) {
@@ -68,7 +69,7 @@
   EXPECT_EQ(Relaying, 1);
 }
 
-TEST(FleetRelayTest, RelayedReportMakesLiveAndAnOlderOneChangesNothing) {
+TEST(FleetRelayTest, RelayedReportMarksLiveAndAnOlderOneIsIgnored) {
   ManyHosts Host(0);
   const auto Receive = [&](const LoadReport &Report) {
     Host.feed(PeerMessageReceived{
@@ -81,7 +82,8 @@
   EXPECT_EQ(Engine.State, UpstreamState::Live);
   Host.Now += seconds(6);
   Host.feed(Tick{});
-  EXPECT_EQ(Engine.State, UpstreamState::Live) << "the next may be on its way";
+  EXPECT_EQ(Engine.State, UpstreamState::Live)
+      << "the next report may be in transit";
   LoadReport Older = FleetBench::report("e7", 9, Time(seconds(999)));
   Receive(Older);
   EXPECT_EQ(Engine.Listing.Life, Incarnation(1));
--- a/tests/auto/fleet/FleetTest.cpp
+++ b/tests/auto/fleet/FleetTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Upstreams that come, leave, die, restart, and signs that are late.
+/// Checks the state of upstreams that join, leave, die or restart, and that
+/// late reports are ignored.
 #include <gtest/gtest.h>
 
 #include "FleetBench.h"
@@ -19,7 +20,7 @@
   UpstreamState state(const std::string &Name) const {
     return this->Bench.state(Name);
   }
-  /// A peer says this of the engine.
+  /// Feeds a message of a peer.
   std::vector<Action> receive(const PeerMessageBody &Body) {
     return this->Bench.feed(
         PeerMessageReceived{{HostId("host-b"), Incarnation(1), Body}});
@@ -36,25 +37,26 @@
   EXPECT_EQ(this->Bench.Tested.enginesWith(ModelId("m"))[0], 0u);
 }
 
-TEST_F(FleetTest, OnePollIsOutAtATime) {
+TEST_F(FleetTest, OnePollIsPendingAtATime) {
   EXPECT_EQ(countActions<PollLoad>(this->Bench.advance(seconds(1))), 0u);
   this->Bench.answer("e1");
   EXPECT_EQ(countActions<PollLoad>(this->Bench.advance(milliseconds(500))), 1u);
 }
 
-TEST_F(FleetTest, FirstSignOfLeavingClosesAndOnlyALaterLifeReopens) {
+TEST_F(FleetTest, LeavingIsPermanentForAnIncarnation) {
   this->Bench.answer("e1");
   const auto Out = this->receive(
       UpstreamNotice{UpstreamId("e1"), Incarnation(1), true, false});
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
-  EXPECT_EQ(countMessages<UpstreamNotice>(Out), 0u) << "the peer knows already";
+  EXPECT_EQ(countMessages<UpstreamNotice>(Out), 0u)
+      << "the peer that sent the notice needs none";
   this->Bench.answer("e1");
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
   this->Bench.answer("e1", 2);
   EXPECT_EQ(this->state("e1"), UpstreamState::Live);
 }
 
-TEST_F(FleetTest, RefusalAsLeavingClosesAtOnceAndIsPassedOn) {
+TEST_F(FleetTest, RefusalAsLeavingAppliesAtOnceAndNotifiesPeers) {
   this->Bench.answer("e1");
   const Request ClientRequest = RequestMaker(1);
   const Attempt Dispatched = attemptOf(ClientRequest, 1, "e1");
@@ -68,7 +70,7 @@
   EXPECT_EQ(countMessages<UpstreamNotice>(Out.items()), 1u);
 }
 
-TEST_F(FleetTest, HostListLeavingClosesAndTheOldListDoesNotReopen) {
+TEST_F(FleetTest, LeavingInHostListIsNotRevokedByAnOldList) {
   this->Bench.answer("e1");
   UpstreamListing Leaving = FleetBench::engine("e1");
   Leaving.Leaving = true;
@@ -78,7 +80,7 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
 }
 
-TEST_F(FleetTest, LaggingListDoesNotBringAnOldLifeBack) {
+TEST_F(FleetTest, StaleListDoesNotRestoreAPastIncarnation) {
   this->Bench.answer("e1", 2);
   EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1"))->Listing.Life,
             Incarnation(2));
@@ -87,9 +89,9 @@
             Incarnation(2));
 }
 
-TEST_F(FleetTest, ListOfAnUnknownOldLifeYieldsToFreshReports) {
+TEST_F(FleetTest, RecentReportOverridesUnknownIncarnationInList) {
   this->Bench.answer("e1", 5);
-  // A life never seen, in a list that lags behind the engine's own word.
+  // An unknown incarnation in a list that is older than the engine's report.
   this->Bench.setHostList(
       {FleetBench::engine("e1", 4), FleetBench::engine("e2")});
   EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1"))->Listing.Life,
@@ -97,7 +99,7 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Live);
 }
 
-TEST_F(FleetTest, RefusedPollsMeanDeathAndAnAnswerLife) {
+TEST_F(FleetTest, RefusedPollsMarkDeadAndAnAnswerMarksLive) {
   this->Bench.answer("e1");
   const LoadPollFailed Refused{UpstreamId("e1"), true};
   this->Bench.feed(Refused);
@@ -109,7 +111,7 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Live);
 }
 
-TEST_F(FleetTest, SilenceMeansUnknownAndThenDead) {
+TEST_F(FleetTest, SilentEngineBecomesUnknownAndThenDead) {
   this->Bench.answer("e1");
   this->Bench.advance(seconds(4));
   EXPECT_EQ(this->state("e1"), UpstreamState::Unknown);
@@ -117,14 +119,14 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Dead);
 }
 
-TEST_F(FleetTest, PausedProcessBlamesNoUpstream) {
+TEST_F(FleetTest, PausedProcessMarksNoUpstreamDead) {
   this->Bench.answer("e1");
   this->Bench.Now += seconds(60);
   this->Bench.feed(Tick{});
   EXPECT_NE(this->state("e1"), UpstreamState::Dead);
 }
 
-TEST_F(FleetTest, PeersWordOfDeathYieldsToAFreshReport) {
+TEST_F(FleetTest, RecentReportOverridesDeathReportedByPeer) {
   const UpstreamNotice Dead{UpstreamId("e1"), Incarnation(1), false, true};
   this->Bench.answer("e1");
   this->receive(Dead);
@@ -134,10 +136,11 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Dead);
 }
 
-TEST_F(FleetTest, UnlistedEngineGetsNoNewWorkAndIsForgotten) {
+TEST_F(FleetTest, UnlistedEngineGetsNoNewWorkAndIsRemoved) {
   this->Bench.answer("e1");
   this->Bench.setHostList({FleetBench::engine("e2")});
-  EXPECT_EQ(this->state("e1"), UpstreamState::Live) << "one read may err";
+  EXPECT_EQ(this->state("e1"), UpstreamState::Live)
+      << "one read of the host list may be wrong";
   this->Bench.advance(milliseconds(2500));
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
   this->Bench.advance(seconds(90));
@@ -145,7 +148,7 @@
   EXPECT_NE(this->Bench.Tested.find(UpstreamId("e2")), nullptr);
 }
 
-TEST_F(FleetTest, OwnWorkCountsUntilAReportShowsItOrItEnds) {
+TEST_F(FleetTest, OwnWorkCountsUntilReportedOrEnded) {
   this->Bench.answer("e1");
   const Request ClientRequest = RequestMaker(1).prompt(5000);
   Attempt Dispatched = attemptOf(ClientRequest, 1, "e1");
@@ -158,7 +161,8 @@
   EXPECT_EQ(Engine.OutstandingTokensHere, 5100u);
   this->Bench.feed(
       LoadReported{FleetBench::report("e1", 1, Dispatched.SentAt)});
-  EXPECT_EQ(Engine.UnreportedPrefillTokens, 5000u) << "measured before it came";
+  EXPECT_EQ(Engine.UnreportedPrefillTokens, 5000u)
+      << "the report was measured before the attempt arrived";
   this->Bench.Now += seconds(1);
   this->Bench.answer("e1");
   EXPECT_EQ(Engine.UnreportedPrefillTokens, 0u);
@@ -169,7 +173,7 @@
   EXPECT_EQ(Engine.OutstandingTokensHere, 0u);
 }
 
-TEST_F(FleetTest, PeersWorkIsReplacedByTheirNextWordAndExpires) {
+TEST_F(FleetTest, PeerWorkIsReplacedByTheNextReportAndExpires) {
   const Upstream &Engine = *this->Bench.Tested.find(UpstreamId("e1"));
   this->receive(WorkSent{{{UpstreamId("e1"), 700, 2}}});
   EXPECT_EQ(Engine.PeerPrefillTokens, 700u);
