--- a/tests/auto/drain/DrainTest.cpp
+++ b/tests/auto/drain/DrainTest.cpp
@@ -5,7 +5,7 @@
 
 #include "fakes/FakeRequestTable.h"
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/drain/DrainPlugin.h"
 #include "plugins/resolve/ResolvePlugin.h"
 
@@ -43,13 +43,13 @@
     }
     this->Bench.start();
     Actions Out;
-    this->Bench.Tested.start(this->Now, Out);
+    this->Bench.TestedPlugin.start(this->Now, Out);
   }
 
   /// Feeds the event and keeps the actions.
   void feed(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(Incoming, this->Now, Out);
+    this->Bench.TestedPlugin.handle(Incoming, this->Now, Out);
     this->Outputs = Out.take();
     for (const Action &Output : this->Outputs)
       this->Stopped |= std::holds_alternative<StopNow>(Output);
@@ -64,10 +64,11 @@
     }
   }
   bool refuses() {
-    return this->Bench.Tested.check(RequestMaker(9), this->Now).has_value();
+    return this->Bench.TestedPlugin.check(TestRequestBuilder(9), this->Now)
+        .has_value();
   }
   void addStream() {
-    const Request ClientRequest = RequestMaker(1);
+    const Request ClientRequest = TestRequestBuilder(1);
     this->Table.add(ClientRequest, attemptOf(ClientRequest, 1, "e1"), "token");
   }
   void answerAs(const HostId &Peer) {
@@ -87,7 +88,7 @@
 
 TEST_F(DrainTest, ServesUntilTheLastResolveAnswerHasExpired) {
   this->feed(StopRequest{});
-  EXPECT_TRUE(this->Bench.Tested.isLeaving());
+  EXPECT_TRUE(this->Bench.TestedPlugin.isLeaving());
   this->advance(milliseconds(5900));
   EXPECT_FALSE(this->refuses());
   EXPECT_FALSE(this->Stopped) << "a caller may still connect";
@@ -108,7 +109,7 @@
 }
 
 TEST_F(DrainTest, RunningRequestIsNotInterrupted) {
-  const Request ClientRequest = RequestMaker(1);
+  const Request ClientRequest = TestRequestBuilder(1);
   this->Table.add(ClientRequest, attemptOf(ClientRequest, 1, "e1"));
   this->feed(StopRequest{});
   this->advance(seconds(120));
--- a/tests/auto/fairness/FairnessHostsTest.cpp
+++ b/tests/auto/fairness/FairnessHostsTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/fairness/FairnessPlugin.h"
 #include "wire/PeerCodec.h"
 
@@ -40,12 +40,12 @@
       Host->start();
   }
   void push(std::size_t Host, const std::string &Team) {
-    const Request Req = RequestMaker(++this->Ids)
+    const Request Req = TestRequestBuilder(++this->Ids)
                             .team(Team)
                             .output(0)
                             .arrived(this->Now, seconds(100'000));
     this->Waiting[Req.id()] = Req;
-    this->Hosts[Host]->Tested.push(Req, this->Now);
+    this->Hosts[Host]->TestedPlugin.push(Req, this->Now);
   }
   /// Dispatches requests on every host, advances the time by one second and
   /// delivers the messages between hosts.
@@ -75,14 +75,14 @@
 
 private:
   void dispatchOne(Bench &Host) {
-    const auto Next = Host.Tested.candidates(1, this->Now);
+    const auto Next = Host.TestedPlugin.candidates(1, this->Now);
     if (Next.empty())
       return;
     const Request Sent = this->Waiting.at(Next.front());
     Actions Out;
-    Host.Tested.remove(Sent.id());
-    Host.Tested.dispatched(Sent, attemptOf(Sent, Sent.id().Value, "e"),
-                           this->Now, Out);
+    Host.TestedPlugin.remove(Sent.id());
+    Host.TestedPlugin.dispatched(Sent, attemptOf(Sent, Sent.id().Value, "e"),
+                                 this->Now, Out);
     this->Work[Sent.Team] += static_cast<double>(Sent.Head.PromptTokens);
   }
 
@@ -135,14 +135,14 @@
       Backlogs.push(0, "member-house-" + std::to_string(Team));
     Actions Out;
     for (const RequestId &Id :
-         Backlogs.Hosts[0]->Tested.candidates(Teams, Backlogs.Now))
-      Backlogs.Hosts[0]->Tested.remove(Id);
+         Backlogs.Hosts[0]->TestedPlugin.candidates(Teams, Backlogs.Now))
+      Backlogs.Hosts[0]->TestedPlugin.remove(Id);
     for (int Team = 0; Team < Teams; ++Team) {
-      const Request Sent = RequestMaker(100'000 + Team)
+      const Request Sent = TestRequestBuilder(100'000 + Team)
                                .team("member-house-" + std::to_string(Team))
                                .prompt(50'000 + Second);
-      Backlogs.Hosts[0]->Tested.dispatched(Sent, attemptOf(Sent, 1, "e"),
-                                           Backlogs.Now, Out);
+      Backlogs.Hosts[0]->TestedPlugin.dispatched(Sent, attemptOf(Sent, 1, "e"),
+                                                 Backlogs.Now, Out);
     }
     Backlogs.Now += seconds(1);
     for (SendToPeer &Message : Backlogs.Hosts[0]->handle(Tick(), Backlogs.Now))
--- a/tests/auto/fairness/RequestQueuesTest.cpp
+++ b/tests/auto/fairness/RequestQueuesTest.cpp
@@ -4,7 +4,7 @@
 // GoogleTest comes before its RapidCheck adapter.
 #include <rapidcheck/gtest.h>
 
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/fairness/RequestQueues.h"
 
 #include <algorithm>
@@ -23,9 +23,10 @@
 TEST(RequestQueuesTest, LargeTeamDoesNotDelaySmallOne) {
   RequestQueues Queues{RequestQueuesPolicy()};
   for (std::uint64_t Id = 1; Id <= 100; ++Id)
-    Queues.push(RequestMaker(Id).team("large").build(), false, Start, Start);
-  const Request Small = RequestMaker(200).team("small").build();
-  dispatch(Queues, RequestMaker(1).team("large").build());
+    Queues.push(TestRequestBuilder(Id).team("large").build(), false, Start,
+                Start);
+  const Request Small = TestRequestBuilder(200).team("small").build();
+  dispatch(Queues, TestRequestBuilder(1).team("large").build());
   Queues.push(Small, false, Start, Start);
   const auto Order = Queues.candidates(4, Start);
   EXPECT_LE(std::find(Order.begin(), Order.end(), Small.id()) - Order.begin(),
@@ -37,7 +38,7 @@
   std::map<std::uint64_t, Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 400; ++Id) {
     const bool IsHeavy = Id % 2 == 0;
-    Waiting[Id] = RequestMaker(Id)
+    Waiting[Id] = TestRequestBuilder(Id)
                       .team(IsHeavy ? "heavy" : "light", IsHeavy ? 3 : 1)
                       .build();
     Queues.push(Waiting[Id], false, Start, Start);
@@ -53,12 +54,12 @@
 
 TEST(RequestQueuesTest, UrgentWorkGoesFirstUntilLongWorkHasAged) {
   RequestQueues Queues{RequestQueuesPolicy()};
-  const Request Long =
-      RequestMaker(1).prompt(500'000).urgency(1).arrived(Start, seconds(60));
+  const Request Long = TestRequestBuilder(1).prompt(500'000).urgency(1).arrived(
+      Start, seconds(60));
   // Work with a time to first token of 60 s ages after 30 s.
   Queues.push(Long, false, Start, Start);
   const auto Urgent = [](std::uint64_t Id, Time Now) {
-    return RequestMaker(Id).urgency(9).arrived(Now, seconds(60)).build();
+    return TestRequestBuilder(Id).urgency(9).arrived(Now, seconds(60)).build();
   };
   Queues.push(Urgent(2, Start), false, Start, Start);
   EXPECT_EQ(Queues.candidates(2, Start).front(), RequestId(2));
@@ -71,9 +72,9 @@
 TEST(RequestQueuesTest, BlockedQueueDoesNotBlockOtherQueues) {
   RequestQueues Queues{RequestQueuesPolicy()};
   for (std::uint64_t Id = 1; Id <= 100; ++Id)
-    Queues.push(RequestMaker(Id).urgency(9).prompt(200'000).build(), false,
-                Start, Start);
-  Queues.push(RequestMaker(200).urgency(0).build(), false, Start, Start);
+    Queues.push(TestRequestBuilder(Id).urgency(9).prompt(200'000).build(),
+                false, Start, Start);
+  Queues.push(TestRequestBuilder(200).urgency(0).build(), false, Start, Start);
   const auto Order = Queues.candidates(16, Start);
   EXPECT_NE(std::find(Order.begin(), Order.end(), RequestId(200)), Order.end());
 }
@@ -82,8 +83,10 @@
   RequestQueues Queues{RequestQueuesPolicy()};
   std::vector<Request> Waiting;
   for (std::uint64_t Id = 1; Id <= 6; ++Id) {
-    Waiting.push_back(
-        RequestMaker(Id).team(Id % 2 == 0 ? "b" : "a").output(10'000).build());
+    Waiting.push_back(TestRequestBuilder(Id)
+                          .team(Id % 2 == 0 ? "b" : "a")
+                          .output(10'000)
+                          .build());
     Queues.push(Waiting.back(), false, Start, Start);
   }
   dispatch(Queues, Waiting[0]); // a
@@ -111,7 +114,7 @@
           }))
         break;
       const Request Req =
-          RequestMaker(Id)
+          TestRequestBuilder(Id)
               .team(std::string(1, static_cast<char>('a' + Id % 5)))
               .urgency(Id % 3)
               .prompt(Id * 5000)
@@ -140,7 +143,7 @@
     }
     case 4:
       Queues.chargeRemote({TeamId("a"),
-                           queueHash(queueKey(RequestMaker(1), false)),
+                           queueHash(queueKey(TestRequestBuilder(1), false)),
                            *rc::gen::inRange(-5000, 50'000) * 1.0},
                           1);
       break;
--- a/tests/auto/fleet/FleetBench.h
+++ b/tests/auto/fleet/FleetBench.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/fleet/FleetPlugin.h"
 
 #include <map>
@@ -36,7 +36,7 @@
 
   std::vector<Action> feed(const Event &Incoming) {
     Actions Out;
-    this->Tested.handle(Incoming, this->Now, Out);
+    this->TestedPlugin.handle(Incoming, this->Now, Out);
     return Out.take();
   }
   void setHostList(std::vector<UpstreamListing> Upstreams) {
@@ -48,7 +48,7 @@
     return this->feed(LoadReported{report(Name, Life, this->Now)});
   }
   UpstreamState state(const std::string &Name) const {
-    return this->Tested.find(UpstreamId(Name))->State;
+    return this->TestedPlugin.find(UpstreamId(Name))->State;
   }
   /// Advances the time. The host list is read again; polls stay unanswered.
   std::vector<Action> advance(Duration Span) {
--- a/tests/auto/fleet/FleetRelayTest.cpp
+++ b/tests/auto/fleet/FleetRelayTest.cpp
@@ -27,7 +27,7 @@
   static std::string name(int Index) { return "h" + std::to_string(Index); }
   std::vector<Action> feed(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(Incoming, this->Now, Out);
+    this->Bench.TestedPlugin.handle(Incoming, this->Now, Out);
     return Out.take();
   }
   std::vector<UpstreamId> polled() {
@@ -78,7 +78,7 @@
   LoadReport Newer = FleetBench::report("e7", 1, Time(seconds(1000)));
   Newer.Running = 5;
   Receive(Newer);
-  const Upstream &Engine = *Host.Bench.Tested.find(UpstreamId("e7"));
+  const Upstream &Engine = *Host.Bench.TestedPlugin.find(UpstreamId("e7"));
   EXPECT_EQ(Engine.State, UpstreamState::Live);
   Host.Now += seconds(6);
   Host.feed(Tick{});
--- a/tests/auto/fleet/FleetTest.cpp
+++ b/tests/auto/fleet/FleetTest.cpp
@@ -33,8 +33,8 @@
   EXPECT_EQ(this->state("e1"), UpstreamState::Unknown);
   this->Bench.answer("e1");
   EXPECT_EQ(this->state("e1"), UpstreamState::Live);
-  ASSERT_EQ(this->Bench.Tested.enginesWith(ModelId("m")).size(), 1u);
-  EXPECT_EQ(this->Bench.Tested.enginesWith(ModelId("m"))[0], 0u);
+  ASSERT_EQ(this->Bench.TestedPlugin.enginesWith(ModelId("m")).size(), 1u);
+  EXPECT_EQ(this->Bench.TestedPlugin.enginesWith(ModelId("m"))[0], 0u);
 }
 
 TEST_F(FleetTest, OnePollIsPendingAtATime) {
@@ -58,14 +58,14 @@
 
 TEST_F(FleetTest, RefusalAsLeavingAppliesAtOnceAndNotifiesPeers) {
   this->Bench.answer("e1");
-  const Request ClientRequest = RequestMaker(1);
+  const Request ClientRequest = TestRequestBuilder(1);
   const Attempt Dispatched = attemptOf(ClientRequest, 1, "e1");
   Actions Out;
-  this->Bench.Tested.dispatched(ClientRequest, Dispatched, this->Bench.Now,
-                                Out);
-  this->Bench.Tested.attemptEnded(ClientRequest, Dispatched,
-                                  AttemptRefused{AttemptRefused::Why::Leaving},
-                                  this->Bench.Now, Out);
+  this->Bench.TestedPlugin.dispatched(ClientRequest, Dispatched,
+                                      this->Bench.Now, Out);
+  this->Bench.TestedPlugin.attemptEnded(
+      ClientRequest, Dispatched, AttemptRefused{AttemptRefused::Why::Leaving},
+      this->Bench.Now, Out);
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
   EXPECT_EQ(countMessages<UpstreamNotice>(Out.items()), 1u);
 }
@@ -82,10 +82,10 @@
 
 TEST_F(FleetTest, StaleListDoesNotRestoreAPastIncarnation) {
   this->Bench.answer("e1", 2);
-  EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1"))->Listing.Life,
+  EXPECT_EQ(this->Bench.TestedPlugin.find(UpstreamId("e1"))->Listing.Life,
             Incarnation(2));
   this->Bench.advance(seconds(10));
-  EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1"))->Listing.Life,
+  EXPECT_EQ(this->Bench.TestedPlugin.find(UpstreamId("e1"))->Listing.Life,
             Incarnation(2));
 }
 
@@ -94,7 +94,7 @@
   // An unknown incarnation in a list that is older than the engine's report.
   this->Bench.setHostList(
       {FleetBench::engine("e1", 4), FleetBench::engine("e2")});
-  EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1"))->Listing.Life,
+  EXPECT_EQ(this->Bench.TestedPlugin.find(UpstreamId("e1"))->Listing.Life,
             Incarnation(5));
   EXPECT_EQ(this->state("e1"), UpstreamState::Live);
 }
@@ -144,19 +144,19 @@
   this->Bench.advance(milliseconds(2500));
   EXPECT_EQ(this->state("e1"), UpstreamState::Leaving);
   this->Bench.advance(seconds(90));
-  EXPECT_EQ(this->Bench.Tested.find(UpstreamId("e1")), nullptr);
-  EXPECT_NE(this->Bench.Tested.find(UpstreamId("e2")), nullptr);
+  EXPECT_EQ(this->Bench.TestedPlugin.find(UpstreamId("e1")), nullptr);
+  EXPECT_NE(this->Bench.TestedPlugin.find(UpstreamId("e2")), nullptr);
 }
 
 TEST_F(FleetTest, OwnWorkCountsUntilReportedOrEnded) {
   this->Bench.answer("e1");
-  const Request ClientRequest = RequestMaker(1).prompt(5000);
+  const Request ClientRequest = TestRequestBuilder(1).prompt(5000);
   Attempt Dispatched = attemptOf(ClientRequest, 1, "e1");
   Dispatched.SentAt = this->Bench.Now;
   Actions Out;
-  this->Bench.Tested.dispatched(ClientRequest, Dispatched, this->Bench.Now,
-                                Out);
-  const Upstream &Engine = *this->Bench.Tested.find(UpstreamId("e1"));
+  this->Bench.TestedPlugin.dispatched(ClientRequest, Dispatched,
+                                      this->Bench.Now, Out);
+  const Upstream &Engine = *this->Bench.TestedPlugin.find(UpstreamId("e1"));
   EXPECT_EQ(Engine.UnreportedPrefillTokens, 5000u);
   EXPECT_EQ(Engine.OutstandingTokensHere, 5100u);
   this->Bench.feed(
@@ -167,14 +167,14 @@
   this->Bench.answer("e1");
   EXPECT_EQ(Engine.UnreportedPrefillTokens, 0u);
   EXPECT_EQ(Engine.OutstandingHere, 1u);
-  this->Bench.Tested.attemptEnded(ClientRequest, Dispatched, AttemptComplete{},
-                                  this->Bench.Now, Out);
+  this->Bench.TestedPlugin.attemptEnded(
+      ClientRequest, Dispatched, AttemptComplete{}, this->Bench.Now, Out);
   EXPECT_EQ(Engine.OutstandingHere, 0u);
   EXPECT_EQ(Engine.OutstandingTokensHere, 0u);
 }
 
 TEST_F(FleetTest, PeerWorkIsReplacedByTheNextReportAndExpires) {
-  const Upstream &Engine = *this->Bench.Tested.find(UpstreamId("e1"));
+  const Upstream &Engine = *this->Bench.TestedPlugin.find(UpstreamId("e1"));
   this->receive(WorkSent{{{UpstreamId("e1"), 700, 2}}});
   EXPECT_EQ(Engine.PeerPrefillTokens, 700u);
   this->receive(WorkSent{{{UpstreamId("e1"), 300, 1}}});
--- a/tests/auto/limits/LimitsDeployment.h
+++ b/tests/auto/limits/LimitsDeployment.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "kernel/ServingHosts.h"
 #include "plugins/limits/LimitsPlugin.h"
 
@@ -32,18 +32,18 @@
 
   /// Sends a request of the team to a host. Returns whether it is admitted.
   bool sendRequest(std::size_t Host) {
-    const Request Req = RequestMaker(++this->Requests)
+    const Request Req = TestRequestBuilder(++this->Requests)
                             .prompt(900)
                             .output(100)
                             .arrived(this->Now, seconds(60));
     Bench &HostBench = *this->Hosts[Host];
-    const auto Refusal = HostBench.Tested.check(Req, this->Now);
+    const auto Refusal = HostBench.TestedPlugin.check(Req, this->Now);
     if (Refusal) {
       this->LastRefusal = *Refusal;
       return false;
     }
     Actions Out;
-    HostBench.Tested.admitted(Req, this->Now, Out);
+    HostBench.TestedPlugin.admitted(Req, this->Now, Out);
     this->Running.emplace_back(Host, Req);
     return true;
   }
@@ -51,8 +51,8 @@
   void endAll() {
     Actions Out;
     for (const auto &[Host, Req] : this->Running)
-      this->Hosts[Host]->Tested.ended(Req, CompleteAnswer{100, ""}, this->Now,
-                                      Out);
+      this->Hosts[Host]->TestedPlugin.ended(Req, CompleteAnswer{100, ""},
+                                            this->Now, Out);
     this->Running.clear();
   }
   std::size_t running() const { return this->Running.size(); }
@@ -61,7 +61,7 @@
   void tick(Duration Step) {
     this->Now += Step;
     for (std::size_t Index = 0; Index < this->Hosts.size(); ++Index) {
-      if (this->Hosts[Index]->Tested.nextWake() <= this->Now)
+      if (this->Hosts[Index]->TestedPlugin.nextWake() <= this->Now)
         this->send(Index, this->Hosts[Index]->handle(Tick(), this->Now));
     }
   }
@@ -117,11 +117,11 @@
     Bench &HostBench = *this->Hosts[Observer];
     HostBench.Members.setState(HostId(name(Peer)), State);
     Actions Out;
-    HostBench.Tested.memberChanged(Member(), this->Now, Out);
+    HostBench.TestedPlugin.memberChanged(Member(), this->Now, Out);
   }
 
   double fraction(std::size_t Host) {
-    return this->Hosts[Host]->Tested.fraction(team(), this->Now);
+    return this->Hosts[Host]->TestedPlugin.fraction(team(), this->Now);
   }
   double sumOfFractions() {
     double Sum = 0;
@@ -132,7 +132,7 @@
   std::size_t invariantsBroken() {
     InvariantMonitor Monitor;
     for (const auto &Item : this->Hosts)
-      Item->Tested.checkInvariants(Monitor, this->Now);
+      Item->TestedPlugin.checkInvariants(Monitor, this->Now);
     return Monitor.takeBroken().size();
   }
 
--- a/tests/auto/orders/OrdersTest.cpp
+++ b/tests/auto/orders/OrdersTest.cpp
@@ -20,7 +20,7 @@
     this->declareModel("m", 1);
     this->Bench.start();
     Actions Out;
-    this->Bench.Tested.start(this->Now, Out);
+    this->Bench.TestedPlugin.start(this->Now, Out);
   }
 
   void declareModel(const std::string &Name, std::uint32_t Minimum) {
@@ -32,7 +32,7 @@
   }
   void handleEvent(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(Incoming, this->Now, Out);
+    this->Bench.TestedPlugin.handle(Incoming, this->Now, Out);
     for (const Action &Requested : Out.items())
       if (const auto *Order = std::get_if<OrderUpstream>(&Requested))
         this->Sent.push_back(*Order);
@@ -48,11 +48,12 @@
   void readLog() {
     Actions Out;
     for (; this->ReadCount < this->Bench.Log.Appended.size(); ++this->ReadCount)
-      this->Bench.Tested.recordRead({this->ReadCount + 1,
-                                     0,
-                                     {{Incarnation(1), this->ReadCount + 1},
-                                      this->Bench.Log.Appended[ReadCount]}},
-                                    this->Now, Out);
+      this->Bench.TestedPlugin.recordRead(
+          {this->ReadCount + 1,
+           0,
+           {{Incarnation(1), this->ReadCount + 1},
+            this->Bench.Log.Appended[ReadCount]}},
+          this->Now, Out);
   }
   void answer(OrderResult Result) {
     this->handleEvent(OrderAnswered{this->Sent.back().Order,
@@ -78,7 +79,7 @@
   this->answer(OrderResult::Accepted);
   this->advance(seconds(60));
   EXPECT_EQ(this->Sent.size(), 1u) << "the load is still in progress";
-  this->Fleet.Known[0].Report.Models = {ModelId("m")};
+  this->Fleet.Upstreams[0].Report.Models = {ModelId("m")};
   this->advance(seconds(300));
   EXPECT_EQ(this->Sent.size(), 1u);
 }
@@ -101,7 +102,7 @@
 }
 
 TEST_F(OrdersTest, EngineWithoutFencingGetsNoOrderDuringEarlierLeases) {
-  this->Fleet.Known[0].Listing.ChecksFencing = false;
+  this->Fleet.Upstreams[0].Listing.ChecksFencing = false;
   this->advance(seconds(24));
   EXPECT_TRUE(this->Sent.empty())
       << "a lease from before the start may still be valid";
--- a/tests/auto/orders/PlacementTest.cpp
+++ b/tests/auto/orders/PlacementTest.cpp
@@ -45,7 +45,7 @@
 }
 
 void applyChange(FakeFleetView &Fleet, const PlacementChange &Change) {
-  for (Upstream &Engine : Fleet.Known) {
+  for (Upstream &Engine : Fleet.Upstreams) {
     if (Engine.Listing.Id != Change.Engine)
       continue;
     if (Change.Load)
@@ -59,7 +59,7 @@
   const FakeCatalogueView Declared = anyCatalogue();
   FakeFleetView Fleet = anyFleet();
   const auto First = placementChanges(Declared.catalogue(), Fleet);
-  std::reverse(Fleet.Known.begin(), Fleet.Known.end());
+  std::reverse(Fleet.Upstreams.begin(), Fleet.Upstreams.end());
   RC_ASSERT(placementChanges(Declared.catalogue(), Fleet) == First);
 }
 
@@ -75,16 +75,17 @@
     const auto Next = *rc::gen::inRange<std::size_t>(0, Changes.size());
     applyChange(Fleet, Changes[Next]);
   }
-  const auto Live = static_cast<std::size_t>(std::count_if(
-      Fleet.Known.begin(), Fleet.Known.end(), [](const Upstream &Engine) {
-        return Engine.State == UpstreamState::Live;
-      }));
+  const auto Live = static_cast<std::size_t>(
+      std::count_if(Fleet.Upstreams.begin(), Fleet.Upstreams.end(),
+                    [](const Upstream &Engine) {
+                      return Engine.State == UpstreamState::Live;
+                    }));
   const auto Remaining = placementChanges(Declared.catalogue(), Fleet);
   RC_ASSERT(Remaining.empty());
   for (const auto &[Key, Item] : Declared.catalogue().entries()) {
     const auto &Entry = std::get<ModelEntry>(Item.Body);
     std::size_t LoadedEngines = 0;
-    for (const Upstream &Engine : Fleet.Known)
+    for (const Upstream &Engine : Fleet.Upstreams)
       LoadedEngines +=
           Engine.State == UpstreamState::Live &&
           std::count(Engine.Report.Models.begin(), Engine.Report.Models.end(),
--- a/tests/auto/quarantine/QuarantineTest.cpp
+++ b/tests/auto/quarantine/QuarantineTest.cpp
@@ -6,7 +6,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/quarantine/QuarantinePlugin.h"
 
 namespace banyanpick {
@@ -31,11 +31,12 @@
 
   std::vector<SendToPeer> run(std::uint64_t Content,
                               const std::string &Upstream) {
-    const Request Req = RequestMaker(++this->Ids).content(Content).build();
+    const Request Req =
+        TestRequestBuilder(++this->Ids).content(Content).build();
     const Attempt SentAttempt = attemptOf(Req, this->Ids, Upstream);
     this->Running.emplace_back(Req, SentAttempt);
     return this->sent([&](Actions &Out) {
-      this->Tested.dispatched(Req, SentAttempt, this->Now, Out);
+      this->TestedPlugin.dispatched(Req, SentAttempt, this->Now, Out);
     });
   }
   /// Ends all attempts on the upstream with this outcome.
@@ -47,7 +48,8 @@
       };
       for (const auto &[Req, SentAttempt] : this->Running) {
         if (SentAttempt.Upstream.Value == Upstream)
-          this->Tested.attemptEnded(Req, SentAttempt, Outcome, this->Now, Out);
+          this->TestedPlugin.attemptEnded(Req, SentAttempt, Outcome, this->Now,
+                                          Out);
       }
       std::erase_if(this->Running, IsThere);
     });
@@ -56,11 +58,11 @@
     return this->end(Upstream, AttemptBroken{0, true});
   }
   bool isIsolated(std::uint64_t Content) {
-    return this->Tested.isSuspect(RequestMaker(1).content(Content).build(),
-                                  this->Now);
+    return this->TestedPlugin.isSuspect(
+        TestRequestBuilder(1).content(Content).build(), this->Now);
   }
   bool isQuarantined(Fingerprint Content) {
-    return this->Tested.isQuarantined(Content, this->Now);
+    return this->TestedPlugin.isQuarantined(Content, this->Now);
   }
   std::vector<SendToPeer> receive(const PeerMessageBody &Body) {
     return this->handle(
@@ -94,9 +96,9 @@
   Actions Out;
   StoredRecord Stored;
   Stored.Record.Body = H1.Log.Appended[0];
-  H3.Tested.recordRead(Stored, Start, Out);
-  const auto Refusal = H3.Tested.check(RequestMaker(999).content(66).build(),
-                                       Start + seconds(1));
+  H3.TestedPlugin.recordRead(Stored, Start, Out);
+  const auto Refusal = H3.TestedPlugin.check(
+      TestRequestBuilder(999).content(66).build(), Start + seconds(1));
   ASSERT_TRUE(Refusal);
   EXPECT_EQ(Refusal->Reason, RefusalReason::Quarantined);
   EXPECT_GT(Refusal->RetryAfter, seconds(60));
@@ -209,10 +211,10 @@
   Dead.Listing.Life = Incarnation(1);
   Dead.State = UpstreamState::Dead;
   Actions Out;
-  H1.Tested.upstreamChanged(Dead, Start, Out);
+  H1.TestedPlugin.upstreamChanged(Dead, Start, Out);
   EXPECT_TRUE(H1.isIsolated(66));
   H1.die("e1");
-  H1.Tested.upstreamChanged(Dead, Start, Out);
+  H1.TestedPlugin.upstreamChanged(Dead, Start, Out);
   EXPECT_FALSE(H1.isQuarantined(poison()));
   // The death of its next incarnation counts again, even while the fleet view
   // contains only the first incarnation.
@@ -261,8 +263,8 @@
   H1.run(66, "e2");
   const auto Quarantined = H1.die("e2");
   H1.Now += seconds(60);
-  const auto Released =
-      H1.sent([&](Actions &Out) { H1.Tested.release(poison(), H1.Now, Out); });
+  const auto Released = H1.sent(
+      [&](Actions &Out) { H1.TestedPlugin.release(poison(), H1.Now, Out); });
   Host H2("h2");
   H2.Now = H1.Now;
   H2.receive(Quarantined.front().Body);
--- a/tests/auto/reclaim/ReclaimTest.cpp
+++ b/tests/auto/reclaim/ReclaimTest.cpp
@@ -5,7 +5,7 @@
 
 #include "fakes/FakeRequestTable.h"
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/reclaim/ReclaimPlugin.h"
 
 namespace banyanpick {
@@ -19,12 +19,12 @@
     this->Bench.Registry.provide<RequestTable>(this->Table);
     this->Bench.start();
     Actions Out;
-    this->Bench.Tested.start(this->Now, Out);
+    this->Bench.TestedPlugin.start(this->Now, Out);
   }
 
   void handleEvent(const Event &Incoming) {
     Actions Out;
-    this->Bench.Tested.handle(Incoming, this->Now, Out);
+    this->Bench.TestedPlugin.handle(Incoming, this->Now, Out);
     for (const Action &Requested : Out.items()) {
       if (const auto *Cancel = std::get_if<CancelAttempt>(&Requested))
         this->Cancelled.push_back(Cancel->Attempt);
@@ -57,8 +57,9 @@
   }
   void cancel(std::uint64_t Sequence) {
     Actions Out;
-    this->Bench.Tested.cancel({Incarnation(1), Sequence}, UpstreamId("e1"),
-                              this->Now, this->Now, Out);
+    this->Bench.TestedPlugin.cancel({Incarnation(1), Sequence},
+                                    UpstreamId("e1"), this->Now, this->Now,
+                                    Out);
   }
 
   Time Now = Time(seconds(1000));
@@ -79,21 +80,22 @@
   }
   EXPECT_GE(this->Cancelled.size(), 2u);
   this->handleEvent(CancelAnswered{Id, UpstreamId("e1"), false});
-  EXPECT_NE(this->Bench.Tested.nextWake(), Never);
+  EXPECT_NE(this->Bench.TestedPlugin.nextWake(), Never);
   this->handleEvent(CancelAnswered{Id, UpstreamId("e1"), true});
-  EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
+  EXPECT_EQ(this->Bench.TestedPlugin.nextWake(), Never);
 }
 
 TEST_F(ReclaimTest, CancelExpiresAfterItsDeadlineOrWhenTheUpstreamRestarts) {
   this->cancel(5);
   this->Now += seconds(61);
   this->handleEvent(Tick{});
-  EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
+  EXPECT_EQ(this->Bench.TestedPlugin.nextWake(), Never);
   this->cancel(6);
-  this->Fleet.Known[0].Listing.Life = Incarnation(2);
+  this->Fleet.Upstreams[0].Listing.Life = Incarnation(2);
   Actions Out;
-  this->Bench.Tested.upstreamChanged(this->Fleet.Known[0], this->Now, Out);
-  EXPECT_EQ(this->Bench.Tested.nextWake(), Never);
+  this->Bench.TestedPlugin.upstreamChanged(this->Fleet.Upstreams[0], this->Now,
+                                           Out);
+  EXPECT_EQ(this->Bench.TestedPlugin.nextWake(), Never);
 }
 
 TEST_F(ReclaimTest, UnconfirmedCancelsAreBounded) {
@@ -162,7 +164,7 @@
 }
 
 TEST_F(ReclaimTest, OwnStreamIsFreedOnlyWhenNoRequestOwnsIt) {
-  const Request OwnRequest = RequestMaker(1);
+  const Request OwnRequest = TestRequestBuilder(1);
   this->Table.add(OwnRequest, attemptOf(OwnRequest, 5, "e1"));
   const std::vector<HoldReport> Holds{this->hold("host-a", 1)};
   this->report(Holds, seconds(10));
@@ -173,7 +175,7 @@
 }
 
 TEST_F(ReclaimTest, CallOfAPlainServiceIsNeverCancelled) {
-  this->Fleet.Known[0].Listing.Kind = UpstreamKind::Application;
+  this->Fleet.Upstreams[0].Listing.Kind = UpstreamKind::Application;
   HoldReport Hold = this->hold("host-x", 7);
   Hold.Deadline = this->Now;
   this->report({Hold}, seconds(100));
--- a/tests/auto/resolve/ResolveTest.cpp
+++ b/tests/auto/resolve/ResolveTest.cpp
@@ -36,13 +36,13 @@
     }
     this->Bench.start();
     Actions Out;
-    this->Bench.Tested.start(Time(seconds(1)), Out);
+    this->Bench.TestedPlugin.start(Time(seconds(1)), Out);
   }
   std::vector<std::string> ask(const std::string &Zone,
                                const std::string &Team = "",
                                std::uint64_t QueryId = 1) {
     Actions Out;
-    this->Bench.Tested.handle(
+    this->Bench.TestedPlugin.handle(
         ResolveRequest{ResolveRequestId(QueryId), TeamId(Team), ZoneId(Zone)},
         Time(seconds(1)), Out);
     std::vector<std::string> Result;
--- a/tests/auto/retry/RetryTest.cpp
+++ b/tests/auto/retry/RetryTest.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "fakes/PluginViews.h"
-#include "fakes/RequestMaker.h"
+#include "fakes/TestRequestBuilder.h"
 #include "plugins/retry/RetryPlugin.h"
 
 namespace banyanpick {
@@ -53,23 +53,24 @@
 TEST(RetryTest, NonIdempotentIsRetriedOnlyIfItCertainlyDidNotStart) {
   PluginBench<RetryPlugin> Bench("h1");
   Bench.start();
-  RetryPlugin &Tested = Bench.Tested;
+  RetryPlugin &TestedPlugin = Bench.TestedPlugin;
   Actions Out;
   const Request NotIdempotent =
-      RequestMaker(1).notIdempotent().arrived(Start, seconds(10));
+      TestRequestBuilder(1).notIdempotent().arrived(Start, seconds(10));
   const Attempt Dispatched = attemptOf(NotIdempotent, 1, "app");
-  Tested.admitted(NotIdempotent, Start, Out);
-  Tested.dispatched(NotIdempotent, Dispatched, Start, Out);
-  EXPECT_FALSE(Tested.mayRetry(NotIdempotent, 1, Start));
-  Tested.attemptEnded(NotIdempotent, Dispatched, AttemptRefused{}, Start, Out);
-  EXPECT_TRUE(Tested.mayRetry(NotIdempotent, 1, Start));
-  Tested.dispatched(NotIdempotent, Dispatched, Start, Out);
-  Tested.attemptEnded(NotIdempotent, Dispatched, AttemptBroken{0, true}, Start,
-                      Out);
-  EXPECT_FALSE(Tested.mayRetry(NotIdempotent, 2, Start));
-  const Request Idempotent = RequestMaker(2).arrived(Start, seconds(10));
-  EXPECT_TRUE(Tested.mayRetry(Idempotent, 1, Start));
-  EXPECT_FALSE(Tested.mayRetry(Idempotent, 1, Idempotent.Deadline));
+  TestedPlugin.admitted(NotIdempotent, Start, Out);
+  TestedPlugin.dispatched(NotIdempotent, Dispatched, Start, Out);
+  EXPECT_FALSE(TestedPlugin.mayRetry(NotIdempotent, 1, Start));
+  TestedPlugin.attemptEnded(NotIdempotent, Dispatched, AttemptRefused{}, Start,
+                            Out);
+  EXPECT_TRUE(TestedPlugin.mayRetry(NotIdempotent, 1, Start));
+  TestedPlugin.dispatched(NotIdempotent, Dispatched, Start, Out);
+  TestedPlugin.attemptEnded(NotIdempotent, Dispatched, AttemptBroken{0, true},
+                            Start, Out);
+  EXPECT_FALSE(TestedPlugin.mayRetry(NotIdempotent, 2, Start));
+  const Request Idempotent = TestRequestBuilder(2).arrived(Start, seconds(10));
+  EXPECT_TRUE(TestedPlugin.mayRetry(Idempotent, 1, Start));
+  EXPECT_FALSE(TestedPlugin.mayRetry(Idempotent, 1, Idempotent.Deadline));
 }
 
 } // namespace
--- a/tests/fakes/FakeRequestTable.h
+++ b/tests/fakes/FakeRequestTable.h
@@ -11,26 +11,26 @@
 class FakeRequestTable : public RequestTable {
 public:
   struct Entry {
-    Request Asked;
+    Request Req;
     std::optional<Attempt> Running;
     std::string Token;
   };
 
-  void add(const Request &Asked, std::optional<Attempt> Running = {},
+  void add(const Request &Req, std::optional<Attempt> Running = {},
            std::string Token = {}) {
-    this->Entries[Asked.id()] = {Asked, std::move(Running), std::move(Token)};
+    this->Entries[Req.id()] = {Req, std::move(Running), std::move(Token)};
   }
 
   std::size_t running() const override { return this->Entries.size(); }
   std::vector<RequestId> ids() const override {
     std::vector<RequestId> Result;
-    for (const auto &[Id, Each] : this->Entries)
+    for (const auto &[Id, Item] : this->Entries)
       Result.push_back(Id);
     return Result;
   }
   const Request *find(const RequestId &Id) const override {
     const auto Found = this->Entries.find(Id);
-    return Found == this->Entries.end() ? nullptr : &Found->second.Asked;
+    return Found == this->Entries.end() ? nullptr : &Found->second.Req;
   }
   const Attempt *attemptOf(const RequestId &Id) const override {
     const auto Found = this->Entries.find(Id);
@@ -38,9 +38,9 @@
     return Runs ? &*Found->second.Running : nullptr;
   }
   const Request *owner(const AttemptId &Id) const override {
-    for (const auto &[Key, Each] : this->Entries)
-      if (Each.Running && Each.Running->Id == Id)
-        return &Each.Asked;
+    for (const auto &[Key, Item] : this->Entries)
+      if (Item.Running && Item.Running->Id == Id)
+        return &Item.Req;
     return nullptr;
   }
   void handOver(const RequestId &Id, const Address &To, Time,
@@ -70,11 +70,13 @@
     Added.Listing.Id = UpstreamId(Name);
     Added.Listing.Life = Incarnation(Life);
     Added.State = UpstreamState::Live;
-    this->Known.push_back(Added);
-    return this->Known.back();
+    this->Upstreams.push_back(Added);
+    return this->Upstreams.back();
   }
 
-  std::span<const Upstream> upstreams() const override { return this->Known; }
+  std::span<const Upstream> upstreams() const override {
+    return this->Upstreams;
+  }
   std::span<const std::uint32_t> enginesWith(const ModelId &) const override {
     return {};
   }
@@ -83,13 +85,13 @@
     return {};
   }
   const Upstream *find(const UpstreamId &Id) const override {
-    for (const Upstream &Each : this->Known)
-      if (Each.Listing.Id == Id)
-        return &Each;
+    for (const Upstream &Engine : this->Upstreams)
+      if (Engine.Listing.Id == Id)
+        return &Engine;
     return nullptr;
   }
 
-  std::vector<Upstream> Known;
+  std::vector<Upstream> Upstreams;
 };
 
 } // namespace banyanpick
--- a/tests/fakes/PluginViews.h
+++ b/tests/fakes/PluginViews.h
@@ -42,9 +42,9 @@
   std::span<const Member> peers() const override { return this->Peers; }
   std::vector<HostId> livePeers() const override {
     std::vector<HostId> Live;
-    for (const Member &Each : this->Peers) {
-      if (Each.State == MemberState::Alive)
-        Live.push_back(Each.Listing.Id);
+    for (const Member &Peer : this->Peers) {
+      if (Peer.State == MemberState::Alive)
+        Live.push_back(Peer.Listing.Id);
     }
     return Live;
   }
@@ -64,15 +64,15 @@
     this->Peers.push_back(Added);
   }
   void setLife(const HostId &Host, Incarnation Life) {
-    for (Member &Each : this->Peers) {
-      if (Each.Listing.Id == Host)
-        Each.Life = Life;
+    for (Member &Peer : this->Peers) {
+      if (Peer.Listing.Id == Host)
+        Peer.Life = Life;
     }
   }
   void setState(const HostId &Host, MemberState State) {
-    for (Member &Each : this->Peers) {
-      if (Each.Listing.Id == Host)
-        Each.State = State;
+    for (Member &Peer : this->Peers) {
+      if (Peer.Listing.Id == Host)
+        Peer.State = State;
     }
   }
 
@@ -119,9 +119,8 @@
   }
 
   void start() {
-    PluginContext Context(this->Self, this->Values, this->Registry,
-                          this->Numbers);
-    this->Tested.initialize(Context);
+    PluginContext Context(this->Self, this->Values, this->Registry, this->Rng);
+    this->TestedPlugin.initialize(Context);
   }
 
   /// The messages that \p Step sends.
@@ -129,8 +128,8 @@
     Actions Out;
     Step(Out);
     std::vector<SendToPeer> Result;
-    for (const Action &Each : Out.items()) {
-      if (const auto *Message = std::get_if<SendToPeer>(&Each))
+    for (const Action &Message : Out.items()) {
+      if (const auto *Message = std::get_if<SendToPeer>(&Message))
         Result.push_back(*Message);
     }
     return Result;
@@ -138,7 +137,7 @@
 
   std::vector<SendToPeer> handle(const Event &Incoming, Time Now) {
     return this->sent(
-        [&](Actions &Out) { this->Tested.handle(Incoming, Now, Out); });
+        [&](Actions &Out) { this->TestedPlugin.handle(Incoming, Now, Out); });
   }
 
   FakeCatalogueView Entries;
@@ -148,8 +147,8 @@
   Identity Self;
   Settings Values;
   Services Registry;
-  Random Numbers{1};
-  PluginType Tested;
+  Random Rng{1};
+  PluginType TestedPlugin;
 };
 
 } // namespace banyanpick
--- /dev/null
+++ b/tests/fakes/TestRequestBuilder.h
@@ -0,0 +1,74 @@
+/// \file
+/// Requests for tests of plug-ins: `TestRequestBuilder(7).team("a").build()`.
+#pragma once
+
+#include "kernel/Request.h"
+
+namespace banyanpick {
+
+/// Builds a request of an idempotent class on the model "m".
+class TestRequestBuilder {
+public:
+  explicit TestRequestBuilder(std::uint64_t Id) {
+    this->Req.Head.Id = RequestId(Id);
+    this->Req.Head.Content = Fingerprint(Id);
+    this->Req.Head.PromptTokens = 1000;
+    this->Req.Class.TargetName = "m";
+    this->Req.Class.Urgency = 5;
+    this->Req.OutputTokens = 100;
+    this->team("a").arrived(Time(seconds(1000)), seconds(10));
+  }
+
+  TestRequestBuilder &team(std::string Name, double Weight = 1) {
+    this->Req.Team = TeamId(std::move(Name));
+    this->Req.TeamWeight = Weight;
+    return *this;
+  }
+  TestRequestBuilder &prompt(std::uint64_t Tokens) {
+    this->Req.Head.PromptTokens = Tokens;
+    return *this;
+  }
+  TestRequestBuilder &output(std::uint64_t Tokens) {
+    this->Req.OutputTokens = Tokens;
+    return *this;
+  }
+  TestRequestBuilder &urgency(std::uint32_t Urgency) {
+    this->Req.Class.Urgency = Urgency;
+    return *this;
+  }
+  TestRequestBuilder &content(std::uint64_t Content) {
+    this->Req.Head.Content = Fingerprint(Content);
+    return *this;
+  }
+  TestRequestBuilder &notIdempotent() {
+    this->Req.Class.Idempotent = false;
+    return *this;
+  }
+  /// Promised \p Promise after \p Now, first token and whole answer.
+  TestRequestBuilder &arrived(Time Now, Duration TimeLimit) {
+    this->Req.ArrivedAt = Now;
+    this->Req.FirstTokenBy = Now + TimeLimit;
+    this->Req.Deadline = Now + TimeLimit;
+    return *this;
+  }
+
+  Request build() const { return this->Req; }
+  operator Request() const { return this->Req; }
+
+private:
+  Request Req;
+};
+
+/// A try of the request on an upstream.
+inline Attempt attemptOf(const Request &Req, std::uint64_t Sequence,
+                         const std::string &Upstream, std::uint64_t Life = 1) {
+  Attempt Result;
+  Result.Id = {Incarnation(1), Sequence};
+  Result.Request = Req.id();
+  Result.Upstream = UpstreamId(Upstream);
+  Result.UpstreamLife = Incarnation(Life);
+  Result.UncachedTokens = Req.Head.PromptTokens;
+  return Result;
+}
+
+} // namespace banyanpick
